--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -136,8 +136,8 @@
           if (p != v && (v > CHOOSE_STAGES_MAX || p > CHOOSE_STAGES_MAX))
             continue;
           for (i = 0; i < WARM_RATINGS; i++)
-            cascade_rated (bench->estimates, &outcome, i % 4 == 0 ? 0.3 : 0.95);
-          cascade_ran (bench->estimates, &outcome, 700, 2500);
+            cascade_record_rating (bench->estimates, &outcome, i % 4 == 0 ? 0.3 : 0.95);
+          cascade_record_run (bench->estimates, &outcome, 700, 2500);
         }
 }
 
--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -285,8 +285,8 @@
   view->latency_var = (1 - LATENCY_WEIGHT) * (view->latency_var + LATENCY_WEIGHT * delta * delta);
   if (request_measured (site, request))
     site->result.cost += version->cost_per_1k * tokens / 1000;
-  cascade_ran (gate->estimates, &outcome, tokens,
-               (double)(site->now_us - request->sent_us) / US_PER_MS);
+  cascade_record_run (gate->estimates, &outcome, tokens,
+                      (double)(site->now_us - request->sent_us) / US_PER_MS);
 }
 
 /** A share of the answers that no stage's rating gates is rated for what is learned of it; of a
@@ -301,7 +301,7 @@
     return;
   score = rating_of (site, request);
   rollout_note_rating (site, request, score);
-  cascade_rated (site_gate (site, request)->estimates, outcome, score);
+  cascade_record_rating (site_gate (site, request)->estimates, outcome, score);
 }
 
 void
@@ -335,7 +335,7 @@
     {
       score = rating_of (site, request);
       rollout_note_rating (site, request, score);
-      cascade_rated (site_gate (site, request)->estimates, &outcome, score);
+      cascade_record_rating (site_gate (site, request)->estimates, &outcome, score);
       if (cascade_passes (&request->plan, score))
         {
           end_answered (site, request, site->now_us);
--- a/src/choose_cascade.c
+++ b/src/choose_cascade.c
@@ -183,7 +183,7 @@
 }
 
 void
-cascade_rated (Estimates *estimates, const CascadeOutcome *outcome, double score)
+cascade_record_rating (Estimates *estimates, const CascadeOutcome *outcome, double score)
 {
   bool passed = score >= outcome->quality_target;
   EstimateKey key;
@@ -199,7 +199,7 @@
 }
 
 void
-cascade_ran (Estimates *estimates, const CascadeOutcome *outcome, double tokens, double ms)
+cascade_record_run (Estimates *estimates, const CascadeOutcome *outcome, double tokens, double ms)
 {
   EstimateKey key;
 
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -63,8 +63,9 @@
 } CascadeOutcome;
 
 /** Its rating came in, whether it gated the answer or was a sample. */
-void cascade_rated (Estimates *estimates, const CascadeOutcome *outcome, double score);
+void cascade_record_rating (Estimates *estimates, const CascadeOutcome *outcome, double score);
 /** It was generated: its tokens, prompt included, and its time. */
-void cascade_ran (Estimates *estimates, const CascadeOutcome *outcome, double tokens, double ms);
+void
+cascade_record_run (Estimates *estimates, const CascadeOutcome *outcome, double tokens, double ms);
 
 #endif
--- a/src/gate_sample.c
+++ b/src/gate_sample.c
@@ -80,7 +80,7 @@
       if (gate_rating_rate (gate, s->class_name, s->prompt, s->answer, &score))
         {
           s->outcome.now_ms = clock_boot_ms ();
-          cascade_rated (gate->estimates, &s->outcome, score);
+          cascade_record_rating (gate->estimates, &s->outcome, score);
           gate_evidence_rated (gate->evidence, &s->key, score);
           counter_add (COUNTER_GATE_SAMPLES, 1);
         }
--- a/tests/test_choose_cascade.c
+++ b/tests/test_choose_cascade.c
@@ -88,7 +88,7 @@
   unsigned i;
 
   for (i = 0; i < n; i++)
-    cascade_rated (estimates, &outcome, i < share * n ? 0.95 : 0.2);
+    cascade_record_rating (estimates, &outcome, i < share * n ? 0.95 : 0.2);
 }
 
 static void
@@ -246,11 +246,11 @@
   for (i = 0; i < 50; i++)
     {
       outcome.version = A;
-      cascade_ran (estimates, &outcome, 800, 2000);
+      cascade_record_run (estimates, &outcome, 800, 2000);
       outcome.version = B;
-      cascade_ran (estimates, &outcome, 800, 9000);
+      cascade_record_run (estimates, &outcome, 800, 9000);
       outcome.version = C;
-      cascade_ran (estimates, &outcome, 800, 3000);
+      cascade_record_run (estimates, &outcome, 800, 3000);
     }
   request.deadline_ms = request.now_ms + 4000;
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_NONE);
