--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -209,7 +209,7 @@
   make_servers (&bench);
   bench.estimates = estimates_new (&estimate_settings_default);
   bench.limiter = limiter_new (&limit_settings_default);
-  limiter_view (bench.limiter, 1, 0, 0);
+  limiter_set_view (bench.limiter, 1, 0, 0);
   bench.quarantine = quarantine_new (&quarantine_settings_default);
   if (argc == 6)
     warm (&bench);
--- a/bench/model_site.c
+++ b/bench/model_site.c
@@ -78,7 +78,7 @@
       gate->budget = retry_budget_new (&retry_settings_default);
       gate->limiter = limiter_new (&limit_settings_default);
       gate->quarantine = quarantine_new (&quarantine_settings_default);
-      limiter_view (gate->limiter, scenario->gates, (int)i, -VIEW_AGE_MS);
+      limiter_set_view (gate->limiter, scenario->gates, (int)i, -VIEW_AGE_MS);
       gate->fresh = memory_array (site->config->team_count * REQUEST_KINDS, sizeof *gate->fresh);
       gate->control
           = memory_array (site->config->team_count * REQUEST_KINDS, sizeof *gate->control);
--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -84,16 +84,16 @@
 }
 
 void
-limiter_view (Limiter *limiter, unsigned members, int rank, int64_t now_ms)
+limiter_set_view (Limiter *limiter, unsigned members, int rank, int64_t now_ms)
 {
-  limit_shares_view (&limiter->shares, members, rank, now_ms);
+  limit_shares_set_view (&limiter->shares, members, rank, now_ms);
 }
 
 /** Told to a client whom a limit stops: while the view is unsettled, when it will be. */
 static int64_t
 come_back_ms (Limiter *limiter, int64_t now_ms)
 {
-  int64_t unsettled_ms = limit_shares_unsettled (&limiter->shares, now_ms);
+  int64_t unsettled_ms = limit_shares_unsettled_ms (&limiter->shares, now_ms);
 
   return unsettled_ms > limiter->settings.come_back_ms ? unsettled_ms
                                                        : limiter->settings.come_back_ms;
@@ -143,7 +143,7 @@
   rate = limit_shares_rate (&limiter->shares, (double)config->tokens_per_s, query->now_ms);
   if (rate <= 0)
     return refuse (REASON_TEAM_LIMIT, come_back_ms (limiter, query->now_ms));
-  limit_team_fill (team, rate, limiter->settings.burst_s, query->now_ms);
+  limit_team_refill (team, rate, limiter->settings.burst_s, query->now_ms);
   /* A request may overdraw, or one larger than the burst could never run; what follows waits. */
   if (team->tokens <= 0)
     return refuse (REASON_TEAM_LIMIT, 1 + (int64_t)(-team->tokens / rate * MS_PER_S));
--- a/src/choose_limit.h
+++ b/src/choose_limit.h
@@ -29,7 +29,7 @@
  *  live VMs. A larger share than before counts only after settle_ms, when no gate that goes by the
  *  view before can still take new work; a smaller one at once. A gate that has just started has no
  *  part until then: the others go by a view without it. */
-void limiter_view (Limiter *limiter, unsigned members, int rank, int64_t now_ms);
+void limiter_set_view (Limiter *limiter, unsigned members, int rank, int64_t now_ms);
 
 /** What is asked for. */
 typedef struct
--- a/src/choose_limit_share.c
+++ b/src/choose_limit_share.c
@@ -46,9 +46,9 @@
 static void
 add_former (LimitShares *shares)
 {
-  LimitPlace *last;
+  LimitPosition *last;
 
-  if (shares->former_count == LIMIT_PLACES_MAX)
+  if (shares->former_count == LIMIT_POSITIONS_MAX)
     {
       shares->former_count = 1;
       shares->former[0].members = 0;
@@ -60,7 +60,7 @@
 }
 
 void
-limit_shares_view (LimitShares *shares, unsigned members, int rank, int64_t now_ms)
+limit_shares_set_view (LimitShares *shares, unsigned members, int rank, int64_t now_ms)
 {
   pthread_mutex_lock (&shares->lock);
   if (members != shares->now.members || rank != shares->now.rank)
@@ -68,13 +68,13 @@
       drop_settled (shares, now_ms);
       shares->settled_ms = now_ms + shares->settle_ms;
       add_former (shares);
-      shares->now = (LimitPlace){ .members = members, .rank = rank };
+      shares->now = (LimitPosition){ .members = members, .rank = rank };
     }
   pthread_mutex_unlock (&shares->lock);
 }
 
 static int64_t
-place_count (const LimitPlace *place, int64_t limit)
+place_count (const LimitPosition *place, int64_t limit)
 {
   return place->members > 0 ? limit_share (limit, place->members, place->rank) : 0;
 }
@@ -99,7 +99,7 @@
 }
 
 static double
-place_rate (const LimitPlace *place, double limit)
+place_rate (const LimitPosition *place, double limit)
 {
   return place->members > 0 ? limit / place->members : 0;
 }
@@ -120,7 +120,7 @@
 }
 
 int64_t
-limit_shares_unsettled (LimitShares *shares, int64_t now_ms)
+limit_shares_unsettled_ms (LimitShares *shares, int64_t now_ms)
 {
   int64_t ms;
 
--- a/src/choose_limit_share.h
+++ b/src/choose_limit_share.h
@@ -13,9 +13,9 @@
   unsigned members; /**< 0: none yet, and so no part */
   int rank;
   int64_t until_ms; /**< of a former place: how long it still counts */
-} LimitPlace;
+} LimitPosition;
 
-#define LIMIT_PLACES_MAX 16
+#define LIMIT_POSITIONS_MAX 16
 
 /** Why the parts of gates with unlike views never add up to more than the limit: each gate goes by
  * the least of its parts in the newest view and in those that it held within the last settle_ms. A
@@ -25,18 +25,18 @@
 {
   pthread_mutex_t lock;
   int64_t settle_ms;
-  LimitPlace now;
-  LimitPlace former[LIMIT_PLACES_MAX];
+  LimitPosition now;
+  LimitPosition former[LIMIT_POSITIONS_MAX];
   unsigned former_count;
   int64_t settled_ms;
 } LimitShares;
 
 void limit_shares_init (LimitShares *shares, int64_t settle_ms);
 void limit_shares_clear (LimitShares *shares);
-void limit_shares_view (LimitShares *shares, unsigned members, int rank, int64_t now_ms);
+void limit_shares_set_view (LimitShares *shares, unsigned members, int rank, int64_t now_ms);
 int64_t limit_shares_count (LimitShares *shares, int64_t limit, int64_t now_ms);
 double limit_shares_rate (LimitShares *shares, double limit, int64_t now_ms);
 /** Milliseconds until the view is settled; 0 or less if it is. */
-int64_t limit_shares_unsettled (LimitShares *shares, int64_t now_ms);
+int64_t limit_shares_unsettled_ms (LimitShares *shares, int64_t now_ms);
 
 #endif
--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -110,7 +110,7 @@
 }
 
 void
-limit_team_fill (LimitTeam *team, double rate, double burst_s, int64_t now_ms)
+limit_team_refill (LimitTeam *team, double rate, double burst_s, int64_t now_ms)
 {
   double most = rate * burst_s;
 
--- a/src/choose_limit_team.h
+++ b/src/choose_limit_team.h
@@ -53,6 +53,6 @@
 unsigned
 limit_teams_active (LimitTeams *teams, int64_t now_ms, int64_t active_ms, LimitActive *out);
 /** Adds the tokens that came in since the last time, up to burst_s seconds' worth. */
-void limit_team_fill (LimitTeam *team, double rate, double burst_s, int64_t now_ms);
+void limit_team_refill (LimitTeam *team, double rate, double burst_s, int64_t now_ms);
 
 #endif
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -41,7 +41,7 @@
 {
   int64_t now_ms = clock_boot_ms ();
 
-  limiter_view (limit->limiter, members, rank, now_ms);
+  limiter_set_view (limit->limiter, members, rank, now_ms);
   if (members > 0 && __atomic_load_n (&limit->first_view_ms, __ATOMIC_RELAXED) == 0)
     __atomic_store_n (&limit->first_view_ms, now_ms, __ATOMIC_RELAXED);
 }
--- a/tests/test_choose_limit.c
+++ b/tests/test_choose_limit.c
@@ -40,7 +40,7 @@
     .now_ms = SETTLED,
     .deadline_ms = SETTLED + 100000,
   };
-  limiter_view (limiter, 1, 0, 0);
+  limiter_set_view (limiter, 1, 0, 0);
   return limiter;
 }
 
@@ -131,10 +131,10 @@
 {
   Limiter *limiter = setup (1, 0);
 
-  limiter_view (limiter, GATES, 0, SETTLED - 100000);
+  limiter_set_view (limiter, GATES, 0, SETTLED - 100000);
   CU_ASSERT_EQUAL (admit (limiter, 0).reason, REASON_TEAM_LIMIT);
   CU_ASSERT (admit (limiter, 0).retry_after_ms > 0);
-  limiter_view (limiter, GATES, GATES - 1, SETTLED - 50000);
+  limiter_set_view (limiter, GATES, GATES - 1, SETTLED - 50000);
   CU_ASSERT_EQUAL (admit (limiter, 0).reason, REASON_NONE);
   limiter_free (limiter);
 }
@@ -153,14 +153,14 @@
     {
       limiters[i] = setup (limit, 0);
       if (i < GATES)
-        limiter_view (limiters[i], GATES, (int)i, SETTLED - 100000);
+        limiter_set_view (limiters[i], GATES, (int)i, SETTLED - 100000);
     }
   /* Six know the new view of seven, with the new VM last; three do not. */
   for (i = 0; i < 6; i++)
-    limiter_view (limiters[i], 7, (int)i, SETTLED);
+    limiter_set_view (limiters[i], 7, (int)i, SETTLED);
   limiter_free (limiters[GATES]);
   limiters[GATES] = limiter_new (&limit_settings_default);
-  limiter_view (limiters[GATES], 7, 6, SETTLED);
+  limiter_set_view (limiters[GATES], 7, 6, SETTLED);
   query.now_ms = SETTLED + 1;
   for (i = 0; i <= GATES; i++)
     total += admit_many (limiters[i], 0, 100);
@@ -190,9 +190,9 @@
   Limiter *limiter = setup (90, 0);
   unsigned i;
 
-  limiter_view (limiter, 5, 0, SETTLED - 100000);
-  limiter_view (limiter, 10, 0, SETTLED);
-  limiter_view (limiter, 3, 0, SETTLED + 10);
+  limiter_set_view (limiter, 5, 0, SETTLED - 100000);
+  limiter_set_view (limiter, 10, 0, SETTLED);
+  limiter_set_view (limiter, 3, 0, SETTLED + 10);
   query.now_ms = SETTLED + 20;
   CU_ASSERT_EQUAL (admit_many (limiter, 0, 50), 9);
   query.now_ms = SETTLED + 10 + limit_settings_default.settle_ms;
@@ -202,7 +202,7 @@
   query.now_ms += 100000;
   query.deadline_ms = 0;
   for (i = 0; i < 100; i++)
-    limiter_view (limiter, 2 + i % 2, 0, query.now_ms + i);
+    limiter_set_view (limiter, 2 + i % 2, 0, query.now_ms + i);
   query.now_ms += 100;
   CU_ASSERT_EQUAL (admit (limiter, 1).reason, REASON_TEAM_LIMIT);
   query.now_ms += limit_settings_default.settle_ms;
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -540,7 +540,7 @@
   check_refused (request_new (site, "draft", "", BODY), REASON_TEAM_LIMIT, REQUEST_NOT_RUN);
   limiter_free (site->gate.limit.limiter);
   site->gate.limit.limiter = limiter_new (&limit_settings_default);
-  limiter_view (site->gate.limit.limiter, 1, 0, clock_boot_ms () - 3600000);
+  limiter_set_view (site->gate.limit.limiter, 1, 0, clock_boot_ms () - 3600000);
   CU_ASSERT_EQUAL (gate_run (r), RUN_STREAM);
   check_refused (request_new (site, "draft", "", BODY), REASON_TEAM_LIMIT, REQUEST_NOT_RUN);
   gate_request_free (r);
