--- a/bench/model_attempt.c
+++ b/bench/model_attempt.c
@@ -90,7 +90,7 @@
     request->tried[request->tried_count++] = server;
   view->in_flight++;
   breaker_sent (view, site_ms (site));
-  load_note (&site_gate (site, request)->histories[server], view, site_ms (site));
+  load_history_add (&site_gate (site, request)->histories[server], view, site_ms (site));
   cds_list_add_tail (&request->at_engine, &site->engine_requests[server]);
   site->result.attempts += request_measured (site, request);
   push_attempt (site, hop_us (site, request, server), EVENT_ENQUEUE, index);
@@ -123,7 +123,7 @@
 
   INVARIANT (gate->views[server].in_flight > 0, "server=%u", server);
   gate->views[server].in_flight--;
-  load_note (&gate->histories[server], &gate->views[server], site_ms (site));
+  load_history_add (&gate->histories[server], &gate->views[server], site_ms (site));
   cds_list_del (&request->at_engine);
   request->engine = -1;
 }
--- a/src/choose_load.c
+++ b/src/choose_load.c
@@ -8,31 +8,32 @@
 #define OFFSET_MAX_MS 60000
 
 void
-load_note (LoadHistory *history, const ServerView *view, int64_t now_ms)
+load_history_add (LoadHistory *history, const ServerView *view, int64_t now_ms)
 {
-  int64_t sample = now_ms / LOAD_HISTORY_MS;
+  int64_t sample = now_ms / LOAD_SAMPLE_MS;
   int64_t i = history->sample + 1;
 
   /* Samples in which nothing changed hold the value before them. */
-  if (sample - i >= LOAD_HISTORY)
-    i = sample - LOAD_HISTORY;
+  if (sample - i >= LOAD_HISTORY_SAMPLES)
+    i = sample - LOAD_HISTORY_SAMPLES;
   for (; i <= sample; i++)
-    history->in_flight[i % LOAD_HISTORY] = history->in_flight[history->sample % LOAD_HISTORY];
+    history->in_flight[i % LOAD_HISTORY_SAMPLES]
+        = history->in_flight[history->sample % LOAD_HISTORY_SAMPLES];
   if (sample > history->sample)
     history->sample = sample;
-  history->in_flight[history->sample % LOAD_HISTORY] = view->in_flight;
+  history->in_flight[history->sample % LOAD_HISTORY_SAMPLES] = view->in_flight;
 }
 
 static int64_t
 in_flight_at (const LoadHistory *history, int64_t at_ms)
 {
-  int64_t sample = at_ms / LOAD_HISTORY_MS;
+  int64_t sample = at_ms / LOAD_SAMPLE_MS;
 
   if (sample > history->sample)
     sample = history->sample;
-  if (sample <= history->sample - LOAD_HISTORY)
-    sample = history->sample - LOAD_HISTORY + 1;
-  return sample < 0 ? 0 : history->in_flight[sample % LOAD_HISTORY];
+  if (sample <= history->sample - LOAD_HISTORY_SAMPLES)
+    sample = history->sample - LOAD_HISTORY_SAMPLES + 1;
+  return sample < 0 ? 0 : history->in_flight[sample % LOAD_HISTORY_SAMPLES];
 }
 
 void
@@ -44,7 +45,7 @@
       || offset > history->clock_offset + OFFSET_MAX_MS)
     history->clock_offset = offset;
   history->clock_known = true;
-  load_note (history, view, now_ms);
+  load_history_add (history, view, now_ms);
   view->reported_load = load;
   view->in_flight_report = in_flight_at (history, at_ms + history->clock_offset);
   view->report_ms = now_ms;
--- a/src/choose_load.h
+++ b/src/choose_load.h
@@ -7,21 +7,21 @@
 
 #include "choose_server.h"
 
-#define LOAD_HISTORY    64  /**< samples of the own requests */
-#define LOAD_HISTORY_MS 128 /**< between samples; about 8 s in all */
+#define LOAD_HISTORY_SAMPLES 64  /**< samples of the own requests */
+#define LOAD_SAMPLE_MS       128 /**< between samples; about 8 s in all */
 
 /** What one gate remembers of its own requests at one backend server, and of that server's clock.
  *  Guarded by the lock that guards the ServerView. */
 typedef struct
 {
-  int64_t in_flight[LOAD_HISTORY];
-  int64_t sample;       /**< number of the newest sample: time / LOAD_HISTORY_MS */
+  int64_t in_flight[LOAD_HISTORY_SAMPLES];
+  int64_t sample;       /**< number of the newest sample: time / LOAD_SAMPLE_MS */
   int64_t clock_offset; /**< least (arrival - the server's time) seen */
   bool clock_known;
 } LoadHistory;
 
 /** Notes the own requests in progress; called after each change of view->in_flight. */
-void load_note (LoadHistory *history, const ServerView *view, int64_t now_ms);
+void load_history_add (LoadHistory *history, const ServerView *view, int64_t now_ms);
 
 /** Takes a report in. at_ms is the server's own clock when it was taken, in any origin: the least
  *  difference seen between arrival and at_ms stands for a report without lag. */
--- a/src/gate_servers.c
+++ b/src/gate_servers.c
@@ -90,7 +90,7 @@
 {
   pthread_mutex_lock (&server->lock);
   server->view.in_flight++;
-  load_note (&server->history, &server->view, now_ms);
+  load_history_add (&server->history, &server->view, now_ms);
   breaker_sent (&server->view, now_ms);
   pthread_mutex_unlock (&server->lock);
 }
@@ -257,7 +257,7 @@
   pthread_mutex_lock (&server->lock);
   left = --view->in_flight;
   running_end (server, fingerprint);
-  load_note (&server->history, view, now_ms);
+  load_history_add (&server->history, view, now_ms);
   switch (result)
     {
     case SERVER_WELL:
--- a/tests/test_choose_load.c
+++ b/tests/test_choose_load.c
@@ -17,7 +17,7 @@
   for (t = 100000; t < 104000; t += 100)
     {
       view.in_flight++;
-      load_note (&history, &view, t);
+      load_history_add (&history, &view, t);
     }
   CU_ASSERT_EQUAL (view.in_flight, 40);
   /* Taken at 100,000 on our clock, 500 on the server's; arrives at 105,000. */
@@ -36,7 +36,7 @@
 
   load_report (&history, &view, 0, 1000000, 1000000);
   view.in_flight = 7;
-  load_note (&history, &view, 1001000);
+  load_history_add (&history, &view, 1001000);
   load_report (&history, &view, 7, 1000, 1002000);
   CU_ASSERT_EQUAL (view.in_flight_report, 7);
 }
@@ -52,11 +52,11 @@
   for (t = 0; t < 60000; t += 50)
     {
       view.in_flight = 2 + t / 1000;
-      load_note (&history, &view, t);
+      load_history_add (&history, &view, t);
     }
   load_report (&history, &view, 1, 0, 59000);
-  CU_ASSERT (view.in_flight_report >= 2 + 59 - LOAD_HISTORY * LOAD_HISTORY_MS / 1000 - 1);
-  CU_ASSERT (view.in_flight_report <= 2 + 59 - LOAD_HISTORY * LOAD_HISTORY_MS / 1000 + 1);
+  CU_ASSERT (view.in_flight_report >= 2 + 59 - LOAD_HISTORY_SAMPLES * LOAD_SAMPLE_MS / 1000 - 1);
+  CU_ASSERT (view.in_flight_report <= 2 + 59 - LOAD_HISTORY_SAMPLES * LOAD_SAMPLE_MS / 1000 + 1);
 }
 
 int
