--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -91,7 +91,7 @@
   ChoosePlan plan = { .count = 0 };
   int picked = 0;
 
-  if (bench->admit && !quarantine_holds (bench->quarantine, random | 1, now_ms))
+  if (bench->admit && !quarantine_contains (bench->quarantine, random | 1, now_ms))
     {
       if (limit_policy_default.admit (bench->limiter, &limit).reason == REASON_NONE)
         limiter_end (bench->limiter, bench->config, team, limit.tokens, limit.tokens);
--- a/bench/model_attempt.c
+++ b/bench/model_attempt.c
@@ -239,7 +239,7 @@
       return;
     }
   if (site->policy->quarantine
-      && quarantine_holds (gate->quarantine, request->fingerprint, site_ms (site)))
+      && quarantine_contains (gate->quarantine, request->fingerprint, site_ms (site)))
     {
       request_refuse (site, index, REASON_QUARANTINED, 0);
       return;
--- a/bench/model_crash.c
+++ b/bench/model_crash.c
@@ -45,7 +45,8 @@
     {
       if (i == gate || !site->gates[i].up)
         continue;
-      n = quarantine_news (site->gates[i].quarantine, news, QUARANTINE_DEATHS_MAX, site_ms (site));
+      n = quarantine_recent_deaths (site->gates[i].quarantine, news, QUARANTINE_DEATHS_MAX,
+                                    site_ms (site));
       for (j = 0; j < n; j++)
         quarantine_add (site->gates[gate].quarantine, &news[j], site_ms (site));
     }
--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -213,8 +213,8 @@
     site->result.others_asked += request_measured (site, request);
   request->asked = true;
   if (site->policy->quarantine
-      && quarantine_holds (site_gate (site, request)->quarantine, request->fingerprint,
-                           site_ms (site)))
+      && quarantine_contains (site_gate (site, request)->quarantine, request->fingerprint,
+                              site_ms (site)))
     {
       request_refuse (site, index, REASON_QUARANTINED, 0);
       return;
--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -65,7 +65,7 @@
 }
 
 bool
-quarantine_holds (Quarantine *quarantine, uint64_t fingerprint, int64_t now_ms)
+quarantine_contains (Quarantine *quarantine, uint64_t fingerprint, int64_t now_ms)
 {
   bool found = false;
   unsigned i;
@@ -319,7 +319,7 @@
 }
 
 size_t
-quarantine_news (Quarantine *quarantine, QuarantineDeath *out, size_t max, int64_t now_ms)
+quarantine_recent_deaths (Quarantine *quarantine, QuarantineDeath *out, size_t max, int64_t now_ms)
 {
   QuarantineDeath all[QUARANTINE_DEATHS_MAX];
   size_t i, j, n = 0;
--- a/src/choose_quarantine.h
+++ b/src/choose_quarantine.h
@@ -42,11 +42,12 @@
 /** The same for the same team and body on every VM; never 0. */
 uint64_t quarantine_fingerprint (const char *team, const void *body, size_t len);
 /** True if the request is to be refused. */
-bool quarantine_holds (Quarantine *quarantine, uint64_t fingerprint, int64_t now_ms);
+bool quarantine_contains (Quarantine *quarantine, uint64_t fingerprint, int64_t now_ms);
 /** True if it was news. A server died (its connections were cut together, not drained): by this
  * VM's own requests, or as another VM says. The same news twice changes nothing. */
 bool quarantine_add (Quarantine *quarantine, const QuarantineDeath *death, int64_t now_ms);
 /** Deaths to tell other VMs, newest first; returns their number. */
-size_t quarantine_news (Quarantine *quarantine, QuarantineDeath *out, size_t max, int64_t now_ms);
+size_t
+quarantine_recent_deaths (Quarantine *quarantine, QuarantineDeath *out, size_t max, int64_t now_ms);
 
 #endif
--- a/src/front_deaths.c
+++ b/src/front_deaths.c
@@ -48,7 +48,7 @@
     {
       FrontLine *line;
 
-      if (!quarantine_holds (probe->front->quarantine, probe->death.flights[i], now_ms))
+      if (!quarantine_contains (probe->front->quarantine, probe->death.flights[i], now_ms))
         continue;
       line = front_log_begin (FRONT_EVENT_QUARANTINE);
       front_log_number (line, "fingerprint", (int64_t)probe->death.flights[i]);
--- a/src/front_peers_tell.c
+++ b/src/front_peers_tell.c
@@ -130,8 +130,8 @@
       continue;
     rollout_fill (peers, rollout, &message->rollouts[message->rollout_count++], now_ms);
   }
-  message->death_count
-      = (uint32_t)quarantine_news (front->quarantine, message->deaths, PEER_DEATHS_MAX, now_ms);
+  message->death_count = (uint32_t)quarantine_recent_deaths (front->quarantine, message->deaths,
+                                                             PEER_DEATHS_MAX, now_ms);
 }
 
 /* How many fronts of each kind may still be told in a round. */
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -213,7 +213,7 @@
       return false;
     }
   request->fingerprint = fingerprint_of (request);
-  if (!quarantine_holds (front->quarantine, request->fingerprint, request->arrived_ms))
+  if (!quarantine_contains (front->quarantine, request->fingerprint, request->arrived_ms))
     return true;
   request_refuse (request, STATUS_UNAVAILABLE, "quarantined", COME_BACK_QUARANTINED_MS);
   return false;
--- a/src/gate_deaths.c
+++ b/src/gate_deaths.c
@@ -6,8 +6,8 @@
 void
 gate_deaths_news (Gate *gate, DeathNews *out)
 {
-  out->count = (u_int)quarantine_news (gate->servers.sightings, out->deaths, LOVAGE_DEATHS_MAX,
-                                       clock_boot_ms ());
+  out->count = (u_int)quarantine_recent_deaths (gate->servers.sightings, out->deaths,
+                                                LOVAGE_DEATHS_MAX, clock_boot_ms ());
   for (u_int i = 0; i < out->count; i++)
     {
       QuarantineDeath *death = &out->deaths[i];
--- a/src/gate_request.c
+++ b/src/gate_request.c
@@ -64,7 +64,7 @@
 {
   Quarantine *quarantine = r->gate->servers.quarantine;
 
-  return quarantine != NULL && quarantine_holds (quarantine, r->fingerprint, clock_boot_ms ());
+  return quarantine != NULL && quarantine_contains (quarantine, r->fingerprint, clock_boot_ms ());
 }
 
 void
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -112,7 +112,7 @@
                      u_int *count)
 {
   QuarantineDeath deaths[QUARANTINE_DEATHS_MAX];
-  size_t known = quarantine_news (d->set, deaths, QUARANTINE_DEATHS_MAX, now_ms);
+  size_t known = quarantine_recent_deaths (d->set, deaths, QUARANTINE_DEATHS_MAX, now_ms);
   Share share = { .left = *room };
   size_t fresh = 0;
 
--- a/tests/test_choose_quarantine.c
+++ b/tests/test_choose_quarantine.c
@@ -53,14 +53,14 @@
 {
   quarantine = quarantine_new (settings);
   die (1, CRASHER, 0, 1000);
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, CRASHER, 1000));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, CRASHER, 1000));
   die (1, CRASHER, 0, 20000);
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, CRASHER, 20000));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, CRASHER, 20000));
   die (2, CRASHER, 0, 30000);
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, CRASHER, 30000));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, id_hash ("x", 1, 1) | 1, 30000));
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, CRASHER, 30000 + settings->hold_ms - 1));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, CRASHER, 30000 + settings->hold_ms));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, CRASHER, 30000));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, id_hash ("x", 1, 1) | 1, 30000));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, CRASHER, 30000 + settings->hold_ms - 1));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, CRASHER, 30000 + settings->hold_ms));
   quarantine_free (quarantine);
 }
 
@@ -73,11 +73,11 @@
   quarantine = quarantine_new (settings);
   die (1, CRASHER, BYSTANDER, 1000);
   die (2, CRASHER, BYSTANDER, 2000);
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, CRASHER, 2000));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, BYSTANDER, 2000));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, CRASHER, 2000));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, BYSTANDER, 2000));
   die (3, CRASHER, 0, 3000);
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, CRASHER, 3000));
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, BYSTANDER, 3000));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, CRASHER, 3000));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, BYSTANDER, 3000));
   quarantine_free (quarantine);
 }
 
@@ -95,8 +95,8 @@
          1000 + 100 * (int64_t)i);
   for (i = 0; i < 20; i++)
     {
-      CU_ASSERT_FALSE (quarantine_holds (quarantine, 0x5001 + 2 * (uint64_t)i, 5000));
-      CU_ASSERT_FALSE (quarantine_holds (quarantine, 0x7001 + 2 * (uint64_t)i, 5000));
+      CU_ASSERT_FALSE (quarantine_contains (quarantine, 0x5001 + 2 * (uint64_t)i, 5000));
+      CU_ASSERT_FALSE (quarantine_contains (quarantine, 0x7001 + 2 * (uint64_t)i, 5000));
     }
   quarantine_free (quarantine);
 }
@@ -109,10 +109,10 @@
   quarantine = quarantine_new (settings);
   die (1, BYSTANDER, 0, 0);
   die (2, BYSTANDER, 0, 30000);
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, BYSTANDER, 30000));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, BYSTANDER, 30000));
   die (3, 0, 0, 60000);
   die (4, 0, 0, 90000);
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, BYSTANDER, 90000));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, BYSTANDER, 90000));
   quarantine_free (quarantine);
 }
 
@@ -126,9 +126,9 @@
   die (8, CRASHER, 0, 0);
   die (9, 0, 0, later);
   die (1, CRASHER, 0, later);
-  CU_ASSERT_FALSE (quarantine_holds (quarantine, CRASHER, later));
+  CU_ASSERT_FALSE (quarantine_contains (quarantine, CRASHER, later));
   die (2, CRASHER, 0, later + 1000);
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, CRASHER, later + 1000));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, CRASHER, later + 1000));
   quarantine_free (quarantine);
 }
 
@@ -143,23 +143,23 @@
 
   quarantine = quarantine_new (settings);
   die (1, CRASHER, 0, 1000);
-  n = quarantine_news (quarantine, news, QUARANTINE_DEATHS_MAX, 1500);
+  n = quarantine_recent_deaths (quarantine, news, QUARANTINE_DEATHS_MAX, 1500);
   CU_ASSERT_EQUAL (n, 1);
   CU_ASSERT_EQUAL (news[0].age_ms, 500);
   for (i = 0; i < 3; i++)
     quarantine_add (other, &news[0], 777000 + 100 * (int64_t)i);
-  CU_ASSERT_FALSE (quarantine_holds (other, CRASHER, 777000));
+  CU_ASSERT_FALSE (quarantine_contains (other, CRASHER, 777000));
   /* The same death seen by the other VM too, under other requests of its own. */
   news[0] = death_of (1, 0x9001, 0);
   quarantine_add (other, &news[0], 777200);
   news[0] = death_of (2, CRASHER, 0);
   quarantine_add (other, &news[0], 780000);
-  CU_ASSERT_TRUE (quarantine_holds (other, CRASHER, 780000));
-  n = quarantine_news (other, news, QUARANTINE_DEATHS_MAX, 780000);
+  CU_ASSERT_TRUE (quarantine_contains (other, CRASHER, 780000));
+  n = quarantine_recent_deaths (other, news, QUARANTINE_DEATHS_MAX, 780000);
   CU_ASSERT_EQUAL (n, 2);
   for (i = 0; i < n; i++)
     quarantine_add (quarantine, &news[i], 4000);
-  CU_ASSERT_TRUE (quarantine_holds (quarantine, CRASHER, 4000));
+  CU_ASSERT_TRUE (quarantine_contains (quarantine, CRASHER, 4000));
   quarantine_free (quarantine);
   quarantine_free (other);
 }
@@ -178,7 +178,7 @@
   quarantine_add (quarantine, &huge, 0);
   quarantine_add (quarantine, &none, 0);
   quarantine_add (quarantine, &old, 0);
-  CU_ASSERT_EQUAL (quarantine_news (quarantine, news, 4, 0), 1);
+  CU_ASSERT_EQUAL (quarantine_recent_deaths (quarantine, news, 4, 0), 1);
   CU_ASSERT_EQUAL (news[0].count, 1);
   /* Far more crashers than are held: no two of them near each other. */
   for (i = 0; i < 3UL * QUARANTINE_HELD_MAX; i++)
@@ -187,7 +187,7 @@
 
       die (100 + i, 0x10001 + 2 * i, 0, at);
       die (900000 + i, 0x10001 + 2 * i, 0, at + 1000);
-      CU_ASSERT_TRUE (quarantine_holds (quarantine, 0x10001 + 2 * i, at + 1000));
+      CU_ASSERT_TRUE (quarantine_contains (quarantine, 0x10001 + 2 * i, at + 1000));
     }
   quarantine_free (quarantine);
 }
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -210,14 +210,14 @@
   broken (b, 77, 2000);
   gate_server_report_missed (b, false, 2500);
   gate_server_report_missed (c, true, 2500);
-  CU_ASSERT (!quarantine_holds (quarantine, 77, 3000));
+  CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
   gate_server_report_missed (b, true, 3000);
-  CU_ASSERT (!quarantine_holds (quarantine, 77, 3000));
+  CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
   broken (a, 77, 4000);
   gate_server_begin (a, 4100);
   gate_server_end (a, SERVER_UNREACHED, 88, 4100);
-  CU_ASSERT (quarantine_holds (quarantine, 77, 4200));
-  CU_ASSERT (!quarantine_holds (quarantine, 88, 4200));
+  CU_ASSERT (quarantine_contains (quarantine, 77, 4200));
+  CU_ASSERT (!quarantine_contains (quarantine, 88, 4200));
   gate_server_put (a);
   gate_server_put (b);
   gate_server_put (c);
@@ -272,11 +272,11 @@
       gate_server_end (server, SERVER_UNREACHED, 4, now_ms + 6);
       gate_server_put (server);
     }
-  CU_ASSERT_EQUAL (quarantine_news (sightings, news, QUARANTINE_DEATHS_MAX, 2500), 2);
+  CU_ASSERT_EQUAL (quarantine_recent_deaths (sightings, news, QUARANTINE_DEATHS_MAX, 2500), 2);
   CU_ASSERT_EQUAL (news[0].count, 2);
   CU_ASSERT_EQUAL (news[1].count, 2);
-  CU_ASSERT (!quarantine_holds (quarantine, 1, 2500));
-  CU_ASSERT (!quarantine_holds (quarantine, 2, 2500));
+  CU_ASSERT (!quarantine_contains (quarantine, 1, 2500));
+  CU_ASSERT (!quarantine_contains (quarantine, 2, 2500));
   quarantine_free (quarantine);
   quarantine_free (sightings);
 }
@@ -306,15 +306,15 @@
       gate_server_put (server);
       gate_deaths_news (&vms[i], &news[i]);
       CU_ASSERT_EQUAL (news[i].count, 1);
-      CU_ASSERT (!quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
+      CU_ASSERT (!quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
     }
   for (int i = 0; i < 2; i++)
     {
       DeathNews again;
       gate_deaths_take (&vms[i], news[i].list, news[i].count);
-      CU_ASSERT (!quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
+      CU_ASSERT (!quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
       gate_deaths_take (&vms[i], news[1 - i].list, news[1 - i].count);
-      CU_ASSERT (quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
+      CU_ASSERT (quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
       gate_deaths_news (&vms[i], &again);
       CU_ASSERT_EQUAL (again.count, 1);
       quarantine_free (vms[i].servers.quarantine);
--- a/tests/test_steward_deaths.c
+++ b/tests/test_steward_deaths.c
@@ -63,7 +63,7 @@
 {
   QuarantineDeath deaths[QUARANTINE_DEATHS_MAX];
 
-  return quarantine_news (d->set, deaths, QUARANTINE_DEATHS_MAX, now);
+  return quarantine_recent_deaths (d->set, deaths, QUARANTINE_DEATHS_MAX, now);
 }
 
 /* A caller's prompt has crashed two engines at one VM, and the caller goes on to the next VM. That
@@ -92,11 +92,11 @@
                                 .age_ms = m.deaths[i].age_ms,
                                 .count = m.deaths[i].flights.flights_len };
       memcpy (death.flights, m.deaths[i].flights.flights_val, death.count * sizeof (uint64_t));
-      CU_ASSERT_FALSE (quarantine_holds (gate, 77, NOW + 200));
+      CU_ASSERT_FALSE (quarantine_contains (gate, 77, NOW + 200));
       quarantine_add (gate, &death, NOW + 200);
     }
-  CU_ASSERT_TRUE (quarantine_holds (gate, 77, NOW + 200));
-  CU_ASSERT_FALSE (quarantine_holds (gate, 78, NOW + 200));
+  CU_ASSERT_TRUE (quarantine_contains (gate, 77, NOW + 200));
+  CU_ASSERT_FALSE (quarantine_contains (gate, 78, NOW + 200));
   clear (&m);
   quarantine_free (gate);
   steward_deaths_clear (&first);
