--- a/bench/model_attempt.c
+++ b/bench/model_attempt.c
@@ -111,7 +111,7 @@
       request_refuse (site, index, REASON_NO_SERVER, NO_SERVER_WAIT_MS);
       return;
     }
-  retry_budget_first (site_gate (site, request)->budget, site_ms (site));
+  retry_budget_add_first (site_gate (site, request)->budget, site_ms (site));
   send_attempt (site, index, (unsigned)server);
 }
 
--- a/src/choose_retry.c
+++ b/src/choose_retry.c
@@ -102,7 +102,7 @@
 }
 
 void
-retry_budget_first (RetryBudget *budget, int64_t now_ms)
+retry_budget_add_first (RetryBudget *budget, int64_t now_ms)
 {
   pthread_mutex_lock (&budget->lock);
   fade (budget, now_ms);
--- a/src/choose_retry.h
+++ b/src/choose_retry.h
@@ -38,7 +38,7 @@
 RetryBudget *retry_budget_new (const RetrySettings *settings);
 void retry_budget_free (RetryBudget *budget);
 /** A first attempt was sent; adds its fraction to the budget. */
-void retry_budget_first (RetryBudget *budget, int64_t now_ms);
+void retry_budget_add_first (RetryBudget *budget, int64_t now_ms);
 
 typedef struct
 {
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -307,7 +307,7 @@
       if (server < 0 || r->bill.attempt_count >= BILL_ATTEMPTS_MAX)
         return refuse_no_server (r);
       if (r->stage_attempts + r->stage_unsent == 0)
-        retry_budget_first (r->gate->retries, clock_boot_ms ());
+        retry_budget_add_first (r->gate->retries, clock_boot_ms ());
       else if (!may_retry (r))
         return false;
       switch (begin_at (r, version, (unsigned)server))
--- a/tests/test_choose_retry.c
+++ b/tests/test_choose_retry.c
@@ -58,7 +58,7 @@
     {
       RetryAnswer answer;
 
-      retry_budget_first (budget, 1000);
+      retry_budget_add_first (budget, 1000);
       answer = decide (budget, may_retry);
       retries += answer.verdict == RETRY_NOW;
       told += answer.verdict == RETRY_NO_BUDGET && answer.retry_after_ms > 0;
@@ -82,20 +82,20 @@
 
   query.server_left = false;
   for (i = 0; i < 100; i++)
-    retry_budget_first (budget, 1000);
+    retry_budget_add_first (budget, 1000);
   calm = decide (budget, query).retry_after_ms;
   CU_ASSERT (calm >= retry_settings_default.come_back_ms);
   CU_ASSERT (calm <= 2 * retry_settings_default.come_back_ms);
   for (i = 0; i < 200; i++)
     {
-      retry_budget_first (budget, 1000);
+      retry_budget_add_first (budget, 1000);
       collapse = decide (budget, query).retry_after_ms;
     }
   CU_ASSERT (collapse > retry_settings_default.come_back_most_ms / 2);
   CU_ASSERT (collapse <= retry_settings_default.come_back_most_ms);
   query.now_ms = 1000 + 10 * retry_settings_default.half_life_ms;
   for (i = 0; i < 100; i++)
-    retry_budget_first (budget, query.now_ms);
+    retry_budget_add_first (budget, query.now_ms);
   CU_ASSERT (decide (budget, query).retry_after_ms <= 2 * retry_settings_default.come_back_ms);
   retry_budget_free (budget);
 }
