--- a/bench/model_rollout.c
+++ b/bench/model_rollout.c
@@ -32,7 +32,7 @@
   rollout->state = ROLLOUT_RUNNING;
   rollout->stage = 0;
   site->rollout_ms = site_ms (site);
-  rollout_test_stage (site->test, 0, site->rollout_ms);
+  rollout_test_begin_stage (site->test, 0, site->rollout_ms);
 }
 
 /** Moves every gate's evidence to the test. */
@@ -51,7 +51,7 @@
         {
           g->fresh[i].team = g->control[i].team = (unsigned)(i / REQUEST_KINDS);
           g->fresh[i].request_kind = g->control[i].request_kind = (unsigned)(i % REQUEST_KINDS);
-          rollout_test_control (site->test, &g->control[i]);
+          rollout_test_add_control (site->test, &g->control[i]);
           rollout_test_add (site->test, &g->fresh[i]);
         }
       memset (g->fresh, 0, cells * sizeof (RolloutEvidence));
@@ -72,7 +72,7 @@
       site->result.brake_s = since_s;
     }
   else if (rollout->stage + 1 < rollout->stage_count)
-    rollout_test_stage (site->test, ++rollout->stage, site_ms (site));
+    rollout_test_begin_stage (site->test, ++rollout->stage, site_ms (site));
   if (rollout->state == ROLLOUT_RUNNING && rollout->stages[rollout->stage] >= 1
       && site->result.done_s == 0)
     site->result.done_s = since_s;
--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -111,7 +111,7 @@
 }
 
 void
-rollout_test_stage (RolloutTest *test, size_t stage, int64_t now_ms)
+rollout_test_begin_stage (RolloutTest *test, size_t stage, int64_t now_ms)
 {
   test->stage = stage;
   test->stage_since_ms = now_ms;
@@ -121,7 +121,7 @@
 }
 
 void
-rollout_test_control (RolloutTest *test, const RolloutEvidence *evidence)
+rollout_test_add_control (RolloutTest *test, const RolloutEvidence *evidence)
 {
   rollout_control_add (&test->control, evidence);
 }
@@ -130,7 +130,7 @@
 static double
 rate_ratio (double count, double n, double rate, double worse)
 {
-  double other = fmin (rate + worse, ROLLOUT_RATE_MOST);
+  double other = fmin (rate + worse, ROLLOUT_RATE_MAX);
 
   return count * log (other / rate) + (n - count) * log ((1 - other) / (1 - rate));
 }
@@ -197,7 +197,7 @@
 
   if (evidence->answers == 0 && evidence->rated == 0)
     return;
-  if (!rollout_control_live (&test->control, evidence->answers))
+  if (!rollout_control_is_live (&test->control, evidence->answers))
     counted.slow = 0;
   old = rollout_control_expected (&test->control, evidence);
   add_alarms (&old, &test->all, &counted, old.pooled_error);
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -58,11 +58,11 @@
 RolloutTest *rollout_test_new (const RolloutSettings *settings, size_t teams, int64_t now_ms);
 void rollout_test_free (RolloutTest *test);
 /** Evidence of the old version in the same time. */
-void rollout_test_control (RolloutTest *test, const RolloutEvidence *evidence);
+void rollout_test_add_control (RolloutTest *test, const RolloutEvidence *evidence);
 /** Evidence of the new version. */
 void rollout_test_add (RolloutTest *test, const RolloutEvidence *evidence);
 /** A stage begins: what shows that the version is good has to be gathered anew. */
-void rollout_test_stage (RolloutTest *test, size_t stage, int64_t now_ms);
+void rollout_test_begin_stage (RolloutTest *test, size_t stage, int64_t now_ms);
 
 typedef struct
 {
--- a/src/choose_rollout_control.c
+++ b/src/choose_rollout_control.c
@@ -75,7 +75,7 @@
 }
 
 bool
-rollout_control_live (RolloutControl *control, unsigned answers)
+rollout_control_is_live (RolloutControl *control, unsigned answers)
 {
   control->answers_since += answers;
   return control->answers_since < LIVE_ANSWERS;
--- a/src/choose_rollout_control.h
+++ b/src/choose_rollout_control.h
@@ -7,7 +7,7 @@
 
 #include "choose_rollout.h"
 
-#define ROLLOUT_RATE_MOST 0.95 /**< of errors or slow answers that is ever thought of */
+#define ROLLOUT_RATE_MAX 0.95 /**< of errors or slow answers that is ever thought of */
 
 /** Sums of answers, faded by weight. */
 typedef struct
@@ -40,7 +40,7 @@
 /** True while the old version answers as well; answers of the new one are counted in. How fast
  *  answers are follows the load, so slowness is only compared at the same time; ratings and errors
  *  keep their worth. */
-bool rollout_control_live (RolloutControl *control, unsigned answers);
+bool rollout_control_is_live (RolloutControl *control, unsigned answers);
 RolloutExpected rollout_control_expected (const RolloutControl *control,
                                           const RolloutEvidence *evidence);
 
--- a/src/steward_rollout_watch.c
+++ b/src/steward_rollout_watch.c
@@ -189,10 +189,10 @@
 RolloutDecision
 rollout_watch_decide (RolloutWatch *w, size_t stage, int64_t now)
 {
-  feed (w, EVIDENCE_OLD, rollout_test_control);
+  feed (w, EVIDENCE_OLD, rollout_test_add_control);
   feed (w, EVIDENCE_NEW, rollout_test_add);
   if (!w->staged || w->stage != stage)
-    rollout_test_stage (w->test, stage, now);
+    rollout_test_begin_stage (w->test, stage, now);
   w->staged = true;
   w->stage = stage;
   return rollout_policy_default.decide (w->test, now);
--- a/tests/test_choose_rollout.c
+++ b/tests/test_choose_rollout.c
@@ -68,7 +68,7 @@
           RolloutEvidence fresh = draw (rng, t, bad ? new_truth : &old_truth, BATCH);
           RolloutDecision decision;
 
-          rollout_test_control (test, &control);
+          rollout_test_add_control (test, &control);
           rollout_test_add (test, &fresh);
           answers += i >= turns ? BATCH : 0;
           decision = policy->decide (test, (int64_t)i * 1000);
@@ -81,7 +81,7 @@
               break;
             }
           if (decision.verdict == ROLLOUT_NEXT_STAGE && stage < 3)
-            rollout_test_stage (test, ++stage, (int64_t)i * 1000);
+            rollout_test_begin_stage (test, ++stage, (int64_t)i * 1000);
         }
       out.done += stage == 3;
       rollout_test_free (test);
@@ -171,14 +171,14 @@
 
   control.rating_square_sum = 1400;
   fresh.rating_square_sum = 7;
-  rollout_test_control (test, &control);
+  rollout_test_add_control (test, &control);
   for (i = 0; i < 40; i++)
     rollout_test_add (test, &fresh);
   fresh.slow = 10;
   for (i = 0; i < 100; i++)
     rollout_test_add (test, &fresh);
   CU_ASSERT_NOT_EQUAL (rollout_policy_default.decide (test, 1).verdict, ROLLOUT_BRAKE);
-  rollout_test_control (test, &control);
+  rollout_test_add_control (test, &control);
   for (i = 0; i < 10; i++)
     rollout_test_add (test, &fresh);
   CU_ASSERT_EQUAL (rollout_policy_default.decide (test, 1).verdict, ROLLOUT_BRAKE);
@@ -197,9 +197,9 @@
 
   mild.rating_square_sum = 850;
   hard.rating_square_sum = 12;
-  rollout_test_control (test, &mild);
+  rollout_test_add_control (test, &mild);
   for (i = 0; i < 20; i++)
-    rollout_test_control (test, &hard);
+    rollout_test_add_control (test, &hard);
   for (i = 0; i < 20; i++)
     rollout_test_add (test, &hard);
   CU_ASSERT_NOT_EQUAL (rollout_policy_default.decide (test, 1).verdict, ROLLOUT_BRAKE);
@@ -217,7 +217,7 @@
   RolloutEvidence e = { .team = 9999, .request_kind = 9999, .answers = 1, .rated = 1 };
   RolloutEvidence none = { 0 };
 
-  rollout_test_control (test, &e);
+  rollout_test_add_control (test, &e);
   rollout_test_add (test, &e);
   rollout_test_add (test, &none);
   CU_ASSERT_EQUAL (rollout_policy_default.decide (test, 0).verdict, ROLLOUT_WAIT);
