--- a/src/config_model.c
+++ b/src/config_model.c
@@ -47,9 +47,9 @@
               parser->list);
   state = fields.state == NULL
               ? 0
-              : config_word (config_version_states, CONFIG_VERSION_STATES, fields.state);
+              : config_enum_index (config_version_states, CONFIG_VERSION_STATES, fields.state);
   if (state < 0)
-    config_word_error (parser, path, "state", config_version_states, CONFIG_VERSION_STATES);
+    config_enum_error (parser, path, "state", config_version_states, CONFIG_VERSION_STATES);
   free (fields.state);
   *version = (ConfigVersion){
     .index = (unsigned)config->version_count++,
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -104,7 +104,7 @@
 static bool
 listed (const char *const *strings, size_t count, const char *text)
 {
-  return config_word (strings, count, text) >= 0;
+  return config_enum_index (strings, count, text) >= 0;
 }
 
 const char **
@@ -137,7 +137,7 @@
 }
 
 int
-config_word (const char *const *names, size_t count, const char *text)
+config_enum_index (const char *const *names, size_t count, const char *text)
 {
   for (size_t i = 0; i < count; i++)
     if (strcmp (names[i], text) == 0)
@@ -146,7 +146,7 @@
 }
 
 void
-config_word_error (ConfigParser *parser,
+config_enum_error (ConfigParser *parser,
                    const char *path,
                    const char *name,
                    const char *const *names,
--- a/src/config_parse.h
+++ b/src/config_parse.h
@@ -58,9 +58,9 @@
                              const char *name,
                              size_t *count);
 /** Index of text in names, or -1. */
-int config_word (const char *const *names, size_t count, const char *text);
+int config_enum_index (const char *const *names, size_t count, const char *text);
 /** Reports that the member's value is none of the words. */
-void config_word_error (ConfigParser *parser,
+void config_enum_error (ConfigParser *parser,
                         const char *path,
                         const char *name,
                         const char *const *names,
--- a/src/config_rollout.c
+++ b/src/config_rollout.c
@@ -79,10 +79,10 @@
 
   if (word == NULL)
     return ROLLOUT_RUNNING;
-  state = config_word (config_rollout_states, CONFIG_ROLLOUT_STATES, word);
+  state = config_enum_index (config_rollout_states, CONFIG_ROLLOUT_STATES, word);
   if (state >= 0)
     return (RolloutState)state;
-  config_word_error (parser, path, "state", config_rollout_states, CONFIG_ROLLOUT_STATES);
+  config_enum_error (parser, path, "state", config_rollout_states, CONFIG_ROLLOUT_STATES);
   return ROLLOUT_PAUSED;
 }
 
--- a/src/config_server.c
+++ b/src/config_server.c
@@ -192,9 +192,9 @@
 
   field_read (server_specs, sizeof server_specs / sizeof server_specs[0], entry, &fields, path,
               parser->list);
-  kind = fields.kind == NULL ? -1 : config_word (kind_words, KIND_COUNT, fields.kind);
+  kind = fields.kind == NULL ? -1 : config_enum_index (kind_words, KIND_COUNT, fields.kind);
   if (kind < 0 && fields.kind != NULL)
-    config_word_error (parser, path, "kind", kind_words, KIND_COUNT);
+    config_enum_error (parser, path, "kind", kind_words, KIND_COUNT);
   free (fields.kind);
   check_address (parser, path, &fields.address);
   check_name (parser, path, "failure_domain", fields.failure_domain);
