--- a/src/settings_common.c
+++ b/src/settings_common.c
@@ -114,7 +114,7 @@
 }
 
 static void
-place_read (const SettingsPlace *place, CheckList *list)
+place_read (const SettingsEndpoint *place, CheckList *list)
 {
   char path[PLACE_PATH_SIZE];
 
@@ -128,7 +128,7 @@
 }
 
 void
-settings_places_read (const SettingsPlace *places, size_t count, CheckList *list)
+settings_endpoints_read (const SettingsEndpoint *places, size_t count, CheckList *list)
 {
   for (size_t i = 0; i < count; i++)
     place_read (&places[i], list);
--- a/src/settings_common.h
+++ b/src/settings_common.h
@@ -40,14 +40,14 @@
   const char *path;
   struct json_object *obj; /**< NULL if it was absent or no object; that is an error already */
   SettingsAddress *address;
-} SettingsPlace;
+} SettingsEndpoint;
 
 void settings_common_defaults (SettingsCommon *common);
 void settings_common_check (const SettingsCommon *common, CheckList *list);
 void settings_common_clear (SettingsCommon *common);
 
 /** Reads the addresses; no two may be the same. */
-void settings_places_read (const SettingsPlace *places, size_t count, CheckList *list);
+void settings_endpoints_read (const SettingsEndpoint *places, size_t count, CheckList *list);
 void settings_address_clear (SettingsAddress *address);
 /** True for 0.0.0.0 and ::, which can be bound but not reached. */
 bool settings_address_is_any (const SettingsAddress *address);
--- a/src/settings_gate.c
+++ b/src/settings_gate.c
@@ -120,13 +120,13 @@
 
   gate_defaults (s);
   field_read (gate_specs, sizeof gate_specs / sizeof gate_specs[0], obj, &draft, "", list);
-  const SettingsPlace places[] = {
+  const SettingsEndpoint places[] = {
     { "callers", draft.callers, &s->callers },
     { "local", draft.local, &s->local },
     { "steward", draft.steward, &s->steward },
     { "platform", draft.platform, &s->common.platform },
   };
-  settings_places_read (places, sizeof places / sizeof places[0], list);
+  settings_endpoints_read (places, sizeof places / sizeof places[0], list);
   gate_check (s, list);
   *out = *s;
 }
--- a/src/settings_steward.c
+++ b/src/settings_steward.c
@@ -95,17 +95,17 @@
 
   steward_defaults (s);
   field_read (steward_specs, sizeof steward_specs / sizeof steward_specs[0], obj, &draft, "", list);
-  const SettingsPlace places[] = {
+  const SettingsEndpoint places[] = {
     { "rpc", draft.rpc, &s->rpc },
     { "operators", draft.operators, &s->operators },
     { "local", draft.local, &s->local },
     { "platform", draft.platform, &s->common.platform },
   };
   /* Not a place of its own: it is the port of rpc, seen from elsewhere. */
-  const SettingsPlace advertise = { "advertise", draft.advertise, &s->advertise };
+  const SettingsEndpoint advertise = { "advertise", draft.advertise, &s->advertise };
 
-  settings_places_read (places, sizeof places / sizeof places[0], list);
-  settings_places_read (&advertise, 1, list);
+  settings_endpoints_read (places, sizeof places / sizeof places[0], list);
+  settings_endpoints_read (&advertise, 1, list);
   if (draft.operator_list)
     settings_operators_read (draft.operator_list, &s->operator_list, &s->operator_count, list);
   steward_check (s, list);
