--- a/src/choose_breaker.c
+++ b/src/choose_breaker.c
@@ -8,16 +8,16 @@
 void
 breaker_failure (ServerView *view, int64_t now_ms, uint64_t random)
 {
-  int64_t open_ms = BREAKER_FIRST_MS;
+  int64_t open_ms = BREAKER_OPEN_MIN_MS;
   unsigned i;
 
   view->failures++;
   if (view->failures < BREAKER_FAILURES)
     return;
-  for (i = BREAKER_FAILURES; i < view->failures && open_ms < BREAKER_MAX_MS; i++)
+  for (i = BREAKER_FAILURES; i < view->failures && open_ms < BREAKER_OPEN_MAX_MS; i++)
     open_ms *= 2;
-  if (open_ms > BREAKER_MAX_MS)
-    open_ms = BREAKER_MAX_MS;
+  if (open_ms > BREAKER_OPEN_MAX_MS)
+    open_ms = BREAKER_OPEN_MAX_MS;
   /* Without the spread all gates would probe a server that is coming back at one moment. */
   open_ms += (int64_t)(random % (uint64_t)(open_ms / JITTER_PARTS));
   view->open_until_ms = now_ms + open_ms;
--- a/src/choose_breaker.h
+++ b/src/choose_breaker.h
@@ -7,10 +7,10 @@
 
 #include "choose_server.h"
 
-#define BREAKER_FAILURES 3 /**< in a row, to open */
-#define BREAKER_FIRST_MS 1000
-#define BREAKER_MAX_MS   30000
-#define BREAKER_PROBE_MS 10000 /**< how long a probe keeps other work away */
+#define BREAKER_FAILURES    3 /**< in a row, to open */
+#define BREAKER_OPEN_MIN_MS 1000
+#define BREAKER_OPEN_MAX_MS 30000
+#define BREAKER_PROBE_MS    10000 /**< how long a probe keeps other work away */
 
 /** An attempt failed for the server's sake (refused, cut, timed out). random spreads the reopening
  *  over the gates. */
--- a/tests/test_choose_retry.c
+++ b/tests/test_choose_retry.c
@@ -135,16 +135,16 @@
   breaker_failure (&view, 1000, 0);
   breaker_failure (&view, 1000, 0);
   breaker_failure (&view, 1000, 0);
-  CU_ASSERT_EQUAL (view.open_until_ms, 1000 + BREAKER_FIRST_MS);
+  CU_ASSERT_EQUAL (view.open_until_ms, 1000 + BREAKER_OPEN_MIN_MS);
   first = view.open_until_ms;
   breaker_sent (&view, first);
   CU_ASSERT_EQUAL (view.open_until_ms, first + BREAKER_PROBE_MS);
   breaker_failure (&view, first, 0);
-  CU_ASSERT_EQUAL (view.open_until_ms, first + 2LL * BREAKER_FIRST_MS);
+  CU_ASSERT_EQUAL (view.open_until_ms, first + 2LL * BREAKER_OPEN_MIN_MS);
   for (unsigned i = 0; i < 100; i++)
     breaker_failure (&view, first, ~0ULL);
-  CU_ASSERT (view.open_until_ms <= first + BREAKER_MAX_MS + BREAKER_MAX_MS / 4);
-  CU_ASSERT (view.open_until_ms >= first + BREAKER_MAX_MS);
+  CU_ASSERT (view.open_until_ms <= first + BREAKER_OPEN_MAX_MS + BREAKER_OPEN_MAX_MS / 4);
+  CU_ASSERT (view.open_until_ms >= first + BREAKER_OPEN_MAX_MS);
   breaker_success (&view);
   CU_ASSERT_EQUAL (view.open_until_ms, 0);
   breaker_sent (&view, 5);
