--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -40,7 +40,7 @@
   .active_ms = 5000,
   .open_part = 0.7,
   .burst_s = 2,
-  .come_back_ms = 1000,
+  .retry_after_ms = 1000,
 };
 
 const LimitPolicy limit_policy_default = { .name = "fair", .admit = admit_fair };
@@ -95,8 +95,8 @@
 {
   int64_t unsettled_ms = limit_shares_unsettled_ms (&limiter->shares, now_ms);
 
-  return unsettled_ms > limiter->settings.come_back_ms ? unsettled_ms
-                                                       : limiter->settings.come_back_ms;
+  return unsettled_ms > limiter->settings.retry_after_ms ? unsettled_ms
+                                                         : limiter->settings.retry_after_ms;
 }
 
 /** Sums over the active teams, at most every SUM_MS. */
@@ -190,7 +190,7 @@
   double holds = (double)team->in_progress + 1;
   bool beyond = holds > part && (team->mean > part + 1 || holds > PEAK_PARTS * part + 1);
   bool usual = holds <= USUAL_PARTS * team->usual + 1;
-  LimitVerdict verdict = refuse (REASON_OVERLOAD, limiter->settings.come_back_ms);
+  LimitVerdict verdict = refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
 
   if (busy >= query->capacity)
     return verdict;
@@ -232,7 +232,7 @@
   if (team == NULL)
     {
       pthread_mutex_unlock (&shard->lock);
-      return refuse (REASON_OVERLOAD, limiter->settings.come_back_ms);
+      return refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
     }
   team->weight = query->config->teams[query->team].weight;
   team->asked_ms = query->now_ms;
@@ -277,7 +277,7 @@
 admit_first_come (Limiter *limiter, const LimitQuery *query)
 {
   if ((unsigned long)atomic_load (&limiter->in_progress) >= query->capacity)
-    return refuse (REASON_OVERLOAD, limiter->settings.come_back_ms);
+    return refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
   take (limiter, query);
   return refuse (REASON_NONE, 0);
 }
