--- a/src/choose_retry.c
+++ b/src/choose_retry.c
@@ -30,7 +30,7 @@
   .fraction = 0.1,
   .burst = 10,
   .attempts_max = 3,
-  .come_back_ms = 2000,
+  .retry_after_min_ms = 2000,
   .come_back_most_ms = 60000,
   .half_life_ms = 10000,
 };
@@ -127,8 +127,8 @@
   budget->given_up += 1;
   share = budget->given_up / fmax (budget->firsts, budget->given_up + FIRSTS_LEAST);
   pthread_mutex_unlock (&budget->lock);
-  return settings->come_back_ms
-         + (int64_t)(share * (double)(settings->come_back_most_ms - settings->come_back_ms));
+  return settings->retry_after_min_ms
+         + (int64_t)(share * (double)(settings->come_back_most_ms - settings->retry_after_min_ms));
 }
 
 static bool
--- a/tests/test_choose_retry.c
+++ b/tests/test_choose_retry.c
@@ -84,8 +84,8 @@
   for (i = 0; i < 100; i++)
     retry_budget_add_first (budget, 1000);
   calm = decide (budget, query).retry_after_ms;
-  CU_ASSERT (calm >= retry_settings_default.come_back_ms);
-  CU_ASSERT (calm <= 2 * retry_settings_default.come_back_ms);
+  CU_ASSERT (calm >= retry_settings_default.retry_after_min_ms);
+  CU_ASSERT (calm <= 2 * retry_settings_default.retry_after_min_ms);
   for (i = 0; i < 200; i++)
     {
       retry_budget_add_first (budget, 1000);
@@ -96,7 +96,8 @@
   query.now_ms = 1000 + 10 * retry_settings_default.half_life_ms;
   for (i = 0; i < 100; i++)
     retry_budget_add_first (budget, query.now_ms);
-  CU_ASSERT (decide (budget, query).retry_after_ms <= 2 * retry_settings_default.come_back_ms);
+  CU_ASSERT (decide (budget, query).retry_after_ms
+             <= 2 * retry_settings_default.retry_after_min_ms);
   retry_budget_free (budget);
 }
 
