--- a/src/choose_retry.c
+++ b/src/choose_retry.c
@@ -31,7 +31,7 @@
   .burst = 10,
   .attempts_max = 3,
   .retry_after_min_ms = 2000,
-  .come_back_most_ms = 60000,
+  .retry_after_max_ms = 60000,
   .half_life_ms = 10000,
 };
 
@@ -128,7 +128,7 @@
   share = budget->given_up / fmax (budget->firsts, budget->given_up + FIRSTS_LEAST);
   pthread_mutex_unlock (&budget->lock);
   return settings->retry_after_min_ms
-         + (int64_t)(share * (double)(settings->come_back_most_ms - settings->retry_after_min_ms));
+         + (int64_t)(share * (double)(settings->retry_after_max_ms - settings->retry_after_min_ms));
 }
 
 static bool
--- a/src/choose_retry.h
+++ b/src/choose_retry.h
@@ -27,7 +27,7 @@
   double burst;               /**< most retries saved up */
   unsigned attempts_max;      /**< of one stage, the first included */
   int64_t retry_after_min_ms; /**< told to a client that is given up, when few are */
-  int64_t come_back_most_ms;  /**< told when nearly all are */
+  int64_t retry_after_max_ms; /**< told when nearly all are */
   int64_t half_life_ms;       /**< of what counts as lately */
 } RetrySettings;
 
--- a/tests/test_choose_retry.c
+++ b/tests/test_choose_retry.c
@@ -91,8 +91,8 @@
       retry_budget_add_first (budget, 1000);
       collapse = decide (budget, query).retry_after_ms;
     }
-  CU_ASSERT (collapse > retry_settings_default.come_back_most_ms / 2);
-  CU_ASSERT (collapse <= retry_settings_default.come_back_most_ms);
+  CU_ASSERT (collapse > retry_settings_default.retry_after_max_ms / 2);
+  CU_ASSERT (collapse <= retry_settings_default.retry_after_max_ms);
   query.now_ms = 1000 + 10 * retry_settings_default.half_life_ms;
   for (i = 0; i < 100; i++)
     retry_budget_add_first (budget, query.now_ms);
