--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -38,7 +38,7 @@
 const LimitSettings limit_settings_default = {
   .settle_ms = 6000,
   .active_ms = 5000,
-  .open_part = 0.7,
+  .best_effort_share = 0.7,
   .burst_s = 2,
   .retry_after_ms = 1000,
 };
@@ -172,7 +172,7 @@
 {
   double expected = (double)atomic_load (&limiter->expected) / UNIT;
   double others = fmax (0, expected - fmin (team->mean, part));
-  double usable = query->capacity * (usual ? 1 : limiter->settings.open_part);
+  double usable = query->capacity * (usual ? 1 : limiter->settings.best_effort_share);
 
   return (double)team->in_progress + 1 + others + DEVIATIONS * sqrt (others) > usable;
 }
@@ -194,7 +194,7 @@
 
   if (busy >= query->capacity)
     return verdict;
-  if (query->deadline_ms == 0 && busy >= query->capacity * limiter->settings.open_part)
+  if (query->deadline_ms == 0 && busy >= query->capacity * limiter->settings.best_effort_share)
     return verdict;
   if (beyond && others_need (limiter, query, team, part, usual))
     return verdict;
--- a/src/choose_limit.h
+++ b/src/choose_limit.h
@@ -12,9 +12,9 @@
 {
   int64_t settle_ms; /**< how long others may still go by another view; above the grant's bound */
   int64_t active_ms; /**< a team has a claim on a fair part this long after it asked */
-  double open_part;  /**< of the capacity beyond which work without a deadline is refused */
-  double burst_s;    /**< seconds of its token rate that a team may save up */
-  int64_t retry_after_ms; /**< told when nothing better is known */
+  double best_effort_share; /**< of the capacity beyond which work without a deadline is refused */
+  double burst_s;           /**< seconds of its token rate that a team may save up */
+  int64_t retry_after_ms;   /**< told when nothing better is known */
 } LimitSettings;
 
 extern const LimitSettings limit_settings_default;
