--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -185,7 +185,7 @@
   LimitVerdict verdict = site->policy->limit->admit (gate->limiter, &query);
 
   request->admitted = verdict.reason == REASON_NONE;
-  request->borrowed = verdict.borrowed;
+  request->borrowed = verdict.beyond_fair_share;
   request->tokens = query.tokens;
   return verdict;
 }
--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -199,7 +199,7 @@
   if (beyond && others_need (limiter, query, team, part, usual))
     return verdict;
   verdict = refuse (REASON_NONE, 0);
-  verdict.borrowed = beyond && !usual;
+  verdict.beyond_fair_share = beyond && !usual;
   return verdict;
 }
 
--- a/src/choose_limit.h
+++ b/src/choose_limit.h
@@ -48,7 +48,8 @@
 {
   Reason reason; /**< REASON_NONE, REASON_TEAM_LIMIT, REASON_OVERLOAD, REASON_DEADLINE_PAST */
   int64_t retry_after_ms; /**< of a refusal; 0: coming back would not help */
-  bool borrowed; /**< admitted beyond the team's fair part: engines take it after other work */
+  bool beyond_fair_share; /**< admitted beyond the team's fair part: engines take it after other
+                             work */
 } LimitVerdict;
 
 typedef struct
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -150,7 +150,7 @@
   verdict = limit_policy_default.admit (limit->limiter, &query);
   r->limited_tokens = query.tokens;
   r->limited = verdict.reason == REASON_NONE;
-  r->borrowed = verdict.borrowed;
+  r->borrowed = verdict.beyond_fair_share;
   if (r->limited)
     return true;
   refusal_set (&r->refusal, verdict.reason, REQUEST_NOT_RUN, "request.limit", NULL);
