--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -10,16 +10,16 @@
 
 typedef struct
 {
-  double confidence;      /**< standard errors by which a plan must clear the target */
-  double unreachable;     /**< standard errors by which all plans must miss it to be refused */
-  double prior_weight;    /**< ratings that a version's prior quality counts for */
-  double team_weight;     /**< ratings of all teams that one team's are set against */
-  double rating_part;     /**< cost of one rating, as a part of the cheapest version's answer: the
-                               document's cost units are the operators' own */
-  double wait_cost_per_s; /**< cost units that a second until the first token is worth */
-  double mix_depth;       /**< a plan may be mixed in that misses the target by at most this */
-  double explore_share;   /**< most requests that try a version with little evidence first */
-  double explore_weight;  /**< ratings below which a version has little evidence */
+  double confidence;        /**< standard errors by which a plan must clear the target */
+  double unreachable;       /**< standard errors by which all plans must miss it to be refused */
+  double prior_weight;      /**< ratings that a version's prior quality counts for */
+  double team_weight;       /**< ratings of all teams that one team's are set against */
+  double rating_cost_share; /**< cost of one rating, as a part of the cheapest version's answer: the
+                           document's cost units are the operators' own */
+  double wait_cost_per_s;   /**< cost units that a second until the first token is worth */
+  double mix_depth;         /**< a plan may be mixed in that misses the target by at most this */
+  double explore_share;     /**< most requests that try a version with little evidence first */
+  double explore_weight;    /**< ratings below which a version has little evidence */
   unsigned stages_max;
   double tokens; /**< of an answer, before any was seen */
   double ms;     /**< of an answer, before any was seen */
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -259,7 +259,7 @@
   keys.failing = class_failing (&keys, out, all);
   for (i = 0; i < out->count; i++)
     read_stage (&keys, i, &all[i], &out->stages[i]);
-  out->rating_cost = out->count > 0 ? query->settings->rating_part * out->stages[0].cost : 0;
+  out->rating_cost = out->count > 0 ? query->settings->rating_cost_share * out->stages[0].cost : 0;
   out->useful = useful_stages (out, query->settings->explore_weight);
   if (query->rating_up && candidates->idempotent)
     read_after (&keys, out);
