--- a/bench/model_quality.c
+++ b/bench/model_quality.c
@@ -142,7 +142,7 @@
 static unsigned
 list_truths (const ModelSite *site, const ChoosePlan *candidates, Truth *truths)
 {
-  double least = candidates->quality_target - cascade_settings_default.mix_depth;
+  double least = candidates->quality_target - cascade_settings_default.mix_shortfall_max;
   unsigned most = candidates->idempotent && site->rating_up ? ORACLE_STAGES_MAX : 1;
   unsigned mask, n = 0;
 
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -17,7 +17,7 @@
   double rating_cost_share; /**< cost of one rating, as a part of the cheapest version's answer: the
                            document's cost units are the operators' own */
   double wait_cost_per_s;   /**< cost units that a second until the first token is worth */
-  double mix_depth;         /**< a plan may be mixed in that misses the target by at most this */
+  double mix_shortfall_max; /**< a plan may be mixed in that misses the target by at most this */
   double explore_share;     /**< most requests that try a version with little evidence first */
   double explore_weight;    /**< ratings below which a version has little evidence */
   unsigned stages_max;
--- a/src/choose_search.c
+++ b/src/choose_search.c
@@ -28,7 +28,7 @@
     search->closest = *plan;
   if (low < search->target)
     {
-      if (!late && low >= search->target - settings->mix_depth)
+      if (!late && low >= search->target - settings->mix_shortfall_max)
         search->below[search->below_count++] = *plan;
       return;
     }
