--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -19,7 +19,7 @@
   double wait_cost_per_s;   /**< cost units that a second until the first token is worth */
   double mix_shortfall_max; /**< a plan may be mixed in that misses the target by at most this */
   double explore_share;     /**< most requests that try a version with little evidence first */
-  double explore_weight;    /**< ratings below which a version has little evidence */
+  double evidence_weight_min; /**< ratings below which a version has little evidence */
   unsigned stages_max;
   double tokens; /**< of an answer, before any was seen */
   double ms;     /**< of an answer, before any was seen */
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -108,7 +108,7 @@
       const ConfigVersion *version = &query->request->config->versions[forecast->stages[i].version];
       Prior prior;
 
-      if (all[i].weight < query->settings->explore_weight)
+      if (all[i].weight < query->settings->evidence_weight_min)
         continue;
       prior = prior_of_version (version->prior_quality, keys->target);
       sum += (1 - all[i].pass) / (1 - prior.pass);
@@ -154,7 +154,7 @@
   Prior prior = { .pass_score = self->pass_score, .fail_score = keys->target / 3 };
   double fail = 1 - self->pass;
 
-  if (self->weight < settings->explore_weight)
+  if (self->weight < settings->evidence_weight_min)
     fail *= fmin (keys->failing, 1);
   if (other->pass < 1)
     prior.pass = 1 - fail / (1 - other->pass);
@@ -260,7 +260,7 @@
   for (i = 0; i < out->count; i++)
     read_stage (&keys, i, &all[i], &out->stages[i]);
   out->rating_cost = out->count > 0 ? query->settings->rating_cost_share * out->stages[0].cost : 0;
-  out->useful = useful_stages (out, query->settings->explore_weight);
+  out->useful = useful_stages (out, query->settings->evidence_weight_min);
   if (query->rating_up && candidates->idempotent)
     read_after (&keys, out);
   estimates_end (query->estimates, keys.class_key);
--- a/src/choose_search.c
+++ b/src/choose_search.c
@@ -110,7 +110,7 @@
       unsigned mask = found->mask | 1U << i;
       ForecastPlan with;
 
-      if (first->weight >= query->settings->explore_weight)
+      if (first->weight >= query->settings->evidence_weight_min)
         continue;
       if ((found->mask & ((1U << i) - 1)) != 0 || mask == found->mask)
         continue;
