--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -75,7 +75,7 @@
     .request = &request,
     .estimates = bench->estimates,
     .settings = &cascade_settings_default,
-    .rating_up = true,
+    .rating_available = true,
     .rating_ms = 150,
     .random = random,
   };
--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -138,7 +138,7 @@
     .request = &ask,
     .estimates = site_gate (site, request)->estimates,
     .settings = &cascade_settings_default,
-    .rating_up = site->rating_up,
+    .rating_available = site->rating_up,
     .rating_ms = RATING_MS,
     .random = site_random (site),
   };
--- a/src/choose_cascade.c
+++ b/src/choose_cascade.c
@@ -147,13 +147,13 @@
   forecast_read (query, plan, &forecast);
   search.target = plan->quality_target;
   search.time_ms = request->deadline_ms != 0 ? request->deadline_ms - request->now_ms : 0;
-  search.single = !plan->idempotent || !query->rating_up;
+  search.single = !plan->idempotent || !query->rating_available;
   search_run (&search);
   /* Work for which nothing can meet the target is refused, but for the share that may explore:
      without any the estimates could never recover. */
   if (!search.reachable && !search_may_explore (query))
     return REASON_TARGET_UNREACHABLE;
-  plan->basis = query->rating_up ? PLAN_LEARNED : PLAN_UNRATED;
+  plan->basis = query->rating_available ? PLAN_LEARNED : PLAN_UNRATED;
   found = search_result (&search, plan);
   explored = search.single || !search_may_explore (query)
                  ? 0
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -32,9 +32,9 @@
   const ChooseRequest *request;
   Estimates *estimates;
   const CascadeSettings *settings;
-  bool rating_up;   /**< false: no rating can be had now */
-  double rating_ms; /**< how long one takes */
-  uint64_t random;  /**< fresh random bits */
+  bool rating_available; /**< false: no rating can be had now */
+  double rating_ms;      /**< how long one takes */
+  uint64_t random;       /**< fresh random bits */
 } CascadeQuery;
 
 typedef struct
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -89,7 +89,8 @@
     .team_key = team_key,
   };
 
-  return estimates_read_next (query->estimates, &key, query->request->now_ms, query->rating_up);
+  return estimates_read_next (query->estimates, &key, query->request->now_ms,
+                              query->rating_available);
 }
 
 /** How much more or less often the answers of this class fail than the priors of its versions say,
@@ -261,7 +262,7 @@
     read_stage (&keys, i, &all[i], &out->stages[i]);
   out->rating_cost = out->count > 0 ? query->settings->rating_cost_share * out->stages[0].cost : 0;
   out->useful = useful_stages (out, query->settings->evidence_weight_min);
-  if (query->rating_up && candidates->idempotent)
+  if (query->rating_available && candidates->idempotent)
     read_after (&keys, out);
   estimates_end (query->estimates, keys.class_key);
 }
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -86,7 +86,7 @@
     .request = &choose,
     .estimates = r->gate->estimates,
     .settings = &cascade_settings_default,
-    .rating_up = gate_rating_up (&r->gate->rating),
+    .rating_available = gate_rating_up (&r->gate->rating),
     .rating_ms = gate_rating_ms (&r->gate->rating),
     .random = id_random_u64 (),
   };
--- a/tests/test_choose_cascade.c
+++ b/tests/test_choose_cascade.c
@@ -52,7 +52,7 @@
     .request = &request,
     .estimates = estimates,
     .settings = &cascade_settings_default,
-    .rating_up = true,
+    .rating_available = true,
     .rating_ms = 100,
     .random = ~0ULL, /* neither explores nor takes the lesser plan of a mixture */
   };
@@ -221,7 +221,7 @@
   setup ("report");
   teach (A, -1, 400, 0.5);
   teach (B, -1, 400, 0.97);
-  query.rating_up = false;
+  query.rating_available = false;
   request.now_ms += 100 * estimate_settings_default.half_life_ms;
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.basis, PLAN_UNRATED);
