--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -235,7 +235,7 @@
       return refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
     }
   team->weight = query->config->teams[query->team].weight;
-  team->asked_ms = query->now_ms;
+  team->last_request_ms = query->now_ms;
   verdict = check_limits (limiter, query, team);
   if (verdict.reason == REASON_NONE)
     verdict = check_capacity (limiter, query, team);
--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -56,7 +56,8 @@
       if (team->in_progress > 0)
         continue;
       if (found == NULL
-          || (found->key != 0 && (team->key == 0 || team->asked_ms < found->asked_ms)))
+          || (found->key != 0
+              && (team->key == 0 || team->last_request_ms < found->last_request_ms)))
         found = team;
     }
   if (found != NULL)
@@ -99,7 +100,7 @@
         {
           LimitTeam *team = &shard->teams[j];
 
-          if (team->key == 0 || now_ms - team->asked_ms >= active_ms)
+          if (team->key == 0 || now_ms - team->last_request_ms >= active_ms)
             continue;
           update_mean (team, now_ms);
           out[n++] = (LimitActive){ team->weight, team->mean };
--- a/src/choose_limit_team.h
+++ b/src/choose_limit_team.h
@@ -18,7 +18,7 @@
   int64_t in_progress;
   double tokens; /**< that may be used now; below 0: overdrawn */
   int64_t filled_ms;
-  int64_t asked_ms;
+  int64_t last_request_ms;
   double weight;
   double mean; /**< in progress lately */
   int64_t mean_ms;
