--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -61,7 +61,7 @@
         found = team;
     }
   if (found != NULL)
-    *found = (LimitTeam){ .key = key, .filled_ms = INT64_MIN };
+    *found = (LimitTeam){ .key = key, .refilled_ms = INT64_MIN };
   return found;
 }
 
@@ -115,11 +115,11 @@
 {
   double most = rate * burst_s;
 
-  if (team->filled_ms == INT64_MIN)
+  if (team->refilled_ms == INT64_MIN)
     team->tokens = most;
   else
-    team->tokens += rate * (double)(now_ms - team->filled_ms) / MS_PER_S;
-  team->filled_ms = now_ms;
+    team->tokens += rate * (double)(now_ms - team->refilled_ms) / MS_PER_S;
+  team->refilled_ms = now_ms;
   if (team->tokens > most)
     team->tokens = most;
 }
--- a/src/choose_limit_team.h
+++ b/src/choose_limit_team.h
@@ -17,7 +17,7 @@
   uint64_t key; /**< 0: free */
   int64_t in_progress;
   double tokens; /**< that may be used now; below 0: overdrawn */
-  int64_t filled_ms;
+  int64_t refilled_ms;
   int64_t last_request_ms;
   double weight;
   double mean; /**< in progress lately */
