--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -189,7 +189,7 @@
   double part = fair_part (limiter, query, team);
   double holds = (double)team->in_progress + 1;
   bool beyond = holds > part && (team->mean > part + 1 || holds > PEAK_PARTS * part + 1);
-  bool usual = holds <= USUAL_PARTS * team->usual + 1;
+  bool usual = holds <= USUAL_PARTS * team->long_mean + 1;
   LimitVerdict verdict = refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
 
   if (busy >= query->capacity)
--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -82,7 +82,7 @@
   team->mean = faded_mean (team->mean, in_progress, ms, MEAN_HALF_MS);
   /* The first time there is no time since the last. */
   if (team->mean_ms != 0)
-    team->usual = faded_mean (team->usual, in_progress, ms, USUAL_HALF_MS);
+    team->long_mean = faded_mean (team->long_mean, in_progress, ms, USUAL_HALF_MS);
   team->mean_ms = now_ms;
 }
 
--- a/src/choose_limit_team.h
+++ b/src/choose_limit_team.h
@@ -22,7 +22,7 @@
   double weight;
   double mean; /**< in progress lately */
   int64_t mean_ms;
-  double usual; /**< the same over tens of minutes, from nothing at the team's first request */
+  double long_mean; /**< the same over tens of minutes, from nothing at the team's first request */
 } LimitTeam;
 
 typedef struct
