--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -35,7 +35,7 @@
 
 const QuarantineSettings quarantine_settings_default = {
   .servers = 2,
-  .memory_ms = 600000,
+  .retention_ms = 600000,
   .outage_ms = 120000,
   .same_ms = 5000,
   .hold_ms = 3600000,
@@ -246,7 +246,7 @@
 
   for (i = 0; i < QUARANTINE_DEATHS_MAX; i++)
     {
-      if (now_ms - quarantine->deaths[i].at_ms > quarantine->settings.memory_ms)
+      if (now_ms - quarantine->deaths[i].at_ms > quarantine->settings.retention_ms)
         quarantine->deaths[i].server = 0;
     }
 }
@@ -292,7 +292,7 @@
   uint32_t i;
   bool changed;
 
-  if (news->server == 0 || news->age_ms > quarantine->settings.memory_ms)
+  if (news->server == 0 || news->age_ms > quarantine->settings.retention_ms)
     return false;
   pthread_mutex_lock (&quarantine->lock);
   forget_old (quarantine, now_ms);
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -117,7 +117,7 @@
   size_t fresh = 0;
 
   while (known > 0
-         && deaths[known - 1].age_ms > quarantine_settings_default.memory_ms - LAST_TOLD_MS)
+         && deaths[known - 1].age_ms > quarantine_settings_default.retention_ms - LAST_TOLD_MS)
     known--;
   while (fresh < known && deaths[fresh].age_ms < STEWARD_DEATHS_FRESH_MS)
     fresh++;
--- a/tests/test_choose_quarantine.c
+++ b/tests/test_choose_quarantine.c
@@ -120,7 +120,7 @@
 static void
 test_old_deaths_fade (void)
 {
-  int64_t later = settings->memory_ms + 1000;
+  int64_t later = settings->retention_ms + 1000;
 
   quarantine = quarantine_new (settings);
   die (8, CRASHER, 0, 0);
@@ -183,7 +183,7 @@
   /* Far more crashers than are held: no two of them near each other. */
   for (i = 0; i < 3UL * QUARANTINE_HELD_MAX; i++)
     {
-      int64_t at = (int64_t)i * 2 * settings->memory_ms;
+      int64_t at = (int64_t)i * 2 * settings->retention_ms;
 
       die (100 + i, 0x10001 + 2 * i, 0, at);
       die (900000 + i, 0x10001 + 2 * i, 0, at + 1000);
