--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -37,7 +37,7 @@
   .servers = 2,
   .retention_ms = 600000,
   .outage_ms = 120000,
-  .same_ms = 5000,
+  .same_death_ms = 5000,
   .hold_ms = 3600000,
 };
 
@@ -262,7 +262,8 @@
     {
       Death *death = &quarantine->deaths[i];
 
-      if (death->server == server && llabs (death->at_ms - at_ms) <= quarantine->settings.same_ms)
+      if (death->server == server
+          && llabs (death->at_ms - at_ms) <= quarantine->settings.same_death_ms)
         return death;
       if (found->server != 0 && (death->server == 0 || death->at_ms < found->at_ms))
         found = death;
--- a/src/choose_quarantine.h
+++ b/src/choose_quarantine.h
@@ -15,11 +15,11 @@
 
 typedef struct
 {
-  unsigned servers;     /**< that must have died under a fingerprint */
-  int64_t retention_ms; /**< of deaths */
-  int64_t outage_ms;    /**< deaths this close together may have one cause that is no request's */
-  int64_t same_ms;      /**< reports of one server's death this close together are of one death */
-  int64_t hold_ms;      /**< how long a fingerprint is refused */
+  unsigned servers;      /**< that must have died under a fingerprint */
+  int64_t retention_ms;  /**< of deaths */
+  int64_t outage_ms;     /**< deaths this close together may have one cause that is no request's */
+  int64_t same_death_ms; /**< reports of one server's death this close together are of one death */
+  int64_t hold_ms;       /**< how long a fingerprint is refused */
 } QuarantineSettings;
 
 extern const QuarantineSettings quarantine_settings_default;
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -46,7 +46,7 @@
   .servers = 3,          /* two may die by chance under one caller's retries */
   .retention_ms = 60000, /* callers send such a request again within seconds */
   .outage_ms = 1000,     /* servers of one rack die together */
-  .same_ms = 3000,       /* a dead server is back after some seconds, under another id */
+  .same_death_ms = 3000, /* a dead server is back after some seconds, under another id */
   .hold_ms = 60000,
 };
 
