--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -57,7 +57,7 @@
 };
 
 const RolloutSettings rollout_settings_default = {
-  .alarm = 10,
+  .alarm_threshold = 10,
   .pass = 3,
   .stage_tolerances = { 0.15, 0.1, 0.05, 0.05 },
   .stage_least_ms = 60000,
@@ -256,7 +256,7 @@
 static double
 alarm_limit (const RolloutTest *test, size_t tests)
 {
-  return test->settings.alarm + log ((double)tests);
+  return test->settings.alarm_threshold + log ((double)tests);
 }
 
 static RolloutDecision
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -30,8 +30,8 @@
 
 typedef struct
 {
-  double alarm; /**< how strong the evidence of badness must be: its logarithm */
-  double pass;  /**< as strong that the version is as good as the old one */
+  double alarm_threshold; /**< how strong the evidence of badness must be: its logarithm */
+  double pass;            /**< as strong that the version is as good as the old one */
   double
       stage_tolerances[4]; /**< by which a version may be worse unseen, by stage; the last stands */
   int64_t stage_least_ms;  /**< no stage is shorter */
--- a/src/steward_rollout_watch.c
+++ b/src/steward_rollout_watch.c
@@ -35,7 +35,7 @@
   RolloutSettings settings = rollout_settings_default;
   RolloutWatch *w = memory_alloc (sizeof *w);
 
-  settings.alarm += log ((double)(stewards > 0 ? stewards : 1));
+  settings.alarm_threshold += log ((double)(stewards > 0 ? stewards : 1));
   w->rollout = *rollout;
   w->team_max = teams + TEAMS_SPARE < ROLLOUT_TEAMS_MAX ? teams + TEAMS_SPARE : ROLLOUT_TEAMS_MAX;
   w->teams = memory_array (w->team_max, sizeof *w->teams);
