--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -60,7 +60,7 @@
   .alarm_threshold = 10,
   .pass = 3,
   .stage_tolerances = { 0.15, 0.1, 0.05, 0.05 },
-  .stage_least_ms = 60000,
+  .stage_min_ms = 60000,
   .control_weight = 2000,
 };
 
@@ -281,7 +281,7 @@
       if (test->good[kind] < test->settings.pass)
         return decision;
     }
-  if (now_ms - test->stage_since_ms < test->settings.stage_least_ms)
+  if (now_ms - test->stage_since_ms < test->settings.stage_min_ms)
     return decision;
   decision.verdict = ROLLOUT_NEXT_STAGE;
   snprintf (decision.why, sizeof decision.why,
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -34,7 +34,7 @@
   double pass;            /**< as strong that the version is as good as the old one */
   double
       stage_tolerances[4]; /**< by which a version may be worse unseen, by stage; the last stands */
-  int64_t stage_least_ms;  /**< no stage is shorter */
+  int64_t stage_min_ms;    /**< no stage is shorter */
   double control_weight;   /**< answers that the old version's figures count at most */
 } RolloutSettings;
 
