--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -61,7 +61,7 @@
   .pass = 3,
   .stage_tolerances = { 0.15, 0.1, 0.05, 0.05 },
   .stage_min_ms = 60000,
-  .control_weight = 2000,
+  .control_weight_max = 2000,
 };
 
 static RolloutDecision decide_sequential (const RolloutTest *test, int64_t now_ms);
@@ -97,7 +97,7 @@
   test->settings = *settings;
   test->teams = teams < ROLLOUT_TEAMS_MAX ? teams : ROLLOUT_TEAMS_MAX;
   test->team_alarms = memory_array (test->teams + 1, sizeof *test->team_alarms);
-  rollout_control_init (&test->control, test->teams, settings->control_weight);
+  rollout_control_init (&test->control, test->teams, settings->control_weight_max);
   test->stage_since_ms = now_ms;
   return test;
 }
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -35,7 +35,7 @@
   double
       stage_tolerances[4]; /**< by which a version may be worse unseen, by stage; the last stands */
   int64_t stage_min_ms;    /**< no stage is shorter */
-  double control_weight;   /**< answers that the old version's figures count at most */
+  double control_weight_max; /**< answers that the old version's figures count at most */
 } RolloutSettings;
 
 extern const RolloutSettings rollout_settings_default;
