--- a/src/choose_load.c
+++ b/src/choose_load.c
@@ -47,7 +47,7 @@
   history->clock_known = true;
   load_history_add (history, view, now_ms);
   view->reported_load = load;
-  view->in_flight_report = in_flight_at (history, at_ms + history->clock_offset);
+  view->in_flight_at_report = in_flight_at (history, at_ms + history->clock_offset);
   view->report_ms = now_ms;
   view->taken_ms = at_ms + history->clock_offset;
 }
--- a/src/choose_server.c
+++ b/src/choose_server.c
@@ -74,11 +74,11 @@
   double others = 0;
 
   /* Own requests that ended since the report may be more than it counted. */
-  if (view->report_ms != 0 && view->reported_load > view->in_flight_report)
+  if (view->report_ms != 0 && view->reported_load > view->in_flight_at_report)
     {
       double age_ms = (double)(query->now_ms - view->taken_ms);
 
-      others = (double)(view->reported_load - view->in_flight_report);
+      others = (double)(view->reported_load - view->in_flight_at_report);
       others *= exp (-fmax (age_ms, 0) / REPORT_TRUST_MS);
     }
   return (double)view->in_flight + others;
--- a/src/choose_server.h
+++ b/src/choose_server.h
@@ -11,17 +11,17 @@
 /** What this gate knows of one backend server; the gate keeps one per ConfigServer by name. */
 typedef struct
 {
-  int64_t in_flight;        /**< own requests in progress there */
-  int64_t in_flight_report; /**< own requests in progress when the last report was taken */
-  int64_t reported_load;    /**< requests running and queued, as last reported by the server */
-  int64_t report_ms;        /**< boot-time clock of the report's arrival; 0: none yet */
-  int64_t taken_ms;         /**< when the server took it, as far as choose_load.h can tell */
-  double latency_ms;        /**< moving mean of the first token's time */
-  double latency_var;       /**< its moving variance */
-  double token_ms;          /**< moving mean of the time between tokens; 0: not known */
-  int64_t open_until_ms;    /**< breaker: no new work before this time; 0: closed */
-  unsigned failures;        /**< in a row */
-  bool draining;            /**< the server itself said that it leaves */
+  int64_t in_flight;           /**< own requests in progress there */
+  int64_t in_flight_at_report; /**< own requests in progress when the last report was taken */
+  int64_t reported_load;       /**< requests running and queued, as last reported by the server */
+  int64_t report_ms;           /**< boot-time clock of the report's arrival; 0: none yet */
+  int64_t taken_ms;            /**< when the server took it, as far as choose_load.h can tell */
+  double latency_ms;           /**< moving mean of the first token's time */
+  double latency_var;          /**< its moving variance */
+  double token_ms;             /**< moving mean of the time between tokens; 0: not known */
+  int64_t open_until_ms;       /**< breaker: no new work before this time; 0: closed */
+  unsigned failures;           /**< in a row */
+  bool draining;               /**< the server itself said that it leaves */
 } ServerView;
 
 typedef struct
--- a/tests/test_choose_load.c
+++ b/tests/test_choose_load.c
@@ -12,7 +12,7 @@
   int64_t t;
 
   load_report (&history, &view, 3, 500, 100000);
-  CU_ASSERT_EQUAL (view.in_flight_report, 0);
+  CU_ASSERT_EQUAL (view.in_flight_at_report, 0);
   CU_ASSERT_EQUAL (view.reported_load, 3);
   for (t = 100000; t < 104000; t += 100)
     {
@@ -22,10 +22,10 @@
   CU_ASSERT_EQUAL (view.in_flight, 40);
   /* Taken at 100,000 on our clock, 500 on the server's; arrives at 105,000. */
   load_report (&history, &view, 4, 500, 105000);
-  CU_ASSERT (view.in_flight_report <= 2);
+  CU_ASSERT (view.in_flight_at_report <= 2);
   /* Taken now. */
   load_report (&history, &view, 44, 5500, 105000);
-  CU_ASSERT_EQUAL (view.in_flight_report, 40);
+  CU_ASSERT_EQUAL (view.in_flight_at_report, 40);
 }
 
 static void
@@ -38,7 +38,7 @@
   view.in_flight = 7;
   load_history_add (&history, &view, 1001000);
   load_report (&history, &view, 7, 1000, 1002000);
-  CU_ASSERT_EQUAL (view.in_flight_report, 7);
+  CU_ASSERT_EQUAL (view.in_flight_at_report, 7);
 }
 
 static void
@@ -55,8 +55,8 @@
       load_history_add (&history, &view, t);
     }
   load_report (&history, &view, 1, 0, 59000);
-  CU_ASSERT (view.in_flight_report >= 2 + 59 - LOAD_HISTORY_SAMPLES * LOAD_SAMPLE_MS / 1000 - 1);
-  CU_ASSERT (view.in_flight_report <= 2 + 59 - LOAD_HISTORY_SAMPLES * LOAD_SAMPLE_MS / 1000 + 1);
+  CU_ASSERT (view.in_flight_at_report >= 2 + 59 - LOAD_HISTORY_SAMPLES * LOAD_SAMPLE_MS / 1000 - 1);
+  CU_ASSERT (view.in_flight_at_report <= 2 + 59 - LOAD_HISTORY_SAMPLES * LOAD_SAMPLE_MS / 1000 + 1);
 }
 
 int
--- a/tests/test_choose_server.c
+++ b/tests/test_choose_server.c
@@ -106,7 +106,7 @@
     .report_ms = 1000,
     .taken_ms = 1000,
     .in_flight = 2,
-    .in_flight_report = 6,
+    .in_flight_at_report = 6,
   };
   CU_ASSERT_DOUBLE_EQUAL (server_load (&query, 0), 4.0, 1e-9);
   views[0].in_flight = 9;
