--- a/src/choose.c
+++ b/src/choose.c
@@ -1,5 +1,6 @@
 /**
- * The versions that may answer a request: team, state, brakes, roll-out share, session.
+ * The versions that may answer a request, by the team's permissions, version states, brakes,
+ * roll-out shares and the session's version.
  */
 #include "choose.h"
 
@@ -9,7 +10,7 @@
 
 #define TWO_TO_64 18446744073709551616.0
 
-/** The latest roll-out towards this version, or NULL. */
+/** The last listed roll-out to this version, or NULL. */
 static const ConfigRollout *
 rollout_to (const Config *config, unsigned version)
 {
@@ -29,9 +30,9 @@
   return rollout->state == ROLLOUT_RUNNING || rollout->state == ROLLOUT_PAUSED;
 }
 
-/** Why the version gets no new work at all, or REASON_NONE. */
+/** Why the version gets no new requests at all, or REASON_NONE. */
 static Reason
-version_stopped (const Config *config, const bool *braked, unsigned version)
+version_exclusion (const Config *config, const bool *braked, unsigned version)
 {
   const ConfigVersion *v = &config->versions[version];
   const ConfigRollout *rollout;
@@ -51,7 +52,7 @@
 bool
 choose_version_usable (const Config *config, const bool *braked, unsigned version)
 {
-  return version_stopped (config, braked, version) == REASON_NONE;
+  return version_exclusion (config, braked, version) == REASON_NONE;
 }
 
 double
@@ -59,13 +60,13 @@
 {
   double position = (double)id_hash_string (model->name, caller) / TWO_TO_64;
 
-  /* Rounding to a double may give exactly 1, which no share would ever hold. */
+  /* Rounding to double may give exactly 1, which is outside every share. */
   return position < 1.0 ? position : 0.0;
 }
 
-/** True if the stage in force of an open or finished roll-out holds the caller. */
+/** True if the roll-out is done, or if its current stage includes the caller. */
 static bool
-rollout_holds (const Config *config, const ConfigRollout *rollout, uint64_t caller)
+rollout_includes (const Config *config, const ConfigRollout *rollout, uint64_t caller)
 {
   double share;
 
@@ -77,9 +78,9 @@
   return choose_bucket (&config->models[rollout->model], caller) < share;
 }
 
-/** True if a caller outside every roll-out's share may reach the version. */
+/** True if the version is open to callers whom no roll-out includes. */
 static bool
-version_settled (const Config *config, unsigned version)
+version_generally_available (const Config *config, unsigned version)
 {
   const ConfigRollout *rollout = rollout_to (config, version);
 
@@ -88,28 +89,29 @@
   return rollout != NULL || config->versions[version].state == VERSION_ACTIVE;
 }
 
-/** Adds up why versions drop out, to name the one cause when all drop out for it. */
+/** Collects the reasons why versions are excluded, to report the reason if it is the same for all.
+ *  */
 typedef struct
 {
   Reason reason;
   bool mixed;
-} Refusals;
+} Exclusions;
 
 static void
-refusals_add (Refusals *refusals, Reason reason)
+exclusions_add (Exclusions *exclusions, Reason reason)
 {
-  if (refusals->reason == REASON_NONE)
-    refusals->reason = reason;
-  if (refusals->reason != reason)
-    refusals->mixed = true;
+  if (exclusions->reason == REASON_NONE)
+    exclusions->reason = reason;
+  if (exclusions->reason != reason)
+    exclusions->mixed = true;
 }
 
 static Reason
-refusals_reason (const Refusals *refusals)
+exclusions_reason (const Exclusions *exclusions)
 {
-  if (refusals->reason == REASON_NONE || refusals->mixed)
+  if (exclusions->reason == REASON_NONE || exclusions->mixed)
     return REASON_NO_ALLOWED_VERSION;
-  return refusals->reason;
+  return exclusions->reason;
 }
 
 static bool
@@ -118,8 +120,8 @@
   return request->config->teams[request->team].allowed[version];
 }
 
-/** The version that the model's latest roll-out gives this caller: the new one if the stage in
- * force holds the caller, else the one that it replaces; -1 if that one can't be used. */
+/** The version that the model's latest roll-out selects for this caller: the new one if the current
+ *  stage includes the caller, else the one that it replaces; -1 if that one can't be used. */
 static int
 version_by_rollout (const ChooseRequest *request, unsigned model)
 {
@@ -134,7 +136,7 @@
     }
   if (rollout == NULL)
     return -1;
-  if (rollout_holds (config, rollout, request->caller) && team_allows (request, rollout->to)
+  if (rollout_includes (config, rollout, request->caller) && team_allows (request, rollout->to)
       && choose_version_usable (config, request->braked, rollout->to))
     return (int)rollout->to;
   if (team_allows (request, rollout->from)
@@ -149,7 +151,7 @@
 {
   const Config *config = request->config;
   const ConfigModel *m = &config->models[model];
-  Refusals refusals = { .reason = REASON_NONE };
+  Exclusions exclusions = { .reason = REASON_NONE };
   bool allowed = false;
   int found = version_by_rollout (request, model);
   size_t i;
@@ -167,19 +169,19 @@
       if (!team_allows (request, version))
         continue;
       allowed = true;
-      reason = version_stopped (config, request->braked, version);
-      if (reason == REASON_NONE && version_settled (config, version))
+      reason = version_exclusion (config, request->braked, version);
+      if (reason == REASON_NONE && version_generally_available (config, version))
         {
           *out = version;
           return REASON_NONE;
         }
       if (reason != REASON_NONE)
-        refusals_add (&refusals, reason);
+        exclusions_add (&exclusions, reason);
     }
-  return allowed ? refusals_reason (&refusals) : REASON_NOT_ALLOWED;
+  return allowed ? exclusions_reason (&exclusions) : REASON_NOT_ALLOWED;
 }
 
-/** Finds "MODEL@VERSION". */
+/** Looks up "MODEL@VERSION". */
 static Reason
 version_by_name (const Config *config, const char *name, unsigned *out)
 {
@@ -202,8 +204,8 @@
   return REASON_NONE;
 }
 
-/** A version that the caller named itself. A candidate is reached only by the callers whom its
- *  roll-out holds: naming it must not widen the exposure. */
+/** Plans a version that the caller named itself. A candidate is available only to callers included
+ *  in its roll-out; otherwise naming it would expose more callers to it than the stage allows. */
 static Reason
 plan_named_version (const ChooseRequest *request, ChoosePlan *plan)
 {
@@ -216,18 +218,18 @@
     return reason;
   if (!team_allows (request, version))
     return REASON_NOT_ALLOWED;
-  reason = version_stopped (config, request->braked, version);
+  reason = version_exclusion (config, request->braked, version);
   if (reason != REASON_NONE)
     return reason;
   rollout = rollout_to (config, version);
   if (config->versions[version].state == VERSION_CANDIDATE
-      && (rollout == NULL || !rollout_holds (config, rollout, request->caller)))
+      && (rollout == NULL || !rollout_includes (config, rollout, request->caller)))
     return REASON_NOT_ALLOWED;
   plan->versions[plan->count++] = version;
   return REASON_NONE;
 }
 
-/** True if the name that the caller asked for includes versions of this model. */
+/** True if the requested model or class includes this model. */
 static bool
 name_includes_model (const ChooseRequest *request, unsigned model)
 {
@@ -245,8 +247,9 @@
   return false;
 }
 
-/** The version on which the session started. A version that is gone or withdrawn ends the session:
- *  moving it to another version silently would break the promise that it keeps its version. */
+/** Plans the version on which the session started. If it no longer exists or is withdrawn, the
+ *  request is refused: switching to another version silently would break the guarantee that a
+ *  session keeps its version. */
 static Reason
 plan_session (const ChooseRequest *request, ChoosePlan *plan)
 {
@@ -267,7 +270,7 @@
     }
   else if (!name_includes_model (request, config->versions[version].model))
     return REASON_NOT_ALLOWED;
-  reason = version_stopped (config, request->braked, version);
+  reason = version_exclusion (config, request->braked, version);
   if (reason != REASON_NONE)
     return reason;
   plan->versions[plan->count++] = version;
@@ -277,7 +280,7 @@
 static Reason
 plan_class (const ChooseRequest *request, const ConfigClass *class, ChoosePlan *plan)
 {
-  Refusals refusals = { .reason = REASON_NONE };
+  Exclusions exclusions = { .reason = REASON_NONE };
   size_t i;
 
   for (i = 0; i < class->stage_count && plan->count < CHOOSE_STAGES_MAX; i++)
@@ -288,15 +291,15 @@
       if (reason == REASON_NONE)
         plan->versions[plan->count++] = version;
       else
-        refusals_add (&refusals, reason);
+        exclusions_add (&exclusions, reason);
     }
-  return plan->count > 0 ? REASON_NONE : refusals_reason (&refusals);
+  return plan->count > 0 ? REASON_NONE : exclusions_reason (&exclusions);
 }
 
-/** Each stage of a cascade runs the request once more, so work that may run at most once gets one
- *  stage only. */
+/** Reduces the plan to one stage. Each stage of a cascade runs the request again, so a request that
+ *  may run at most once gets only one. */
 static void
-plan_keep_one (const Config *config, ChoosePlan *plan)
+plan_reduce_to_one (const Config *config, ChoosePlan *plan)
 {
   size_t i;
 
@@ -310,7 +313,7 @@
 }
 
 static Reason
-plan_fill (const ChooseRequest *request, ChoosePlan *plan)
+plan_add_versions (const ChooseRequest *request, ChoosePlan *plan)
 {
   const Config *config = request->config;
   int model;
@@ -350,7 +353,7 @@
   if (plan->class_index >= 0)
     plan->quality_target = config->classes[plan->class_index].quality_target;
   plan->idempotent = plan_idempotent (request, plan);
-  reason = plan_fill (request, plan);
+  reason = plan_add_versions (request, plan);
   if (reason != REASON_NONE)
     {
       plan->count = 0;
@@ -373,6 +376,6 @@
   Reason reason = choose_candidates (request, plan);
 
   if (reason == REASON_NONE && !plan->idempotent && plan->count > 1)
-    plan_keep_one (request->config, plan);
+    plan_reduce_to_one (request->config, plan);
   return reason;
 }
--- a/src/choose_breaker.c
+++ b/src/choose_breaker.c
@@ -1,9 +1,6 @@
-/**
- * Circuit breaker of one backend server.
- */
 #include "choose_breaker.h"
 
-#define JITTER_PARTS 4 /**< up to a quarter is added */
+#define JITTER_DIVISOR 4 /**< up to this fraction of the interval is added: a quarter */
 
 void
 breaker_failure (ServerView *view, int64_t now_ms, uint64_t random)
@@ -18,8 +15,8 @@
     open_ms *= 2;
   if (open_ms > BREAKER_OPEN_MAX_MS)
     open_ms = BREAKER_OPEN_MAX_MS;
-  /* Without the spread all gates would probe a server that is coming back at one moment. */
-  open_ms += (int64_t)(random % (uint64_t)(open_ms / JITTER_PARTS));
+  /* Without jitter all gates would probe a recovering server at the same moment. */
+  open_ms += (int64_t)(random % (uint64_t)(open_ms / JITTER_DIVISOR));
   view->open_until_ms = now_ms + open_ms;
 }
 
--- a/src/choose_cascade.c
+++ b/src/choose_cascade.c
@@ -1,5 +1,5 @@
 /**
- * Cascade policies: the learned one and its baselines.
+ * Cascade policies: the learned order, and the baselines that it is compared with.
  */
 #include "choose_cascade.h"
 
@@ -55,7 +55,7 @@
   return score >= plan->quality_target;
 }
 
-/** A baseline: the stages as the class lists them. */
+/** Baseline: the stages in the order in which the class lists them. */
 static Reason
 plan_fixed (const CascadeQuery *query, ChoosePlan *plan)
 {
@@ -64,7 +64,7 @@
 
 typedef bool (*IsBetter) (const ConfigVersion *version, const ConfigVersion *than);
 
-/** Of the candidates only the best one; the first of several equal ones. */
+/** Plans only the best candidate; the first of several equal ones. */
 static Reason
 plan_one (const CascadeQuery *query, ChoosePlan *plan, IsBetter is_better)
 {
@@ -99,14 +99,14 @@
   return version->prior_quality > than->prior_quality;
 }
 
-/** A baseline: the version of least cost, whatever its quality. */
+/** Baseline: the version of lowest cost, whatever its quality. */
 static Reason
 plan_cheapest (const CascadeQuery *query, ChoosePlan *plan)
 {
   return plan_one (query, plan, costs_less);
 }
 
-/** A baseline: the version of highest prior quality, whatever its cost. */
+/** Baseline: the version of highest prior quality, whatever its cost. */
 static Reason
 plan_best (const CascadeQuery *query, ChoosePlan *plan)
 {
@@ -114,7 +114,7 @@
 }
 
 static void
-plan_take (const Forecast *forecast, unsigned mask, ChoosePlan *plan)
+plan_set_stages (const Forecast *forecast, unsigned mask, ChoosePlan *plan)
 {
   unsigned i;
 
@@ -141,7 +141,7 @@
 
   if (reason != REASON_NONE)
     return reason;
-  /* A named model or a session's version leaves nothing to choose, and nothing to refuse. */
+  /* A named model or a session's version leaves no choice, and is not refused for its quality. */
   if (plan->class_index < 0 || request->session_version != NULL)
     return REASON_NONE;
   forecast_read (query, plan, &forecast);
@@ -149,8 +149,8 @@
   search.time_ms = request->deadline_ms != 0 ? request->deadline_ms - request->now_ms : 0;
   search.single = !plan->idempotent || !query->rating_available;
   search_run (&search);
-  /* Work for which nothing can meet the target is refused, but for the share that may explore:
-     without any the estimates could never recover. */
+  /* A request whose target no plan can reach is refused, except for the share that may explore:
+     without any answers the estimates could never recover. */
   if (!search.reachable && !search_may_explore (query))
     return REASON_TARGET_UNREACHABLE;
   plan->basis = query->rating_available ? PLAN_LEARNED : PLAN_UNRATED;
@@ -160,12 +160,12 @@
                  : search_explore (query, &forecast, &found);
   if (explored != 0)
     plan->basis = PLAN_EXPLORING;
-  plan_take (&forecast, explored != 0 ? explored : found.mask, plan);
+  plan_set_stages (&forecast, explored != 0 ? explored : found.mask, plan);
   return REASON_NONE;
 }
 
 static uint64_t
-key_of_version (const Config *config, int version)
+optional_version_key (const Config *config, int version)
 {
   return version < 0 ? 0 : forecast_version_key (config, (unsigned)version);
 }
@@ -177,8 +177,8 @@
 
   return (EstimateKey){
     .class_key = id_hash_string (config->classes[outcome->class_index].name, 0),
-    .version_key = key_of_version (config, (int)outcome->version),
-    .previous_key = key_of_version (config, outcome->previous),
+    .version_key = optional_version_key (config, (int)outcome->version),
+    .previous_key = optional_version_key (config, outcome->previous),
   };
 }
 
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -1,6 +1,6 @@
 /**
- * The order of a request's stages: the least expected cost whose quality meets the class's target
- * and whose time meets the deadline, by what the rating service's verdicts have shown.
+ * Chooses a request's stages: the plan of lowest expected cost whose quality meets the class's
+ * target and whose time meets the deadline, as estimated from the verdicts of the rating service.
  */
 #ifndef CHOOSE_CASCADE_H
 #define CHOOSE_CASCADE_H
@@ -10,19 +10,23 @@
 
 typedef struct
 {
-  double confidence;        /**< standard errors by which a plan must clear the target */
-  double unreachable;       /**< standard errors by which all plans must miss it to be refused */
-  double prior_weight;      /**< ratings that a version's prior quality counts for */
-  double team_weight;       /**< ratings of all teams that one team's are set against */
-  double rating_cost_share; /**< cost of one rating, as a part of the cheapest version's answer: the
-                           document's cost units are the operators' own */
-  double wait_cost_per_s;   /**< cost units that a second until the first token is worth */
-  double mix_shortfall_max; /**< a plan may be mixed in that misses the target by at most this */
-  double explore_share;     /**< most requests that try a version with little evidence first */
-  double evidence_weight_min; /**< ratings below which a version has little evidence */
+  double confidence;  /**< standard errors by which a plan's quality must exceed the target */
+  double unreachable; /**< a request is refused if all plans miss the target by more standard errors
+                         than this */
+  double prior_weight;      /**< weight of a version's prior quality, in ratings */
+  double team_weight;       /**< weight of the rating over all teams as the prior of one team's, in
+                               ratings */
+  double rating_cost_share; /**< cost of one rating, as a share of the cheapest version's answer:
+                               cost units differ between documents */
+  double wait_cost_per_s;   /**< cost units per second of waiting for the first token */
+  double mix_shortfall_max; /**< a plan that misses the target by at most this may be mixed with a
+                               better one */
+  double
+      explore_share; /**< largest share of requests that try a version with little evidence first */
+  double evidence_weight_min; /**< a version with fewer ratings has little evidence */
   unsigned stages_max;
-  double tokens; /**< of an answer, before any was seen */
-  double ms;     /**< of an answer, before any was seen */
+  double tokens; /**< expected size of an answer before any was observed */
+  double ms;     /**< expected size of an answer before any was observed */
 } CascadeSettings;
 
 extern const CascadeSettings cascade_settings_default;
--- a/src/choose_estimate.c
+++ b/src/choose_estimate.c
@@ -1,5 +1,5 @@
 /**
- * Learned cells, in shards.
+ * Hash tables of cells, one per shard, each cell with decayed sums of observations.
  */
 #include "choose_estimate.h"
 
@@ -8,17 +8,17 @@
 #include <pthread.h>
 #include <stdlib.h>
 
-#define SHARDS       16
-#define SHARD_CELLS  512 /**< a power of two */
-#define PROBES       16
-#define FADE_MS      500  /**< evidence is faded in steps of at least this */
-#define LEAST        1e-6 /**< a weight below this is none: it is what rounding left */
-#define HALF_LIFE_MS 600000
+#define SHARDS        16
+#define SHARD_CELLS   512 /**< entries in a shard's hash table; a power of two */
+#define PROBES        16
+#define DECAY_STEP_MS 500  /**< a cell decays at most this often, to save the exponential */
+#define WEIGHT_MIN    1e-6 /**< a smaller weight is a rounding error and counts as none */
+#define HALF_LIFE_MS  600000
 
 typedef struct
 {
   uint64_t key;  /**< 0: free */
-  int64_t at_ms; /**< up to which it was faded */
+  int64_t at_ms; /**< time up to which the sums have decayed */
   double weight, passes, pass_scores, fail_scores;
   double runs, tokens, ms, ms_squares;
 } Cell;
@@ -96,16 +96,17 @@
 
       if (cell->key == hash)
         return cell;
-      /* A place once taken is never freed, so what is looked for would be here. */
+      /* An entry once used is never freed, so a free one ends the probe sequence. */
       if (cell->key == 0)
         return NULL;
     }
   return NULL;
 }
 
-/** The cell of that hash; a new one takes the place of the one that was longest without news. */
+/** The cell of that hash; a new one replaces the least recently updated cell of its probe sequence.
+ *  */
 static Cell *
-cell_make (Shard *shard, uint64_t hash, int64_t now_ms)
+cell_get (Shard *shard, uint64_t hash, int64_t now_ms)
 {
   Cell *cell = cell_find (shard, hash);
   unsigned i;
@@ -144,11 +145,11 @@
 }
 
 static void
-cell_fade (const EstimateSettings *settings, Cell *cell, int64_t now_ms)
+cell_decay (const EstimateSettings *settings, Cell *cell, int64_t now_ms)
 {
   double factor;
 
-  if (now_ms - cell->at_ms < FADE_MS)
+  if (now_ms - cell->at_ms < DECAY_STEP_MS)
     return;
   factor = exp2 (-(double)(now_ms - cell->at_ms) / (double)settings->half_life_ms);
   cell_scale_ratings (cell, factor);
@@ -167,8 +168,8 @@
   Cell *cell;
 
   pthread_mutex_lock (&shard->lock);
-  cell = cell_make (shard, key_hash (key), now_ms);
-  cell_fade (&estimates->settings, cell, now_ms);
+  cell = cell_get (shard, key_hash (key), now_ms);
+  cell_decay (&estimates->settings, cell, now_ms);
   if (cell->weight + 1 > estimates->settings.weight_max)
     cell_scale_ratings (cell, (estimates->settings.weight_max - 1) / cell->weight);
   cell->weight += 1;
@@ -191,8 +192,8 @@
   Cell *cell;
 
   pthread_mutex_lock (&shard->lock);
-  cell = cell_make (shard, key_hash (key), now_ms);
-  cell_fade (&estimates->settings, cell, now_ms);
+  cell = cell_get (shard, key_hash (key), now_ms);
+  cell_decay (&estimates->settings, cell, now_ms);
   if (cell->runs + 1 > estimates->settings.weight_max)
     cell_scale_runs (cell, (estimates->settings.weight_max - 1) / cell->runs);
   cell->runs += 1;
@@ -209,13 +210,13 @@
   Estimate out = { .weight = cell->weight, .run_weight = cell->runs };
   double variance;
 
-  if (cell->weight > LEAST)
+  if (cell->weight > WEIGHT_MIN)
     out.pass = cell->passes / cell->weight;
-  if (cell->passes > LEAST)
+  if (cell->passes > WEIGHT_MIN)
     out.pass_score = cell->pass_scores / cell->passes;
-  if (fails > LEAST)
+  if (fails > WEIGHT_MIN)
     out.fail_score = cell->fail_scores / fails;
-  if (cell->runs <= LEAST)
+  if (cell->runs <= WEIGHT_MIN)
     return out;
   out.tokens = cell->tokens / cell->runs;
   out.ms = cell->ms / cell->runs;
@@ -237,24 +238,24 @@
 }
 
 Estimate
-estimates_read_next (Estimates *estimates, const EstimateKey *key, int64_t now_ms, bool faded)
+estimates_read_next (Estimates *estimates, const EstimateKey *key, int64_t now_ms, bool decayed)
 {
   Cell *cell = cell_find (shard_of (estimates, key->class_key), key_hash (key));
 
   if (cell == NULL)
     return (Estimate){ 0 };
-  if (faded)
-    cell_fade (&estimates->settings, cell, now_ms);
+  if (decayed)
+    cell_decay (&estimates->settings, cell, now_ms);
   return cell_estimate (cell);
 }
 
 Estimate
-estimates_read (Estimates *estimates, const EstimateKey *key, int64_t now_ms, bool faded)
+estimates_read (Estimates *estimates, const EstimateKey *key, int64_t now_ms, bool decayed)
 {
   Estimate out;
 
   estimates_begin (estimates, key->class_key);
-  out = estimates_read_next (estimates, key, now_ms, faded);
+  out = estimates_read_next (estimates, key, now_ms, decayed);
   estimates_end (estimates, key->class_key);
   return out;
 }
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -1,5 +1,5 @@
 /**
- * Forecasts from learned estimates and the configured priors.
+ * Forecasts from learned estimates and configured priors.
  */
 #include "choose_forecast.h"
 
@@ -7,11 +7,11 @@
 #include "util_id.h"
 #include <math.h>
 
-#define PASS_LEAST 0.01 /**< priors stay this far from 0 and 1 */
-#define MS_PER_S   1000.0
-#define TOKENS_1K  1000.0
+#define PASS_MARGIN 0.01 /**< prior probabilities are kept this far from 0 and 1 */
+#define MS_PER_S    1000.0
+#define TOKENS_1K   1000.0
 
-/** Keys of one decision. */
+/** Estimate keys of one request's candidates. */
 typedef struct
 {
   const CascadeQuery *query;
@@ -19,10 +19,10 @@
   uint64_t class_key;
   uint64_t team_key;
   uint64_t version_keys[CHOOSE_STAGES_MAX];
-  double failing; /**< see class_failing */
+  double failure_ratio; /**< see class_failure_ratio */
 } Keys;
 
-/** Ratings before any evidence. */
+/** Assumed ratings without any evidence. */
 typedef struct
 {
   double pass, pass_score, fail_score;
@@ -42,7 +42,7 @@
   return id_hash_string (v->name, id_hash_string (config->models[v->model].name, 0));
 }
 
-/** Blends an estimate with its prior, which counts for prior_weight ratings. */
+/** Combines an estimate with its prior, which counts as prior_weight ratings. */
 static ForecastRating
 blend (const Estimate *e, const Prior *prior, double prior_weight)
 {
@@ -66,15 +66,16 @@
   };
 }
 
-/** The prior quality is a mean rating; what passes is rated halfway between the target and 1, what
- *  does not at a third of the target. */
+/** Derives a prior from the configured prior quality, which is a mean rating: answers that pass are
+ *  assumed to be rated halfway between the target and 1, those that fail at a third of the target.
+ *  */
 static Prior
 prior_of_version (double quality, double target)
 {
   Prior prior = { .pass_score = (1 + target) / 2, .fail_score = target / 3 };
   double pass = (quality - prior.fail_score) / (prior.pass_score - prior.fail_score);
 
-  prior.pass = clamp (pass, PASS_LEAST, 1 - PASS_LEAST);
+  prior.pass = clamp (pass, PASS_MARGIN, 1 - PASS_MARGIN);
   return prior;
 }
 
@@ -93,12 +94,12 @@
                               query->rating_available);
 }
 
-/** How much more or less often the answers of this class fail than the priors of its versions say,
- * by those with enough ratings: 1 if there are none. A class that proves easy for one version is
- * easy for the others too; without this a version's prior is set against what was learned of
- * another, which may then look better for good. */
+/** The ratio of observed to prior failures of this class, averaged over its versions with enough
+ *  ratings; 1 if there are none. A class that proves easy for one version is easy for the others
+ *  too. Without this ratio a version's prior would be compared with the observed rating of another,
+ *  which might then look better for good. */
 static double
-class_failing (const Keys *keys, const Forecast *forecast, const Estimate *all)
+class_failure_ratio (const Keys *keys, const Forecast *forecast, const Estimate *all)
 {
   const CascadeQuery *query = keys->query;
   double sum = 0;
@@ -118,8 +119,8 @@
   return n > 0 ? sum / n : 1;
 }
 
-/** As the first stage: the team's own ratings, set against those of all teams, set against the
- *  prior. */
+/** The rating as the first stage: the team's own ratings, with those of all teams as their prior,
+ *  which in turn have the configured prior. */
 static ForecastRating
 first_rating (const Keys *keys, size_t stage, const Estimate *all, double prior_quality)
 {
@@ -128,8 +129,10 @@
   ForecastRating pooled, out;
   Estimate own;
 
-  /* That others do well is no proof that this one may answer unrated. */
-  prior.pass = clamp (1 - (1 - prior.pass) * fmax (keys->failing, 1), PASS_LEAST, 1 - PASS_LEAST);
+  /* Good ratings of other versions do not justify answering unrated with this one, so the ratio
+     only ever raises the failures. */
+  prior.pass
+      = clamp (1 - (1 - prior.pass) * fmax (keys->failure_ratio, 1), PASS_MARGIN, 1 - PASS_MARGIN);
   pooled = blend (all, &prior, settings->prior_weight);
   own = read_estimate (keys, stage, 0, keys->team_key);
   if (own.weight < 1)
@@ -143,8 +146,9 @@
   return out;
 }
 
-/** After another version's answer did not pass. Without evidence the worst case is assumed: that
- *  this version passes whatever that one passes, and so only the rest of its share is left. */
+/** The rating after another version's answer failed. Without evidence the worst case is assumed:
+ *  this version passes all answers that the other passes, so only the rest of its passes is left.
+ *  */
 static ForecastRating
 after_rating (const Keys *keys, const Forecast *forecast, size_t stage, size_t before)
 {
@@ -156,10 +160,10 @@
   double fail = 1 - self->pass;
 
   if (self->weight < settings->evidence_weight_min)
-    fail *= fmin (keys->failing, 1);
+    fail *= fmin (keys->failure_ratio, 1);
   if (other->pass < 1)
     prior.pass = 1 - fail / (1 - other->pass);
-  prior.pass = clamp (prior.pass, PASS_LEAST, 1 - PASS_LEAST);
+  prior.pass = clamp (prior.pass, PASS_MARGIN, 1 - PASS_MARGIN);
   return blend (&e, &prior, settings->prior_weight);
 }
 
@@ -198,8 +202,8 @@
     }
 }
 
-/** All stages but those with enough ratings that pass no oftener than a cheaper one. (What such a
- * stage would pass of the other's failures is taken for nothing.) */
+/** All stages except those with enough ratings that pass no more often than a cheaper one. (What
+ *  such a stage would pass of the cheaper one's failures is ignored.) */
 static unsigned
 useful_stages (const Forecast *forecast, double enough)
 {
@@ -207,7 +211,7 @@
   double best = -1;
   unsigned i;
 
-  /* They are by rising cost. */
+  /* Stages are in ascending order of cost. */
   for (i = 0; i < forecast->count; i++)
     {
       const ForecastRating *first = &forecast->stages[i].first;
@@ -257,7 +261,7 @@
   estimates_begin (query->estimates, keys.class_key);
   for (i = 0; i < out->count; i++)
     all[i] = read_estimate (&keys, i, 0, 0);
-  keys.failing = class_failing (&keys, out, all);
+  keys.failure_ratio = class_failure_ratio (&keys, out, all);
   for (i = 0; i < out->count; i++)
     read_stage (&keys, i, &all[i], &out->stages[i]);
   out->rating_cost = out->count > 0 ? query->settings->rating_cost_share * out->stages[0].cost : 0;
@@ -267,7 +271,7 @@
   estimates_end (query->estimates, keys.class_key);
 }
 
-/** How a stage's answers are rated after those of the path. */
+/** The rating of a stage that follows the path. */
 static const ForecastRating *
 path_rating (const Forecast *forecast, const ForecastPath *path, unsigned stage)
 {
@@ -283,25 +287,25 @@
   const ForecastRating *rating = path_rating (forecast, path, stage);
 
   path->ratings[path->count] = rating;
-  path->reaches[path->count++] = path->reach;
-  /* A stage that is rated is held back until its end, so its whole time is waited. */
-  path->cost += path->reach
+  path->reach_probabilities[path->count++] = path->reach_probability;
+  /* A rated answer is held back until it is complete, so the caller waits for all of it. */
+  path->cost += path->reach_probability
                 * (s->cost + forecast->rating_cost
                    + forecast->wait_cost_per_ms * (s->ms + forecast->rating_ms));
   path->ms_high += s->ms_high + forecast->rating_ms;
-  path->passed += path->reach * rating->pass;
-  path->scores += path->reach * rating->pass * rating->pass_score;
-  path->reach *= 1 - rating->pass;
+  path->passed += path->reach_probability * rating->pass;
+  path->scores += path->reach_probability * rating->pass * rating->pass_score;
+  path->reach_probability *= 1 - rating->pass;
   path->before = stage;
   path->mask |= 1U << stage;
 }
 
-/** A second bound of a cascade's quality, which needs no evidence of the stages in combination. The
- *  last stage answers a request as it would alone, whatever was tried before, so the cascade passes
- *  at least where the last stage alone passes; it can only lose what the last stage's good answers
- *  are rated above those of the stages before. */
+/** A second lower bound of a cascade's quality, which needs no evidence about stages in
+ *  combination. The last stage answers a request as it would alone, whatever was tried before, so
+ *  the cascade passes at least where the last stage alone passes. It can only lose the difference
+ *  by which the last stage's good answers are rated above those of the stages before. */
 static void
-bound_by_last (const ForecastRating *last, const ForecastPath *path, ForecastPlan *plan)
+apply_last_stage_bound (const ForecastRating *last, const ForecastPath *path, ForecastPlan *plan)
 {
   double loss = path->passed * last->pass_score - path->scores;
   double quality = last->mean - (loss > 0 ? loss : 0);
@@ -312,18 +316,18 @@
   plan->error = last->error;
 }
 
-/** Quality and standard error come from the last stage back: what an error of a stage's chance does
- * to the whole is the difference between passing there and going on. */
+/** Computes quality and standard error from the last stage backwards: an error in a stage's pass
+ *  probability affects the whole by the difference between passing there and going on. */
 ForecastPlan
 forecast_finish (const Forecast *forecast, const ForecastPath *path, unsigned stage)
 {
   const ForecastRating *rating = path_rating (forecast, path, stage);
   ForecastPlan plan = {
     .mask = path->mask | 1U << stage,
-    .cost = path->cost + path->reach * forecast->stages[stage].cost,
+    .cost = path->cost + path->reach_probability * forecast->stages[stage].cost,
     .ms_high = path->ms_high + forecast->stages[stage].ms_high,
   };
-  double error = path->reach * rating->error;
+  double error = path->reach_probability * rating->error;
   double variance = error * error;
   double value = rating->mean;
   unsigned i;
@@ -331,21 +335,21 @@
   for (i = path->count; i > 0; i--)
     {
       rating = path->ratings[i - 1];
-      error = path->reaches[i - 1] * (rating->pass_score - value);
+      error = path->reach_probabilities[i - 1] * (rating->pass_score - value);
       variance += error * error * rating->variance;
       value = rating->pass * rating->pass_score + (1 - rating->pass) * value;
     }
   plan.quality = value;
   plan.error = sqrt (variance);
   if (path->count > 0)
-    bound_by_last (&forecast->stages[stage].first, path, &plan);
+    apply_last_stage_bound (&forecast->stages[stage].first, path, &plan);
   return plan;
 }
 
 ForecastPlan
 forecast_plan (const Forecast *forecast, unsigned mask)
 {
-  ForecastPath path = { .reach = 1 };
+  ForecastPath path = { .reach_probability = 1 };
   unsigned i;
 
   INVARIANT (mask != 0 && mask >> forecast->count == 0, "mask=%u", mask);
--- a/src/choose_index.c
+++ b/src/choose_index.c
@@ -1,5 +1,5 @@
 /**
- * Subsets of servers by rendezvous hashing.
+ * Subsets of servers, selected by rendezvous hashing.
  */
 #include "choose_index.h"
 
@@ -8,20 +8,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define OWN_PART 3 /**< one in so many is of our own failure domain */
+#define OWN_DOMAIN_DIVISOR 3 /**< a third of the subset comes from the own failure domain */
 
-/** A server that carries the version, while a list is drawn. */
+/** A server of the version or service whose subset is being selected. */
 typedef struct
 {
   unsigned server;
   const char *domain;
   uint64_t hash;
   bool own;
-  unsigned rank; /**< among those of its failure domain, by hash */
-} Carrier;
+  unsigned rank; /**< position by hash within its failure domain */
+} Eligible;
 
 static bool
-carries_version (const ConfigServer *server, unsigned version)
+serves_version (const ConfigServer *server, unsigned version)
 {
   size_t i;
 
@@ -36,7 +36,7 @@
 }
 
 static bool
-carries_service (const ConfigServer *server, const char *service)
+serves_service (const ConfigServer *server, const char *service)
 {
   return server->kind == SERVER_SERVICE && server->service != NULL
          && strcmp (server->service, service) == 0;
@@ -45,7 +45,7 @@
 static int
 by_domain_and_hash (const void *a, const void *b)
 {
-  const Carrier *x = a, *y = b;
+  const Eligible *x = a, *y = b;
   int order = strcmp (x->domain, y->domain);
 
   if (order != 0)
@@ -55,11 +55,12 @@
   return x->server < y->server ? -1 : 1;
 }
 
-/** Own failure domain first; the others in turn, one of each before the second of any. */
+/** Own failure domain first; then one server of each other failure domain before the second of any.
+ *  */
 static int
-by_turn (const void *a, const void *b)
+by_domain_in_turn (const void *a, const void *b)
 {
-  const Carrier *x = a, *y = b;
+  const Eligible *x = a, *y = b;
 
   if (x->own != y->own)
     return x->own ? -1 : 1;
@@ -71,31 +72,31 @@
 }
 
 static void
-rank_carriers (Carrier *carriers, unsigned count)
+rank_servers (Eligible *eligible, unsigned count)
 {
   unsigned i;
 
-  qsort (carriers, count, sizeof *carriers, by_domain_and_hash);
+  qsort (eligible, count, sizeof *eligible, by_domain_and_hash);
   for (i = 0; i < count; i++)
     {
-      bool same = i > 0 && strcmp (carriers[i - 1].domain, carriers[i].domain) == 0;
+      bool same = i > 0 && strcmp (eligible[i - 1].domain, eligible[i].domain) == 0;
 
-      carriers[i].rank = same ? carriers[i - 1].rank + 1 : 0;
+      eligible[i].rank = same ? eligible[i - 1].rank + 1 : 0;
     }
-  qsort (carriers, count, sizeof *carriers, by_turn);
+  qsort (eligible, count, sizeof *eligible, by_domain_in_turn);
 }
 
 static IndexList
-draw_list (Carrier *carriers, unsigned count, unsigned subset)
+select_subset (Eligible *eligible, unsigned count, unsigned subset)
 {
   IndexList list = { .servers = memory_array (count + 1, sizeof (unsigned)) };
   unsigned own = 0, others, own_wanted, i;
 
-  rank_carriers (carriers, count);
-  while (own < count && carriers[own].own)
+  rank_servers (eligible, count);
+  while (own < count && eligible[own].own)
     own++;
   others = count - own;
-  own_wanted = count <= subset ? own : subset / OWN_PART;
+  own_wanted = count <= subset ? own : subset / OWN_DOMAIN_DIVISOR;
   if (subset > own_wanted + others)
     own_wanted = subset - others;
   if (own_wanted > own)
@@ -104,31 +105,31 @@
     {
       if (i < own && i >= own_wanted)
         continue;
-      list.servers[list.count++] = carriers[i].server;
+      list.servers[list.count++] = eligible[i].server;
     }
   return list;
 }
 
-/** Collects the carriers of a version, or of a service if it isn't NULL. */
+/** Collects the servers of a version, or those of a service if service isn't NULL. */
 static unsigned
 collect (const Config *config,
          unsigned version,
          const char *service,
          uint64_t node,
          const char *failure_domain,
-         Carrier *carriers)
+         Eligible *eligible)
 {
   unsigned i, n = 0;
 
   for (i = 0; i < config->server_count; i++)
     {
       const ConfigServer *server = &config->servers[i];
-      bool carries
-          = service != NULL ? carries_service (server, service) : carries_version (server, version);
+      bool serves
+          = service != NULL ? serves_service (server, service) : serves_version (server, version);
 
-      if (!carries || server->leaving)
+      if (!serves || server->leaving)
         continue;
-      carriers[n++] = (Carrier){
+      eligible[n++] = (Eligible){
         .server = i,
         .domain = server->failure_domain,
         .hash = id_hash_string (server->name, node),
@@ -151,7 +152,7 @@
 server_index_new (const Config *config, uint64_t node, const char *failure_domain, unsigned subset)
 {
   ServerIndex *index = memory_alloc (sizeof *index);
-  Carrier *carriers = memory_array (config->server_count + 1, sizeof *carriers);
+  Eligible *eligible = memory_array (config->server_count + 1, sizeof *eligible);
   unsigned i, n;
 
   index->version_count = config->version_count;
@@ -161,17 +162,17 @@
   index->watched = memory_array (config->server_count + 1, sizeof *index->watched);
   for (i = 0; i < config->version_count; i++)
     {
-      n = collect (config, i, NULL, node, failure_domain, carriers);
-      index->versions[i] = draw_list (carriers, n, subset);
+      n = collect (config, i, NULL, node, failure_domain, eligible);
+      index->versions[i] = select_subset (eligible, n, subset);
       mark_watched (index, &index->versions[i]);
     }
   for (i = 0; i < config->service_count; i++)
     {
-      n = collect (config, 0, config->services[i].name, node, failure_domain, carriers);
-      index->services[i] = draw_list (carriers, n, subset);
+      n = collect (config, 0, config->services[i].name, node, failure_domain, eligible);
+      index->services[i] = select_subset (eligible, n, subset);
       mark_watched (index, &index->services[i]);
     }
-  free (carriers);
+  free (eligible);
   return index;
 }
 
--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -1,5 +1,5 @@
 /**
- * Admission by team limits and fair parts.
+ * Admission control by team limits and fair shares.
  */
 #include "choose_limit.h"
 
@@ -13,21 +13,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MS_PER_S    1000.0
-#define SUM_MS      100    /**< between sums over the active teams */
-#define UNIT        1000.0 /**< sums are kept in thousandths */
-#define DEVIATIONS  2.0
-#define PEAK_PARTS  3.0 /**< a passing peak may hold this many fair parts and one more */
-#define USUAL_PARTS 2.0 /**< of its usual use that a team may hold before it is taken to flood */
+#define MS_PER_S          1000.0
+#define SUM_INTERVAL_MS   100    /**< shortest interval between sums over the active teams */
+#define FIXED_POINT_SCALE 1000.0 /**< atomic sums are integers, in thousandths */
+#define DEVIATIONS        2.0
+#define PEAK_FAIR_SHARES                                                                           \
+  3.0 /**< a short peak may use this many fair shares, and one request more */
+#define FLOOD_FACTOR                                                                               \
+  2.0 /**< a team floods if it has more than this many times its long-term mean in progress */
 
 struct Limiter
 {
   LimitSettings settings;
   LimitTeams teams;
   atomic_long in_progress;
-  atomic_long weights;  /**< of the active teams */
-  atomic_long expected; /**< places that the active teams hold as a rule, within their parts */
-  atomic_long sum_ms;   /**< when they were summed */
+  atomic_long weights;  /**< sum over the active teams */
+  atomic_long expected; /**< recent mean requests in progress of the active teams, each capped at
+                           its fair share */
+  atomic_long sum_ms;   /**< time of the latest sums */
   LimitShares shares;
 };
 
@@ -89,9 +92,10 @@
   limit_shares_set_view (&limiter->shares, members, rank, now_ms);
 }
 
-/** Told to a client whom a limit stops: while the view is unsettled, when it will be. */
+/** Retry-after time for a client refused by a team limit: while the view is unsettled, the time
+ *  until it is settled. */
 static int64_t
-come_back_ms (Limiter *limiter, int64_t now_ms)
+limit_retry_after_ms (Limiter *limiter, int64_t now_ms)
 {
   int64_t unsettled_ms = limit_shares_unsettled_ms (&limiter->shares, now_ms);
 
@@ -99,7 +103,7 @@
                                                          : limiter->settings.retry_after_ms;
 }
 
-/** Sums over the active teams, at most every SUM_MS. */
+/** Updates the sums over the active teams, at most every SUM_INTERVAL_MS. */
 static void
 sum_active (Limiter *limiter, const LimitQuery *query)
 {
@@ -108,7 +112,7 @@
   double weights = 0, expected = 0;
   unsigned i, count;
 
-  if (last != 0 && query->now_ms - last < SUM_MS)
+  if (last != 0 && query->now_ms - last < SUM_INTERVAL_MS)
     return;
   if (!atomic_compare_exchange_strong (&limiter->sum_ms, &last, query->now_ms))
     return;
@@ -117,8 +121,8 @@
     weights += teams[i].weight;
   for (i = 0; i < count; i++)
     expected += fmin (teams[i].mean, query->capacity * teams[i].weight / weights);
-  atomic_store (&limiter->weights, (long)(weights * UNIT));
-  atomic_store (&limiter->expected, (long)(expected * UNIT));
+  atomic_store (&limiter->weights, (long)(weights * FIXED_POINT_SCALE));
+  atomic_store (&limiter->expected, (long)(expected * FIXED_POINT_SCALE));
 }
 
 static LimitVerdict
@@ -127,7 +131,7 @@
   return (LimitVerdict){ .reason = reason, .retry_after_ms = retry_after_ms };
 }
 
-/** The team's own limits. */
+/** Checks the team's configured limits. */
 static LimitVerdict
 check_limits (Limiter *limiter, const LimitQuery *query, LimitTeam *team)
 {
@@ -137,73 +141,75 @@
   if (config->concurrent > 0
       && team->in_progress
              >= limit_shares_count (&limiter->shares, config->concurrent, query->now_ms))
-    return refuse (REASON_TEAM_LIMIT, come_back_ms (limiter, query->now_ms));
+    return refuse (REASON_TEAM_LIMIT, limit_retry_after_ms (limiter, query->now_ms));
   if (config->tokens_per_s <= 0)
     return refuse (REASON_NONE, 0);
   rate = limit_shares_rate (&limiter->shares, (double)config->tokens_per_s, query->now_ms);
   if (rate <= 0)
-    return refuse (REASON_TEAM_LIMIT, come_back_ms (limiter, query->now_ms));
+    return refuse (REASON_TEAM_LIMIT, limit_retry_after_ms (limiter, query->now_ms));
   limit_team_refill (team, rate, limiter->settings.burst_s, query->now_ms);
-  /* A request may overdraw, or one larger than the burst could never run; what follows waits. */
+  /* A request may overdraw the bucket, or one larger than the burst could never run; the team's
+     next requests wait. */
   if (team->tokens <= 0)
     return refuse (REASON_TEAM_LIMIT, 1 + (int64_t)(-team->tokens / rate * MS_PER_S));
   return refuse (REASON_NONE, 0);
 }
 
-/** The team's fair part of the capacity, by the weights of the teams that ask. */
+/** The team's fair share of the capacity, by weight among the active teams; at least one request.
+ *  */
 static double
-fair_part (Limiter *limiter, const LimitQuery *query, const LimitTeam *team)
+fair_share (Limiter *limiter, const LimitQuery *query, const LimitTeam *team)
 {
-  double weights = (double)atomic_load (&limiter->weights) / UNIT;
+  double weights = (double)atomic_load (&limiter->weights) / FIXED_POINT_SCALE;
 
   return fmax (1, query->capacity * team->weight / fmax (weights, team->weight));
 }
 
-/** True if a place for a team beyond its part is one that the others are likely to want: what they
- *  hold as a rule within their own parts, and two standard deviations more, as requests come
- *  independently; out of the capacity, or out of open_part of it for one that holds more than
- * usual. */
+/** True if one more request of a team beyond its fair share would use capacity that the other teams
+ *  probably need: their recent mean within their fair shares, and two standard deviations more, as
+ *  requests arrive independently. The capacity counts whole, or only its best_effort_share for a
+ *  team that exceeds its long-term mean. */
 static bool
-others_need (Limiter *limiter,
-             const LimitQuery *query,
-             const LimitTeam *team,
-             double part,
-             bool usual)
+others_probably_need (Limiter *limiter,
+                      const LimitQuery *query,
+                      const LimitTeam *team,
+                      double share,
+                      bool within_long_mean)
 {
-  double expected = (double)atomic_load (&limiter->expected) / UNIT;
-  double others = fmax (0, expected - fmin (team->mean, part));
-  double usable = query->capacity * (usual ? 1 : limiter->settings.best_effort_share);
+  double expected = (double)atomic_load (&limiter->expected) / FIXED_POINT_SCALE;
+  double others = fmax (0, expected - fmin (team->mean, share));
+  double usable = query->capacity * (within_long_mean ? 1 : limiter->settings.best_effort_share);
 
   return (double)team->in_progress + 1 + others + DEVIATIONS * sqrt (others) > usable;
 }
 
-/** The gate's capacity. A team gets a place as long as there is one if it holds no more than its
- * fair part, now or as a rule: passing peaks of three parts are no one's loss. One that is beyond
- * it as a rule gets only what the others are not likely to want, so that it can't starve them; and
- * one that floods, beyond what is usual for it too, gets that much less, and its work comes after
- * the others'. */
+/** Checks the gate's capacity. While there is capacity, a team is admitted if it has no more than
+ *  its fair share in progress, now or in the recent mean: short peaks of up to three shares harm no
+ *  other team. A team that is beyond its share in the recent mean gets only what the others
+ *  probably don't need, so that it can't starve them. A team that floods, which also exceeds its
+ *  long-term mean, gets less still, and its requests run after the others'. */
 static LimitVerdict
 check_capacity (Limiter *limiter, const LimitQuery *query, const LimitTeam *team)
 {
   double busy = (double)atomic_load (&limiter->in_progress);
-  double part = fair_part (limiter, query, team);
+  double share = fair_share (limiter, query, team);
   double holds = (double)team->in_progress + 1;
-  bool beyond = holds > part && (team->mean > part + 1 || holds > PEAK_PARTS * part + 1);
-  bool usual = holds <= USUAL_PARTS * team->long_mean + 1;
+  bool beyond = holds > share && (team->mean > share + 1 || holds > PEAK_FAIR_SHARES * share + 1);
+  bool within_long_mean = holds <= FLOOD_FACTOR * team->long_mean + 1;
   LimitVerdict verdict = refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
 
   if (busy >= query->capacity)
     return verdict;
   if (query->deadline_ms == 0 && busy >= query->capacity * limiter->settings.best_effort_share)
     return verdict;
-  if (beyond && others_need (limiter, query, team, part, usual))
+  if (beyond && others_probably_need (limiter, query, team, share, within_long_mean))
     return verdict;
   verdict = refuse (REASON_NONE, 0);
-  verdict.beyond_fair_share = beyond && !usual;
+  verdict.beyond_fair_share = beyond && !within_long_mean;
   return verdict;
 }
 
-/** What can't end by its deadline is refused before it takes anyone's place. */
+/** Refuses requests that can't finish by their deadline before they use capacity. */
 static LimitVerdict
 check_deadline (const LimitQuery *query)
 {
@@ -250,7 +256,7 @@
 }
 
 static void
-take (Limiter *limiter, const LimitQuery *query)
+count_request (Limiter *limiter, const LimitQuery *query)
 {
   uint64_t key = limit_team_key (query->config, query->team);
   LimitShard *shard = limit_teams_shard (&limiter->teams, key);
@@ -264,21 +270,21 @@
   atomic_fetch_add (&limiter->in_progress, 1);
 }
 
-/** A baseline: everything is admitted. */
+/** Baseline: admits everything. */
 static LimitVerdict
 admit_none (Limiter *limiter, const LimitQuery *query)
 {
-  take (limiter, query);
+  count_request (limiter, query);
   return refuse (REASON_NONE, 0);
 }
 
-/** A baseline: up to the capacity, whoever comes first. */
+/** Baseline: admits up to the capacity, first come, first served. */
 static LimitVerdict
 admit_first_come (Limiter *limiter, const LimitQuery *query)
 {
   if ((unsigned long)atomic_load (&limiter->in_progress) >= query->capacity)
     return refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
-  take (limiter, query);
+  count_request (limiter, query);
   return refuse (REASON_NONE, 0);
 }
 
--- a/src/choose_limit_share.c
+++ b/src/choose_limit_share.c
@@ -1,5 +1,5 @@
 /**
- * Parts of site-wide limits.
+ * Shares of site-wide limits.
  */
 #include "choose_limit_share.h"
 
@@ -41,8 +41,8 @@
   shares->former_count = kept;
 }
 
-/** Adds the newest place to the former ones. More than can be remembered are taken for one without
- * a part, until the last of them is settled, which is safe. */
+/** Adds the newest position to the former ones. If there are too many to remember, they are
+ *  replaced by one position without a share until the last of them is settled, which is safe. */
 static void
 add_former (LimitShares *shares)
 {
@@ -74,9 +74,9 @@
 }
 
 static int64_t
-place_count (const LimitPosition *place, int64_t limit)
+position_count (const LimitPosition *position, int64_t limit)
 {
-  return place->members > 0 ? limit_share (limit, place->members, place->rank) : 0;
+  return position->members > 0 ? limit_share (limit, position->members, position->rank) : 0;
 }
 
 int64_t
@@ -87,21 +87,21 @@
 
   pthread_mutex_lock (&shares->lock);
   drop_settled (shares, now_ms);
-  least = place_count (&shares->now, limit);
+  least = position_count (&shares->now, limit);
   for (i = 0; i < shares->former_count; i++)
     {
-      int64_t part = place_count (&shares->former[i], limit);
+      int64_t share = position_count (&shares->former[i], limit);
 
-      least = part < least ? part : least;
+      least = share < least ? share : least;
     }
   pthread_mutex_unlock (&shares->lock);
   return least;
 }
 
 static double
-place_rate (const LimitPosition *place, double limit)
+position_rate (const LimitPosition *position, double limit)
 {
-  return place->members > 0 ? limit / place->members : 0;
+  return position->members > 0 ? limit / position->members : 0;
 }
 
 double
@@ -112,9 +112,9 @@
 
   pthread_mutex_lock (&shares->lock);
   drop_settled (shares, now_ms);
-  least = place_rate (&shares->now, limit);
+  least = position_rate (&shares->now, limit);
   for (i = 0; i < shares->former_count; i++)
-    least = fmin (least, place_rate (&shares->former[i], limit));
+    least = fmin (least, position_rate (&shares->former[i], limit));
   pthread_mutex_unlock (&shares->lock);
   return least;
 }
--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -1,15 +1,15 @@
 /**
- * Teams' use at one gate.
+ * Each team's usage at one gate.
  */
 #include "choose_limit_team.h"
 
 #include "util_id.h"
 #include <math.h>
 
-#define MEAN_HALF_MS  10000.0
-#define USUAL_HALF_MS 600000.0
-#define MS_PER_S      1000.0
-#define SHARD_BITS    8 /**< of the key that don't choose the shard */
+#define RECENT_HALF_LIFE_MS 10000.0
+#define LONG_HALF_LIFE_MS   600000.0
+#define MS_PER_S            1000.0
+#define SHARD_BITS          8 /**< low bits of the key that are not used to select the shard */
 
 void
 limit_teams_init (LimitTeams *teams)
@@ -66,9 +66,9 @@
 }
 
 static double
-faded_mean (double mean, double value, int64_t ms, double half_ms)
+decayed_mean (double mean, double value, int64_t ms, double half_life_ms)
 {
-  double kept = exp2 (-(double)ms / half_ms);
+  double kept = exp2 (-(double)ms / half_life_ms);
 
   return kept * mean + (1 - kept) * value;
 }
@@ -79,10 +79,10 @@
   double in_progress = (double)team->in_progress;
   int64_t ms = now_ms - team->mean_ms;
 
-  team->mean = faded_mean (team->mean, in_progress, ms, MEAN_HALF_MS);
-  /* The first time there is no time since the last. */
+  team->mean = decayed_mean (team->mean, in_progress, ms, RECENT_HALF_LIFE_MS);
+  /* On the first call there is no previous sample to measure the interval from. */
   if (team->mean_ms != 0)
-    team->long_mean = faded_mean (team->long_mean, in_progress, ms, USUAL_HALF_MS);
+    team->long_mean = decayed_mean (team->long_mean, in_progress, ms, LONG_HALF_LIFE_MS);
   team->mean_ms = now_ms;
 }
 
@@ -113,13 +113,13 @@
 void
 limit_team_refill (LimitTeam *team, double rate, double burst_s, int64_t now_ms)
 {
-  double most = rate * burst_s;
+  double max_tokens = rate * burst_s;
 
   if (team->refilled_ms == INT64_MIN)
-    team->tokens = most;
+    team->tokens = max_tokens;
   else
     team->tokens += rate * (double)(now_ms - team->refilled_ms) / MS_PER_S;
   team->refilled_ms = now_ms;
-  if (team->tokens > most)
-    team->tokens = most;
+  if (team->tokens > max_tokens)
+    team->tokens = max_tokens;
 }
--- a/src/choose_load.c
+++ b/src/choose_load.c
@@ -1,10 +1,10 @@
 /**
- * Load reports against the own requests at the time of the report.
+ * Comparison of load reports with the gate's own requests at the time of the report.
  */
 #include "choose_load.h"
 
-/** A server whose clock was set back looks as if its reports lagged by hours; beyond this the
- *  offset is learned anew. */
+/** If a server's clock is set back, its reports seem to be hours late; beyond this delay the offset
+ *  is measured anew. */
 #define OFFSET_MAX_MS 60000
 
 void
@@ -13,7 +13,7 @@
   int64_t sample = now_ms / LOAD_SAMPLE_MS;
   int64_t i = history->sample + 1;
 
-  /* Samples in which nothing changed hold the value before them. */
+  /* Samples without a change have the value of the one before. */
   if (sample - i >= LOAD_HISTORY_SAMPLES)
     i = sample - LOAD_HISTORY_SAMPLES;
   for (; i <= sample; i++)
--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -1,6 +1,7 @@
 /**
- * Quarantine by deaths of servers and what was in flight. All VMs hold the same set of deaths and
- * judge it by the same rule, so what they refuse agrees as soon as the news has spread.
+ * Quarantine decisions from the deaths of servers and the requests in flight there. All VMs have
+ * the same set of deaths and apply the same rule, so their decisions agree as soon as the reports
+ * have spread.
  */
 #include "choose_quarantine.h"
 
@@ -22,15 +23,16 @@
 {
   uint64_t fingerprint; /**< 0: free */
   int64_t until_ms;
-} Held;
+} QuarantineEntry;
 
 struct Quarantine
 {
   QuarantineSettings settings;
-  atomic_uint held_count; /**< so that requests take no lock while nothing is held */
+  atomic_uint
+      held_count; /**< lets quarantine_contains skip the lock while nothing is quarantined */
   pthread_mutex_t lock;
   Death deaths[QUARANTINE_DEATHS_MAX];
-  Held held[QUARANTINE_HELD_MAX];
+  QuarantineEntry held[QUARANTINE_HELD_MAX];
 };
 
 const QuarantineSettings quarantine_settings_default = {
@@ -75,7 +77,7 @@
   pthread_mutex_lock (&quarantine->lock);
   for (i = 0; i < QUARANTINE_HELD_MAX && !found; i++)
     {
-      const Held *held = &quarantine->held[i];
+      const QuarantineEntry *held = &quarantine->held[i];
 
       found = held->fingerprint == fingerprint && held->until_ms > now_ms;
     }
@@ -96,13 +98,13 @@
   return false;
 }
 
-/** Servers that died under a fingerprint, and how it stands among the deaths around them. */
+/** Counts of the deaths that include a fingerprint, and of those around them that don't. */
 typedef struct
 {
-  unsigned servers; /**< different ones */
-  unsigned others;  /**< deaths without it within outage_ms of its latest */
+  unsigned servers; /**< different servers that died while running the fingerprint */
+  unsigned others;  /**< deaths that don't include it within outage_ms of the latest that does */
   int64_t latest_ms;
-} Record;
+} DeathCounts;
 
 static bool
 server_seen (const Quarantine *quarantine, unsigned before, uint64_t fingerprint, uint64_t server)
@@ -119,10 +121,10 @@
   return false;
 }
 
-static Record
-record_of (const Quarantine *quarantine, uint64_t fingerprint)
+static DeathCounts
+count_deaths (const Quarantine *quarantine, uint64_t fingerprint)
 {
-  Record record = { .latest_ms = INT64_MIN };
+  DeathCounts counts = { .latest_ms = INT64_MIN };
   unsigned i;
 
   for (i = 0; i < QUARANTINE_DEATHS_MAX; i++)
@@ -131,28 +133,28 @@
 
       if (death->server == 0 || !death_includes (death, fingerprint))
         continue;
-      record.servers += !server_seen (quarantine, i, fingerprint, death->server);
-      if (death->at_ms > record.latest_ms)
-        record.latest_ms = death->at_ms;
+      counts.servers += !server_seen (quarantine, i, fingerprint, death->server);
+      if (death->at_ms > counts.latest_ms)
+        counts.latest_ms = death->at_ms;
     }
-  if (record.servers == 0)
-    return record;
+  if (counts.servers == 0)
+    return counts;
   for (i = 0; i < QUARANTINE_DEATHS_MAX; i++)
     {
       const Death *death = &quarantine->deaths[i];
-      int64_t apart = death->at_ms - record.latest_ms;
+      int64_t apart = death->at_ms - counts.latest_ms;
 
       if (death->server == 0 || death_includes (death, fingerprint))
         continue;
-      record.others += llabs (apart) < quarantine->settings.outage_ms;
+      counts.others += llabs (apart) < quarantine->settings.outage_ms;
     }
-  return record;
+  return counts;
 }
 
-/** True if another fingerprint was in flight at as many of the deaths: both may be the cause, so
- *  neither is held until another death tells them apart. */
+/** True if another fingerprint was in flight at as many of the deaths: either may be the cause, so
+ *  neither is quarantined until another death tells them apart. */
 static bool
-has_equal (const Quarantine *quarantine, uint64_t fingerprint, const Record *record)
+has_rival (const Quarantine *quarantine, uint64_t fingerprint, const DeathCounts *counts)
 {
   unsigned i, j;
 
@@ -166,35 +168,36 @@
         {
           if (death->flights[j] == fingerprint)
             continue;
-          if (record_of (quarantine, death->flights[j]).servers >= record->servers)
+          if (count_deaths (quarantine, death->flights[j]).servers >= counts->servers)
             return true;
         }
     }
   return false;
 }
 
-/** A request is the cause if enough different servers died under it, if it explains more of the
- * deaths around them than it does not (a pool that dies as a whole kills servers under many
- * requests, none of which was at most of them), and if no other request explains as many. */
+/** A request is taken to be the cause if enough different servers died while running it, if it was
+ *  in flight at more of the deaths around them than it was not, and if no other request was in
+ *  flight at as many. In an outage of a whole pool servers die while running many requests, none of
+ *  which was in flight at most of the deaths. */
 static bool
 is_cause (const Quarantine *quarantine, uint64_t fingerprint)
 {
-  Record record = record_of (quarantine, fingerprint);
+  DeathCounts counts = count_deaths (quarantine, fingerprint);
 
-  if (record.servers < quarantine->settings.servers || record.others >= record.servers)
+  if (counts.servers < quarantine->settings.servers || counts.others >= counts.servers)
     return false;
-  return !has_equal (quarantine, fingerprint, &record);
+  return !has_rival (quarantine, fingerprint, &counts);
 }
 
-static Held *
-held_entry (Quarantine *quarantine, uint64_t fingerprint)
+static QuarantineEntry *
+find_or_replace_entry (Quarantine *quarantine, uint64_t fingerprint)
 {
-  Held *found = &quarantine->held[0];
+  QuarantineEntry *found = &quarantine->held[0];
   unsigned i;
 
   for (i = 0; i < QUARANTINE_HELD_MAX; i++)
     {
-      Held *held = &quarantine->held[i];
+      QuarantineEntry *held = &quarantine->held[i];
 
       if (held->fingerprint == fingerprint)
         return held;
@@ -205,42 +208,42 @@
 }
 
 static void
-hold (Quarantine *quarantine, uint64_t fingerprint, int64_t now_ms)
+quarantine_request (Quarantine *quarantine, uint64_t fingerprint, int64_t now_ms)
 {
-  Held *held = held_entry (quarantine, fingerprint);
+  QuarantineEntry *held = find_or_replace_entry (quarantine, fingerprint);
 
   if (held->fingerprint == 0)
     atomic_fetch_add (&quarantine->held_count, 1);
   if (held->fingerprint != fingerprint)
-    *held = (Held){ .fingerprint = fingerprint };
+    *held = (QuarantineEntry){ .fingerprint = fingerprint };
   held->until_ms = now_ms + quarantine->settings.hold_ms;
 }
 
-/** What was held when only its own deaths were known, and is no cause by those known now, is let
- * go: the first two servers of a pool that dies one by one look like two killed by a request. */
+/** Releases fingerprints that the deaths known by now no longer support: the first two servers of a
+ *  pool that dies one by one look like two killed by a request. */
 static void
-review_held (Quarantine *quarantine, int64_t now_ms)
+review_entries (Quarantine *quarantine, int64_t now_ms)
 {
   unsigned i;
 
   for (i = 0; i < QUARANTINE_HELD_MAX; i++)
     {
-      Held *held = &quarantine->held[i];
-      Record record;
+      QuarantineEntry *held = &quarantine->held[i];
+      DeathCounts counts;
 
       if (held->fingerprint == 0)
         continue;
-      record = record_of (quarantine, held->fingerprint);
-      /* With no death of it left in memory there is nothing to review. */
-      if (held->until_ms > now_ms && (record.servers == 0 || record.others < record.servers))
+      counts = count_deaths (quarantine, held->fingerprint);
+      /* Without any death of it left there is nothing to review. */
+      if (held->until_ms > now_ms && (counts.servers == 0 || counts.others < counts.servers))
         continue;
-      *held = (Held){ .fingerprint = 0 };
+      *held = (QuarantineEntry){ .fingerprint = 0 };
       atomic_fetch_sub (&quarantine->held_count, 1);
     }
 }
 
 static void
-forget_old (Quarantine *quarantine, int64_t now_ms)
+drop_expired (Quarantine *quarantine, int64_t now_ms)
 {
   unsigned i;
 
@@ -251,7 +254,8 @@
     }
 }
 
-/** The entry of this death if it is known, else a free one or the oldest. */
+/** The entry of this death if it is known, else a new one in place of a free or the oldest entry.
+ *  */
 static Death *
 death_entry (Quarantine *quarantine, uint64_t server, int64_t at_ms)
 {
@@ -296,15 +300,15 @@
   if (news->server == 0 || news->age_ms > quarantine->settings.retention_ms)
     return false;
   pthread_mutex_lock (&quarantine->lock);
-  forget_old (quarantine, now_ms);
+  drop_expired (quarantine, now_ms);
   death = death_entry (quarantine, news->server, now_ms - news->age_ms);
   changed = merge_flights (death, news);
   for (i = 0; i < death->count; i++)
     {
       if (is_cause (quarantine, death->flights[i]))
-        hold (quarantine, death->flights[i], now_ms);
+        quarantine_request (quarantine, death->flights[i], now_ms);
     }
-  review_held (quarantine, now_ms);
+  review_entries (quarantine, now_ms);
   pthread_mutex_unlock (&quarantine->lock);
   return changed;
 }
@@ -326,7 +330,7 @@
   size_t i, j, n = 0;
 
   pthread_mutex_lock (&quarantine->lock);
-  forget_old (quarantine, now_ms);
+  drop_expired (quarantine, now_ms);
   for (i = 0; i < QUARANTINE_DEATHS_MAX; i++)
     {
       const Death *death = &quarantine->deaths[i];
--- a/src/choose_reason.c
+++ b/src/choose_reason.c
@@ -1,5 +1,5 @@
 /**
- * Names of reasons and of what plans rest on.
+ * Names of Reason and PlanBasis.
  */
 #include "choose.h"
 
--- a/src/choose_retry.c
+++ b/src/choose_retry.c
@@ -1,6 +1,6 @@
 /**
- * Retries within a budget. The budget is one number, so one lock that is held for a few
- * instructions; shards would each run dry at other times.
+ * Retry budget. It is a single number under one lock, which is held for a few instructions; shards
+ * would each run out at different times.
  */
 #include "choose_retry.h"
 
@@ -10,16 +10,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRSTS_LEAST 10 /**< a few requests given up at first are no collapse */
+#define FIRST_ATTEMPTS_MIN                                                                         \
+  10 /**< smallest denominator of the failure share, so that a few early failures don't count as   \
+        overload */
 
 struct RetryBudget
 {
   RetrySettings settings;
   pthread_mutex_t lock;
-  double saved;    /**< retries that may be made now */
-  double firsts;   /**< first attempts lately */
-  double given_up; /**< of them, that were given up */
-  int64_t faded_ms;
+  double available;       /**< retries available now */
+  double first_attempts;  /**< first attempts, decayed */
+  double failed_requests; /**< requests that failed without a retry, decayed */
+  int64_t decayed_ms;
 };
 
 static RetryAnswer decide_budget (RetryBudget *budget, const RetryQuery *query);
@@ -79,7 +81,7 @@
   RetryBudget *budget = memory_alloc (sizeof *budget);
 
   budget->settings = *settings;
-  budget->saved = settings->burst;
+  budget->available = settings->burst;
   pthread_mutex_init (&budget->lock, NULL);
   return budget;
 }
@@ -92,40 +94,42 @@
 }
 
 static void
-fade (RetryBudget *budget, int64_t now_ms)
+decay_counts (RetryBudget *budget, int64_t now_ms)
 {
-  double kept = exp2 (-(double)(now_ms - budget->faded_ms) / (double)budget->settings.half_life_ms);
+  double kept
+      = exp2 (-(double)(now_ms - budget->decayed_ms) / (double)budget->settings.half_life_ms);
 
-  budget->firsts *= kept;
-  budget->given_up *= kept;
-  budget->faded_ms = now_ms;
+  budget->first_attempts *= kept;
+  budget->failed_requests *= kept;
+  budget->decayed_ms = now_ms;
 }
 
 void
 retry_budget_add_first (RetryBudget *budget, int64_t now_ms)
 {
   pthread_mutex_lock (&budget->lock);
-  fade (budget, now_ms);
-  budget->firsts += 1;
-  budget->saved += budget->settings.fraction;
-  if (budget->saved > budget->settings.burst)
-    budget->saved = budget->settings.burst;
+  decay_counts (budget, now_ms);
+  budget->first_attempts += 1;
+  budget->available += budget->settings.fraction;
+  if (budget->available > budget->settings.burst)
+    budget->available = budget->settings.burst;
   pthread_mutex_unlock (&budget->lock);
 }
 
-/** When a client that is given up is to come back. Clients that all come back after the same short
- *  time are retries that no budget of ours bounds, and hold a pool in collapse like our own; so the
- *  time grows with the share of requests that were given up lately. */
+/** Retry-after time for a client whose request fails. Clients that all send again after the same
+ *  short time are retries outside our budget, and keep a pool overloaded just as our own would; so
+ *  the time grows with the share of recent requests that failed. */
 static int64_t
-come_back_ms (RetryBudget *budget, int64_t now_ms)
+client_retry_after_ms (RetryBudget *budget, int64_t now_ms)
 {
   const RetrySettings *settings = &budget->settings;
   double share;
 
   pthread_mutex_lock (&budget->lock);
-  fade (budget, now_ms);
-  budget->given_up += 1;
-  share = budget->given_up / fmax (budget->firsts, budget->given_up + FIRSTS_LEAST);
+  decay_counts (budget, now_ms);
+  budget->failed_requests += 1;
+  share = budget->failed_requests
+          / fmax (budget->first_attempts, budget->failed_requests + FIRST_ATTEMPTS_MIN);
   pthread_mutex_unlock (&budget->lock);
   return settings->retry_after_min_ms
          + (int64_t)(share * (double)(settings->retry_after_max_ms - settings->retry_after_min_ms));
@@ -137,16 +141,16 @@
   bool taken;
 
   pthread_mutex_lock (&budget->lock);
-  taken = budget->saved >= 1;
+  taken = budget->available >= 1;
   if (taken)
-    budget->saved -= 1;
+    budget->available -= 1;
   pthread_mutex_unlock (&budget->lock);
   return taken;
 }
 
-/** What forbids a retry whatever the budget says; RETRY_NOW if nothing does. */
+/** The verdict that forbids a retry regardless of the budget; RETRY_NOW if none does. */
 static RetryVerdict
-retry_barred (const RetryBudget *budget, const RetryQuery *query)
+retry_forbidden (const RetryBudget *budget, const RetryQuery *query)
 {
   if (!query->idempotent)
     return RETRY_NOT_IDEMPOTENT;
@@ -159,8 +163,8 @@
   return RETRY_NOW;
 }
 
-/** The client is told at once when to come back; a request that may have run is not to be sent
- *  again, and one whose deadline is past has no use of it. */
+/** A client gets a retry-after time at once, unless its request may have run and must not be sent
+ *  again, or its deadline is past. */
 static RetryAnswer
 answer (RetryBudget *budget, const RetryQuery *query, RetryVerdict verdict)
 {
@@ -169,32 +173,32 @@
 
   return (RetryAnswer){
     .verdict = verdict,
-    .retry_after_ms = useful ? come_back_ms (budget, query->now_ms) : 0,
+    .retry_after_ms = useful ? client_retry_after_ms (budget, query->now_ms) : 0,
   };
 }
 
 static RetryAnswer
 decide_budget (RetryBudget *budget, const RetryQuery *query)
 {
-  RetryVerdict verdict = retry_barred (budget, query);
+  RetryVerdict verdict = retry_forbidden (budget, query);
 
   if (verdict == RETRY_NOW && !budget_take (budget))
     verdict = RETRY_NO_BUDGET;
   return answer (budget, query, verdict);
 }
 
-/** A baseline: retries whatever may be retried. */
+/** Baseline: retries whatever may be retried, without a budget. */
 static RetryAnswer
 decide_always (RetryBudget *budget, const RetryQuery *query)
 {
-  return answer (budget, query, retry_barred (budget, query));
+  return answer (budget, query, retry_forbidden (budget, query));
 }
 
-/** A baseline: never retries. */
+/** Baseline: never retries. */
 static RetryAnswer
 decide_never (RetryBudget *budget, const RetryQuery *query)
 {
-  RetryVerdict verdict = retry_barred (budget, query);
+  RetryVerdict verdict = retry_forbidden (budget, query);
 
   return answer (budget, query, verdict == RETRY_NOW ? RETRY_ATTEMPTS : verdict);
 }
--- a/src/choose_retry.h
+++ b/src/choose_retry.h
@@ -1,6 +1,7 @@
 /**
- * Whether a failed attempt is tried again at another backend server. A budget, a fraction of the
- * live traffic, keeps retries from holding a pool in collapse after the overload that began it.
+ * Decides whether a failed attempt is retried at another backend server. A budget, a fraction of
+ * the first attempts, prevents retries from keeping a pool overloaded after the cause of the
+ * overload has gone.
  */
 #ifndef CHOOSE_RETRY_H
 #define CHOOSE_RETRY_H
@@ -10,12 +11,12 @@
 
 typedef enum
 {
-  RETRY_NOW,            /**< at a server that was not tried before */
-  RETRY_NOT_IDEMPOTENT, /**< it may have run: never again by us */
-  RETRY_ATTEMPTS,       /**< tried often enough */
-  RETRY_DEADLINE,       /**< could not end before the deadline */
-  RETRY_NO_SERVER,      /**< all that carry the version were tried */
-  RETRY_NO_BUDGET,      /**< too many others are being retried */
+  RETRY_NOW,            /**< retry at a server that was not tried before */
+  RETRY_NOT_IDEMPOTENT, /**< the attempt may have run and must not run twice */
+  RETRY_ATTEMPTS,       /**< the limit of attempts is reached */
+  RETRY_DEADLINE,       /**< a retry could not finish before the deadline */
+  RETRY_NO_SERVER,      /**< all usable servers of the version were tried */
+  RETRY_NO_BUDGET,      /**< the retry budget is used up */
   RETRY_VERDICT_COUNT
 } RetryVerdict;
 
@@ -23,12 +24,12 @@
 
 typedef struct
 {
-  double fraction;            /**< retries for each first attempt */
-  double burst;               /**< most retries saved up */
-  unsigned attempts_max;      /**< of one stage, the first included */
-  int64_t retry_after_min_ms; /**< told to a client that is given up, when few are */
-  int64_t retry_after_max_ms; /**< told when nearly all are */
-  int64_t half_life_ms;       /**< of what counts as lately */
+  double fraction;            /**< retries earned by each first attempt */
+  double burst;               /**< most retries that the budget holds */
+  unsigned attempts_max;      /**< attempts of one stage, the first included */
+  int64_t retry_after_min_ms; /**< told to a client whose request fails, when few requests fail */
+  int64_t retry_after_max_ms; /**< told when nearly all requests fail */
+  int64_t half_life_ms;       /**< of the counts of first attempts and failed requests */
 } RetrySettings;
 
 extern const RetrySettings retry_settings_default;
@@ -37,15 +38,15 @@
 
 RetryBudget *retry_budget_new (const RetrySettings *settings);
 void retry_budget_free (RetryBudget *budget);
-/** A first attempt was sent; adds its fraction to the budget. */
+/** Records that a first attempt was sent, which adds RetrySettings.fraction to the budget. */
 void retry_budget_add_first (RetryBudget *budget, int64_t now_ms);
 
 typedef struct
 {
   bool idempotent;
-  unsigned attempts;   /**< of this stage, already made */
-  bool server_left;    /**< one that is usable and was not tried */
-  int64_t expected_ms; /**< of one attempt; 0: not known */
+  unsigned attempts;   /**< attempts already made in this stage */
+  bool server_left;    /**< a usable server that was not tried is left */
+  int64_t expected_ms; /**< expected duration of one attempt; 0: unknown */
   int64_t now_ms;
   int64_t deadline_ms; /**< 0: none */
 } RetryQuery;
@@ -53,7 +54,7 @@
 typedef struct
 {
   RetryVerdict verdict;
-  int64_t retry_after_ms; /**< for the client, when we give up; 0: coming back would not help */
+  int64_t retry_after_ms; /**< for the client, without a retry; 0: sending again would not help */
 } RetryAnswer;
 
 typedef struct
--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -1,8 +1,9 @@
 /**
- * Sequential test of a new version. Badness is looked for by cumulative sums of log likelihood
- * ratios that never fall below zero (Page's test), so that a version which turns bad after an hour
- * of good answers is found as fast as one that is bad at once. Goodness is shown for each stage by
- * a sequential probability ratio test against a version that is worse by the stage's tolerance.
+ * Sequential test of a new version. A worse version is detected by cumulative sums of log
+ * likelihood ratios that never fall below zero (Page's test), so that a version that becomes worse
+ * after an hour of good answers is detected as fast as one that is worse from the start. That the
+ * version is good enough is tested anew in each stage by a sequential probability ratio test
+ * against a version that is worse by the stage's tolerance.
  */
 #include "choose_rollout_control.h"
 
@@ -12,34 +13,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define THRESHOLD_SHARE 0.8 /**< of the old version's mean rating: the baseline brakes below */
-#define THRESHOLD_LEAST 10  /**< ratings that the baseline waits for */
-#define TIMER_MS        60000
+#define THRESHOLD_SHARE                                                                            \
+  0.8 /**< the threshold baseline brakes below this share of the old version's mean rating */
+#define THRESHOLD_RATINGS_MIN 10 /**< ratings that the threshold baseline waits for */
+#define TIMER_MS              60000
 
 typedef enum
 {
-  KIND_ERRORS,
-  KIND_SLOW,
-  KIND_RATING,
-  KINDS
-} Kind;
-
-static const char *const kind_names[KINDS] = {
-  [KIND_ERRORS] = "errors",
-  [KIND_SLOW] = "slow answers",
-  [KIND_RATING] = "ratings",
+  METRIC_ERRORS,
+  METRIC_SLOW,
+  METRIC_RATING,
+  METRICS
+} Metric;
+
+static const char *const metric_names[METRICS] = {
+  [METRIC_ERRORS] = "errors",
+  [METRIC_SLOW] = "slow answers",
+  [METRIC_RATING] = "ratings",
 };
 
-/** How much worse a bad version is thought to be; each is tested for on its own. */
+/** Assumed differences of a worse version in rate or mean rating; each one is tested separately. */
 static const double worse_by[] = { 0.05, 0.15, 0.4 };
 #define ALTERNATIVES (sizeof worse_by / sizeof worse_by[0])
 
-/** One team's figures show only what is plain. */
+/** Index of the smallest difference that is tested for single teams: one team's evidence is too
+ *  little for smaller ones. */
 #define TEAM_FIRST_ALTERNATIVE 1
 
 typedef struct
 {
-  double alarms[KINDS][ALTERNATIVES];
+  double alarms[METRICS][ALTERNATIVES];
 } Alarms;
 
 struct RolloutTest
@@ -51,9 +54,10 @@
   RolloutControl control;
   Alarms all;
   Alarms *team_alarms;
-  double good[KINDS];  /**< evidence since the stage began that it is as good */
-  RolloutEvidence sum; /**< of the new version in this stage */
-  double expected_sum; /**< of its ratings, had the old version answered */
+  double pass_evidence[METRICS]; /**< log likelihood ratio since the stage began that the version is
+                                    as good as the old one */
+  RolloutEvidence sum;           /**< sums of the new version in this stage */
+  double expected_sum;           /**< expected sum of its ratings if the old version had answered */
 };
 
 const RolloutSettings rollout_settings_default = {
@@ -115,7 +119,7 @@
 {
   test->stage = stage;
   test->stage_since_ms = now_ms;
-  memset (test->good, 0, sizeof test->good);
+  memset (test->pass_evidence, 0, sizeof test->pass_evidence);
   test->sum = (RolloutEvidence){ 0 };
   test->expected_sum = 0;
 }
@@ -126,7 +130,7 @@
   rollout_control_add (&test->control, evidence);
 }
 
-/** Logarithm of how much likelier count of n is at rate + worse than at rate. */
+/** Log likelihood ratio of count events in n answers at rate + worse against rate. */
 static double
 rate_ratio (double count, double n, double rate, double worse)
 {
@@ -135,29 +139,29 @@
   return count * log (other / rate) + (n - count) * log ((1 - other) / (1 - rate));
 }
 
-/** The same for ratings with a mean that is lower by worse, from their sum. */
+/** The same for ratings whose mean is lower by worse, from their sum. */
 static double
 rating_ratio (const RolloutEvidence *e, double mean, double variance, double worse)
 {
   return worse / variance * ((mean - worse / 2) * e->rated - e->rating_sum);
 }
 
-/** ease: by how much the old version's mean rating is lowered. */
+/** margin is subtracted from the old version's mean rating. */
 static double
-kind_ratio (const RolloutExpected *old,
-            Kind kind,
-            const RolloutEvidence *e,
-            double worse,
-            double ease)
+metric_ratio (const RolloutExpected *old,
+              Metric metric,
+              const RolloutEvidence *e,
+              double worse,
+              double margin)
 {
-  switch (kind)
+  switch (metric)
     {
-    case KIND_ERRORS:
+    case METRIC_ERRORS:
       return rate_ratio (e->errors, e->answers, old->error_rate, worse);
-    case KIND_SLOW:
+    case METRIC_SLOW:
       return rate_ratio (e->slow, e->answers, old->slow_rate, worse);
     default:
-      return rating_ratio (e, old->mean - ease, old->variance, worse);
+      return rating_ratio (e, old->mean - margin, old->variance, worse);
     }
 }
 
@@ -165,17 +169,17 @@
 add_alarms (const RolloutExpected *old,
             Alarms *alarms,
             const RolloutEvidence *evidence,
-            double ease)
+            double margin)
 {
-  unsigned kind, i;
+  unsigned metric, i;
 
-  for (kind = 0; kind < KINDS; kind++)
+  for (metric = 0; metric < METRICS; metric++)
     {
       for (i = 0; i < ALTERNATIVES; i++)
         {
-          double ratio = kind_ratio (old, (Kind)kind, evidence, worse_by[i], ease);
+          double ratio = metric_ratio (old, (Metric)metric, evidence, worse_by[i], margin);
 
-          alarms->alarms[kind][i] = fmax (0, alarms->alarms[kind][i] + ratio);
+          alarms->alarms[metric][i] = fmax (0, alarms->alarms[metric][i] + ratio);
         }
     }
 }
@@ -193,7 +197,7 @@
 {
   RolloutEvidence counted = *evidence;
   RolloutExpected old;
-  unsigned kind;
+  unsigned metric;
 
   if (evidence->answers == 0 && evidence->rated == 0)
     return;
@@ -203,8 +207,9 @@
   add_alarms (&old, &test->all, &counted, old.pooled_error);
   if (evidence->team < test->teams)
     add_alarms (&old, &test->team_alarms[evidence->team], &counted, old.error);
-  for (kind = 0; kind < KINDS; kind++)
-    test->good[kind] -= kind_ratio (&old, (Kind)kind, &counted, stage_tolerance (test), 0);
+  for (metric = 0; metric < METRICS; metric++)
+    test->pass_evidence[metric]
+        -= metric_ratio (&old, (Metric)metric, &counted, stage_tolerance (test), 0);
   test->expected_sum += old.mean * evidence->rated;
   test->sum.answers += evidence->answers;
   test->sum.errors += evidence->errors;
@@ -213,22 +218,22 @@
   test->sum.rating_sum += evidence->rating_sum;
 }
 
-/** The strongest alarm from the first alternative on. */
+/** The largest alarm sum among the alternatives from index first on. */
 static double
-alarm_strength (const Alarms *alarms, unsigned first, unsigned *kind_out)
+alarm_strength (const Alarms *alarms, unsigned first, unsigned *metric_out)
 {
   double most = 0;
-  unsigned kind, i;
+  unsigned metric, i;
 
-  *kind_out = 0;
-  for (kind = 0; kind < KINDS; kind++)
+  *metric_out = 0;
+  for (metric = 0; metric < METRICS; metric++)
     {
       for (i = first; i < ALTERNATIVES; i++)
         {
-          if (alarms->alarms[kind][i] <= most)
+          if (alarms->alarms[metric][i] <= most)
             continue;
-          most = alarms->alarms[kind][i];
-          *kind_out = kind;
+          most = alarms->alarms[metric][i];
+          *metric_out = metric;
         }
     }
   return most;
@@ -241,18 +246,19 @@
 }
 
 static RolloutDecision
-brake (const RolloutTest *test, const char *whom, unsigned kind, double strength)
+brake (const RolloutTest *test, const char *whom, unsigned metric, double strength)
 {
   RolloutDecision decision = { .verdict = ROLLOUT_BRAKE };
 
   snprintf (decision.why, sizeof decision.why,
             "%s of %s: strength %.1f; stage: %u answers, %u errors, %u slow, rating %.3f of %u",
-            kind_names[kind], whom, strength, test->sum.answers, test->sum.errors, test->sum.slow,
-            mean_rating (&test->sum), test->sum.rated);
+            metric_names[metric], whom, strength, test->sum.answers, test->sum.errors,
+            test->sum.slow, mean_rating (&test->sum), test->sum.rated);
   return decision;
 }
 
-/** The more tests there are, the stronger each must be for the same share of false alarms. */
+/** The alarm threshold for this number of parallel tests, which keeps the overall rate of false
+ *  alarms. */
 static double
 alarm_limit (const RolloutTest *test, size_t tests)
 {
@@ -264,21 +270,21 @@
 {
   RolloutDecision decision = { .verdict = ROLLOUT_WAIT };
   double strength;
-  unsigned kind;
+  unsigned metric;
   size_t i;
 
-  strength = alarm_strength (&test->all, 0, &kind);
-  if (strength >= alarm_limit (test, KINDS * ALTERNATIVES))
-    return brake (test, "all teams", kind, strength);
+  strength = alarm_strength (&test->all, 0, &metric);
+  if (strength >= alarm_limit (test, METRICS * ALTERNATIVES))
+    return brake (test, "all teams", metric, strength);
   for (i = 0; i < test->teams; i++)
     {
-      strength = alarm_strength (&test->team_alarms[i], TEAM_FIRST_ALTERNATIVE, &kind);
-      if (strength >= alarm_limit (test, KINDS * ALTERNATIVES * test->teams))
-        return brake (test, "one team", kind, strength);
+      strength = alarm_strength (&test->team_alarms[i], TEAM_FIRST_ALTERNATIVE, &metric);
+      if (strength >= alarm_limit (test, METRICS * ALTERNATIVES * test->teams))
+        return brake (test, "one team", metric, strength);
     }
-  for (kind = 0; kind < KINDS; kind++)
+  for (metric = 0; metric < METRICS; metric++)
     {
-      if (test->good[kind] < test->settings.pass)
+      if (test->pass_evidence[metric] < test->settings.pass)
         return decision;
     }
   if (now_ms - test->stage_since_ms < test->settings.stage_min_ms)
@@ -291,7 +297,7 @@
   return decision;
 }
 
-/** A baseline: a stage a minute, whatever happens. */
+/** Baseline: advances every TIMER_MS regardless of the evidence. */
 static RolloutDecision
 decide_timer (const RolloutTest *test, int64_t now_ms)
 {
@@ -302,13 +308,13 @@
   return decision;
 }
 
-/** A baseline: as the timer, but brakes when the stage's mean rating is well below the old one's.
- */
+/** Baseline: like the timer, but brakes when the stage's mean rating is well below the old
+ *  version's. */
 static RolloutDecision
 decide_threshold (const RolloutTest *test, int64_t now_ms)
 {
-  if (test->sum.rated >= THRESHOLD_LEAST
+  if (test->sum.rated >= THRESHOLD_RATINGS_MIN
       && test->sum.rating_sum < THRESHOLD_SHARE * test->expected_sum)
-    return brake (test, "all teams", KIND_RATING, 0);
+    return brake (test, "all teams", METRIC_RATING, 0);
   return decide_timer (test, now_ms);
 }
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -1,7 +1,7 @@
 /**
- * When a roll-out goes to its next stage and when it is braked: a sequential test of the new
- * version against the one that it replaces, on evidence merged over nodes. Pure state: the clock is
- * an argument; one test belongs to one owner (or to a lock of the owner's).
+ * Decides when a roll-out advances to its next stage and when its version is braked: a sequential
+ * test of the new version against the one that it replaces, on evidence merged over all VMs. No I/O
+ * and no locks: the clock is an argument, and the owner of a test serialises its calls.
  */
 #ifndef CHOOSE_ROLLOUT_H
 #define CHOOSE_ROLLOUT_H
@@ -11,18 +11,21 @@
 #include <stdint.h>
 
 #define ROLLOUT_TEAMS_MAX 256
-#define ROLLOUT_KINDS_MAX 32 /**< kinds of request; see RolloutEvidence.request_kind */
+#define ROLLOUT_KINDS_MAX 32 /**< number of request kinds; see RolloutEvidence.request_kind */
 #define ROLLOUT_WHY_MAX   128
 
-/** Sums over answers of one version to one team since the last evidence; sums of nodes add up. */
+/** Sums over the answers of one version to one team since the last evidence; the sums of several
+ *  VMs can be added. */
 typedef struct
 {
   unsigned team;
-  unsigned request_kind; /**< 0: names a model; else 1 + index of the class. Only like is compared
-                              with like, since classes are not rated alike nor as often. */
+  unsigned request_kind; /**< 0: the request names a model; else 1 + index of its class. Only
+                            requests of one kind are compared, since classes differ in how strictly
+                            and how often they are rated. */
   unsigned answers;
-  unsigned errors; /**< of them, that the backend server failed */
-  unsigned slow;   /**< of them, that took longer than the old version's mean and two deviations */
+  unsigned errors; /**< answers in which the backend server failed */
+  unsigned
+      slow; /**< answers that took longer than the old version's mean and two standard deviations */
   unsigned rated;
   double rating_sum;
   double rating_square_sum;
@@ -30,12 +33,13 @@
 
 typedef struct
 {
-  double alarm_threshold; /**< how strong the evidence of badness must be: its logarithm */
-  double pass;            /**< as strong that the version is as good as the old one */
-  double
-      stage_tolerances[4]; /**< by which a version may be worse unseen, by stage; the last stands */
-  int64_t stage_min_ms;    /**< no stage is shorter */
-  double control_weight_max; /**< answers that the old version's figures count at most */
+  double alarm_threshold; /**< log likelihood ratio of a worse version at which the new version is
+                             braked */
+  double pass; /**< log likelihood ratio of an equally good version at which a stage passes */
+  double stage_tolerances[4]; /**< by how much a version may be worse without failing the stage, by
+                                 stage; the last one holds for all further stages */
+  int64_t stage_min_ms;       /**< shortest duration of a stage */
+  double control_weight_max;  /**< most answers that the old version's sums count for */
 } RolloutSettings;
 
 extern const RolloutSettings rollout_settings_default;
@@ -50,18 +54,18 @@
 typedef struct
 {
   RolloutVerdict verdict;
-  char why[ROLLOUT_WHY_MAX]; /**< for the audit trail: what was found, with its figures */
+  char why[ROLLOUT_WHY_MAX]; /**< for the audit trail: the finding, with its figures */
 } RolloutDecision;
 
 typedef struct RolloutTest RolloutTest;
 
 RolloutTest *rollout_test_new (const RolloutSettings *settings, size_t teams, int64_t now_ms);
 void rollout_test_free (RolloutTest *test);
-/** Evidence of the old version in the same time. */
+/** Adds evidence of the old version from the same period. */
 void rollout_test_add_control (RolloutTest *test, const RolloutEvidence *evidence);
-/** Evidence of the new version. */
+/** Adds evidence of the new version. */
 void rollout_test_add (RolloutTest *test, const RolloutEvidence *evidence);
-/** A stage begins: what shows that the version is good has to be gathered anew. */
+/** Begins a stage: evidence that the version is good is collected anew. */
 void rollout_test_begin_stage (RolloutTest *test, size_t stage, int64_t now_ms);
 
 typedef struct
--- a/src/choose_rollout_control.c
+++ b/src/choose_rollout_control.c
@@ -1,5 +1,5 @@
 /**
- * The old version's figures.
+ * Figures of the version that a roll-out replaces.
  */
 #include "choose_rollout_control.h"
 
@@ -7,15 +7,15 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define RATE_LEAST     0.01 /**< of errors and slow answers, before any was seen */
-#define RATE_MOST      0.55 /**< leaves room for a version that is much worse */
-#define VARIANCE_LEAST 0.01
-#define PRIOR_WEIGHT   20 /**< answers that what is thought beforehand counts for */
+#define RATE_MIN       0.01 /**< assumed rate of errors and of slow answers before any was observed */
+#define RATE_MAX       0.55 /**< leaves room up to ROLLOUT_RATE_MAX for a worse version */
+#define VARIANCE_MIN   0.01
+#define PRIOR_WEIGHT   20 /**< weight of the prior, in answers */
 #define PRIOR_RATING   0.8
 #define PRIOR_VARIANCE 0.1
 
-/** Answers of the new version without one of the old between them, after which the old one is not
- *  compared in time any more. */
+/** Answers of the new version without one of the old version between them after which the old
+ *  version counts as idle. */
 #define LIVE_ANSWERS 200
 
 void
@@ -37,7 +37,7 @@
   return evidence->request_kind < ROLLOUT_KINDS_MAX ? evidence->request_kind : 0;
 }
 
-/** One team's sums, or NULL. */
+/** One team's sums; NULL if its index is out of range. */
 static RolloutSums *
 team_sums (const RolloutControl *control, const RolloutEvidence *evidence)
 {
@@ -51,15 +51,15 @@
 {
   double answers = sums->answers + evidence->answers;
   double rated = sums->rated + evidence->rated;
-  double keep = answers > weight_max ? weight_max / answers : 1;
-  double keep_rated = rated > weight_max ? weight_max / rated : 1;
-
-  sums->answers = answers * keep;
-  sums->errors = (sums->errors + evidence->errors) * keep;
-  sums->slow = (sums->slow + evidence->slow) * keep;
-  sums->rated = rated * keep_rated;
-  sums->ratings = (sums->ratings + evidence->rating_sum) * keep_rated;
-  sums->squares = (sums->squares + evidence->rating_square_sum) * keep_rated;
+  double scale = answers > weight_max ? weight_max / answers : 1;
+  double scale_rated = rated > weight_max ? weight_max / rated : 1;
+
+  sums->answers = answers * scale;
+  sums->errors = (sums->errors + evidence->errors) * scale;
+  sums->slow = (sums->slow + evidence->slow) * scale;
+  sums->rated = rated * scale_rated;
+  sums->ratings = (sums->ratings + evidence->rating_sum) * scale_rated;
+  sums->squares = (sums->squares + evidence->rating_square_sum) * scale_rated;
 }
 
 void
@@ -81,7 +81,7 @@
   return control->answers_since < LIVE_ANSWERS;
 }
 
-/** A rate with a prior and a standard error added: what is not known of the old version must not
+/** A rate with a prior and one standard error added: uncertainty about the old version must not
  *  count against the new one. */
 static double
 cautious_rate (double count, double answers, double prior)
@@ -90,7 +90,7 @@
   double rate = (count + PRIOR_WEIGHT * prior) / total;
 
   rate += sqrt (rate * (1 - rate) / total);
-  return fmin (fmax (rate, RATE_LEAST), RATE_MOST);
+  return fmin (fmax (rate, RATE_MIN), RATE_MAX);
 }
 
 static RolloutExpected
@@ -100,7 +100,7 @@
   double mean = (sums->ratings + PRIOR_WEIGHT * prior->mean) / total;
   double prior_square = prior->mean * prior->mean + prior->variance;
   double square = (sums->squares + PRIOR_WEIGHT * prior_square) / total;
-  double variance = fmax (square - mean * mean, VARIANCE_LEAST);
+  double variance = fmax (square - mean * mean, VARIANCE_MIN);
 
   return (RolloutExpected){
     .error_rate = cautious_rate (sums->errors, sums->answers, prior->error_rate),
@@ -112,17 +112,17 @@
   };
 }
 
-/** One team's figures, set against those of all teams, set against what is thought beforehand. */
+/** One team's figures with those of all teams as their prior, which in turn have a fixed prior. */
 RolloutExpected
 rollout_control_expected (const RolloutControl *control, const RolloutEvidence *evidence)
 {
-  const RolloutExpected beforehand = {
-    .error_rate = RATE_LEAST,
-    .slow_rate = RATE_LEAST,
+  const RolloutExpected fixed_prior = {
+    .error_rate = RATE_MIN,
+    .slow_rate = RATE_MIN,
     .mean = PRIOR_RATING,
     .variance = PRIOR_VARIANCE,
   };
-  RolloutExpected pooled = expected_of (&control->pooled[kind_of_request (evidence)], &beforehand);
+  RolloutExpected pooled = expected_of (&control->pooled[kind_of_request (evidence)], &fixed_prior);
   const RolloutSums *own = team_sums (control, evidence);
   RolloutExpected out = own != NULL ? expected_of (own, &pooled) : pooled;
 
--- a/src/choose_rollout_control.h
+++ b/src/choose_rollout_control.h
@@ -1,15 +1,16 @@
 /**
- * What the version that a roll-out replaces does, by team and kind of request: what the new one is
- * held against. Private to choose_rollout.c.
+ * Figures of the control, the version that a roll-out replaces, by team and kind of request.
+ * Private to choose_rollout.c.
  */
 #ifndef CHOOSE_ROLLOUT_CONTROL_H
 #define CHOOSE_ROLLOUT_CONTROL_H
 
 #include "choose_rollout.h"
 
-#define ROLLOUT_RATE_MAX 0.95 /**< of errors or slow answers that is ever thought of */
+#define ROLLOUT_RATE_MAX                                                                           \
+  0.95 /**< largest rate of errors or slow answers that is assumed for a version */
 
-/** Sums of answers, faded by weight. */
+/** Sums over answers; scaled down when they exceed weight_max. */
 typedef struct
 {
   double answers, errors, slow, rated, ratings, squares;
@@ -19,27 +20,27 @@
 {
   size_t teams;
   double weight_max;
-  double answers_since; /**< of the new version, since one of the old */
+  double answers_since; /**< answers of the new version since the last one of the old version */
   RolloutSums pooled[ROLLOUT_KINDS_MAX];
-  RolloutSums *by_team; /**< by team, then kind of request */
+  RolloutSums *by_team; /**< by team, then by kind of request */
 } RolloutControl;
 
-/** What the old version does with such requests of such a team. */
+/** Expected figures of the old version for requests of one kind of one team. */
 typedef struct
 {
   double error_rate, slow_rate;
-  double mean;         /**< rating */
-  double variance;     /**< of one rating */
-  double error;        /**< standard error of the mean */
-  double pooled_error; /**< of the mean over all teams */
+  double mean;         /**< mean rating */
+  double variance;     /**< variance of one rating */
+  double error;        /**< standard error of mean */
+  double pooled_error; /**< standard error of the mean over all teams */
 } RolloutExpected;
 
 void rollout_control_init (RolloutControl *control, size_t teams, double weight_max);
 void rollout_control_clear (RolloutControl *control);
 void rollout_control_add (RolloutControl *control, const RolloutEvidence *evidence);
-/** True while the old version answers as well; answers of the new one are counted in. How fast
- *  answers are follows the load, so slowness is only compared at the same time; ratings and errors
- *  keep their worth. */
+/** True while the old version still gets requests; answers of the new version are counted. Answer
+ *  times depend on the load, so slowness is only compared over the same period; ratings and errors
+ *  stay comparable. */
 bool rollout_control_is_live (RolloutControl *control, unsigned answers);
 RolloutExpected rollout_control_expected (const RolloutControl *control,
                                           const RolloutEvidence *evidence);
--- a/src/choose_search.c
+++ b/src/choose_search.c
@@ -1,16 +1,13 @@
-/**
- * The search among all sets of stages.
- */
 #include "choose_search.h"
 
 #include <math.h>
 
-#define RANDOM_PARTS 65536
-#define MANY_STAGES  5
+#define RANDOM_STEPS           65536
+#define FULL_SEARCH_STAGES_MAX 5
 
-/** The quality that a plan has but for bad luck. */
+/** Lower confidence bound of a plan's quality. */
 static double
-plan_low (const Search *search, const ForecastPlan *plan)
+quality_lower_bound (const Search *search, const ForecastPlan *plan)
 {
   return plan->quality - search->query->settings->confidence * plan->error;
 }
@@ -19,16 +16,16 @@
 search_consider (Search *search, const ForecastPlan *plan)
 {
   const CascadeSettings *settings = search->query->settings;
-  double low = plan_low (search, plan);
+  double lower_bound = quality_lower_bound (search, plan);
   bool late = search->time_ms != 0 && plan->ms_high > (double)search->time_ms;
 
   if (plan->quality + settings->unreachable * plan->error >= search->target)
     search->reachable = true;
-  if (search->closest.mask == 0 || low > plan_low (search, &search->closest))
+  if (search->closest.mask == 0 || lower_bound > quality_lower_bound (search, &search->closest))
     search->closest = *plan;
-  if (low < search->target)
+  if (lower_bound < search->target)
     {
-      if (!late && low >= search->target - settings->mix_shortfall_max)
+      if (!late && lower_bound >= search->target - settings->mix_shortfall_max)
         search->below[search->below_count++] = *plan;
       return;
     }
@@ -41,7 +38,8 @@
     search->cheapest = *plan;
 }
 
-/** All plans of up to stages_max stages that begin with the path and go on from start. */
+/** Considers all plans of up to stages_max stages that begin with the path and continue with stages
+ *  from start on. */
 static void
 search_from (Search *search, const ForecastPath *path, unsigned start, unsigned stages_max)
 {
@@ -65,15 +63,16 @@
     }
 }
 
-/** Among many stages, most of which are then little known, chains of two are enough. */
+/** Largest number of stages of a plan. With many candidates, most of which then have few ratings,
+ *  plans of two stages are enough. */
 static unsigned
-stages_most (const Search *search)
+search_stages_max (const Search *search)
 {
   unsigned most = search->query->settings->stages_max;
 
   if (search->single)
     return 1;
-  if (__builtin_popcount (search->forecast->useful) > MANY_STAGES && most > 2)
+  if (__builtin_popcount (search->forecast->useful) > FULL_SEARCH_STAGES_MAX && most > 2)
     return 2;
   return most;
 }
@@ -81,32 +80,29 @@
 void
 search_run (Search *search)
 {
-  ForecastPath path = { .reach = 1 };
+  ForecastPath path = { .reach_probability = 1 };
 
-  search_from (search, &path, 0, stages_most (search));
+  search_from (search, &path, 0, search_stages_max (search));
 }
 
 bool
 search_may_explore (const CascadeQuery *query)
 {
-  return (double)(query->random % RANDOM_PARTS)
-         < query->settings->explore_share * (double)RANDOM_PARTS;
+  return (double)(query->random % RANDOM_STEPS)
+         < query->settings->explore_share * (double)RANDOM_STEPS;
 }
 
-/* A version with little evidence that would make the plan cheaper if it were as good as it may be.
- *  It is put before the plan: its answer is rated, so that only cost and time are risked. Returns
- *  the plan's mask with it, or 0. */
 unsigned
 search_explore (const CascadeQuery *query, const Forecast *forecast, const ForecastPlan *found)
 {
-  double least = found->cost;
+  double cost_min = found->cost;
   unsigned mask_found = 0;
   unsigned i;
 
   for (i = 0; i < forecast->count; i++)
     {
-      Forecast hoped = *forecast;
-      ForecastRating *first = &hoped.stages[i].first;
+      Forecast optimistic = *forecast;
+      ForecastRating *first = &optimistic.stages[i].first;
       unsigned mask = found->mask | 1U << i;
       ForecastPlan with;
 
@@ -115,35 +111,35 @@
       if ((found->mask & ((1U << i) - 1)) != 0 || mask == found->mask)
         continue;
       first->pass = fmin (1, first->pass + query->settings->unreachable * sqrt (first->variance));
-      with = forecast_plan (&hoped, mask);
-      if (with.cost >= least)
+      with = forecast_plan (&optimistic, mask);
+      if (with.cost >= cost_min)
         continue;
-      least = with.cost;
+      cost_min = with.cost;
       mask_found = mask;
     }
   return mask_found;
 }
 
-/** The share of a plan below the target that may be mixed with one above it, so that the mean of
- *  both still meets the target. */
+/** The share of requests that may get the plan below the target so that the mean of both plans
+ *  still meets it. */
 static double
 mix_share (const Search *search, const ForecastPlan *below, const ForecastPlan *above)
 {
-  double spare = plan_low (search, above) - search->target;
-  double lack = search->target - plan_low (search, below);
+  double excess = quality_lower_bound (search, above) - search->target;
+  double shortfall = search->target - quality_lower_bound (search, below);
 
-  return spare / (spare + lack);
+  return excess / (excess + shortfall);
 }
 
-/** The target is a mean over requests: when one plan is a little below it and cheap and another
- * well above it and expensive, a mixture of both meets it at less cost than the second alone.
- * Returns the plan that this request's random bits give. */
+/** The target applies to the mean over requests: if one plan is cheap and a little below it, and
+ *  another is expensive and well above it, a mixture of both meets the target at less cost than the
+ *  second alone. Returns the plan selected by this request's random bits. */
 static ForecastPlan
-search_mix (const Search *search)
+search_mixture (const Search *search)
 {
   ForecastPlan chosen_above = search->cheapest;
   ForecastPlan chosen_below = { .mask = 0 };
-  double least = search->cheapest.cost;
+  double cost_min = search->cheapest.cost;
   double share = 0;
   unsigned i, j;
 
@@ -151,23 +147,23 @@
     {
       const ForecastPlan *below = &search->below[i];
 
-      if (below->cost >= least)
+      if (below->cost >= cost_min)
         continue;
       for (j = 0; j < search->above_count; j++)
         {
           const ForecastPlan *above = &search->above[j];
-          double part = mix_share (search, below, above);
-          double cost = part * below->cost + (1 - part) * above->cost;
+          double portion = mix_share (search, below, above);
+          double cost = portion * below->cost + (1 - portion) * above->cost;
 
-          if (cost >= least)
+          if (cost >= cost_min)
             continue;
-          least = cost;
-          share = part;
+          cost_min = cost;
+          share = portion;
           chosen_below = *below;
           chosen_above = *above;
         }
     }
-  if ((double)(search->query->random >> 32 & (RANDOM_PARTS - 1)) < share * RANDOM_PARTS)
+  if ((double)(search->query->random >> 32 & (RANDOM_STEPS - 1)) < share * RANDOM_STEPS)
     return chosen_below;
   return chosen_above;
 }
@@ -176,7 +172,7 @@
 search_result (const Search *search, ChoosePlan *plan)
 {
   if (search->cheapest.mask != 0)
-    return search_mix (search);
+    return search_mixture (search);
   if (search->fastest.mask != 0)
     {
       plan->late = true;
--- a/src/choose_server.c
+++ b/src/choose_server.c
@@ -1,15 +1,15 @@
 /**
- * What policies that choose a backend server have in common.
+ * Shared parts of the policies that select a backend server.
  */
 #include "choose_server_pick.h"
 
 #include <math.h>
 #include <string.h>
 
-/** How fast a report loses its worth. Work takes seconds, so what others had there a few seconds
- * ago has mostly ended; with reports that come 5 s late, full trust sends everything to servers
- * that were idle then (docs/design/servers.md). */
-#define REPORT_TRUST_MS 1500.0
+/** Time constant by which a report's weight decays. Requests take seconds, so most of what other
+ *  gates had there a few seconds ago has ended; with reports that arrive 5 s late, full weight
+ *  sends everything to the servers that were idle then (docs/design/servers.md). */
+#define REPORT_DECAY_MS 1500.0
 
 const ServerPolicy server_policy_default
     = { .name = "power-of-two", .pick = server_pick_power_of_two };
@@ -35,7 +35,7 @@
 }
 
 static bool
-server_carries (const ServerQuery *query, const ConfigServer *server)
+server_serves (const ServerQuery *query, const ConfigServer *server)
 {
   size_t i;
 
@@ -64,7 +64,7 @@
     return false;
   if (query->excluded != NULL && query->excluded[server])
     return false;
-  return server_carries (query, config);
+  return server_serves (query, config);
 }
 
 double
@@ -73,13 +73,13 @@
   const ServerView *view = &query->views[server];
   double others = 0;
 
-  /* Own requests that ended since the report may be more than it counted. */
+  /* The own requests at the time of the report may exceed what it counted. */
   if (view->report_ms != 0 && view->reported_load > view->in_flight_at_report)
     {
       double age_ms = (double)(query->now_ms - view->taken_ms);
 
       others = (double)(view->reported_load - view->in_flight_at_report);
-      others *= exp (-fmax (age_ms, 0) / REPORT_TRUST_MS);
+      others *= exp (-fmax (age_ms, 0) / REPORT_DECAY_MS);
     }
   return (double)view->in_flight + others;
 }
--- a/src/choose_server.h
+++ b/src/choose_server.h
@@ -1,5 +1,5 @@
 /**
- * Choice of the backend server for one attempt.
+ * Selects the backend server for one attempt.
  */
 #ifndef CHOOSE_SERVER_H
 #define CHOOSE_SERVER_H
@@ -8,20 +8,21 @@
 #include "choose_index.h"
 #include <stdint.h>
 
-/** What this gate knows of one backend server; the gate keeps one per ConfigServer by name. */
+/** State of one backend server as known to this gate, which keeps one per server name. */
 typedef struct
 {
-  int64_t in_flight;           /**< own requests in progress there */
-  int64_t in_flight_at_report; /**< own requests in progress when the last report was taken */
+  int64_t in_flight;           /**< this gate's requests in progress there */
+  int64_t in_flight_at_report; /**< this gate's requests in progress when the server took its last
+                                  report */
   int64_t reported_load;       /**< requests running and queued, as last reported by the server */
-  int64_t report_ms;           /**< boot-time clock of the report's arrival; 0: none yet */
-  int64_t taken_ms;            /**< when the server took it, as far as choose_load.h can tell */
-  double latency_ms;           /**< moving mean of the first token's time */
-  double latency_var;          /**< its moving variance */
-  double token_ms;             /**< moving mean of the time between tokens; 0: not known */
-  int64_t open_until_ms;       /**< breaker: no new work before this time; 0: closed */
-  unsigned failures;           /**< in a row */
-  bool draining;               /**< the server itself said that it leaves */
+  int64_t report_ms;     /**< boot-time clock at the arrival of the last report; 0: none yet */
+  int64_t taken_ms;      /**< when the server took that report, as estimated by choose_load.h */
+  double latency_ms;     /**< moving mean of the time until the first token */
+  double latency_var;    /**< moving variance of the time until the first token */
+  double token_ms;       /**< moving mean of the time between tokens; 0: unknown */
+  int64_t open_until_ms; /**< circuit breaker: no new requests before this time; 0: closed */
+  unsigned failures;     /**< consecutive failures */
+  bool draining;         /**< the server announced that it is shutting down */
 } ServerView;
 
 typedef struct
@@ -29,12 +30,12 @@
   const Config *config;
   const ServerView *views; /**< by server index */
   unsigned version;
-  const char *failure_domain; /**< ours */
-  const uint8_t *excluded;    /**< by server index: tried already; NULL: none */
-  uint64_t prefix_hash;       /**< of the prompt's beginning; 0: none */
+  const char *failure_domain; /**< this gate's */
+  const uint8_t *excluded;    /**< servers already tried, by server index; NULL: none */
+  uint64_t prefix_hash;       /**< hash of the prompt prefix; 0: none */
   uint64_t random;            /**< fresh random bits */
   int64_t now_ms;
-  const char *service;      /**< name of a plain service in place of a version; NULL: an engine */
+  const char *service;      /**< name of a plain service; NULL: an engine that serves version */
   const ServerIndex *index; /**< servers that this gate watches; NULL: all */
 } ServerQuery;
 
@@ -49,12 +50,12 @@
 /** NULL if there is none of that name. */
 const ServerPolicy *server_policy_find (const char *name);
 
-/** True if new work of this query may go to the server now: it carries the version or service, is
- *  neither leaving nor draining, its breaker is closed and it was not tried before. */
+/** True if the server may get this attempt: it serves the version or service, is neither leaving
+ *  nor draining, its breaker is closed and it was not tried before. */
 bool server_usable (const ServerQuery *query, unsigned server);
 
-/** Requests that the server is thought to have now: our own, and those of other gates by its last
- *  report, which count less the older it is. */
+/** Estimated requests at the server: this gate's own, and those of other gates by its last report,
+ *  which count less the older it is. */
 double server_load (const ServerQuery *query, unsigned server);
 
 #endif
--- a/src/choose_server_baseline.c
+++ b/src/choose_server_baseline.c
@@ -1,5 +1,5 @@
 /**
- * Baselines of the choice of a server: what the default policy is measured against.
+ * Baseline policies, with which the default policy is compared.
  */
 #include "choose_server_pick.h"
 
@@ -44,7 +44,7 @@
   return nth_usable (query, (unsigned)(query->random % n));
 }
 
-/** The nth call goes to the nth usable server, whatever its load; a baseline. */
+/** Baseline: the usable servers in turn, whatever their load. */
 int
 server_pick_round_robin (const ServerQuery *query)
 {
@@ -55,8 +55,8 @@
   return nth_usable (query, atomic_fetch_add (&round_robin_next, 1) % n);
 }
 
-/** Least load as reported, without our own correction; a baseline. It sends every request to one
- *  server until the next report. */
+/** Baseline: lowest reported load per slot, without correction by the gate's own requests. It sends
+ *  every request to one server until the next report. */
 int
 server_pick_least_reported (const ServerQuery *query)
 {
--- a/src/choose_server_pick.h
+++ b/src/choose_server_pick.h
@@ -1,5 +1,5 @@
 /**
- * The policies behind server_policy_find; private to choose_server*.c.
+ * The policies that server_policy_find knows; private to choose_server*.c.
  */
 #ifndef CHOOSE_SERVER_PICK_H
 #define CHOOSE_SERVER_PICK_H
--- a/src/choose_server_power_of_two.c
+++ b/src/choose_server_power_of_two.c
@@ -1,6 +1,6 @@
 /**
- * The default choice of a server: the better of two drawn at random, or of the two that are
- * likeliest to hold the prompt's beginning in their cache unless they are much busier.
+ * The default policy: the less loaded of two servers drawn at random, or of the two servers that
+ * most likely have the prompt prefix cached, unless those are much busier.
  */
 #include "choose_server_pick.h"
 
@@ -8,11 +8,11 @@
 #include <string.h>
 
 #define CANDIDATES_MAX   64
-#define TOKEN_MS_UNKNOWN 15.0 /**< of a server that has not answered yet */
+#define TOKEN_MS_DEFAULT 15.0 /**< assumed time per token of a server that has not answered yet */
 
-/** How much busier, as a part of its slots, a server may be that is likely to have the prompt's
- *  beginning cached. Bounded, so that one popular beginning can't overload its server. */
-#define AFFINITY_PART 0.5
+/** How much busier, as a share of its slots, a server may be that probably has the prompt prefix
+ *  cached. Bounded, so that one popular prefix can't overload its server. */
+#define AFFINITY_LOAD_MAX 0.5
 
 typedef struct
 {
@@ -20,9 +20,9 @@
   unsigned count;
 } Candidates;
 
-/** Spreads the bits of a number (splitmix64's finisher). */
+/** Mixes the bits of a number (the finalizer of splitmix64). */
 static uint64_t
-spread (uint64_t x)
+mix_bits (uint64_t x)
 {
   x ^= x >> 30;
   x *= 0xbf58476d1ce4e5b9U;
@@ -45,8 +45,9 @@
   return service >= 0 ? &query->index->services[service] : NULL;
 }
 
-/** Usable servers of the watched subset. If there are none, or no subset, those of all servers; of
- *  more than fit each has the same chance to be among them. */
+/** Collects the usable servers of the watched subset. If there are none, or no subset, collects
+ *  from all servers; if more than CANDIDATES_MAX are usable, each is included with the same
+ *  probability. */
 static void
 gather (const ServerQuery *query, Candidates *out)
 {
@@ -72,7 +73,7 @@
           out->servers[out->count++] = i;
           continue;
         }
-      random = spread (random + seen);
+      random = mix_bits (random + seen);
       if (random % seen < CANDIDATES_MAX)
         out->servers[random % CANDIDATES_MAX] = i;
     }
@@ -83,10 +84,10 @@
 {
   double ms = query->views[server].token_ms;
 
-  return ms > 0 ? ms : TOKEN_MS_UNKNOWN;
+  return ms > 0 ? ms : TOKEN_MS_DEFAULT;
 }
 
-/** Load for each slot if the request were sent there, times the time that a token takes there. */
+/** Load per slot if the request were sent there, times the server's time per token. */
 static double
 expected_load (const ServerQuery *query, unsigned server)
 {
@@ -96,18 +97,18 @@
   return load / (slots > 0 ? slots : 1) * token_ms (query, server);
 }
 
-/** The best so far, and its load. */
+/** The best server so far and its load. */
 typedef struct
 {
   int server;
   double load;
 } Best;
 
-/** Takes the server if its load, less what it is favoured by, is below the best. */
+/** Takes the server if its load, reduced by bonus, is below that of the best so far. */
 static void
-consider (const ServerQuery *query, unsigned server, double favour, Best *best)
+consider (const ServerQuery *query, unsigned server, double bonus, Best *best)
 {
-  double load = expected_load (query, server) - favour;
+  double load = expected_load (query, server) - bonus;
 
   if (best->server >= 0 && load >= best->load)
     return;
@@ -115,20 +116,20 @@
   best->load = load;
 }
 
-/** The two servers of highest hash with the prompt's beginning: the same ones at every gate that
- * has both among its candidates, with no news of what is cached. */
+/** Considers the two servers with the highest hash of server and prompt prefix: the same ones at
+ *  every gate that has both among its candidates, without any exchange about what is cached. */
 static void
-consider_affine (const ServerQuery *query, const Candidates *candidates, Best *best)
+consider_prefix_affinity (const ServerQuery *query, const Candidates *candidates, Best *best)
 {
   uint64_t first_hash = 0, second_hash = 0;
-  double favour = AFFINITY_PART * token_ms (query, (unsigned)best->server);
+  double bonus = AFFINITY_LOAD_MAX * token_ms (query, (unsigned)best->server);
   int first = -1, second = -1;
   unsigned i;
 
   for (i = 0; i < candidates->count; i++)
     {
       unsigned server = candidates->servers[i];
-      uint64_t hash = spread (query->prefix_hash ^ spread (server + 1));
+      uint64_t hash = mix_bits (query->prefix_hash ^ mix_bits (server + 1));
 
       if (first < 0 || hash > first_hash)
         {
@@ -143,9 +144,9 @@
           second_hash = hash;
         }
     }
-  consider (query, (unsigned)first, favour, best);
+  consider (query, (unsigned)first, bonus, best);
   if (second >= 0)
-    consider (query, (unsigned)second, favour, best);
+    consider (query, (unsigned)second, bonus, best);
 }
 
 int
@@ -163,7 +164,7 @@
   consider (query, candidates.servers[first], 0, &best);
   consider (query, candidates.servers[(first + step) % candidates.count], 0, &best);
   if (query->prefix_hash != 0)
-    consider_affine (query, &candidates, &best);
+    consider_prefix_affinity (query, &candidates, &best);
   INVARIANT (best.server >= 0 && server_usable (query, (unsigned)best.server), "server=%d",
              best.server);
   return best.server;
