--- a/src/session.c
+++ b/src/session.c
@@ -4,9 +4,10 @@
 #include <stdio.h>
 #include <string.h>
 
-/* "lvs1." and base64url of: random id, length of the version, the version, MAC. The team is under
- * the MAC without being in the token, since the reader knows the team from the caller's key. The
- * random id makes each session's token its own, for affinity. */
+/* Token format: "lvs1." and the base64url of a random id, the version's length, the version and a
+ * MAC. The MAC covers the team, which is not in the token, since the reader knows it from the
+ * caller's key. The random id makes the tokens of two sessions differ, for affinity to a backend
+ * server. */
 #define TOKEN_PREFIX "lvs1."
 #define MAC_CONTEXT  "lovage-session-1"
 #define ID_LEN       8
@@ -15,7 +16,7 @@
 #define PAYLOAD_MAX  (HEAD_LEN + SESSION_VERSION_MAX + MAC_LEN)
 #define VARIANT      sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
-/* Each part is hashed with its length, so that no two pairs of team and payload hash alike. */
+/* Hashes each part with its length, so that no two pairs of team and payload hash alike. */
 static void
 hash_part (crypto_generichash_state *state, const void *data, size_t len)
 {
@@ -27,11 +28,11 @@
 }
 
 static void
-mac_of (const uint8_t key[SESSION_KEY_SIZE],
-        const char *team,
-        const uint8_t *payload,
-        size_t len,
-        uint8_t mac[MAC_LEN])
+compute_mac (const uint8_t key[SESSION_KEY_SIZE],
+             const char *team,
+             const uint8_t *payload,
+             size_t len,
+             uint8_t mac[MAC_LEN])
 {
   crypto_generichash_state state;
 
@@ -57,7 +58,7 @@
   randombytes_buf (payload, ID_LEN);
   payload[ID_LEN] = (uint8_t)version_len;
   memcpy (payload + HEAD_LEN, version, version_len);
-  mac_of (key, team, payload, len, payload + len);
+  compute_mac (key, team, payload, len, payload + len);
   snprintf (out, SESSION_TOKEN_MAX, "%s", TOKEN_PREFIX);
   sodium_bin2base64 (out + prefix_len, SESSION_TOKEN_MAX - prefix_len, payload, len + MAC_LEN,
                      VARIANT);
@@ -84,7 +85,7 @@
   version_len = len - HEAD_LEN - MAC_LEN;
   if (payload[ID_LEN] != version_len || version_len >= SESSION_VERSION_MAX)
     return false;
-  mac_of (key, team, payload, len - MAC_LEN, mac);
+  compute_mac (key, team, payload, len - MAC_LEN, mac);
   if (sodium_memcmp (mac, payload + len - MAC_LEN, MAC_LEN) != 0)
     return false;
   memcpy (version, payload + HEAD_LEN, version_len);
--- a/src/session_named.c
+++ b/src/session_named.c
@@ -13,21 +13,21 @@
 #define KEY_HASH_LEN  16
 #define TEAM_MAX      63
 #define SHARDS        16
-#define WAYS          4 /* entries among which a key may lie */
-#define TRIES_MAX     2
+#define WAYS          4 /* associativity: entries of the set in which a key is cached */
+#define ATTEMPTS_MAX  2
 #define VERSION_FIELD "version"
 
 typedef struct
 {
   char key[KEY_MAX]; /* "": empty */
   char version[SESSION_VERSION_MAX];
-  uint64_t used; /* the shard's clock at the last use */
+  uint64_t used; /* value of the shard's clock at the last use */
 } Entry;
 
 typedef struct
 {
   pthread_mutex_t lock;
-  Entry *entries; /* sets of WAYS */
+  Entry *entries; /* grouped into sets of WAYS entries */
   uint64_t clock;
 } Shard;
 
@@ -75,7 +75,7 @@
   free (named);
 }
 
-/* Names may be private and of any length: the row has their hash. */
+/* The row's key has a hash of the name, since names may be confidential and of any length. */
 static void
 row_key (const char *team, const char *name, char out[KEY_MAX])
 {
@@ -144,7 +144,7 @@
   return found;
 }
 
-/* Takes the place of the entry of the set that was not used for longest. */
+/* Replaces the least recently used entry of the key's set. */
 static void
 cache_add (SessionNamed *named, const char *key, const char *version)
 {
@@ -205,8 +205,9 @@
   if (cache_find (named, key, version))
     return status_ok (st);
   text = row_text (version);
-  /* After a lost reply the row may be ours or not: the same insert again tells its version. */
-  for (int i = 0; i < TRIES_MAX && code == STATUS_UNKNOWN; i++)
+  /* After a lost reply it is unknown whether the row was inserted: repeating the insert returns its
+     version. */
+  for (int i = 0; i < ATTEMPTS_MAX && code == STATUS_UNKNOWN; i++)
     code = row_insert (named, key, text, version, st);
   free (text);
   if (code == STATUS_OK)
--- a/src/session_named.h
+++ b/src/session_named.h
@@ -1,7 +1,7 @@
 /**
- * Sessions that a caller names itself, without returning the token: the version on which the first
- * request of a name started is in a row, and all later requests of the name get it. See
- * docs/design/sessions.md.
+ * Named sessions: the caller chooses a session's name instead of returning a token. A table row has
+ * the version on which the first request with that name started, and all later requests with the
+ * name get it. See docs/design/sessions.md.
  */
 #ifndef SESSION_NAMED_H
 #define SESSION_NAMED_H
@@ -13,20 +13,21 @@
 
 typedef struct SessionNamed SessionNamed;
 
-/** Rows never change, so cache_max of them are remembered; those go on through an outage. */
+/** Caches about cache_max rows, which never change; sessions in the cache continue through an
+ *  outage of the table service. */
 SessionNamed *session_named_new (PlatformGroup *group, size_t cache_max);
 void session_named_free (SessionNamed *named);
 
-/** The version of the name, if this VM remembers it; no I/O. */
+/** Looks the session up in this VM's cache, without I/O; true if found. */
 bool session_named_find (SessionNamed *named,
                          const char *team,
                          const char *name,
                          char version[SESSION_VERSION_MAX]);
 
 /**
- * Starts the session on version, unless it has started before: version then receives that of the
- * first request. On failure nothing is known of the session, and the request must not run: another
- * VM may have started it on another version.
+ * Starts the session on version, unless it was started before: then version receives that of its
+ * first request. On failure the session's state is unknown and the request must not run, since
+ * another VM may have started the session on another version.
  */
 StatusCode session_named_start (SessionNamed *named,
                                 const char *team,
