--- a/src/config.c
+++ b/src/config.c
@@ -1,5 +1,5 @@
 /**
- * Life and look-ups of a parsed configuration.
+ * Reference counting of a parsed configuration, and look-ups in it.
  */
 #include "config_parse.h"
 #include "util_assert.h"
@@ -122,8 +122,8 @@
     free_config (config);
 }
 
-/** Binary search in an array whose entries are in name order; name_offset is that of the name's
- *  pointer within an entry. */
+/** Binary search in an array whose entries are sorted by name; name_offset is the offset of the
+ *  name's pointer in an entry. */
 static int
 find_name (const void *entries, size_t count, size_t size, size_t name_offset, const char *name)
 {
--- a/src/config.h
+++ b/src/config.h
@@ -13,29 +13,30 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CONFIG_NAME_MAX     31      /**< bytes of a name; names are of [a-z0-9._-] */
-#define CONFIG_LABEL_SIZE   64      /**< MODEL@VERSION with the final NUL */
-#define CONFIG_TEXT_MAX     1048576 /**< bytes of a document, as sent between stewards */
-#define CONFIG_VERSIONS_MAX 256 /**< over all models, so that a set of brakes fits a heartbeat */
-#define CONFIG_STAGES_MAX   8   /**< stages of a class or a roll-out */
-#define CONFIG_KEY_HASH_LEN 64  /**< hexadecimal digits of a key's hash */
+#define CONFIG_NAME_MAX   31      /**< bytes of a name; names consist of [a-z0-9._-] */
+#define CONFIG_LABEL_SIZE 64      /**< MODEL@VERSION with the final NUL */
+#define CONFIG_TEXT_MAX   1048576 /**< bytes of a document; must fit an RPC between stewards */
+#define CONFIG_VERSIONS_MAX                                                                        \
+  256 /**< versions of all models, so that a set of brakes fits a heartbeat */
+#define CONFIG_STAGES_MAX   8  /**< stages of a class or a roll-out */
+#define CONFIG_KEY_HASH_LEN 64 /**< hexadecimal digits of the hash of a team's key */
 
 typedef enum
 {
-  VERSION_CANDIDATE, /**< only reached through a roll-out's share of callers */
+  VERSION_CANDIDATE, /**< only available to the callers included in a roll-out */
   VERSION_ACTIVE,
-  VERSION_WITHDRAWN /**< gets no new work */
+  VERSION_WITHDRAWN /**< gets no new requests */
 } VersionState;
 
 typedef struct
 {
-  unsigned index; /**< over all versions of all models, dense from 0 */
+  unsigned index; /**< index into Config.versions */
   unsigned model; /**< index into Config.models */
   char *name;     /**< e.g. "v7" */
   VersionState state;
   double cost_per_1k;   /**< cost units per 1,000 tokens */
-  int64_t released;     /**< brakes raised at a configuration number up to this no longer bind */
-  double prior_quality; /**< assumed mean rating, 0 to 1, before evidence */
+  int64_t released;     /**< brakes raised at a configuration number up to this are released */
+  double prior_quality; /**< mean rating assumed before any evidence, 0 to 1 */
 } ConfigVersion;
 
 typedef struct
@@ -49,7 +50,7 @@
 typedef enum
 {
   SERVER_ENGINE, /**< a model engine */
-  SERVER_SERVICE /**< a plain service beside the engines */
+  SERVER_SERVICE /**< a service other than a model engine */
 } ServerKind;
 
 typedef struct
@@ -60,12 +61,12 @@
   char *address;
   int port;
   char *failure_domain;
-  bool leaving;        /**< gets no new work */
-  bool checks_fencing; /**< refuses orders with an old fencing number */
-  int64_t slots;       /**< requests that it runs at once */
+  bool leaving;        /**< gets no new requests */
+  bool checks_fencing; /**< the server refuses orders with an outdated fencing number */
+  int64_t slots;       /**< requests that the server runs concurrently */
   unsigned *versions;  /**< engines: indices into Config.versions */
   size_t version_count;
-  char *service; /**< services: the name that callers use; NULL for engines */
+  char *service; /**< services: name of the entry in services; NULL for engines */
 } ConfigServer;
 
 typedef struct
@@ -75,16 +76,16 @@
   bool idempotent;
 } ConfigService;
 
-/** A named way of answering: callers name it in "model" to have the router choose. */
+/** A request class: a caller names it as "model" to have the router choose among its models. */
 typedef struct
 {
   unsigned index;
   char *name;
-  unsigned *stages; /**< indices into Config.models, cheapest first */
+  unsigned *stages; /**< indices into Config.models, in the order of the document, cheapest first */
   size_t stage_count;
-  double quality_target; /**< least mean rating */
+  double quality_target; /**< mean rating that answers must reach, 0 to 1 */
   int64_t deadline_ms;   /**< default deadline of a request; 0: none */
-  bool idempotent;       /**< false: a request runs at most once */
+  bool idempotent;       /**< false: a request may run at most once */
 } ConfigClass;
 
 typedef struct
@@ -94,9 +95,9 @@
   char *key_hash;       /**< 64 hexadecimal digits: BLAKE2b-256 of the key */
   bool *allowed;        /**< by version index */
   bool *services;       /**< by service index */
-  int64_t concurrent;   /**< most requests in progress over the whole site; 0: no bound */
-  int64_t tokens_per_s; /**< 0: no bound */
-  double weight;        /**< share under contention */
+  int64_t concurrent;   /**< most requests in progress over the whole site; 0: no limit */
+  int64_t tokens_per_s; /**< tokens per second over the whole site; 0: no limit */
+  double weight;        /**< weight of the team's fair share when capacity is short */
 } ConfigTeam;
 
 typedef enum
@@ -114,16 +115,16 @@
   unsigned from; /**< version index */
   unsigned to;   /**< version index */
   RolloutState state;
-  double *stages; /**< shares of callers, 0 to 1, rising */
+  double *stages; /**< shares of callers, 0 to 1, ascending */
   size_t stage_count;
-  size_t stage; /**< index of the stage in force */
+  size_t stage; /**< index of the current stage */
 } ConfigRollout;
 
 typedef struct
 {
   int64_t number;
-  int refs;   /**< use config_ref and config_unref */
-  char *text; /**< the document itself, canonical JSON */
+  int refs;   /**< reference count: use config_ref and config_unref */
+  char *text; /**< the document in canonical JSON */
   ConfigModel *models;
   size_t model_count;
   ConfigVersion *versions;
@@ -140,13 +141,13 @@
   size_t rollout_count;
 } Config;
 
-/** Parses and checks a document; all errors go to list in one pass, and NULL is returned if there
- *  are any. The reference returned is the caller's. */
+/** Parses and checks a document. All errors are added to list in one pass, and if there are any
+ *  NULL is returned. The caller owns the returned reference. */
 Config *config_parse (const char *text, size_t len, int64_t number, CheckList *list);
-/** The same for a file; "-" is standard input. */
+/** Like config_parse, for a file; "-" is standard input. */
 Config *config_parse_file (const char *path, int64_t number, CheckList *list);
-/** Adds a file's bytes to *text, a little more than CONFIG_TEXT_MAX at most; false with an error in
- *  list if it can't be read. text->data is not NULL then, also for an empty file. */
+/** Appends a file's content to *text, up to slightly more than CONFIG_TEXT_MAX bytes; false with an
+ *  error in list if it can't be read. On success text->data is not NULL, even for an empty file. */
 bool config_file_read (const char *path, Buffer *text, CheckList *list);
 Config *config_ref (Config *config);
 void config_unref (Config *config);
@@ -154,31 +155,33 @@
 /** Index of the entry of that name, or -1. */
 int config_find_model (const Config *config, const char *name);
 int config_find_version (const Config *config, unsigned model, const char *name);
-int config_find_team_by_key (const Config *config, const char *key); /**< constant time per team */
+int config_find_team_by_key (const Config *config,
+                             const char *key); /**< compares in constant time */
 int config_find_team (const Config *config, const char *name);
 int config_find_class (const Config *config, const char *name);
 int config_find_service (const Config *config, const char *name);
 
 int config_find_server (const Config *config, const char *name);
-/** Index of the version that "MODEL@VERSION" names, or -1. */
+/** Index of the version named "MODEL@VERSION", or -1. */
 int config_find_label (const Config *config, const char *label);
-/** Writes "MODEL@VERSION" of a version index. */
+/** Writes "MODEL@VERSION" of the version. */
 void config_label (const Config *config, unsigned version, char out[CONFIG_LABEL_SIZE]);
-/** True if the text can be the name of an entry: 1 to 31 of [a-z0-9._-]. */
+/** True if name is valid for an entry: 1 to 31 characters of [a-z0-9._-]. */
 bool config_name_valid (const char *name);
-/** The word used in documents, e.g. "withdrawn" or "backed_out". */
+/** Name used in documents, e.g. "withdrawn" or "backed_out". */
 const char *config_version_state_name (VersionState state);
 const char *config_rollout_state_name (RolloutState state);
 
-/** Canonical text of a JSON document: members sorted by name, no space, numbers in one form; freed
- *  with free. NULL and errors in list if the text does not parse. */
+/** Canonical text of a JSON document: members sorted by name, no white space, numbers in a unique
+ *  form; to be freed with free. NULL and errors in list if the text can't be parsed. */
 char *config_canonical (const char *text, size_t len, CheckList *list);
-/** Applies a JSON merge patch (RFC 7396) to a document; the result is canonical JSON text, to be
- *  freed with free. NULL and errors in list if either text does not parse. */
+/** Applies a JSON merge patch (RFC 7396) to a document. The result is canonical JSON text, to be
+ *  freed with free; NULL and errors in list if either text can't be parsed. */
 char *config_patch_apply (const char *document, const char *patch, CheckList *list);
-/** A merge patch that turns document a into b; freed with free. */
+/** The merge patch that changes document a into b; to be freed with free. NULL and errors in list
+ *  if either text can't be parsed. */
 char *config_diff (const char *a, const char *b, CheckList *list);
-/** BLAKE2b-256 of a key in 64 hexadecimal digits. */
+/** BLAKE2b-256 of a key, as 64 hexadecimal digits. */
 void config_key_hash (const char *key, char out[65]);
 
 #endif
--- a/src/config_class.c
+++ b/src/config_class.c
@@ -1,5 +1,5 @@
 /**
- * Section "classes": named ways of answering, each a cascade of models.
+ * Section "classes": request classes, each with a cascade of models.
  */
 #include "config_parse.h"
 #include "util_field.h"
--- a/src/config_file.c
+++ b/src/config_file.c
@@ -1,5 +1,5 @@
 /**
- * A configuration document in a file.
+ * Reads a configuration document from a file.
  */
 #include "config.h"
 #include <errno.h>
@@ -13,23 +13,23 @@
 {
   char block[READ_SIZE];
   FILE *file = strcmp (path, "-") == 0 ? stdin : fopen (path, "re");
-  size_t got;
-  bool good;
+  size_t read_count;
+  bool ok;
 
   if (file == NULL)
     {
       check_add (list, NULL, "can't be opened: %s", strerror (errno));
       return false;
     }
-  while (text->len <= CONFIG_TEXT_MAX && (got = fread (block, 1, sizeof block, file)) > 0)
-    buffer_add (text, block, got);
-  good = ferror (file) == 0;
-  if (!good)
+  while (text->len <= CONFIG_TEXT_MAX && (read_count = fread (block, 1, sizeof block, file)) > 0)
+    buffer_add (text, block, read_count);
+  ok = ferror (file) == 0;
+  if (!ok)
     check_add (list, NULL, "can't be read: %s", strerror (errno));
   if (file != stdin)
     fclose (file);
   buffer_add (text, "", 0);
-  return good;
+  return ok;
 }
 
 Config *
--- a/src/config_key.c
+++ b/src/config_key.c
@@ -1,5 +1,5 @@
 /**
- * Keys of teams: kept as hashes, compared in constant time.
+ * Keys of teams: stored as hashes, compared in constant time.
  */
 #include "config.h"
 #include "util_assert.h"
@@ -20,8 +20,9 @@
 }
 
 /*
- * A caller that guesses keys could learn from the time of a refusal how much of a hash it has met,
- * or which team's. Every team is compared, each in constant time, whether or not one matched.
+ * From the response time of a refusal a caller that guesses keys could learn how much of a hash it
+ * has matched, or which team's. So every team's hash is compared, each in constant time, even after
+ * a match.
  */
 int
 config_find_team_by_key (const Config *config, const char *key)
--- a/src/config_model.c
+++ b/src/config_model.c
@@ -1,5 +1,5 @@
 /**
- * Section "models": each model with its versions.
+ * Section "models": each model and its versions.
  */
 #include "config_parse.h"
 #include "util_field.h"
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -1,6 +1,6 @@
 /**
- * Reading of a configuration document: the sections in an order in which each refers only to
- * sections that were read before it.
+ * Reads a configuration document: the sections in an order in which each refers only to sections
+ * read before it.
  */
 #include "config_parse.h"
 #include "util_field.h"
@@ -48,7 +48,7 @@
   return section == NULL ? 0 : (size_t)json_object_object_length (section);
 }
 
-/** A name as it may stand in an error line: cut off, and without control characters. */
+/** A name as shown in an error message: truncated, and with control characters replaced. */
 static const char *
 shown_name (const char *name, char out[SHOWN_NAME_MAX])
 {
--- a/src/config_rollout.c
+++ b/src/config_rollout.c
@@ -1,5 +1,6 @@
 /**
- * Section "rollouts": a model's change from one version to another, by stages of callers.
+ * Section "rollouts": the change of a model from one version to another, in stages with growing
+ * shares of callers.
  */
 #include "config_parse.h"
 #include "util_field.h"
@@ -24,9 +25,13 @@
   { "state", FIELD_STRING, false, offsetof (RolloutFields, state), 0, 0 },
 };
 
-/** Version index of a name within the model, or 0 with an error. */
+/** Version index of a name within the model; 0 with an error if there is none. */
 static unsigned
-read_end (ConfigParser *parser, const char *path, const char *member, int model, const char *name)
+read_version_name (ConfigParser *parser,
+                   const char *path,
+                   const char *member,
+                   int model,
+                   const char *name)
 {
   char member_path[CONFIG_PATH_MAX];
   int version;
@@ -114,8 +119,8 @@
   *rollout = (ConfigRollout){
     .index = (unsigned)config->rollout_count++,
     .model = model < 0 ? 0 : (unsigned)model,
-    .from = read_end (parser, path, "from", model, fields.from),
-    .to = read_end (parser, path, "to", model, fields.to),
+    .from = read_version_name (parser, path, "from", model, fields.from),
+    .to = read_version_name (parser, path, "to", model, fields.to),
     .state = read_state (parser, path, fields.state),
     .stage = (size_t)fields.stage,
   };
--- a/src/config_server.c
+++ b/src/config_server.c
@@ -11,7 +11,7 @@
 #define PORT_MAX      65535
 #define SLOTS_DEFAULT 8
 #define SLOTS_MAX     100000
-#define ADDRESS_LEN   45 /**< longest text of an IPv6 address */
+#define ADDRESS_LEN   45 /**< characters of the longest IPv6 address */
 
 typedef struct
 {
@@ -91,12 +91,13 @@
                CONFIG_NAME_MAX);
 }
 
-/** Replaces an address by its one usual form, so that two ways to write it clash as they should. */
+/** Replaces an address by its canonical form, so that different spellings of one address are found
+ *  to clash. */
 static void
 check_address (ConfigParser *parser, const char *path, char **address)
 {
   char member[CONFIG_PATH_MAX];
-  char usual[INET6_ADDRSTRLEN];
+  char canonical[INET6_ADDRSTRLEN];
   unsigned char binary[sizeof (struct in6_addr)];
   int family;
 
@@ -109,13 +110,13 @@
       check_add (parser->list, member, "expected an IP number");
       return;
     }
-  inet_ntop (family, binary, usual, sizeof usual);
+  inet_ntop (family, binary, canonical, sizeof canonical);
   free (*address);
-  *address = memory_strdup (usual);
+  *address = memory_strdup (canonical);
 }
 
 static void
-check_place (ConfigParser *parser, const char *path, const ConfigServer *server)
+check_endpoint_unique (ConfigParser *parser, const char *path, const ConfigServer *server)
 {
   const Config *config = parser->config;
 
@@ -156,8 +157,7 @@
   free (labels);
 }
 
-/** An engine serves versions, a plain service a service's name; neither takes the other's member.
- */
+/** An engine needs "serves" and a plain service "service"; neither may have the other's member. */
 static void
 check_kind (ConfigParser *parser, const char *path, const ConfigServer *server, bool has_serves)
 {
@@ -210,7 +210,7 @@
     .slots = fields.slots,
     .service = fields.service,
   };
-  check_place (parser, path, server);
+  check_endpoint_unique (parser, path, server);
   if (kind >= 0)
     check_kind (parser, path, server, fields.serves != NULL);
   read_serves (parser, path, server, fields.serves);
--- a/src/config_team.c
+++ b/src/config_team.c
@@ -1,5 +1,5 @@
 /**
- * Section "teams": who may call, what each may use, and its limits.
+ * Section "teams": who may call, what each team may use, and its limits.
  */
 #include "config_parse.h"
 #include "util_field.h"
@@ -9,7 +9,7 @@
 
 #define CONCURRENT_MAX   1000000
 #define TOKENS_PER_S_MAX 1000000000
-#define WEIGHT_LEAST     0.001
+#define WEIGHT_MIN       0.001
 #define WEIGHT_MAX       1000
 #define WEIGHT_DEFAULT   1
 
@@ -30,7 +30,7 @@
   { "services", FIELD_ARRAY, false, offsetof (TeamFields, services), 0, 0 },
   { "concurrent", FIELD_INT, false, offsetof (TeamFields, concurrent), 0, CONCURRENT_MAX },
   { "tokens_per_s", FIELD_INT, false, offsetof (TeamFields, tokens_per_s), 0, TOKENS_PER_S_MAX },
-  { "weight", FIELD_NUMBER, false, offsetof (TeamFields, weight), WEIGHT_LEAST, WEIGHT_MAX },
+  { "weight", FIELD_NUMBER, false, offsetof (TeamFields, weight), WEIGHT_MIN, WEIGHT_MAX },
 };
 
 static void
--- a/src/config_text.c
+++ b/src/config_text.c
@@ -1,5 +1,5 @@
 /**
- * Documents as text: the canonical form, JSON merge patches (RFC 7396) and their making.
+ * Documents as text: the canonical form, and JSON merge patches (RFC 7396), applied and generated.
  */
 #include "config_parse.h"
 #include "util_field.h"
@@ -10,20 +10,20 @@
 #include <string.h>
 
 #define NUMBER_SIZE   32
-#define DIGITS_LEAST  15                 /**< every decimal of 15 digits survives a double */
-#define DIGITS_MOST   17                 /**< every double survives 17 digits */
-#define INTEGER_BOUND 9007199254740992.0 /**< 2^53 */
+#define DIGITS_MIN    15                 /**< every decimal of 15 digits is preserved by a double */
+#define DIGITS_MAX    17                 /**< every double is preserved by 17 digits */
+#define INTEGER_BOUND 9007199254740992.0 /**< 2^53: integers below it are exact in a double */
 
 typedef struct json_object Json;
 
 static Json *canonical_value (Json *value);
 
 /*
- * A JSON name or string with an escaped NUL would be cut off there by code that takes it as a C
- * string, so that two names that differ in the text would be one in the program.
+ * Code that takes a JSON name or string as a C string would truncate it at an escaped NUL, so that
+ * two names that differ in the text would be equal in the program.
  */
 static bool
-holds_nul (const char *text, size_t len)
+contains_nul (const char *text, size_t len)
 {
   static const char escape[] = "u0000";
   bool escaped = false;
@@ -40,22 +40,23 @@
   return false;
 }
 
-/** True if a number in value is infinite or not a number, which canonical text could not carry. */
+/** True if value contains a number that is infinite or not a number, which canonical text can't
+ *  represent. */
 static bool
-holds_infinity (Json *value)
+contains_non_finite (Json *value)
 {
   if (json_object_is_type (value, json_type_double))
     return !isfinite (json_object_get_double (value));
   if (json_object_is_type (value, json_type_array))
     for (size_t i = 0; i < json_object_array_length (value); i++)
-      if (holds_infinity (json_object_array_get_idx (value, i)))
+      if (contains_non_finite (json_object_array_get_idx (value, i)))
         return true;
   if (json_object_is_type (value, json_type_object))
     {
       json_object_object_foreach (value, name, member)
       {
         (void)name;
-        if (holds_infinity (member))
+        if (contains_non_finite (member))
           return true;
       }
     }
@@ -72,13 +73,13 @@
       check_add (list, "", "expected at most %d bytes, found %zu", CONFIG_TEXT_MAX, len);
       return NULL;
     }
-  if (holds_nul (text, len))
+  if (contains_nul (text, len))
     {
       check_add (list, "", "expected text without NUL characters");
       return NULL;
     }
   value = field_parse_string (text, len, list);
-  if (holds_infinity (value))
+  if (contains_non_finite (value))
     {
       check_add (list, "", "expected finite numbers");
       json_object_put (value);
@@ -117,7 +118,7 @@
 
   if (fabs (x) < INTEGER_BOUND && x == floor (x))
     return json_object_new_int64 ((int64_t)x);
-  for (int digits = DIGITS_LEAST; digits <= DIGITS_MOST; digits++)
+  for (int digits = DIGITS_MIN; digits <= DIGITS_MAX; digits++)
     {
       snprintf (text, sizeof text, "%.*g", digits, x);
       if (strtod (text, NULL) == x)
@@ -191,7 +192,7 @@
   return out;
 }
 
-/** Applies patch to target, whose reference is taken over; returns the result. */
+/** Applies patch to target and returns the result; takes ownership of target. */
 static Json *
 merge (Json *target, Json *patch)
 {
@@ -234,10 +235,10 @@
   return out;
 }
 
-/** The patch from a to b, both objects. A member that is null in b can't be said by a merge patch;
- *  documents that config_parse takes have none. */
+/** The merge patch from a to b, both objects. A merge patch can't set a member to null; documents
+ *  that config_parse accepts have no null members. */
 static Json *
-difference (Json *a, Json *b)
+merge_patch_between (Json *a, Json *b)
 {
   Json *patch = json_object_new_object ();
 
@@ -255,14 +256,14 @@
       continue;
     if (json_object_is_type (before, json_type_object)
         && json_object_is_type (value, json_type_object))
-      json_object_object_add (patch, name, difference (before, value));
+      json_object_object_add (patch, name, merge_patch_between (before, value));
     else
       json_object_object_add (patch, name, json_object_get (value));
   }
   return patch;
 }
 
-/** Canonical value of a text, so that 1 and 1.0 are no difference. */
+/** Parses a text to its canonical value, so that 1 and 1.0 are equal. */
 static Json *
 canonical_parse (const char *text, CheckList *list)
 {
@@ -284,7 +285,7 @@
 
   if (json_object_is_type (before, json_type_object)
       && json_object_is_type (after, json_type_object))
-    patch = difference (before, after);
+    patch = merge_patch_between (before, after);
   else
     patch = json_object_get (after);
   if (list->count == errors)
