--- a/src/settings.h
+++ b/src/settings.h
@@ -1,5 +1,5 @@
 /**
- * Settings of each program, read from a JSON file with comments.
+ * Settings of lovage-gate and lovage-steward, each read from a JSON file with comments.
  */
 #ifndef SETTINGS_H
 #define SETTINGS_H
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  char *address; /**< IP number */
+  char *address; /**< IPv4 or IPv6 address in numeric form */
   int64_t port;
 } SettingsAddress;
 
@@ -18,7 +18,8 @@
 {
   char *vm; /**< name of this VM */
   char *failure_domain;
-  char *site_key_file; /**< 64 hexadecimal digits; the key between our processes */
+  char *site_key_file; /**< file with 64 hexadecimal digits: the key shared by all processes of the
+                          site */
   char *log_priority;  /**< "err", "warning", "notice", "info", "debug" */
   SettingsAddress platform;
 } SettingsCommon;
@@ -31,16 +32,16 @@
   SettingsAddress steward;    /**< RPC of this VM's steward */
   char *tls_certificate_file; /**< NULL: plain HTTP */
   char *tls_key_file;
-  int64_t streams_max;           /**< requests in progress */
+  int64_t streams_max;           /**< most requests in progress */
   int64_t body_max;              /**< bytes */
   int64_t header_max;            /**< bytes */
-  int64_t read_timeout_ms;       /**< whole request must be read within */
-  int64_t idle_timeout_ms;       /**< connection with nothing sent or taken */
-  int64_t first_byte_timeout_ms; /**< backend server's first byte */
-  int64_t token_timeout_ms;      /**< backend server's silence within a stream */
-  int64_t spool_max;             /**< bytes of usage records not yet durable */
-  int64_t stop_timeout_ms;       /**< bound of a graceful stop */
-  double sample_share;           /**< of answers sent to the rating service */
+  int64_t read_timeout_ms;       /**< until a request is read completely */
+  int64_t idle_timeout_ms;       /**< until a connection without any transfer is closed */
+  int64_t first_byte_timeout_ms; /**< until a backend server's first byte */
+  int64_t token_timeout_ms;      /**< longest gap within a backend server's stream */
+  int64_t spool_max;             /**< most bytes of usage records that are not yet durable */
+  int64_t stop_timeout_ms;       /**< longest graceful stop */
+  double sample_share; /**< share of answers that are sent to the rating service, 0 to 1 */
   char *server_policy;
 } SettingsGate;
 
@@ -54,25 +55,27 @@
 typedef struct
 {
   SettingsCommon common;
-  SettingsAddress rpc;       /**< ONC RPC, UDP and TCP on the same number */
-  SettingsAddress advertise; /**< where other stewards reach rpc, if not there; else address NULL */
+  SettingsAddress rpc;       /**< ONC RPC, UDP and TCP on the same port */
+  SettingsAddress advertise; /**< where other stewards reach rpc, if at another address; else its
+                                address is NULL */
   SettingsAddress operators; /**< HTTP for lovagectl */
   SettingsAddress local;     /**< health, readiness, counters */
   char *tls_certificate_file;
   char *tls_key_file;
   int64_t heartbeat_ms;
-  int64_t poll_ms;  /**< between reads of the table service */
-  int64_t grant_ms; /**< how long a proof of freshness lasts */
+  int64_t poll_ms;  /**< interval between reads of the table service */
+  int64_t grant_ms; /**< how long a grant, the proof that a gate's configuration is up to date, is
+                       valid */
   SettingsOperator *operator_list;
   size_t operator_count;
 } SettingsSteward;
 
-/** Reads and checks a file; false if there are errors, all of them in list. */
+/** Reads and checks a settings file; false if there are errors, all of which are added to list. */
 bool settings_gate_read (const char *path, SettingsGate *out, CheckList *list);
 bool settings_steward_read (const char *path, SettingsSteward *out, CheckList *list);
 void settings_gate_clear (SettingsGate *s);
 void settings_steward_clear (SettingsSteward *s);
-/** LOG_* of the name, or -1. */
+/** The syslog priority (LOG_*) of a name, or -1. */
 int settings_log_priority (const char *name);
 
 #endif
--- a/src/settings_arguments.h
+++ b/src/settings_arguments.h
@@ -1,5 +1,5 @@
 /**
- * The command line of a daemon: its settings file, and whether it is only to be checked.
+ * Command line of a daemon: its settings file, and whether only to check it.
  */
 #ifndef SETTINGS_ARGUMENTS_H
 #define SETTINGS_ARGUMENTS_H
@@ -9,12 +9,12 @@
 
 typedef struct
 {
-  const char *settings_file; /**< of argv */
+  const char *settings_file; /**< points into argv */
   bool check;
 } SettingsArguments;
 
-/** Ends the process with a message if the command line is wrong, and after --help and --version;
- * the latter prints the program's argp_program_version. doc: a line for --help. */
+/** Parses the command line. Exits with a message if it is wrong, and after --help and --version;
+ *  the latter prints the program's argp_program_version. doc is a line for --help. */
 void settings_arguments_read (int argc, char **argv, const char *doc, SettingsArguments *out);
 
 #endif
--- a/src/settings_common.c
+++ b/src/settings_common.c
@@ -8,7 +8,7 @@
 #include <syslog.h>
 #include <unistd.h>
 
-#define PLACE_PATH_SIZE 64
+#define ENDPOINT_PATH_SIZE 64
 
 typedef struct
 {
@@ -53,7 +53,8 @@
   common->log_priority = memory_strdup ("info");
 }
 
-/* A name that no routing document can hold would match no backend server's failure domain. */
+/* A name that is not valid in routing documents could never match a backend server's failure
+   domain. */
 static void
 name_check (const char *path, const char *name, CheckList *list)
 {
@@ -105,7 +106,7 @@
 }
 
 static bool
-same_place (const SettingsAddress *a, const SettingsAddress *b)
+endpoints_clash (const SettingsAddress *a, const SettingsAddress *b)
 {
   if (!a->address || !b->address || !a->port || a->port != b->port)
     return false;
@@ -114,31 +115,31 @@
 }
 
 static void
-place_read (const SettingsEndpoint *place, CheckList *list)
+endpoint_read (const SettingsEndpoint *endpoint, CheckList *list)
 {
-  char path[PLACE_PATH_SIZE];
+  char path[ENDPOINT_PATH_SIZE];
 
-  if (!place->obj)
+  if (!endpoint->obj)
     return;
-  field_read (address_specs, sizeof address_specs / sizeof address_specs[0], place->obj,
-              place->address, place->path, list);
-  snprintf (path, sizeof path, "%s.address", place->path);
-  if (place->address->address && !is_ip_number (place->address->address))
-    check_add (list, path, "expected an IP number, found \"%s\"", place->address->address);
+  field_read (address_specs, sizeof address_specs / sizeof address_specs[0], endpoint->obj,
+              endpoint->address, endpoint->path, list);
+  snprintf (path, sizeof path, "%s.address", endpoint->path);
+  if (endpoint->address->address && !is_ip_number (endpoint->address->address))
+    check_add (list, path, "expected an IP number, found \"%s\"", endpoint->address->address);
 }
 
 void
-settings_endpoints_read (const SettingsEndpoint *places, size_t count, CheckList *list)
+settings_endpoints_read (const SettingsEndpoint *endpoints, size_t count, CheckList *list)
 {
   for (size_t i = 0; i < count; i++)
-    place_read (&places[i], list);
+    endpoint_read (&endpoints[i], list);
   for (size_t i = 0; i < count; i++)
     {
       for (size_t j = 0; j < i; j++)
         {
-          if (same_place (places[i].address, places[j].address))
-            check_add (list, places[i].path, "expected a port other than that of %s, found %lld",
-                       places[j].path, (long long)places[i].address->port);
+          if (endpoints_clash (endpoints[i].address, endpoints[j].address))
+            check_add (list, endpoints[i].path, "expected a port other than that of %s, found %lld",
+                       endpoints[j].path, (long long)endpoints[i].address->port);
         }
     }
 }
--- a/src/settings_common.h
+++ b/src/settings_common.h
@@ -1,5 +1,6 @@
 /**
- * What the settings of all programs share: members, addresses, files, clashes.
+ * Parts shared by the settings of all programs: common members, addresses, files and clashes
+ * between endpoints.
  */
 #ifndef SETTINGS_COMMON_H
 #define SETTINGS_COMMON_H
@@ -12,10 +13,10 @@
 #define SETTINGS_PATH_MAX 4096
 #define SETTINGS_PORT_MAX 65535
 
-/** Longest time that a setting may give: a day. */
+/** Longest time that a setting accepts: a day. */
 #define SETTINGS_TIME_MAX_MS (24.0 * 3600 * 1000)
 
-/** Entries of a FieldSpec table: name, offset in the draft, bounds. */
+/** Entries of a FieldSpec table: name, offset in the draft, and bounds. */
 #define SETTINGS_TEXT(label, at, most)                                                             \
   {                                                                                                \
     .name = (label), .type = FIELD_STRING, .required = true, .offset = (at), .min = 1,             \
@@ -34,11 +35,11 @@
     .name = (label), .type = FIELD_INT, .offset = (at), .min = (least), .max = (most)              \
   }
 
-/** A place of the document where an address stands. */
+/** A member of the settings that holds an address and a port. */
 typedef struct
 {
   const char *path;
-  struct json_object *obj; /**< NULL if it was absent or no object; that is an error already */
+  struct json_object *obj; /**< NULL if absent or not an object, which was reported before */
   SettingsAddress *address;
 } SettingsEndpoint;
 
@@ -46,19 +47,18 @@
 void settings_common_check (const SettingsCommon *common, CheckList *list);
 void settings_common_clear (SettingsCommon *common);
 
-/** Reads the addresses; no two may be the same. */
+/** Reads the endpoints; reports any two that are the same. */
 void settings_endpoints_read (const SettingsEndpoint *places, size_t count, CheckList *list);
 void settings_address_clear (SettingsAddress *address);
-/** True for 0.0.0.0 and ::, which can be bound but not reached. */
+/** True for the wildcard addresses 0.0.0.0 and ::, which can be bound but not connected to. */
 bool settings_address_is_any (const SettingsAddress *address);
 
-/** Adds an error if the file can't be read; NULL is no file. */
+/** Reports a file that can't be read; a NULL path is ignored. */
 void settings_file_check (const char *name, const char *path, CheckList *list);
-/** Certificate and key go together. */
+/** Checks that certificate and key are readable and given together. */
 void settings_tls_check (const char *certificate_file, const char *key_file, CheckList *list);
 
-/** The operators' list of the steward's settings; out and count are set even if there are errors.
- */
+/** Reads the steward's operator_list; out and count are set even if there are errors. */
 void settings_operators_read (struct json_object *array,
                               SettingsOperator **out,
                               size_t *count,
--- a/src/settings_front.c
+++ b/src/settings_front.c
@@ -71,7 +71,7 @@
       if (json_object_is_type (seed, json_type_string))
         settings->seeds[settings->seed_count++] = memory_strdup (json_object_get_string (seed));
       else
-        check_add (list, "seeds", "element %zu is no text", i);
+        check_add (list, "seeds", "element %zu is not a text string", i);
     }
 }
 
--- a/src/settings_front.h
+++ b/src/settings_front.h
@@ -14,25 +14,25 @@
 {
   char *vm; /**< name of this VM */
   char *failure_domain;
-  char *ip;          /**< that this process binds */
+  char *ip;          /**< IP address that this process binds */
   char *callers;     /**< IP:PORT for callers */
-  char *ready;       /**< IP:PORT where the balancer asks whether callers may come */
+  char *ready;       /**< IP:PORT of the readiness check by the load balancer */
   char *control;     /**< IP:PORT for metrics and for the news that other fronts fetch */
   char *store;       /**< IP:PORT of the platform's store */
-  int64_t peer_port; /**< UDP, the same at each front */
+  int64_t peer_port; /**< UDP port, the same at each front */
   unsigned seed_count;
-  char *seeds[SEEDS_MAX]; /**< IP:PORT, control addresses of some fronts */
-  double stop_s;          /**< from the signal until the process is killed */
-  double retry_share;     /**< retries allowed for each request, over all fronts */
-  double retry_extra;     /**< and this many more in a window, over all fronts */
-  double retry_window_s;  /**< any span of this length counts */
-  double reuse_window_s;  /**< how long a prompt's parts are relied on in a server's cache */
-  double cold_overage;    /**< a cold server may get its rate times this in any second */
-  double cold_slack;      /**< and this many requests more */
-  double session_s;       /**< a session ends so long after its last request */
+  char *seeds[SEEDS_MAX]; /**< IP:PORT of the control endpoints of some fronts */
+  double stop_s;          /**< from the stop signal until the process is killed */
+  double retry_share;     /**< retries allowed per request, over all fronts */
+  double retry_extra;     /**< retries allowed in addition per window, over all fronts */
+  double retry_window_s;  /**< length of the sliding window of the retry limit */
+  double reuse_window_s;  /**< how long a prompt's parts are assumed to be in a server's cache */
+  double cold_overage;    /**< a cold server may get this multiple of its rate in any second */
+  double cold_slack;      /**< requests that it may get in addition */
+  double session_s;       /**< how long after its last request a session ends */
 } SettingsFront;
 
-/** False if there are errors, all of them in list. */
+/** Reads and checks a settings file; false if there are errors, all of which are added to list. */
 bool settings_front_read (const char *path, SettingsFront *out, CheckList *list);
 void settings_front_clear (SettingsFront *settings);
 
--- a/src/settings_gate.c
+++ b/src/settings_gate.c
@@ -8,13 +8,13 @@
 
 #define STREAMS_LIMIT   100000
 #define BODY_LIMIT      (1024.0 * MIB)
-#define HEADER_LEAST    KIB
+#define HEADER_MIN      KIB
 #define HEADER_LIMIT    MIB
-#define SPOOL_LEAST     (64 * KIB)
+#define SPOOL_MIN       (64 * KIB)
 #define SPOOL_LIMIT     (1024.0 * MIB)
 #define POLICY_NAME_MAX 63
 
-/* The settings as they are read, beside the objects that are read in a second step. */
+/* The settings while they are read, and the objects that are read in a second step. */
 typedef struct
 {
   SettingsGate settings;
@@ -47,10 +47,7 @@
                           SETTINGS_PATH_MAX),
   SETTINGS_INT ("streams_max", offsetof (GateDraft, settings.streams_max), 1, STREAMS_LIMIT),
   SETTINGS_INT ("body_max", offsetof (GateDraft, settings.body_max), KIB, BODY_LIMIT),
-  SETTINGS_INT ("header_max",
-                offsetof (GateDraft, settings.header_max),
-                HEADER_LEAST,
-                HEADER_LIMIT),
+  SETTINGS_INT ("header_max", offsetof (GateDraft, settings.header_max), HEADER_MIN, HEADER_LIMIT),
   SETTINGS_INT ("read_timeout_ms",
                 offsetof (GateDraft, settings.read_timeout_ms),
                 1,
@@ -67,7 +64,7 @@
                 offsetof (GateDraft, settings.token_timeout_ms),
                 1,
                 SETTINGS_TIME_MAX_MS),
-  SETTINGS_INT ("spool_max", offsetof (GateDraft, settings.spool_max), SPOOL_LEAST, SPOOL_LIMIT),
+  SETTINGS_INT ("spool_max", offsetof (GateDraft, settings.spool_max), SPOOL_MIN, SPOOL_LIMIT),
   SETTINGS_INT ("stop_timeout_ms",
                 offsetof (GateDraft, settings.stop_timeout_ms),
                 1,
@@ -120,13 +117,13 @@
 
   gate_defaults (s);
   field_read (gate_specs, sizeof gate_specs / sizeof gate_specs[0], obj, &draft, "", list);
-  const SettingsEndpoint places[] = {
+  const SettingsEndpoint endpoints[] = {
     { "callers", draft.callers, &s->callers },
     { "local", draft.local, &s->local },
     { "steward", draft.steward, &s->steward },
     { "platform", draft.platform, &s->common.platform },
   };
-  settings_endpoints_read (places, sizeof places / sizeof places[0], list);
+  settings_endpoints_read (endpoints, sizeof endpoints / sizeof endpoints[0], list);
   gate_check (s, list);
   *out = *s;
 }
--- a/src/settings_operator.c
+++ b/src/settings_operator.c
@@ -1,3 +1,4 @@
+/* The operators in the steward's settings. */
 #include "settings_common.h"
 #include "util_memory.h"
 #include <stdio.h>
@@ -17,7 +18,7 @@
 typedef struct
 {
   const char *name;
-  size_t offset; /* of the bool in SettingsOperator */
+  size_t offset; /* offset of the role's flag in SettingsOperator */
 } Role;
 
 static const Role roles[] = {
@@ -104,7 +105,7 @@
   *out = draft.op;
 }
 
-/* Two operators with one name could not be told apart in the audit trail, nor two with one key. */
+/* Operators that share a name or a key could not be told apart in the audit trail. */
 static void
 clash_check (const SettingsOperator *operators, size_t i, const char *path, CheckList *list)
 {
--- a/src/settings_steward.c
+++ b/src/settings_steward.c
@@ -1,12 +1,13 @@
 #include "settings_common.h"
 #include <stdlib.h>
 
-#define HEARTBEAT_LEAST_MS 10
+#define HEARTBEAT_MIN_MS   10
 #define HEARTBEAT_LIMIT_MS 60000
-#define POLL_LEAST_MS      10
+#define POLL_MIN_MS        10
 #define GRANT_LIMIT_MS     600000
 
-/* A grant must outlast one heartbeat that is lost, or each lost datagram stops all new work. */
+/* A grant must stay valid if one heartbeat is lost; otherwise each lost datagram stops all new
+   requests. */
 #define GRANT_HEARTBEATS 2
 
 typedef struct
@@ -44,15 +45,15 @@
                           SETTINGS_PATH_MAX),
   SETTINGS_INT ("heartbeat_ms",
                 offsetof (StewardDraft, settings.heartbeat_ms),
-                HEARTBEAT_LEAST_MS,
+                HEARTBEAT_MIN_MS,
                 HEARTBEAT_LIMIT_MS),
   SETTINGS_INT ("poll_ms",
                 offsetof (StewardDraft, settings.poll_ms),
-                POLL_LEAST_MS,
+                POLL_MIN_MS,
                 HEARTBEAT_LIMIT_MS),
   SETTINGS_INT ("grant_ms",
                 offsetof (StewardDraft, settings.grant_ms),
-                HEARTBEAT_LEAST_MS,
+                HEARTBEAT_MIN_MS,
                 GRANT_LIMIT_MS),
   { .name = "operator_list",
     .type = FIELD_ARRAY,
@@ -95,16 +96,16 @@
 
   steward_defaults (s);
   field_read (steward_specs, sizeof steward_specs / sizeof steward_specs[0], obj, &draft, "", list);
-  const SettingsEndpoint places[] = {
+  const SettingsEndpoint endpoints[] = {
     { "rpc", draft.rpc, &s->rpc },
     { "operators", draft.operators, &s->operators },
     { "local", draft.local, &s->local },
     { "platform", draft.platform, &s->common.platform },
   };
-  /* Not a place of its own: it is the port of rpc, seen from elsewhere. */
+  /* Not checked against the others, as it is the endpoint of rpc seen from other VMs. */
   const SettingsEndpoint advertise = { "advertise", draft.advertise, &s->advertise };
 
-  settings_endpoints_read (places, sizeof places / sizeof places[0], list);
+  settings_endpoints_read (endpoints, sizeof endpoints / sizeof endpoints[0], list);
   settings_endpoints_read (&advertise, 1, list);
   if (draft.operator_list)
     settings_operators_read (draft.operator_list, &s->operator_list, &s->operator_count, list);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -12,11 +12,11 @@
 #define COMMON                                                                                     \
   "\"vm\":\"vm1\", \"failure_domain\":\"leon\", \"site_key_file\":\"/dev/null\","                  \
   "\"platform\":{\"address\":\"127.0.0.1\",\"port\":9000},"
-#define GATE_PLACES                                                                                \
+#define GATE_ENDPOINTS                                                                             \
   "\"callers\":{\"address\":\"127.0.0.1\",\"port\":8000},"                                         \
   "\"local\":{\"address\":\"::1\",\"port\":8000},"                                                 \
   "\"steward\":{\"address\":\"127.0.0.1\",\"port\":8002}"
-#define STEWARD_PLACES                                                                             \
+#define STEWARD_ENDPOINTS                                                                          \
   "\"rpc\":{\"address\":\"127.0.0.1\",\"port\":8002},"                                             \
   "\"operators\":{\"address\":\"127.0.0.1\",\"port\":8003},"                                       \
   "\"local\":{\"address\":\"127.0.0.1\",\"port\":8004},"
@@ -34,7 +34,7 @@
   suite_file (input->path, text);
 }
 
-/* The errors must be exactly these lines. */
+/* Checks that the reported errors are exactly these lines. */
 static void
 input_end (Input *input, const char *errors)
 {
@@ -55,7 +55,7 @@
 
   input_begin (&input, text);
   CU_ASSERT_EQUAL (settings_gate_read (input.path, &s, &input.list), !*errors);
-  /* Nothing of refused settings may be left to be applied. */
+  /* Refused settings must leave nothing in the output that could be applied. */
   CU_ASSERT (!*errors || (!s.common.vm && !s.callers.address && !s.streams_max));
   settings_gate_clear (&s);
   input_end (&input, errors);
@@ -80,7 +80,7 @@
   SettingsGate s;
   Input input;
 
-  input_begin (&input, "{ // a gate\n" COMMON GATE_PLACES ", \"streams_max\": 7, /* few */ }");
+  input_begin (&input, "{ // a gate\n" COMMON GATE_ENDPOINTS ", \"streams_max\": 7, /* few */ }");
   CU_ASSERT_FATAL (settings_gate_read (input.path, &s, &input.list));
   CU_ASSERT_STRING_EQUAL (s.common.vm, "vm1");
   CU_ASSERT_STRING_EQUAL (s.common.platform.address, "127.0.0.1");
@@ -155,7 +155,7 @@
 {
   expect_gate_errors (
       "{\"vm\":\"a b\",\"failure_domain\":\"Le\303\263n\",\"site_key_file\":\"/nonexistent\","
-      "\"platform\":{\"address\":\"127.0.0.1\",\"port\":8002}," GATE_PLACES "}",
+      "\"platform\":{\"address\":\"127.0.0.1\",\"port\":8002}," GATE_ENDPOINTS "}",
       "f.json: platform: expected a port other than that of steward, found 8002\n"
       "f.json: vm: expected a name of a-z, 0-9, '.', '_' and '-' as in routing "
       "documents\n"
@@ -172,7 +172,7 @@
   Input input;
 
   input_begin (&input,
-               "{" COMMON STEWARD_PLACES "\"operator_list\":["
+               "{" COMMON STEWARD_ENDPOINTS "\"operator_list\":["
                "{\"name\":\"ana\",\"key_hash\":\"" HASH_A "\",\"roles\":[\"read\"]},"
                "{\"name\":\"ken\",\"key_hash\":\"" HASH_B "\",\"roles\":[\"brake\",\"patch\"]}]}");
   CU_ASSERT_FATAL (settings_steward_read (input.path, &s, &input.list));
@@ -192,7 +192,7 @@
 test_steward_operators (void)
 {
   expect_steward_errors (
-      "{" COMMON STEWARD_PLACES "\"operator_list\":["
+      "{" COMMON STEWARD_ENDPOINTS "\"operator_list\":["
       "{\"name\":\"ana\",\"key_hash\":\"" HASH_B "\",\"roles\":[]},"
       "{\"name\":\"ana\",\"key_hash\":\"bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
       "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb\",\"roles\":[\"read\",\"root\",\"read\",5]},"
@@ -206,48 +206,48 @@
       "f.json: operator_list[2].key_hash: expected a string of 64 to 64 bytes, found 1 bytes\n"
       "f.json: operator_list[2].roles: expected an array, found nothing\n"
       "f.json: operator_list[3]: expected an object, found int\n");
-  expect_steward_errors ("{" COMMON STEWARD_PLACES "\"operator_list\":["
+  expect_steward_errors ("{" COMMON STEWARD_ENDPOINTS "\"operator_list\":["
                          "{\"name\":\"ana\",\"key_hash\":\"zaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
                          "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\",\"roles\":[\"read\"]}]}",
                          "f.json: operator_list[0].key_hash: expected 64 hexadecimal digits\n");
 }
 
 /*
- * A site whose grants last less than two heartbeats refuses all new work whenever one datagram is
- * lost. The settings say so before anything is started.
+ * A grant shorter than two heartbeats would make a site refuse all new requests whenever one
+ * datagram is lost; it must be reported as an error.
  */
 static void
 test_steward_short_grant (void)
 {
-  expect_steward_errors ("{" COMMON STEWARD_PLACES "\"heartbeat_ms\":1000,\"grant_ms\":1999,"
+  expect_steward_errors ("{" COMMON STEWARD_ENDPOINTS "\"heartbeat_ms\":1000,\"grant_ms\":1999,"
                          "\"operator_list\":[]}",
                          "f.json: grant_ms: expected at least 2 times heartbeat_ms (1000), "
                          "found 1999\n");
-  expect_steward_errors ("{" COMMON STEWARD_PLACES "\"heartbeat_ms\":1000,\"grant_ms\":2000,"
+  expect_steward_errors ("{" COMMON STEWARD_ENDPOINTS "\"heartbeat_ms\":1000,\"grant_ms\":2000,"
                          "\"operator_list\":[]}",
                          "");
 }
 
 /*
- * A steward listens on 0.0.0.0 behind an address of its own. Without "advertise" it would tell the
- * others to send heartbeats to 0.0.0.0, that is to themselves; with it, the port is the same one.
+ * A steward that listens on 0.0.0.0 needs "advertise"; without it, it would tell the others to send
+ * heartbeats to 0.0.0.0, that is to themselves. The advertised port is the same as that of rpc.
  */
 static void
 test_steward_advertise (void)
 {
-  const char *places = "\"operators\":{\"address\":\"127.0.0.1\",\"port\":8003},"
-                       "\"local\":{\"address\":\"127.0.0.1\",\"port\":8004},"
-                       "\"rpc\":{\"address\":\"0.0.0.0\",\"port\":8002},\"operator_list\":[]";
+  const char *endpoints = "\"operators\":{\"address\":\"127.0.0.1\",\"port\":8003},"
+                          "\"local\":{\"address\":\"127.0.0.1\",\"port\":8004},"
+                          "\"rpc\":{\"address\":\"0.0.0.0\",\"port\":8002},\"operator_list\":[]";
   const char *reachable = "\"advertise\":{\"address\":\"10.0.0.1\",\"port\":8002}";
   const char *unreachable = "\"advertise\":{\"address\":\"::\",\"port\":8002}";
   char text[TEXT_SIZE];
 
-  snprintf (text, sizeof text, "{%s%s}", COMMON, places);
+  snprintf (text, sizeof text, "{%s%s}", COMMON, endpoints);
   expect_steward_errors (text, "f.json: advertise: expected the address where other stewards "
                                "reach rpc, found nothing\n");
-  snprintf (text, sizeof text, "{%s%s,%s}", COMMON, places, reachable);
+  snprintf (text, sizeof text, "{%s%s,%s}", COMMON, endpoints, reachable);
   expect_steward_errors (text, "");
-  snprintf (text, sizeof text, "{%s%s,%s}", COMMON, places, unreachable);
+  snprintf (text, sizeof text, "{%s%s,%s}", COMMON, endpoints, unreachable);
   expect_steward_errors (text, "f.json: advertise.address: expected an IP number that others can "
                                "reach, found \"::\"\n");
 }
