--- a/tests/test_choose_cascade.c
+++ b/tests/test_choose_cascade.c
@@ -1,4 +1,5 @@
-/** The order of stages: src/choose_cascade.c, src/choose_search.c, src/choose_estimate.c. */
+/** The learned order of stages: src/choose_cascade.c, src/choose_search.c, src/choose_estimate.c.
+ *  */
 #include "choose_cascade.h"
 #include "suite.h"
 #include "util_id.h"
@@ -54,7 +55,7 @@
     .settings = &cascade_settings_default,
     .rating_available = true,
     .rating_ms = 100,
-    .random = ~0ULL, /* neither explores nor takes the lesser plan of a mixture */
+    .random = ~0ULL, /* neither explores nor takes the plan below the target of a mixture */
   };
 }
 
@@ -71,9 +72,10 @@
   return cascade_policy_default.plan (&query, plan);
 }
 
-/** n ratings of a version, of which a share passes; previous -1: as the first stage. */
+/** Records n ratings of a version, of which the share pass_share passes; previous -1: as the first
+ *  stage. */
 static void
-teach (unsigned version, int previous, unsigned n, double share)
+record_ratings (unsigned version, int previous, unsigned n, double pass_share)
 {
   int class_index = config_find_class (config, request.model);
   CascadeOutcome outcome = {
@@ -88,11 +90,11 @@
   unsigned i;
 
   for (i = 0; i < n; i++)
-    cascade_record_rating (estimates, &outcome, i < share * n ? 0.95 : 0.2);
+    cascade_record_rating (estimates, &outcome, i < pass_share * n ? 0.95 : 0.2);
 }
 
 static void
-test_prior_order (void)
+test_priors_order_stages_by_cost (void)
 {
   ChoosePlan plan;
 
@@ -106,27 +108,28 @@
   teardown ();
 }
 
-/* Story: the cheap version turns bad overnight; each request still pays for its answer and its
-   rating before the next stage is tried. A stage whose saving is less than its cost is left out. */
+/* A cheap version whose answers no longer pass must be left out: otherwise each request pays for
+   its answer and rating before the next stage is tried. It must return when it passes again. */
 static void
 test_skips_stage_that_does_not_pay (void)
 {
   ChoosePlan plan;
 
   setup ("report");
-  teach (A, -1, 300, 0.02);
-  teach (B, -1, 300, 0.9);
+  record_ratings (A, -1, 300, 0.02);
+  record_ratings (B, -1, 300, 0.9);
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.count, 1);
   CU_ASSERT_EQUAL (plan.versions[0], B);
-  teach (A, -1, 2000, 0.95);
+  record_ratings (A, -1, 2000, 0.95);
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.versions[0], A);
   teardown ();
 }
 
-/* Story: an operator writes costs in dollars, a thousandth of what another writes in cents; a
-   rating priced in fixed units then costs more than any answer, and no cascade is ever chosen. */
+/* The plan must not depend on the unit of costs. If a rating had a fixed price, it would cost more
+   than any answer in a document whose costs are in dollars instead of cents, and no cascade would
+   be chosen. */
 static void
 test_cost_units_do_not_matter (void)
 {
@@ -145,16 +148,16 @@
   teardown ();
 }
 
-/* Story: a class is easier than its operator thought. The cheap version passes 9 in 10, which is
-   above the prior of the next dearer one; that one then seems to pass none of the rest, is never
-   tried after it, and the dearest one is paid for ever. */
+/* The class is easier than its priors say: the cheap version passes 9 in 10, more than the prior of
+   the next version. Compared with that prior, the next version would seem to pass none of the rest
+   and never be tried, and the most expensive one would be used for ever. */
 static void
 test_easy_class_does_not_hide_next_version (void)
 {
   ChoosePlan plan;
 
   setup ("query");
-  teach (A, -1, 400, 0.88);
+  record_ratings (A, -1, 400, 0.88);
   request.team = 1;
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_NONE);
   CU_ASSERT (plan.count >= 2);
@@ -163,18 +166,18 @@
   teardown ();
 }
 
-/* Story: a version answers one team's clauses badly and all others' well; by the mean over teams it
-   stays in that team's plan as the only stage. */
+/* A version that answers one team badly and all others well must not be that team's only stage
+   because of its mean over all teams. */
 static void
-test_team_of_its_own (void)
+test_team_with_own_ratings (void)
 {
   ChoosePlan plan;
 
   setup ("report");
   request.team = 1;
-  teach (B, -1, 300, 0.2);
+  record_ratings (B, -1, 300, 0.2);
   request.team = 0;
-  teach (B, -1, 2000, 0.98);
+  record_ratings (B, -1, 2000, 0.98);
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_NONE);
   CU_ASSERT (plan.versions[plan.count - 1] == B || plan.versions[plan.count - 1] == A);
   request.team = 1;
@@ -184,7 +187,7 @@
 }
 
 static void
-test_fades (void)
+test_estimates_decay (void)
 {
   Estimate e;
   EstimateKey key = { .class_key = 1, .version_key = 2 };
@@ -210,17 +213,17 @@
   teardown ();
 }
 
-/* Story: the rating service is down and the plan still rates its first stage: every request waits
-   for a rating that does not come. Without ratings a single stage is taken, by what was last known,
-   and the plan says so. */
+/* While the rating service is down, a plan must not rate its first stage, or every request would
+   wait for a rating that doesn't come. It has a single stage, chosen by the last known ratings, and
+   reports that. */
 static void
-test_rating_down (void)
+test_single_stage_without_ratings (void)
 {
   ChoosePlan plan;
 
   setup ("report");
-  teach (A, -1, 400, 0.5);
-  teach (B, -1, 400, 0.97);
+  record_ratings (A, -1, 400, 0.5);
+  record_ratings (B, -1, 400, 0.97);
   query.rating_available = false;
   request.now_ms += 100 * estimate_settings_default.half_life_ms;
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_NONE);
@@ -231,8 +234,9 @@
   teardown ();
 }
 
-/* Story: a tender closes in four seconds and the plan tries the cheap version first, whose answer
-   is not good enough; the second one comes too late. */
+/* With 4 s until the deadline, trying the cheap version first would leave too little time for the
+   second stage. Only versions that finish in time may be planned, and a plan that can't is marked
+   late. */
 static void
 test_deadline (void)
 {
@@ -266,8 +270,8 @@
   teardown ();
 }
 
-/* Story: no allowed version reaches the target any more. All requests are refused with their own
-   reason, but for a small share, without which no version could show that it is good again. */
+/* If no allowed version reaches the target, requests are refused with that reason, except for a
+   small share, without which no version could show that it has improved. */
 static void
 test_target_unreachable (void)
 {
@@ -275,9 +279,9 @@
   unsigned i, ran = 0;
 
   setup ("perfect");
-  teach (A, -1, 400, 0.5);
-  teach (B, -1, 400, 0.5);
-  teach (B, A, 400, 0.3);
+  record_ratings (A, -1, 400, 0.5);
+  record_ratings (B, -1, 400, 0.5);
+  record_ratings (B, A, 400, 0.3);
   CU_ASSERT_EQUAL (plan_now (&plan), REASON_TARGET_UNREACHABLE);
   for (i = 0; i < 10000; i++)
     {
@@ -291,15 +295,15 @@
   teardown ();
 }
 
-/* Story: an issuance goes through a cascade and is made twice. */
+/* A request that may run at most once must never get a second stage, which would run it twice. */
 static void
-test_at_most_once (void)
+test_at_most_once_gets_one_stage (void)
 {
   ChoosePlan plan;
   unsigned i;
 
   setup ("issue");
-  teach (B, -1, 400, 0.97);
+  record_ratings (B, -1, 400, 0.97);
   for (i = 0; i < 2000; i++)
     {
       query.random = id_hash (&i, sizeof i, 6);
@@ -318,8 +322,8 @@
   unsigned i, explored = 0;
 
   setup ("report");
-  teach (A, -1, 15, 0.0);
-  teach (B, -1, 400, 0.97);
+  record_ratings (A, -1, 15, 0.0);
+  record_ratings (B, -1, 400, 0.97);
   for (i = 0; i < 20000; i++)
     {
       query.random = id_hash (&i, sizeof i, 7);
@@ -336,7 +340,7 @@
 }
 
 static void
-test_baselines (void)
+test_baseline_policies (void)
 {
   ChoosePlan plan;
 
@@ -362,18 +366,18 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "prior_order", test_prior_order },
+    { "priors_order_stages_by_cost", test_priors_order_stages_by_cost },
     { "skips_stage_that_does_not_pay", test_skips_stage_that_does_not_pay },
     { "cost_units_do_not_matter", test_cost_units_do_not_matter },
     { "easy_class_does_not_hide_next_version", test_easy_class_does_not_hide_next_version },
-    { "team_of_its_own", test_team_of_its_own },
-    { "fades", test_fades },
-    { "rating_down", test_rating_down },
+    { "team_with_own_ratings", test_team_with_own_ratings },
+    { "estimates_decay", test_estimates_decay },
+    { "single_stage_without_ratings", test_single_stage_without_ratings },
     { "deadline", test_deadline },
     { "target_unreachable", test_target_unreachable },
-    { "at_most_once", test_at_most_once },
+    { "at_most_once_gets_one_stage", test_at_most_once_gets_one_stage },
     { "exploration_is_bounded", test_exploration_is_bounded },
-    { "baselines", test_baselines },
+    { "baseline_policies", test_baseline_policies },
   };
 
   return suite_main (argc, argv, "choose_cascade", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_index.c
+++ b/tests/test_choose_index.c
@@ -56,10 +56,10 @@
   server_index_free (index);
 }
 
-/* Story: at 360 gates and 660 engines some engines are watched by no gate, or by three times as
-   many as others, and stand idle or overloaded. */
+/* With 360 gates and 660 engines every engine must be watched by some gates, and none by many times
+   more gates than others; otherwise engines stand idle or are overloaded. */
 static void
-test_large_site_spread (void)
+test_large_site_is_watched_evenly (void)
 {
   static unsigned watchers[SERVERS];
   unsigned node, i, least = ~0U, most = 0;
@@ -92,15 +92,15 @@
       least = watchers[i] < least ? watchers[i] : least;
       most = watchers[i] > most ? watchers[i] : most;
     }
-  /* The mean is 13; a Poisson count leaves 2 to 30 about once in a thousand sites. */
+  /* The mean is 13; a Poisson count is outside 2 to 30 in about one of a thousand sites. */
   CU_ASSERT (least >= 2);
   CU_ASSERT (most <= 30);
 }
 
-/* Story: one engine is added, and every gate watches other engines than before: all connections and
-   all caches are cold at once. */
+/* Adding one engine must leave almost all of a gate's subset as it was; otherwise all connections
+   and caches are cold at once. */
 static void
-test_one_more_server_moves_little (void)
+test_added_server_keeps_subset (void)
 {
   ServerIndex *before, *after;
   unsigned i, kept = 0;
@@ -117,10 +117,10 @@
   server_index_free (after);
 }
 
-/* Story: all engines of a gate's subset are lost with their failure domains; the gate refuses work
-   though hundreds of engines are up. */
+/* If all engines of a gate's subset are unusable, the gate must use the others instead of refusing
+   requests. */
 static void
-test_falls_back_to_all (void)
+test_falls_back_to_unwatched_servers (void)
 {
   ServerIndex *index;
   ServerQuery query;
@@ -155,9 +155,9 @@
 {
   static const SuiteCase cases[] = {
     { "small_site_watches_all", test_small_site_watches_all },
-    { "large_site_spread", test_large_site_spread },
-    { "one_more_server_moves_little", test_one_more_server_moves_little },
-    { "falls_back_to_all", test_falls_back_to_all },
+    { "large_site_is_watched_evenly", test_large_site_is_watched_evenly },
+    { "added_server_keeps_subset", test_added_server_keeps_subset },
+    { "falls_back_to_unwatched_servers", test_falls_back_to_unwatched_servers },
   };
 
   return suite_main (argc, argv, "choose_index", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_limit.c
+++ b/tests/test_choose_limit.c
@@ -1,4 +1,4 @@
-/** Admission: src/choose_limit.c. */
+/** Admission control: src/choose_limit.c. */
 #include "choose_limit.h"
 #include "suite.h"
 #include "util_id.h"
@@ -7,7 +7,7 @@
 
 #define TEAMS   10
 #define GATES   9
-#define SETTLED 1000000 /**< long after the first view */
+#define SETTLED 1000000 /**< milliseconds; long after the first view */
 
 static char names[TEAMS][8];
 static ConfigTeam teams[TEAMS];
@@ -62,7 +62,7 @@
 }
 
 static void
-test_concurrency (void)
+test_concurrent_requests_are_limited (void)
 {
   Limiter *limiter = setup (5, 0);
 
@@ -81,7 +81,7 @@
   Limiter *limiter = setup (0, 1000);
   LimitVerdict verdict;
 
-  /* Two seconds saved up, and one request overdraws. */
+  /* The bucket holds two seconds of tokens, and one request may overdraw it. */
   CU_ASSERT_EQUAL (admit_many (limiter, 0, 100), 20);
   query.tokens = 5000;
   query.now_ms += 100;
@@ -93,7 +93,7 @@
   CU_ASSERT_EQUAL (admit (limiter, 0).reason, REASON_TEAM_LIMIT);
   query.now_ms += 20;
   CU_ASSERT_EQUAL (admit (limiter, 0).reason, REASON_NONE);
-  /* It used less than it was admitted for. */
+  /* The request used fewer tokens than it was admitted with. */
   limiter_end (limiter, &config, 0, 5000, 0);
   CU_ASSERT_EQUAL (admit (limiter, 0).reason, REASON_NONE);
   limiter_free (limiter);
@@ -124,10 +124,10 @@
     }
 }
 
-/* Story: a team has one request in progress for nine VMs; at eight of them its part is none. It is
-   told so with a time to come back, and is not let in "because it is only one". */
+/* With a limit of one request on nine VMs, eight of them have a share of zero. They must refuse the
+   team with a time to send again, not admit it because it has nothing in progress. */
 static void
-test_part_of_none (void)
+test_share_of_zero (void)
 {
   Limiter *limiter = setup (1, 0);
 
@@ -139,11 +139,12 @@
   limiter_free (limiter);
 }
 
-/* Story: three of nine VMs are cut off with the old view, five get a new view of six and raise
-   their parts at once; for some seconds the team has more in progress than its limit. And a VM that
-   has just started takes its part while the others still use theirs of the view without it. */
+/* The limit must hold while gates know different views. Three of nine VMs are cut off with the old
+   view, and the others get a view of seven that includes a new VM. If the six raised their shares
+   at once, or the new VM used its share while others still use theirs of the view without it, the
+   team would exceed its limit for some seconds. */
 static void
-test_views_that_differ (void)
+test_limit_holds_across_views (void)
 {
   const int64_t limit = 18;
   Limiter *limiters[GATES + 1];
@@ -155,7 +156,7 @@
       if (i < GATES)
         limiter_set_view (limiters[i], GATES, (int)i, SETTLED - 100000);
     }
-  /* Six know the new view of seven, with the new VM last; three do not. */
+  /* Six gates know the new view of seven, in which the new VM is last; three don't. */
   for (i = 0; i < 6; i++)
     limiter_set_view (limiters[i], 7, (int)i, SETTLED);
   limiter_free (limiters[GATES]);
@@ -181,11 +182,11 @@
     limiter_free (limiters[i]);
 }
 
-/* Story: nine VMs become five and nine again within seconds. A VM that remembers only the newest
-   view and the last settled one takes a ninth while others still take a fifth, or the other way
-   round. */
+/* When views change several times within seconds, the smallest share of all unsettled views
+   applies. If only the newest and the last settled view were remembered, one VM could use a ninth
+   of the limit while others still use a fifth, or the other way round. */
 static void
-test_views_in_quick_succession (void)
+test_smallest_unsettled_share_applies (void)
 {
   Limiter *limiter = setup (90, 0);
   unsigned i;
@@ -198,7 +199,7 @@
   query.now_ms = SETTLED + 10 + limit_settings_default.settle_ms;
   query.capacity = 1000;
   CU_ASSERT_EQUAL (admit_many (limiter, 0, 100), 30 - 9);
-  /* More views than it remembers: no part, until all are settled. */
+  /* With more views than are remembered there is no share until all are settled. */
   query.now_ms += 100000;
   query.deadline_ms = 0;
   for (i = 0; i < 100; i++)
@@ -210,10 +211,10 @@
   limiter_free (limiter);
 }
 
-/* Story: one team sends a hundred times what the others send. First come, first served, it holds
-   every place, and the other nine are refused. */
+/* A team that sends a hundred times as much as the others must not take all the capacity, as it
+   would with first come, first served. */
 static void
-test_flood_cannot_starve (void)
+test_flood_does_not_starve_others (void)
 {
   Limiter *limiter = setup (0, 0);
   unsigned team, flooded;
@@ -228,9 +229,10 @@
   limiter_free (limiter);
 }
 
-/** An hour in which each team has so many requests to run, one of which ends each second. */
+/** Runs an hour in which each team keeps wanted requests in progress, one of which ends each
+ *  second. */
 static void
-run_hour (Limiter *limiter, const unsigned *wanted, unsigned *held)
+run_hour (Limiter *limiter, const unsigned *wanted, unsigned *in_progress)
 {
   unsigned team, i;
 
@@ -239,39 +241,38 @@
       query.now_ms += 1000;
       for (team = 0; team < TEAMS; team++)
         {
-          if (held[team] > 0)
+          if (in_progress[team] > 0)
             {
               limiter_end (limiter, &config, team, 100, 100);
-              held[team]--;
+              in_progress[team]--;
             }
-          held[team] += admit_many (limiter, team, wanted[team] - held[team]);
+          in_progress[team] += admit_many (limiter, team, wanted[team] - in_progress[team]);
         }
     }
 }
 
-/* Story: one of ten teams is big and nobody gave it a weight. Though a third of the capacity is
-   idle its requests are refused as if it flooded, every day. What a team holds for an hour is usual
-   for it. */
+/* A big team without a configured weight must not be refused as if it flooded while a third of the
+   capacity is idle: what it has had in progress for an hour is its long-term mean. */
 static void
-test_big_team_is_no_flood (void)
+test_steady_big_team_is_no_flood (void)
 {
   static const unsigned wanted[TEAMS] = { 25, 5, 5, 5, 5, 5, 5, 5, 5, 5 };
   Limiter *limiter = setup (0, 0);
-  unsigned held[TEAMS] = { 0 };
+  unsigned in_progress[TEAMS] = { 0 };
   unsigned team;
 
   query.deadline_ms = query.now_ms + 100000000;
-  run_hour (limiter, wanted, held);
+  run_hour (limiter, wanted, in_progress);
   for (team = 0; team < TEAMS; team++)
-    CU_ASSERT (held[team] >= wanted[team] - 1);
-  /* The same is a flood if it is sudden: three parts and one, and no more. */
+    CU_ASSERT (in_progress[team] >= wanted[team] - 1);
+  /* The same number is a flood if it is sudden: three fair shares and one request, and no more. */
   query.now_ms += 200;
-  CU_ASSERT_EQUAL (held[1] + admit_many (limiter, 1, 100), 31);
+  CU_ASSERT_EQUAL (in_progress[1] + admit_many (limiter, 1, 100), 31);
   limiter_free (limiter);
 }
 
 static void
-test_baselines (void)
+test_baseline_policies (void)
 {
   Limiter *limiter = setup (1, 1);
   unsigned i, admitted = 0;
@@ -285,10 +286,10 @@
   limiter_free (limiter);
 }
 
-/* Story: the pool is full, a request waits its whole deadline in a queue, and its caller is told
-   then that it failed. It is told at once, with the time to come back. */
+/* A request that can't finish by its deadline must be refused at once with a time to send again,
+   instead of waiting in a queue until its deadline and failing then. */
 static void
-test_early_refusal (void)
+test_late_requests_are_refused_at_once (void)
 {
   Limiter *limiter = setup (0, 0);
   LimitVerdict verdict;
@@ -307,9 +308,9 @@
   limiter_free (limiter);
 }
 
-/* Work without a deadline can come back later: it goes first. */
+/* Requests without a deadline can be sent again later, so they are refused first. */
 static void
-test_no_deadline_is_shed_first (void)
+test_requests_without_deadline_are_refused_first (void)
 {
   Limiter *limiter = setup (0, 0);
   unsigned team;
@@ -328,7 +329,7 @@
 #define ROUNDS  20000
 
 static void *
-hammer (void *data)
+admit_and_end (void *data)
 {
   Limiter *limiter = data;
   LimitQuery q = query;
@@ -344,14 +345,14 @@
 }
 
 static void
-test_threads (void)
+test_concurrent_admission (void)
 {
   Limiter *limiter = setup (3, 0);
   pthread_t threads[THREADS];
   unsigned i;
 
   for (i = 0; i < THREADS; i++)
-    pthread_create (&threads[i], NULL, hammer, limiter);
+    pthread_create (&threads[i], NULL, admit_and_end, limiter);
   for (i = 0; i < THREADS; i++)
     pthread_join (threads[i], NULL);
   for (i = 0; i < TEAMS; i++)
@@ -363,18 +364,19 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "concurrency", test_concurrency },
+    { "concurrent_requests_are_limited", test_concurrent_requests_are_limited },
     { "tokens", test_tokens },
     { "shares_add_up", test_shares_add_up },
-    { "part_of_none", test_part_of_none },
-    { "views_that_differ", test_views_that_differ },
-    { "views_in_quick_succession", test_views_in_quick_succession },
-    { "flood_cannot_starve", test_flood_cannot_starve },
-    { "big_team_is_no_flood", test_big_team_is_no_flood },
-    { "baselines", test_baselines },
-    { "early_refusal", test_early_refusal },
-    { "no_deadline_is_shed_first", test_no_deadline_is_shed_first },
-    { "threads", test_threads },
+    { "share_of_zero", test_share_of_zero },
+    { "limit_holds_across_views", test_limit_holds_across_views },
+    { "smallest_unsettled_share_applies", test_smallest_unsettled_share_applies },
+    { "flood_does_not_starve_others", test_flood_does_not_starve_others },
+    { "steady_big_team_is_no_flood", test_steady_big_team_is_no_flood },
+    { "baseline_policies", test_baseline_policies },
+    { "late_requests_are_refused_at_once", test_late_requests_are_refused_at_once },
+    { "requests_without_deadline_are_refused_first",
+      test_requests_without_deadline_are_refused_first },
+    { "concurrent_admission", test_concurrent_admission },
   };
 
   return suite_main (argc, argv, "choose_limit", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_load.c
+++ b/tests/test_choose_load.c
@@ -1,11 +1,12 @@
-/** Lagging load reports: src/choose_load.c. */
+/** Delayed load reports: src/choose_load.c. */
 #include "choose_load.h"
 #include "suite.h"
 
-/* Story: a report comes five seconds late. The gate sent forty requests since; it takes them for
-   counted in the report, sees an idle server and sends the next forty there as well. */
+/* A report arrives 5 s late, and the gate has sent 40 requests since it was taken. If the gate took
+   them to be counted in the report, it would see an idle server and send the next 40 there as well.
+   */
 static void
-test_late_report (void)
+test_late_report_uses_its_own_time (void)
 {
   LoadHistory history = { .sample = 0 };
   ServerView view = { .in_flight = 0 };
@@ -23,13 +24,13 @@
   /* Taken at 100,000 on our clock, 500 on the server's; arrives at 105,000. */
   load_report (&history, &view, 4, 500, 105000);
   CU_ASSERT (view.in_flight_at_report <= 2);
-  /* Taken now. */
+  /* Taken at 105,000 on our clock. */
   load_report (&history, &view, 44, 5500, 105000);
   CU_ASSERT_EQUAL (view.in_flight_at_report, 40);
 }
 
 static void
-test_clock_set_back (void)
+test_server_clock_set_back (void)
 {
   LoadHistory history = { .sample = 0 };
   ServerView view = { .in_flight = 0 };
@@ -42,7 +43,7 @@
 }
 
 static void
-test_older_than_history (void)
+test_report_older_than_history (void)
 {
   LoadHistory history = { .sample = 0 };
   ServerView view = { .in_flight = 1 };
@@ -63,9 +64,9 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "late_report", test_late_report },
-    { "clock_set_back", test_clock_set_back },
-    { "older_than_history", test_older_than_history },
+    { "late_report_uses_its_own_time", test_late_report_uses_its_own_time },
+    { "server_clock_set_back", test_server_clock_set_back },
+    { "report_older_than_history", test_report_older_than_history },
   };
 
   return suite_main (argc, argv, "choose_load", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_plan.c
+++ b/tests/test_choose_plan.c
@@ -69,7 +69,7 @@
 }
 
 static Reason
-ask (const char *team, const char *model, ChoosePlan *plan)
+plan_request (const char *team, const char *model, ChoosePlan *plan)
 {
   ChooseRequest request = request_of (team, model);
 
@@ -77,7 +77,7 @@
 }
 
 static Reason
-ask_session (const char *team, const char *model, const char *session)
+plan_in_session (const char *team, const char *model, const char *session)
 {
   ChooseRequest request = request_of (team, model);
   ChoosePlan plan;
@@ -87,7 +87,7 @@
 }
 
 static void
-test_reason_names (void)
+test_reason_names_are_distinct (void)
 {
   int i, j;
 
@@ -101,29 +101,29 @@
 }
 
 static void
-test_model_and_class (void)
+test_plan_of_model_or_class (void)
 {
   ChoosePlan plan;
 
   setup ();
-  CU_ASSERT_EQUAL (ask ("few", "draft", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("few", "draft", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.count, 1);
   CU_ASSERT_EQUAL (plan.versions[0], draft1);
   CU_ASSERT_FALSE (plan.rated);
   CU_ASSERT_EQUAL (plan.class_index, -1);
-  CU_ASSERT_EQUAL (ask ("all", "report", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("all", "report", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.count, 2);
   CU_ASSERT_EQUAL (plan.versions[1], ledger1);
   CU_ASSERT_TRUE (plan.rated);
   CU_ASSERT_DOUBLE_EQUAL (plan.quality_target, 0.9, 1e-9);
-  CU_ASSERT_EQUAL (ask ("few", "report", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("few", "report", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.count, 1);
   CU_ASSERT_FALSE (plan.rated);
   config_unref (config);
 }
 
 static void
-test_bad_inputs (void)
+test_requests_that_get_no_plan (void)
 {
   ChoosePlan plan;
   ChooseRequest request;
@@ -132,16 +132,16 @@
   setup ();
   memset (long_name, 'a', sizeof long_name);
   strcpy (long_name + sizeof long_name - 4, "@v1");
-  CU_ASSERT_EQUAL (ask ("all", "nothing", &plan), REASON_UNKNOWN_MODEL);
-  CU_ASSERT_EQUAL (ask ("all", "", &plan), REASON_UNKNOWN_MODEL);
-  CU_ASSERT_EQUAL (ask ("all", "@", &plan), REASON_UNKNOWN_MODEL);
-  CU_ASSERT_EQUAL (ask ("all", long_name, &plan), REASON_UNKNOWN_MODEL);
-  CU_ASSERT_EQUAL (ask ("all", "draft@v9", &plan), REASON_UNKNOWN_VERSION);
-  CU_ASSERT_EQUAL (ask ("all", "draft@v3", &plan), REASON_VERSION_WITHDRAWN);
-  CU_ASSERT_EQUAL (ask ("few", "ledger@v1", &plan), REASON_NOT_ALLOWED);
-  CU_ASSERT_EQUAL (ask ("few", "ledger", &plan), REASON_NOT_ALLOWED);
-  CU_ASSERT_EQUAL (ask ("none", "report", &plan), REASON_NOT_ALLOWED);
-  CU_ASSERT_EQUAL (ask ("all", "past", &plan), REASON_VERSION_WITHDRAWN);
+  CU_ASSERT_EQUAL (plan_request ("all", "nothing", &plan), REASON_UNKNOWN_MODEL);
+  CU_ASSERT_EQUAL (plan_request ("all", "", &plan), REASON_UNKNOWN_MODEL);
+  CU_ASSERT_EQUAL (plan_request ("all", "@", &plan), REASON_UNKNOWN_MODEL);
+  CU_ASSERT_EQUAL (plan_request ("all", long_name, &plan), REASON_UNKNOWN_MODEL);
+  CU_ASSERT_EQUAL (plan_request ("all", "draft@v9", &plan), REASON_UNKNOWN_VERSION);
+  CU_ASSERT_EQUAL (plan_request ("all", "draft@v3", &plan), REASON_VERSION_WITHDRAWN);
+  CU_ASSERT_EQUAL (plan_request ("few", "ledger@v1", &plan), REASON_NOT_ALLOWED);
+  CU_ASSERT_EQUAL (plan_request ("few", "ledger", &plan), REASON_NOT_ALLOWED);
+  CU_ASSERT_EQUAL (plan_request ("none", "report", &plan), REASON_NOT_ALLOWED);
+  CU_ASSERT_EQUAL (plan_request ("all", "past", &plan), REASON_VERSION_WITHDRAWN);
   CU_ASSERT_EQUAL (plan.count, 0);
   request = request_of ("all", "report");
   request.now_ms = 100;
@@ -159,24 +159,23 @@
 
   setup ();
   braked[draft1] = true;
-  CU_ASSERT_EQUAL (ask ("few", "draft", &plan), REASON_VERSION_BRAKED);
-  CU_ASSERT_EQUAL (ask ("few", "draft@v1", &plan), REASON_VERSION_BRAKED);
-  CU_ASSERT_EQUAL (ask ("all", "report", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("few", "draft", &plan), REASON_VERSION_BRAKED);
+  CU_ASSERT_EQUAL (plan_request ("few", "draft@v1", &plan), REASON_VERSION_BRAKED);
+  CU_ASSERT_EQUAL (plan_request ("all", "report", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.count, 1);
   CU_ASSERT_EQUAL (plan.versions[0], ledger1);
   braked[ledger1] = true;
-  CU_ASSERT_NOT_EQUAL (ask ("all", "report", &plan), REASON_NONE);
-  /* draft has a braked and a withdrawn version: no one cause can be named. */
-  CU_ASSERT_EQUAL (ask ("all", "draft", &plan), REASON_NO_ALLOWED_VERSION);
+  CU_ASSERT_NOT_EQUAL (plan_request ("all", "report", &plan), REASON_NONE);
+  /* draft has a braked and a withdrawn version, so no single reason can be given. */
+  CU_ASSERT_EQUAL (plan_request ("all", "draft", &plan), REASON_NO_ALLOWED_VERSION);
   CU_ASSERT_FALSE (choose_version_usable (config, braked, draft1));
   CU_ASSERT_TRUE (choose_version_usable (config, NULL, draft1));
   CU_ASSERT_FALSE (choose_version_usable (config, NULL, draft3));
   config_unref (config);
 }
 
-/* Story: a dispatch order is sent to a class with two stages. The cheap stage's answer is rated
-   badly, the second stage runs the order again, and a second crew leaves the yard. A request that
-   may run at most once has to get a plan of one stage. */
+/* A request that may run at most once must get a plan of one stage. With two, an order whose first
+   answer is rated badly would run again, and be carried out twice. */
 static void
 test_at_most_once_has_one_stage (void)
 {
@@ -184,7 +183,7 @@
   ChooseRequest request;
 
   setup ();
-  CU_ASSERT_EQUAL (ask ("all", "issue", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("all", "issue", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.count, 1);
   CU_ASSERT_EQUAL (plan.versions[0], ledger1);
   CU_ASSERT_FALSE (plan.idempotent);
@@ -201,7 +200,7 @@
 }
 
 static bool
-held (uint64_t caller)
+gets_candidate (uint64_t caller)
 {
   ChooseRequest request = request_of ("all", "draft");
   ChoosePlan plan;
@@ -217,8 +216,8 @@
   return id_hash (&i, sizeof i, 7);
 }
 
-/* Story: a roll-out grows from 1% to 10% to 50%; callers that already met the new version must
-   stay with it, or each stage would expose other callers. Cause: buckets drawn anew per stage. */
+/* As a roll-out grows from 1% to 10% to 50%, callers that already got the new version must keep it.
+   With buckets drawn anew per stage each stage would expose other callers. */
 static void
 test_rollout_only_adds_callers (void)
 {
@@ -236,7 +235,7 @@
       config->rollouts[0].stage = stage;
       for (i = 0; i < CALLERS; i++)
         {
-          bool now = held (caller_hash (i));
+          bool now = gets_candidate (caller_hash (i));
 
           if (before[i] && !now)
             CU_FAIL ("a caller was moved back");
@@ -251,7 +250,7 @@
 }
 
 static void
-test_rollout_states (void)
+test_rollout_state_selects_version (void)
 {
   ConfigRollout *rollout;
   ChoosePlan plan;
@@ -259,29 +258,29 @@
   setup ();
   rollout = &config->rollouts[0];
   rollout->stages[0] = 1;
-  CU_ASSERT_TRUE (held (1));
-  CU_ASSERT_EQUAL (ask ("few", "draft", &plan), REASON_NONE);
+  CU_ASSERT_TRUE (gets_candidate (1));
+  CU_ASSERT_EQUAL (plan_request ("few", "draft", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.versions[0], draft1);
   rollout->state = ROLLOUT_PAUSED;
-  CU_ASSERT_TRUE (held (1));
+  CU_ASSERT_TRUE (gets_candidate (1));
   rollout->state = ROLLOUT_BACKED_OUT;
-  CU_ASSERT_FALSE (held (1));
+  CU_ASSERT_FALSE (gets_candidate (1));
   CU_ASSERT_FALSE (choose_version_usable (config, NULL, draft2));
-  CU_ASSERT_EQUAL (ask ("all", "draft@v2", &plan), REASON_VERSION_WITHDRAWN);
+  CU_ASSERT_EQUAL (plan_request ("all", "draft@v2", &plan), REASON_VERSION_WITHDRAWN);
   rollout->state = ROLLOUT_DONE;
   rollout->stages[0] = 0;
-  CU_ASSERT_TRUE (held (1));
+  CU_ASSERT_TRUE (gets_candidate (1));
   rollout->state = ROLLOUT_RUNNING;
   rollout->stages[0] = 1;
   braked[draft2] = true;
-  CU_ASSERT_FALSE (held (1));
+  CU_ASSERT_FALSE (gets_candidate (1));
   config_unref (config);
 }
 
-/* Story: v1 and v2 are both active when v3 is rolled out from v2. Callers outside the stage are
-   answered by v1, which v2 replaced last week, because it is the first active one by name. */
+/* v1 and v2 are both active when v3 is rolled out from v2. Callers outside the stage must get v2,
+   not v1 because it is the first active version by name. */
 static void
-test_outside_share_gets_from (void)
+test_callers_outside_share_get_old_version (void)
 {
   ChoosePlan plan;
 
@@ -291,34 +290,34 @@
   config->rollouts[0].from = draft2;
   config->rollouts[0].to = draft3;
   config->rollouts[0].stages[0] = 0;
-  CU_ASSERT_EQUAL (ask ("all", "draft", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("all", "draft", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.versions[0], draft2);
   braked[draft2] = true;
-  CU_ASSERT_EQUAL (ask ("all", "draft", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("all", "draft", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.versions[0], draft1);
   config_unref (config);
 }
 
-/* Story: a caller outside the first stage names the candidate itself and is served by it, so that
-   more callers meet the new version than the stage says. */
+/* A caller outside the stage that names the candidate must not get it, or more callers would be
+   exposed to the new version than the stage allows. */
 static void
-test_candidate_by_name (void)
+test_candidate_needs_rollout_share (void)
 {
   ChoosePlan plan;
 
   setup ();
   config->rollouts[0].stages[0] = 0;
-  CU_ASSERT_EQUAL (ask ("all", "draft@v2", &plan), REASON_NOT_ALLOWED);
+  CU_ASSERT_EQUAL (plan_request ("all", "draft@v2", &plan), REASON_NOT_ALLOWED);
   config->rollouts[0].stages[0] = 1;
-  CU_ASSERT_EQUAL (ask ("all", "draft@v2", &plan), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_request ("all", "draft@v2", &plan), REASON_NONE);
   CU_ASSERT_EQUAL (plan.versions[0], draft2);
   config_unref (config);
 }
 
-/* Story: a conversation that started on v1 goes on while v2 takes all callers, and gets an answer
-   of v2 in its middle; or v1 is withdrawn and the conversation silently changes its version. */
+/* A session that started on v1 must keep it while all other callers get v2, and must be refused
+   when v1 is withdrawn, not silently moved to another version. */
 static void
-test_sessions (void)
+test_session_keeps_its_version (void)
 {
   ChooseRequest request;
   ChoosePlan plan;
@@ -331,15 +330,15 @@
   CU_ASSERT_EQUAL (plan.count, 1);
   CU_ASSERT_EQUAL (plan.versions[0], draft1);
   config->rollouts[0].stages[0] = 0;
-  CU_ASSERT_EQUAL (ask_session ("all", "draft", "draft@v2"), REASON_NONE);
-  CU_ASSERT_EQUAL (ask_session ("all", "draft", "draft@v3"), REASON_VERSION_WITHDRAWN);
-  CU_ASSERT_EQUAL (ask_session ("all", "draft", "draft@v0"), REASON_VERSION_WITHDRAWN);
-  CU_ASSERT_EQUAL (ask_session ("few", "draft", "draft@v2"), REASON_NOT_ALLOWED);
-  CU_ASSERT_EQUAL (ask_session ("all", "draft", "ledger@v1"), REASON_NOT_ALLOWED);
-  CU_ASSERT_EQUAL (ask_session ("all", "draft@v1", "draft@v2"), REASON_NOT_ALLOWED);
-  CU_ASSERT_EQUAL (ask_session ("all", "draft", "draft"), REASON_UNKNOWN_VERSION);
+  CU_ASSERT_EQUAL (plan_in_session ("all", "draft", "draft@v2"), REASON_NONE);
+  CU_ASSERT_EQUAL (plan_in_session ("all", "draft", "draft@v3"), REASON_VERSION_WITHDRAWN);
+  CU_ASSERT_EQUAL (plan_in_session ("all", "draft", "draft@v0"), REASON_VERSION_WITHDRAWN);
+  CU_ASSERT_EQUAL (plan_in_session ("few", "draft", "draft@v2"), REASON_NOT_ALLOWED);
+  CU_ASSERT_EQUAL (plan_in_session ("all", "draft", "ledger@v1"), REASON_NOT_ALLOWED);
+  CU_ASSERT_EQUAL (plan_in_session ("all", "draft@v1", "draft@v2"), REASON_NOT_ALLOWED);
+  CU_ASSERT_EQUAL (plan_in_session ("all", "draft", "draft"), REASON_UNKNOWN_VERSION);
   braked[draft1] = true;
-  CU_ASSERT_EQUAL (ask_session ("all", "draft", "draft@v1"), REASON_VERSION_BRAKED);
+  CU_ASSERT_EQUAL (plan_in_session ("all", "draft", "draft@v1"), REASON_VERSION_BRAKED);
   config_unref (config);
 }
 
@@ -347,16 +346,16 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "reason_names", test_reason_names },
-    { "model_and_class", test_model_and_class },
-    { "bad_inputs", test_bad_inputs },
+    { "reason_names_are_distinct", test_reason_names_are_distinct },
+    { "plan_of_model_or_class", test_plan_of_model_or_class },
+    { "requests_that_get_no_plan", test_requests_that_get_no_plan },
     { "brakes", test_brakes },
     { "at_most_once_has_one_stage", test_at_most_once_has_one_stage },
     { "rollout_only_adds_callers", test_rollout_only_adds_callers },
-    { "rollout_states", test_rollout_states },
-    { "outside_share_gets_from", test_outside_share_gets_from },
-    { "candidate_by_name", test_candidate_by_name },
-    { "sessions", test_sessions },
+    { "rollout_state_selects_version", test_rollout_state_selects_version },
+    { "callers_outside_share_get_old_version", test_callers_outside_share_get_old_version },
+    { "candidate_needs_rollout_share", test_candidate_needs_rollout_share },
+    { "session_keeps_its_version", test_session_keeps_its_version },
   };
 
   return suite_main (argc, argv, "choose_plan", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_retry.c
+++ b/tests/test_choose_retry.c
@@ -1,4 +1,4 @@
-/** Retries within a budget, and breakers: src/choose_retry.c, src/choose_breaker.c. */
+/** Retry budget and circuit breaker: src/choose_retry.c, src/choose_breaker.c. */
 #include "choose_breaker.h"
 #include "choose_retry.h"
 #include "suite.h"
@@ -18,9 +18,10 @@
   return retry_policy_default.decide (budget, &query);
 }
 
-/* Story: a dispatch order's engine dies in mid-answer; a second attempt sends a second crew. */
+/* A request that may run at most once must not be retried after its engine died while answering,
+   nor any request beyond its attempts, deadline or servers. */
 static void
-test_bars (void)
+test_verdicts_that_forbid_a_retry (void)
 {
   RetryBudget *budget = retry_budget_new (&retry_settings_default);
   RetryQuery query = may_retry;
@@ -45,14 +46,13 @@
   retry_budget_free (budget);
 }
 
-/* Story: half of the pool is lost and every request fails once. Each retry adds load to what is
-   left, which then fails more. The budget bounds the retries to a fraction of the first attempts.
- */
+/* Half of the pool is lost and every request fails once. Each retry adds load to the rest, which
+   then fails more; the budget must bound retries to a fraction of the first attempts. */
 static void
 test_budget_bounds_retries (void)
 {
   RetryBudget *budget = retry_budget_new (&retry_settings_default);
-  unsigned i, retries = 0, told = 0;
+  unsigned i, retries = 0, refused_with_time = 0;
 
   for (i = 0; i < 1000; i++)
     {
@@ -61,19 +61,18 @@
       retry_budget_add_first (budget, 1000);
       answer = decide (budget, may_retry);
       retries += answer.verdict == RETRY_NOW;
-      told += answer.verdict == RETRY_NO_BUDGET && answer.retry_after_ms > 0;
+      refused_with_time += answer.verdict == RETRY_NO_BUDGET && answer.retry_after_ms > 0;
     }
   CU_ASSERT (retries >= 100 && retries <= 110);
-  CU_ASSERT_EQUAL (retries + told, 1000);
+  CU_ASSERT_EQUAL (retries + refused_with_time, 1000);
   retry_budget_free (budget);
 }
 
-/* Story: a pool collapses in a burst; each request that is given up comes back after two seconds,
-   up to three times, and the pool stays in collapse after the burst though the gates' own retries
-   are bounded. The time to come back has to grow while most requests are given up, and fall after.
- */
+/* After a burst every failed client sends again after two seconds, up to three times, which keeps
+   the pool overloaded though the gates' own retries are bounded. The retry-after time must grow
+   while most requests fail, and fall afterwards. */
 static void
-test_come_back_grows (void)
+test_retry_after_grows_with_failures (void)
 {
   RetryBudget *budget = retry_budget_new (&retry_settings_default);
   RetryQuery query = may_retry;
@@ -102,7 +101,7 @@
 }
 
 static void
-test_policies (void)
+test_baseline_policies (void)
 {
   RetryBudget *budget = retry_budget_new (&retry_settings_default);
   RetryQuery query = may_retry;
@@ -120,14 +119,14 @@
   retry_budget_free (budget);
 }
 
-/* Story: an engine is dead and each gate keeps sending to it. After three failures in a row it gets
-   nothing for a while, then one probe; without the bound on probes, all requests of the moment at
-   which the breaker closes would fail again. */
+/* After three consecutive failures a dead engine must get nothing for a while, and then a single
+   probe. Without the bound on probes, all requests at the moment when the interval ends would fail
+   again. */
 static void
-test_breaker (void)
+test_breaker_opens_and_probes (void)
 {
   ServerView view = { .failures = 0 };
-  int64_t first;
+  int64_t first_probe_ms;
 
   breaker_failure (&view, 1000, 0);
   breaker_failure (&view, 1000, 0);
@@ -137,15 +136,15 @@
   breaker_failure (&view, 1000, 0);
   breaker_failure (&view, 1000, 0);
   CU_ASSERT_EQUAL (view.open_until_ms, 1000 + BREAKER_OPEN_MIN_MS);
-  first = view.open_until_ms;
-  breaker_sent (&view, first);
-  CU_ASSERT_EQUAL (view.open_until_ms, first + BREAKER_PROBE_MS);
-  breaker_failure (&view, first, 0);
-  CU_ASSERT_EQUAL (view.open_until_ms, first + 2LL * BREAKER_OPEN_MIN_MS);
+  first_probe_ms = view.open_until_ms;
+  breaker_sent (&view, first_probe_ms);
+  CU_ASSERT_EQUAL (view.open_until_ms, first_probe_ms + BREAKER_PROBE_MS);
+  breaker_failure (&view, first_probe_ms, 0);
+  CU_ASSERT_EQUAL (view.open_until_ms, first_probe_ms + 2LL * BREAKER_OPEN_MIN_MS);
   for (unsigned i = 0; i < 100; i++)
-    breaker_failure (&view, first, ~0ULL);
-  CU_ASSERT (view.open_until_ms <= first + BREAKER_OPEN_MAX_MS + BREAKER_OPEN_MAX_MS / 4);
-  CU_ASSERT (view.open_until_ms >= first + BREAKER_OPEN_MAX_MS);
+    breaker_failure (&view, first_probe_ms, ~0ULL);
+  CU_ASSERT (view.open_until_ms <= first_probe_ms + BREAKER_OPEN_MAX_MS + BREAKER_OPEN_MAX_MS / 4);
+  CU_ASSERT (view.open_until_ms >= first_probe_ms + BREAKER_OPEN_MAX_MS);
   breaker_success (&view);
   CU_ASSERT_EQUAL (view.open_until_ms, 0);
   breaker_sent (&view, 5);
@@ -156,11 +155,11 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "bars", test_bars },
+    { "verdicts_that_forbid_a_retry", test_verdicts_that_forbid_a_retry },
     { "budget_bounds_retries", test_budget_bounds_retries },
-    { "come_back_grows", test_come_back_grows },
-    { "policies", test_policies },
-    { "breaker", test_breaker },
+    { "retry_after_grows_with_failures", test_retry_after_grows_with_failures },
+    { "baseline_policies", test_baseline_policies },
+    { "breaker_opens_and_probes", test_breaker_opens_and_probes },
   };
 
   return suite_main (argc, argv, "choose_retry", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_rollout.c
+++ b/tests/test_choose_rollout.c
@@ -7,31 +7,31 @@
 
 #define TEAMS   10
 #define BATCHES 4000
-#define BATCH   5 /**< answers of one team in a second */
+#define BATCH   5 /**< answers of one team per batch; a batch takes 1 s */
 #define SEEDS   20
 
-/** What a version does. */
+/** A version's rates of good ratings, errors and slow answers. */
 typedef struct
 {
   double good, error, slow;
-} Truth;
+} Behaviour;
 
-static const Truth old_truth = { .good = 0.7, .error = 0.01, .slow = 0.05 };
+static const Behaviour old_behaviour = { .good = 0.7, .error = 0.01, .slow = 0.05 };
 
 static RolloutEvidence
-draw (gsl_rng *rng, unsigned team, const Truth *truth, unsigned answers)
+draw (gsl_rng *rng, unsigned team, const Behaviour *behaviour, unsigned answers)
 {
   RolloutEvidence e = { .team = team, .answers = answers, .rated = answers };
   unsigned i;
 
   for (i = 0; i < answers; i++)
     {
-      double rating = gsl_rng_uniform (rng) < truth->good ? 0.95 : 0.3;
+      double rating = gsl_rng_uniform (rng) < behaviour->good ? 0.95 : 0.3;
 
       e.rating_sum += rating;
       e.rating_square_sum += rating * rating;
-      e.errors += gsl_rng_uniform (rng) < truth->error;
-      e.slow += gsl_rng_uniform (rng) < truth->slow;
+      e.errors += gsl_rng_uniform (rng) < behaviour->error;
+      e.slow += gsl_rng_uniform (rng) < behaviour->slow;
     }
   return e;
 }
@@ -40,14 +40,14 @@
 {
   unsigned brakes;
   unsigned stages_at_brake;
-  unsigned answers_at_brake; /**< summed over seeds, after turning bad */
-  unsigned done;             /**< seeds in which three stages were passed */
+  unsigned answers_at_brake; /**< answers from batch `turns` on, summed over the seeds */
+  unsigned done;             /**< number of seeds in which three stages were passed */
 } Outcome;
 
-/** Runs a roll-out: the new version is like new_truth from batch turns on, for one team or, if team
- * is negative, for all. */
+/** Runs a roll-out for each seed: from batch turns on the new version behaves like new_behaviour,
+ * for one team or, if team is negative, for all; before that it behaves like the old version. */
 static Outcome
-run (const char *policy_name, const Truth *new_truth, int team, unsigned turns)
+run (const char *policy_name, const Behaviour *new_behaviour, int team, unsigned turns)
 {
   const RolloutPolicy *policy = rollout_policy_find (policy_name);
   Outcome out = { 0 };
@@ -64,8 +64,8 @@
         {
           unsigned t = i % TEAMS;
           bool bad = i >= turns && (team < 0 || (unsigned)team == t);
-          RolloutEvidence control = draw (rng, t, &old_truth, BATCH);
-          RolloutEvidence fresh = draw (rng, t, bad ? new_truth : &old_truth, BATCH);
+          RolloutEvidence control = draw (rng, t, &old_behaviour, BATCH);
+          RolloutEvidence fresh = draw (rng, t, bad ? new_behaviour : &old_behaviour, BATCH);
           RolloutDecision decision;
 
           rollout_test_add_control (test, &control);
@@ -90,21 +90,21 @@
   return out;
 }
 
-/* Story: a version as good as the old one is braked by chance after some days of roll-outs, and the
-   operators learn not to heed brakes. */
+/* A version as good as the old one must not be braked by chance, or operators learn to ignore
+   brakes. */
 static void
 test_good_version_passes (void)
 {
-  Outcome out = run ("sequential", &old_truth, -1, 0);
+  Outcome out = run ("sequential", &old_behaviour, -1, 0);
 
   CU_ASSERT_EQUAL (out.brakes, 0);
   CU_ASSERT_EQUAL (out.done, SEEDS);
 }
 
 static void
-test_bad_at_once (void)
+test_bad_version_is_braked_at_once (void)
 {
-  const Truth bad = { .good = 0.35, .error = 0.01, .slow = 0.05 };
+  const Behaviour bad = { .good = 0.35, .error = 0.01, .slow = 0.05 };
   Outcome out = run ("sequential", &bad, -1, 0);
 
   CU_ASSERT_EQUAL (out.brakes, SEEDS);
@@ -113,21 +113,21 @@
 }
 
 static void
-test_slightly_bad (void)
+test_slightly_bad_version_is_braked (void)
 {
-  const Truth bad = { .good = 0.6, .error = 0.01, .slow = 0.05 };
+  const Behaviour bad = { .good = 0.6, .error = 0.01, .slow = 0.05 };
   Outcome out = run ("sequential", &bad, -1, 0);
 
   CU_ASSERT_EQUAL (out.brakes, SEEDS);
   CU_ASSERT_EQUAL (out.done, 0);
 }
 
-/* Story: the new version can't read one team's fault logs. Over all teams its ratings are within
-   the tolerance, so each stage passes and that team is served badly for days. */
+/* The new version answers one team badly. Over all teams its ratings are within the tolerance, so
+   without a test per team each stage would pass and that team be served badly for days. */
 static void
-test_bad_for_one_team (void)
+test_version_bad_for_one_team_is_braked (void)
 {
-  const Truth bad = { .good = 0.15, .error = 0.01, .slow = 0.05 };
+  const Behaviour bad = { .good = 0.15, .error = 0.01, .slow = 0.05 };
   Outcome out = run ("sequential", &bad, 3, 0);
 
   CU_ASSERT_EQUAL (out.brakes, SEEDS);
@@ -135,12 +135,13 @@
   CU_ASSERT (out.brakes < SEEDS);
 }
 
-/* Story: a version is good for an hour and turns bad. A test that adds up all evidence has an hour
-   of good answers to wear off first; here the sums never fall below zero. */
+/* A version that becomes bad after an hour of good answers must be braked as fast as one that is
+   bad from the start. A test that sums up all evidence would first have to offset the good hour;
+   here the sums never fall below zero. */
 static void
-test_turns_bad_late (void)
+test_version_that_becomes_bad_is_braked_fast (void)
 {
-  const Truth bad = { .good = 0.35, .error = 0.01, .slow = 0.05 };
+  const Behaviour bad = { .good = 0.35, .error = 0.01, .slow = 0.05 };
   Outcome at_once = run ("sequential", &bad, -1, 0);
   Outcome late = run ("sequential", &bad, -1, 3000);
 
@@ -149,18 +150,18 @@
 }
 
 static void
-test_slow_and_failing (void)
+test_slow_or_failing_version_is_braked (void)
 {
-  const Truth slow = { .good = 0.7, .error = 0.01, .slow = 0.6 };
-  const Truth failing = { .good = 0.7, .error = 0.2, .slow = 0.05 };
+  const Behaviour slow = { .good = 0.7, .error = 0.01, .slow = 0.6 };
+  const Behaviour failing = { .good = 0.7, .error = 0.2, .slow = 0.05 };
 
   CU_ASSERT_EQUAL (run ("sequential", &slow, -1, 0).brakes, SEEDS);
   CU_ASSERT_EQUAL (run ("sequential", &failing, -1, 0).brakes, SEEDS);
   CU_ASSERT_EQUAL (run ("timer", &failing, -1, 0).brakes, 0);
 }
 
-/* Story: all callers are at the new version, evening comes, and answers are slower than those of
-   the old version were in the morning. Nothing answers by the old version to compare with. */
+/* With all callers on the new version nothing is answered by the old one, and answers at a busier
+   time of day are slower than the old version's were. That must not brake the new version. */
 static void
 test_slowness_needs_live_control (void)
 {
@@ -185,10 +186,11 @@
   rollout_test_free (test);
 }
 
-/* Story: the evidence of a class that is rated hard is set against a control of classes that are
-   rated mildly, because the gates rate them unlike often: a good version looks bad. */
+/* Classes differ in how strictly they are rated, and gates rate them unequally often. Evidence of a
+   strictly rated class compared with a control of mildly rated classes would make a good version
+   look bad. */
 static void
-test_like_with_like (void)
+test_only_same_kinds_are_compared (void)
 {
   RolloutTest *test = rollout_test_new (&rollout_settings_default, 1, 0);
   RolloutEvidence mild = { .answers = 1000, .rated = 1000, .rating_sum = 900 };
@@ -230,13 +232,13 @@
 {
   static const SuiteCase cases[] = {
     { "good_version_passes", test_good_version_passes },
-    { "bad_at_once", test_bad_at_once },
-    { "slightly_bad", test_slightly_bad },
-    { "bad_for_one_team", test_bad_for_one_team },
-    { "turns_bad_late", test_turns_bad_late },
-    { "slow_and_failing", test_slow_and_failing },
+    { "bad_version_is_braked_at_once", test_bad_version_is_braked_at_once },
+    { "slightly_bad_version_is_braked", test_slightly_bad_version_is_braked },
+    { "version_bad_for_one_team_is_braked", test_version_bad_for_one_team_is_braked },
+    { "version_that_becomes_bad_is_braked_fast", test_version_that_becomes_bad_is_braked_fast },
+    { "slow_or_failing_version_is_braked", test_slow_or_failing_version_is_braked },
     { "slowness_needs_live_control", test_slowness_needs_live_control },
-    { "like_with_like", test_like_with_like },
+    { "only_same_kinds_are_compared", test_only_same_kinds_are_compared },
     { "inputs_out_of_range", test_inputs_out_of_range },
   };
 
--- a/tests/test_choose_server.c
+++ b/tests/test_choose_server.c
@@ -1,4 +1,4 @@
-/** Which backend server gets an attempt: src/choose_server.c. */
+/** Selection of the backend server for an attempt: src/choose_server.c. */
 #include "choose_server.h"
 #include "suite.h"
 #include "util_id.h"
@@ -17,7 +17,7 @@
     = { "power-of-two", "round-robin", "least-reported", "random" };
 #define POLICIES (sizeof policy_names / sizeof policy_names[0])
 
-/* Servers 0 to 3 carry version 0, server 4 version 1, server 5 is a plain service. */
+/* Servers 0 to 3 serve version 0, server 4 serves version 1, server 5 is a plain service. */
 static ServerQuery
 setup (void)
 {
@@ -48,7 +48,7 @@
 }
 
 static void
-test_find (void)
+test_policies_by_name (void)
 {
   size_t i;
 
@@ -59,7 +59,7 @@
 }
 
 static void
-test_skips_unusable (void)
+test_unusable_servers_are_skipped (void)
 {
   size_t p;
   unsigned n;
@@ -92,15 +92,16 @@
     }
 }
 
-/* Story: reports come a second late. A gate that trusts them sends its burst to one server, whose
-   queue grows while the others idle. The gate's own requests since the report have to count. */
+/* Reports arrive a second late. A gate that relied on them alone would send a burst to one server,
+   whose queue grows while the others idle; its own requests since the report must count. */
 static void
-test_load_corrects_lagging_report (void)
+test_own_requests_correct_late_report (void)
 {
   ServerQuery query = setup ();
   unsigned n, counts[SERVERS] = { 0 };
 
-  /* Reported 8, of which 6 were ours; 2 of ours are left, and those of others fade with the age. */
+  /* Reported 8, of which 6 were ours; 2 of ours are left, and those of other gates count less as
+     the report ages. */
   views[0] = (ServerView){
     .reported_load = 8,
     .report_ms = 1000,
@@ -135,7 +136,7 @@
     CU_ASSERT (counts[n] >= 95 && counts[n] <= 105);
 }
 
-/** How often each server is picked for one prompt's beginning. */
+/** Counts how often each server is picked for one prompt prefix. */
 static void
 count_prefix (ServerQuery *query, unsigned n, unsigned *counts)
 {
@@ -166,8 +167,8 @@
   return most;
 }
 
-/* Story: all prompts of a big team begin alike. Without a bound on affinity they all go to the one
-   engine that has the beginning cached, whose queue grows while the others idle. */
+/* All prompts of a big team have the same prefix. Without a bound on affinity they would all go to
+   the one engine that has it cached, whose queue grows while the others idle. */
 static void
 test_affinity_is_bounded (void)
 {
@@ -179,18 +180,18 @@
   count_prefix (&query, 200, counts);
   first = index_of_most (counts);
   CU_ASSERT (counts[first] > 0);
-  /* The two of highest hash share them all while they are idle. */
+  /* While idle, the server with the highest hash gets all of them. */
   CU_ASSERT_EQUAL (counts[first], 200);
   views[first].in_flight = 20;
   count_prefix (&query, 200, counts);
   CU_ASSERT_EQUAL (counts[first], 0);
   second = index_of_most (counts);
   CU_ASSERT_EQUAL (counts[second], 200);
-  /* Busier than the others by one request of four slots: still worth it. */
+  /* Busier than the others by one request with four slots: affinity still wins. */
   views[second].in_flight = 1;
   count_prefix (&query, 200, counts);
   CU_ASSERT_EQUAL (counts[second], 200);
-  /* Both much busier: they get no more than without a beginning to look for. */
+  /* Both much busier: they get as many as without a prompt prefix. */
   views[second].in_flight = 20;
   count_prefix (&query, 200, counts);
   query.prefix_hash = 0;
@@ -199,8 +200,8 @@
   CU_ASSERT (counts[first] + counts[second] < 60);
 }
 
-/* Story: an engine's hardware runs half as fast as the others'; by counted requests alone it gets
-   as many as they do, and its callers wait twice as long. */
+/* An engine that runs half as fast as the others must get fewer requests; by the number of requests
+   alone it would get as many, and its callers would wait twice as long. */
 static void
 test_slow_server_gets_less (void)
 {
@@ -219,7 +220,7 @@
 }
 
 static void
-test_round_robin_even (void)
+test_round_robin_is_even (void)
 {
   ServerQuery query = setup ();
   unsigned n, counts[SERVERS] = { 0 };
@@ -234,12 +235,12 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "find", test_find },
-    { "skips_unusable", test_skips_unusable },
-    { "load_corrects_lagging_report", test_load_corrects_lagging_report },
+    { "policies_by_name", test_policies_by_name },
+    { "unusable_servers_are_skipped", test_unusable_servers_are_skipped },
+    { "own_requests_correct_late_report", test_own_requests_correct_late_report },
     { "affinity_is_bounded", test_affinity_is_bounded },
     { "slow_server_gets_less", test_slow_server_gets_less },
-    { "round_robin_even", test_round_robin_even },
+    { "round_robin_is_even", test_round_robin_is_even },
   };
 
   return suite_main (argc, argv, "choose_server", cases, SUITE_COUNT (cases));
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -1,5 +1,5 @@
 /**
- * Reading and checking of a configuration document, look-ups, keys and reference counts.
+ * Parsing and checking of a configuration document, look-ups, keys and reference counts.
  */
 #include "config.h"
 #include "lovage.h"
@@ -46,7 +46,7 @@
   return config_parse (text, strlen (text), 5, list);
 }
 
-/** A text that has to parse; the test program ends if it does not. */
+/** Parses a valid text; exits the test program if that fails. */
 static Config *
 parse_good (const char *text)
 {
@@ -75,7 +75,7 @@
   return list->text.data == NULL ? "" : list->text.data;
 }
 
-/** Versions are numbered model by model in name order, whatever their order in the text. */
+/** Versions must be numbered model by model in name order, whatever their order in the text. */
 static void
 test_indices_in_name_order (void)
 {
@@ -137,7 +137,7 @@
   config_unref (config);
 }
 
-/** The same document gives the same indices on every VM, also when it comes back as its text. */
+/** Canonical text must parse to the same document, so that the indices are the same on every VM. */
 static void
 test_text_parses_to_itself (void)
 {
@@ -207,7 +207,7 @@
   CU_ASSERT (!config_name_valid ("\xc3\xa9"));
 }
 
-/** BLAKE2b-256 of "abc", as published with the algorithm. */
+/** The hash of "abc" is the published test value of BLAKE2b-256. */
 static void
 test_key (void)
 {
@@ -237,7 +237,7 @@
 typedef struct
 {
   const char *path;
-  size_t domains; /**< failure domains with engines */
+  size_t domains; /**< failure domains with backend servers */
   size_t servers;
   size_t teams;
 } Example;
@@ -259,7 +259,7 @@
 }
 
 static bool
-same_team_sees_all_stages (const Config *config, const ConfigClass *class)
+a_team_is_allowed_all_stages (const Config *config, const ConfigClass *class)
 {
   for (size_t t = 0; t < config->team_count; t++)
     {
@@ -280,7 +280,8 @@
   return false;
 }
 
-/** The samples that the handbook starts from: the users' sizes, and each class of use to a team. */
+/** The example documents of the manual must be valid, have the sizes expected by their users, and
+ *  allow each class to some team. */
 static void
 test_examples (void)
 {
@@ -301,7 +302,7 @@
       CU_ASSERT_EQUAL (config->server_count, examples[i].servers);
       CU_ASSERT_EQUAL (config->team_count, examples[i].teams);
       for (size_t c = 0; c < config->class_count; c++)
-        CU_ASSERT (same_team_sees_all_stages (config, &config->classes[c]));
+        CU_ASSERT (a_team_is_allowed_all_stages (config, &config->classes[c]));
       config_unref (config);
     }
 }
@@ -321,7 +322,7 @@
 }
 
 static void *
-take_and_give_back (void *argument)
+ref_and_unref (void *argument)
 {
   for (int i = 0; i < ROUNDS; i++)
     config_unref (config_ref (argument));
@@ -329,8 +330,8 @@
 }
 
 /**
- * Every request holds the configuration that it was decided under. If counting lost one reference
- * among threads, the document would be freed under a request, or never.
+ * Every request holds a reference to the configuration that it was decided under. If a reference
+ * were lost among threads, the configuration would be freed while in use, or never.
  */
 static void
 test_references_from_many_threads (void)
@@ -339,7 +340,7 @@
   pthread_t threads[THREADS];
 
   for (int i = 0; i < THREADS; i++)
-    CU_ASSERT_EQUAL_FATAL (pthread_create (&threads[i], NULL, take_and_give_back, config), 0);
+    CU_ASSERT_EQUAL_FATAL (pthread_create (&threads[i], NULL, ref_and_unref, config), 0);
   for (int i = 0; i < THREADS; i++)
     pthread_join (threads[i], NULL);
   CU_ASSERT_EQUAL (config->refs, 1);
--- a/tests/test_config_errors.c
+++ b/tests/test_config_errors.c
@@ -1,5 +1,6 @@
 /**
- * Errors in a configuration document: all in one pass, each with its path and what was expected.
+ * Errors in a configuration document are reported all in one pass, each with its path and what was
+ * expected.
  */
 #include "config.h"
 #include "suite.h"
--- a/tests/test_config_text.c
+++ b/tests/test_config_text.c
@@ -1,5 +1,5 @@
 /**
- * Canonical text, merge patches (RFC 7396) and their making.
+ * Canonical text, and merge patches (RFC 7396), applied and generated.
  */
 #include "config.h"
 #include "suite.h"
@@ -123,7 +123,8 @@
   buffer_add_string (out, "]");
 }
 
-/** Any value but null, which a merge patch can't set; few of each kind, so that parts agree. */
+/** Any value but null, which a merge patch can't set; from few values of each kind, so that parts
+ *  of two documents are equal. */
 static void
 random_value (gsl_rng *random, int depth, Buffer *out)
 {
@@ -165,8 +166,8 @@
 }
 
 /**
- * `version create` of a whole new document sends its difference from the head. If the patch lost a
- * member, or left one behind, an operator would see another document in force than the one sent.
+ * `version create` with a complete document sends its difference from the head. If the patch lost
+ * or kept a wrong member, the document in force would differ from the one that the operator sent.
  */
 static void
 test_diff_then_apply_gives_the_other (void)
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -23,8 +23,8 @@
     CU_ASSERT_TRUE (isalnum ((unsigned char)*c) || strchr ("-_.", *c) != NULL);
 }
 
-/* A caller takes the token of another team's session, to reach a version that its own team is not
- * allowed. The team is under the MAC, so that the token is nobody's but its team's. */
+/* A token must not be valid for another team, which could otherwise reach a version that it is not
+ * allowed. The MAC covers the team. */
 static void
 test_token_of_another_team (void)
 {
@@ -37,8 +37,8 @@
   CU_ASSERT_FALSE (session_open (other_key, "tender-desk", token, version));
 }
 
-/* A caller alters its token to choose a version. No single character may be changed, added or
- * dropped without the token being refused. */
+/* A caller must not be able to choose a version by altering its token: a token with any single
+ * character changed, added or dropped must be refused. */
 static void
 test_token_altered (void)
 {
@@ -70,7 +70,7 @@
 }
 
 static void
-test_name_of_the_callers_own (void)
+test_name_is_no_token (void)
 {
   char version[SESSION_VERSION_MAX];
 
@@ -80,7 +80,7 @@
   CU_ASSERT_FALSE (session_open (key, "tender-desk", "lvs1.", version));
 }
 
-/* Two sessions of a team on one version are told apart, for affinity to a backend server. */
+/* Tokens of two sessions of a team on one version must differ, for affinity to a backend server. */
 static void
 test_tokens_differ (void)
 {
@@ -124,7 +124,8 @@
   platform_free (site->p);
 }
 
-/* Starts the session at a VM that would choose this version, and compares what it gets. */
+/* Starts the session at a VM that would choose this version, and compares the version that it gets.
+ */
 static bool
 starts_as (Site *site,
            int vm,
@@ -140,8 +141,8 @@
          && strcmp (version, expected) == 0;
 }
 
-/* A caller names its session itself and its requests go to different VMs during a roll-out, so that
- * each VM would choose another version. The first one's version stays. */
+/* The requests of a named session go to different VMs during a roll-out, each of which would choose
+ * another version. The session must keep the first one's version. */
 static void
 test_named_keeps_first_version (void)
 {
@@ -155,7 +156,8 @@
   site_free (&site);
 }
 
-/* The reply to the row's write is lost. */
+/* The reply to the insert of the row is lost; the session must keep the version that was inserted.
+ */
 static void
 test_named_reply_lost (void)
 {
@@ -167,7 +169,7 @@
   site_free (&site);
 }
 
-/* The table is down. A session that this VM knows goes on; one that it does not know is refused,
+/* The table service is down. A session that this VM has cached continues; another one is refused,
  * since another VM may have started it on another version. */
 static void
 test_named_outage (void)
@@ -186,33 +188,33 @@
   site_free (&site);
 }
 
-/* Far more sessions than the cache holds: it forgets, and the table still knows. */
+/* With more sessions than the cache holds, evicted ones must still be found in the table. */
 static void
 test_named_cache_is_bounded (void)
 {
   Site site = site_new ();
   char name[32];
   char version[SESSION_VERSION_MAX];
-  int known = 0;
-  int kept = 0;
+  int cached = 0;
+  int right_version = 0;
 
   for (int i = 0; i < 2000; i++)
     {
       snprintf (name, sizeof name, "case %d", i);
-      kept += starts_as (&site, 0, "a", name, "draft@v7", "draft@v7");
+      right_version += starts_as (&site, 0, "a", name, "draft@v7", "draft@v7");
     }
   for (int i = 0; i < 2000; i++)
     {
       snprintf (name, sizeof name, "case %d", i);
-      known += session_named_find (site.vms[0], "a", name, version);
+      cached += session_named_find (site.vms[0], "a", name, version);
     }
   for (int i = 0; i < 2000; i++)
     {
       snprintf (name, sizeof name, "case %d", i);
-      kept += starts_as (&site, 0, "a", name, "draft@v8", "draft@v7");
+      right_version += starts_as (&site, 0, "a", name, "draft@v8", "draft@v7");
     }
-  CU_ASSERT_EQUAL (kept, 4000);
-  CU_ASSERT_TRUE (known > 0 && known <= 192);
+  CU_ASSERT_EQUAL (right_version, 4000);
+  CU_ASSERT_TRUE (cached > 0 && cached <= 192);
   site_free (&site);
 }
 
@@ -223,7 +225,7 @@
     { "token_opens", test_token_opens },
     { "token_of_another_team", test_token_of_another_team },
     { "token_altered", test_token_altered },
-    { "name_of_the_callers_own", test_name_of_the_callers_own },
+    { "name_is_no_token", test_name_is_no_token },
     { "tokens_differ", test_tokens_differ },
     { "named_keeps_first_version", test_named_keeps_first_version },
     { "named_reply_lost", test_named_reply_lost },
