--- a/src/choose.c
+++ b/src/choose.c
@@ -89,8 +89,8 @@
   return rollout != NULL || config->versions[version].state == VERSION_ACTIVE;
 }
 
-/** Collects the reasons why versions are excluded, to report the reason if it is the same for all.
- *  */
+/** Collects the reasons why versions are excluded, to report the reason if it is the same for
+ *  all. */
 typedef struct
 {
   Reason reason;
--- a/src/choose.h
+++ b/src/choose.h
@@ -18,8 +18,7 @@
   REASON_NOT_ALLOWED,       /**< the team is not allowed to use the requested model or version */
   REASON_VERSION_WITHDRAWN, /**< also if a session's version was withdrawn */
   REASON_VERSION_BRAKED,
-  REASON_NO_ALLOWED_VERSION, /**< permissions, version states and brakes exclude all versions, for
-                                different reasons */
+  REASON_NO_ALLOWED_VERSION, /**< team, version states, roll-outs and brakes leave none */
   REASON_NO_SERVER,          /**< no usable backend server serves the version */
   REASON_TARGET_UNREACHABLE, /**< no allowed plan meets the quality target */
   REASON_DEADLINE_PAST,
@@ -42,8 +41,7 @@
 /** Whether a request may be run more than once. */
 typedef enum
 {
-  IDEMPOTENCY_DEFAULT
-  = 0, /**< as configured for the class; requests that name a model are idempotent */
+  IDEMPOTENCY_DEFAULT = 0, /**< by the class; yes if the request names a model */
   IDEMPOTENCY_YES,
   IDEMPOTENCY_NO /**< at most once: the plan has a single stage */
 } Idempotency;
@@ -75,8 +73,7 @@
 
 typedef struct
 {
-  unsigned
-      versions[CHOOSE_STAGES_MAX]; /**< version indices, in the order in which they are tried */
+  unsigned versions[CHOOSE_STAGES_MAX]; /**< version indices, in the order of the attempts */
   size_t count;
   bool rated; /**< the answer of each stage but the last is rated before it is forwarded */
   double quality_target; /**< 0 when the caller named a model */
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -21,12 +21,11 @@
   double wait_cost_per_s;   /**< cost units per second of waiting for the first token */
   double mix_shortfall_max; /**< a plan that misses the target by at most this may be mixed with a
                                better one */
-  double
-      explore_share; /**< largest share of requests that try a version with little evidence first */
-  double evidence_weight_min; /**< a version with fewer ratings has little evidence */
+  double explore_share;     /**< largest share of requests that try a little rated version first */
+  double evidence_weight_min; /**< ratings below which a version has little evidence */
   unsigned stages_max;
-  double tokens; /**< expected size of an answer before any was observed */
-  double ms;     /**< expected size of an answer before any was observed */
+  double tokens; /**< assumed tokens of an answer before any was observed */
+  double ms;     /**< assumed time of an answer before any was observed */
 } CascadeSettings;
 
 extern const CascadeSettings cascade_settings_default;
@@ -36,8 +35,8 @@
   const ChooseRequest *request;
   Estimates *estimates;
   const CascadeSettings *settings;
-  bool rating_available; /**< false: no rating can be had now */
-  double rating_ms;      /**< how long one takes */
+  bool rating_available; /**< false: the rating service is unavailable */
+  double rating_ms;      /**< expected duration of one rating */
   uint64_t random;       /**< fresh random bits */
 } CascadeQuery;
 
--- a/src/choose_estimate.c
+++ b/src/choose_estimate.c
@@ -103,8 +103,8 @@
   return NULL;
 }
 
-/** The cell of that hash; a new one replaces the least recently updated cell of its probe sequence.
- *  */
+/** The cell of that hash; a new one replaces the least recently updated cell of its probe
+ *  sequence. */
 static Cell *
 cell_get (Shard *shard, uint64_t hash, int64_t now_ms)
 {
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -67,8 +67,8 @@
 }
 
 /** Derives a prior from the configured prior quality, which is a mean rating: answers that pass are
- *  assumed to be rated halfway between the target and 1, those that fail at a third of the target.
- *  */
+ *  assumed to be rated halfway between the target and 1, those that fail at a third of the
+ *  target. */
 static Prior
 prior_of_version (double quality, double target)
 {
@@ -147,8 +147,8 @@
 }
 
 /** The rating after another version's answer failed. Without evidence the worst case is assumed:
- *  this version passes all answers that the other passes, so only the rest of its passes is left.
- *  */
+ *  this version passes all answers that the other passes, so only the rest of its passes is
+ *  left. */
 static ForecastRating
 after_rating (const Keys *keys, const Forecast *forecast, size_t stage, size_t before)
 {
--- a/src/choose_index.c
+++ b/src/choose_index.c
@@ -55,8 +55,8 @@
   return x->server < y->server ? -1 : 1;
 }
 
-/** Own failure domain first; then one server of each other failure domain before the second of any.
- *  */
+/** Own failure domain first; then one server of each other failure domain before the second of
+ *  any. */
 static int
 by_domain_in_turn (const void *a, const void *b)
 {
--- a/src/choose_index.h
+++ b/src/choose_index.h
@@ -12,8 +12,7 @@
 
 typedef struct
 {
-  unsigned
-      *servers; /**< indices into Config.servers, those in the gate's own failure domain first */
+  unsigned *servers; /**< indices into Config.servers, own failure domain first */
   unsigned count;
 } IndexList;
 
--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -16,11 +16,9 @@
 #define MS_PER_S          1000.0
 #define SUM_INTERVAL_MS   100    /**< shortest interval between sums over the active teams */
 #define FIXED_POINT_SCALE 1000.0 /**< atomic sums are integers, in thousandths */
-#define DEVIATIONS        2.0
-#define PEAK_FAIR_SHARES                                                                           \
-  3.0 /**< a short peak may use this many fair shares, and one request more */
-#define FLOOD_FACTOR                                                                               \
-  2.0 /**< a team floods if it has more than this many times its long-term mean in progress */
+#define DEVIATIONS        2.0    /**< standard deviations kept free for the other teams */
+#define PEAK_FAIR_SHARES  3.0    /**< a short peak may use so many, and one request more */
+#define FLOOD_FACTOR      2.0    /**< times its long-term mean beyond which a team floods */
 
 struct Limiter
 {
@@ -155,8 +153,8 @@
   return refuse (REASON_NONE, 0);
 }
 
-/** The team's fair share of the capacity, by weight among the active teams; at least one request.
- *  */
+/** The team's fair share of the capacity, by weight among the active teams; at least one
+ *  request. */
 static double
 fair_share (Limiter *limiter, const LimitQuery *query, const LimitTeam *team)
 {
--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -28,8 +28,7 @@
 struct Quarantine
 {
   QuarantineSettings settings;
-  atomic_uint
-      held_count; /**< lets quarantine_contains skip the lock while nothing is quarantined */
+  atomic_uint held_count; /**< if 0, quarantine_contains takes no lock */
   pthread_mutex_t lock;
   Death deaths[QUARANTINE_DEATHS_MAX];
   QuarantineEntry held[QUARANTINE_HELD_MAX];
@@ -254,8 +253,8 @@
     }
 }
 
-/** The entry of this death if it is known, else a new one in place of a free or the oldest entry.
- *  */
+/** The entry of this death if it is known, else a new one in place of a free or the oldest
+ *  entry. */
 static Death *
 death_entry (Quarantine *quarantine, uint64_t server, int64_t at_ms)
 {
--- a/src/choose_quarantine.h
+++ b/src/choose_quarantine.h
@@ -18,9 +18,8 @@
   unsigned servers;     /**< different servers that must have died while running a fingerprint */
   int64_t retention_ms; /**< how long deaths are kept */
   int64_t outage_ms; /**< deaths this close together may have a common cause other than a request */
-  int64_t
-      same_death_ms; /**< reports of the same server's death this close together are of one death */
-  int64_t hold_ms;   /**< how long a fingerprint stays refused */
+  int64_t same_death_ms; /**< reports of one server's death this close together are the same */
+  int64_t hold_ms;       /**< how long a fingerprint stays refused */
 } QuarantineSettings;
 
 extern const QuarantineSettings quarantine_settings_default;
--- a/src/choose_retry.c
+++ b/src/choose_retry.c
@@ -10,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_ATTEMPTS_MIN                                                                         \
-  10 /**< smallest denominator of the failure share, so that a few early failures don't count as   \
-        overload */
+/** The share of failed requests is computed over at least so many more first attempts than
+ *  failures, so that a few early failures don't count as overload. */
+#define EXTRA_FIRST_ATTEMPTS_MIN 10
 
 struct RetryBudget
 {
@@ -129,7 +129,7 @@
   decay_counts (budget, now_ms);
   budget->failed_requests += 1;
   share = budget->failed_requests
-          / fmax (budget->first_attempts, budget->failed_requests + FIRST_ATTEMPTS_MIN);
+          / fmax (budget->first_attempts, budget->failed_requests + EXTRA_FIRST_ATTEMPTS_MIN);
   pthread_mutex_unlock (&budget->lock);
   return settings->retry_after_min_ms
          + (int64_t)(share * (double)(settings->retry_after_max_ms - settings->retry_after_min_ms));
--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -13,9 +13,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define THRESHOLD_SHARE                                                                            \
-  0.8 /**< the threshold baseline brakes below this share of the old version's mean rating */
-#define THRESHOLD_RATINGS_MIN 10 /**< ratings that the threshold baseline waits for */
+#define THRESHOLD_SHARE       0.8 /**< of the old version's mean rating: the baseline's limit */
+#define THRESHOLD_RATINGS_MIN 10  /**< ratings that the baseline waits for */
 #define TIMER_MS              60000
 
 typedef enum
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -24,8 +24,7 @@
                             and how often they are rated. */
   unsigned answers;
   unsigned errors; /**< answers in which the backend server failed */
-  unsigned
-      slow; /**< answers that took longer than the old version's mean and two standard deviations */
+  unsigned slow;   /**< answers slower than the old version's mean and two deviations */
   unsigned rated;
   double rating_sum;
   double rating_square_sum;
--- a/src/choose_rollout_control.h
+++ b/src/choose_rollout_control.h
@@ -7,8 +7,7 @@
 
 #include "choose_rollout.h"
 
-#define ROLLOUT_RATE_MAX                                                                           \
-  0.95 /**< largest rate of errors or slow answers that is assumed for a version */
+#define ROLLOUT_RATE_MAX 0.95 /**< largest assumed rate of errors or slow answers */
 
 /** Sums over answers; scaled down when they exceed weight_max. */
 typedef struct
--- a/src/choose_search.h
+++ b/src/choose_search.h
@@ -18,13 +18,12 @@
   bool single;           /**< only plans of one stage */
   ForecastPlan cheapest; /**< cheapest plan that meets the target with the required confidence, and
                             the deadline; mask 0: none */
-  ForecastPlan
-      fastest; /**< fastest plan that meets the target, whether or not the deadline; mask 0: none */
-  ForecastPlan closest; /**< plan of highest quality */
-  bool reachable;       /**< some plan possibly meets the target */
-  ForecastPlan *below;  /**< plans that meet the deadline and miss the target by little;
-                           SEARCH_PLANS_MAX, borrowed */
-  ForecastPlan *above;  /**< plans that meet both deadline and target; SEARCH_PLANS_MAX, borrowed */
+  ForecastPlan fastest;  /**< fastest plan that meets the target, in time or not; mask 0: none */
+  ForecastPlan closest;  /**< plan of highest quality */
+  bool reachable;        /**< some plan possibly meets the target */
+  ForecastPlan *below;   /**< plans that meet the deadline and miss the target by little;
+                            SEARCH_PLANS_MAX, borrowed */
+  ForecastPlan *above; /**< plans that meet both deadline and target; SEARCH_PLANS_MAX, borrowed */
   unsigned below_count, above_count;
 } Search;
 
--- a/src/config.h
+++ b/src/config.h
@@ -13,13 +13,12 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CONFIG_NAME_MAX   31      /**< bytes of a name; names consist of [a-z0-9._-] */
-#define CONFIG_LABEL_SIZE 64      /**< MODEL@VERSION with the final NUL */
-#define CONFIG_TEXT_MAX   1048576 /**< bytes of a document; must fit an RPC between stewards */
-#define CONFIG_VERSIONS_MAX                                                                        \
-  256 /**< versions of all models, so that a set of brakes fits a heartbeat */
-#define CONFIG_STAGES_MAX   8  /**< stages of a class or a roll-out */
-#define CONFIG_KEY_HASH_LEN 64 /**< hexadecimal digits of the hash of a team's key */
+#define CONFIG_NAME_MAX     31      /**< bytes of a name; names consist of [a-z0-9._-] */
+#define CONFIG_LABEL_SIZE   64      /**< MODEL@VERSION with the final NUL */
+#define CONFIG_TEXT_MAX     1048576 /**< bytes of a document; must fit an RPC between stewards */
+#define CONFIG_VERSIONS_MAX 256     /**< of all models, so that a set of brakes fits a heartbeat */
+#define CONFIG_STAGES_MAX   8       /**< stages of a class or a roll-out */
+#define CONFIG_KEY_HASH_LEN 64      /**< hexadecimal digits of the hash of a team's key */
 
 typedef enum
 {
--- a/src/config_parse.h
+++ b/src/config_parse.h
@@ -33,8 +33,8 @@
 struct json_object *config_json_parse (const char *text, size_t len, CheckList *list);
 /** Canonical text of a value; to be freed with free. */
 char *config_json_text (struct json_object *value);
-/** Names of an object's members, sorted. The list is to be freed with free; the names are borrowed.
- *  */
+/** Names of an object's members, sorted. The list is to be freed with free; the names are
+ *  borrowed. */
 const char **config_sorted_names (struct json_object *object, size_t *count);
 
 /** Calls the reader for each member in the order of names. An invalid name or a member that is not
--- a/tests/test_choose_cascade.c
+++ b/tests/test_choose_cascade.c
@@ -1,5 +1,5 @@
-/** The learned order of stages: src/choose_cascade.c, src/choose_search.c, src/choose_estimate.c.
- *  */
+/** The learned order of stages: src/choose_cascade.c, src/choose_search.c,
+ *  src/choose_estimate.c. */
 #include "choose_cascade.h"
 #include "suite.h"
 #include "util_id.h"
