--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -61,7 +61,7 @@
 
 const RolloutSettings rollout_settings_default = {
   .alarm_threshold = 10,
-  .pass = 3,
+  .pass_threshold = 3,
   .stage_tolerances = { 0.15, 0.1, 0.05, 0.05 },
   .stage_min_ms = 60000,
   .control_weight_max = 2000,
@@ -283,7 +283,7 @@
     }
   for (metric = 0; metric < METRICS; metric++)
     {
-      if (test->pass_evidence[metric] < test->settings.pass)
+      if (test->pass_evidence[metric] < test->settings.pass_threshold)
         return decision;
     }
   if (now_ms - test->stage_since_ms < test->settings.stage_min_ms)
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -34,7 +34,8 @@
 {
   double alarm_threshold; /**< log likelihood ratio of a worse version at which the new version is
                              braked */
-  double pass; /**< log likelihood ratio of an equally good version at which a stage passes */
+  double pass_threshold;  /**< log likelihood ratio of an equally good version at which a stage
+                             passes */
   double stage_tolerances[4]; /**< by how much a version may be worse without failing the stage, by
                                  stage; the last one holds for all further stages */
   int64_t stage_min_ms;       /**< shortest duration of a stage */
