--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -175,7 +175,7 @@
                       bool within_long_mean)
 {
   double expected = (double)atomic_load (&limiter->expected) / FIXED_POINT_SCALE;
-  double others = fmax (0, expected - fmin (team->mean, share));
+  double others = fmax (0, expected - fmin (team->recent_mean, share));
   double usable = query->capacity * (within_long_mean ? 1 : limiter->settings.best_effort_share);
 
   return (double)team->in_progress + 1 + others + DEVIATIONS * sqrt (others) > usable;
@@ -192,7 +192,8 @@
   double busy = (double)atomic_load (&limiter->in_progress);
   double share = fair_share (limiter, query, team);
   double holds = (double)team->in_progress + 1;
-  bool beyond = holds > share && (team->mean > share + 1 || holds > PEAK_FAIR_SHARES * share + 1);
+  bool beyond
+      = holds > share && (team->recent_mean > share + 1 || holds > PEAK_FAIR_SHARES * share + 1);
   bool within_long_mean = holds <= FLOOD_FACTOR * team->long_mean + 1;
   LimitVerdict verdict = refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
 
--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -79,7 +79,7 @@
   double in_progress = (double)team->in_progress;
   int64_t ms = now_ms - team->mean_ms;
 
-  team->mean = decayed_mean (team->mean, in_progress, ms, RECENT_HALF_LIFE_MS);
+  team->recent_mean = decayed_mean (team->recent_mean, in_progress, ms, RECENT_HALF_LIFE_MS);
   /* On the first call there is no previous sample to measure the interval from. */
   if (team->mean_ms != 0)
     team->long_mean = decayed_mean (team->long_mean, in_progress, ms, LONG_HALF_LIFE_MS);
@@ -103,7 +103,7 @@
           if (team->key == 0 || now_ms - team->last_request_ms >= active_ms)
             continue;
           update_mean (team, now_ms);
-          out[n++] = (LimitActive){ team->weight, team->mean };
+          out[n++] = (LimitActive){ team->weight, team->recent_mean };
         }
       pthread_mutex_unlock (&shard->lock);
     }
--- a/src/choose_limit_team.h
+++ b/src/choose_limit_team.h
@@ -21,7 +21,7 @@
   int64_t refilled_ms;
   int64_t last_request_ms;
   double weight;
-  double mean; /**< recent mean of in_progress (half-life 10 s) */
+  double recent_mean; /**< recent mean of in_progress (half-life 10 s) */
   int64_t mean_ms;
   double long_mean; /**< long-term mean of in_progress (half-life 10 min), starting from 0 at the
                        team's first request */
