--- a/src/choose_breaker.h
+++ b/src/choose_breaker.h
@@ -8,8 +8,8 @@
 
 #include "choose_server.h"
 
-#define BREAKER_FAILURES    3 /**< consecutive failures that open the breaker */
-#define BREAKER_OPEN_MIN_MS 1000
+#define BREAKER_FAILURES    3    /**< consecutive failures that open the breaker */
+#define BREAKER_OPEN_MIN_MS 1000 /**< interval after the first opening */
 #define BREAKER_OPEN_MAX_MS 30000
 #define BREAKER_PROBE_MS    10000 /**< how long other requests are held off while a probe runs */
 
--- a/src/choose_estimate.c
+++ b/src/choose_estimate.c
@@ -9,8 +9,8 @@
 #include <stdlib.h>
 
 #define SHARDS        16
-#define SHARD_CELLS   512 /**< entries in a shard's hash table; a power of two */
-#define PROBES        16
+#define SHARD_CELLS   512  /**< entries in a shard's hash table; a power of two */
+#define PROBES        16   /**< entries tried for one key */
 #define DECAY_STEP_MS 500  /**< a cell decays at most this often, to save the exponential */
 #define WEIGHT_MIN    1e-6 /**< a smaller weight is a rounding error and counts as none */
 #define HALF_LIFE_MS  600000
--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -191,10 +191,10 @@
 {
   double busy = (double)atomic_load (&limiter->in_progress);
   double share = fair_share (limiter, query, team);
-  double holds = (double)team->in_progress + 1;
+  double wanted = (double)team->in_progress + 1;
   bool beyond
-      = holds > share && (team->recent_mean > share + 1 || holds > PEAK_FAIR_SHARES * share + 1);
-  bool within_long_mean = holds <= FLOOD_FACTOR * team->long_mean + 1;
+      = wanted > share && (team->recent_mean > share + 1 || wanted > PEAK_FAIR_SHARES * share + 1);
+  bool within_long_mean = wanted <= FLOOD_FACTOR * team->long_mean + 1;
   LimitVerdict verdict = refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
 
   if (busy >= query->capacity)
--- a/src/choose_limit_share.c
+++ b/src/choose_limit_share.c
@@ -82,20 +82,20 @@
 int64_t
 limit_shares_count (LimitShares *shares, int64_t limit, int64_t now_ms)
 {
-  int64_t least;
+  int64_t smallest;
   unsigned i;
 
   pthread_mutex_lock (&shares->lock);
   drop_settled (shares, now_ms);
-  least = position_count (&shares->now, limit);
+  smallest = position_count (&shares->now, limit);
   for (i = 0; i < shares->former_count; i++)
     {
       int64_t share = position_count (&shares->former[i], limit);
 
-      least = share < least ? share : least;
+      smallest = share < smallest ? share : smallest;
     }
   pthread_mutex_unlock (&shares->lock);
-  return least;
+  return smallest;
 }
 
 static double
@@ -107,16 +107,16 @@
 double
 limit_shares_rate (LimitShares *shares, double limit, int64_t now_ms)
 {
-  double least;
+  double smallest;
   unsigned i;
 
   pthread_mutex_lock (&shares->lock);
   drop_settled (shares, now_ms);
-  least = position_rate (&shares->now, limit);
+  smallest = position_rate (&shares->now, limit);
   for (i = 0; i < shares->former_count; i++)
-    least = fmin (least, position_rate (&shares->former[i], limit));
+    smallest = fmin (smallest, position_rate (&shares->former[i], limit));
   pthread_mutex_unlock (&shares->lock);
-  return least;
+  return smallest;
 }
 
 int64_t
--- a/src/choose_limit_team.h
+++ b/src/choose_limit_team.h
@@ -8,7 +8,7 @@
 #include <pthread.h>
 
 #define LIMIT_SHARDS      16
-#define LIMIT_SHARD_TEAMS 64
+#define LIMIT_SHARD_TEAMS 64 /**< teams per shard */
 #define LIMIT_TEAMS_MAX   (LIMIT_SHARDS * LIMIT_SHARD_TEAMS)
 
 /** One team's usage, by the hash of its name, so that it stays valid when the configuration
--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -276,32 +276,32 @@
 }
 
 static bool
-merge_flights (Death *death, const QuarantineDeath *news)
+merge_flights (Death *death, const QuarantineDeath *reported)
 {
   uint32_t before = death->count;
   uint32_t i;
 
-  for (i = 0; i < news->count && i < QUARANTINE_FLIGHT_MAX; i++)
+  for (i = 0; i < reported->count && i < QUARANTINE_FLIGHT_MAX; i++)
     {
-      if (death->count < QUARANTINE_FLIGHT_MAX && !death_includes (death, news->flights[i]))
-        death->flights[death->count++] = news->flights[i];
+      if (death->count < QUARANTINE_FLIGHT_MAX && !death_includes (death, reported->flights[i]))
+        death->flights[death->count++] = reported->flights[i];
     }
   return death->count > before;
 }
 
 bool
-quarantine_add (Quarantine *quarantine, const QuarantineDeath *news, int64_t now_ms)
+quarantine_add (Quarantine *quarantine, const QuarantineDeath *reported, int64_t now_ms)
 {
   Death *death;
   uint32_t i;
   bool changed;
 
-  if (news->server == 0 || news->age_ms > quarantine->settings.retention_ms)
+  if (reported->server == 0 || reported->age_ms > quarantine->settings.retention_ms)
     return false;
   pthread_mutex_lock (&quarantine->lock);
   drop_expired (quarantine, now_ms);
-  death = death_entry (quarantine, news->server, now_ms - news->age_ms);
-  changed = merge_flights (death, news);
+  death = death_entry (quarantine, reported->server, now_ms - reported->age_ms);
+  changed = merge_flights (death, reported);
   for (i = 0; i < death->count; i++)
     {
       if (is_cause (quarantine, death->flights[i]))
--- a/src/choose_quarantine.h
+++ b/src/choose_quarantine.h
@@ -9,10 +9,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define QUARANTINE_FLIGHT_MAX 32 /**< fingerprints kept per death */
-#define QUARANTINE_DEATHS_MAX 64 /**< deaths kept; the oldest is dropped first */
-#define QUARANTINE_HELD_MAX   256
-
+#define QUARANTINE_FLIGHT_MAX 32  /**< fingerprints kept per death */
+#define QUARANTINE_DEATHS_MAX 64  /**< deaths kept; the oldest is dropped first */
+#define QUARANTINE_HELD_MAX   256 /**< fingerprints refused at a time */
 typedef struct
 {
   unsigned servers;     /**< different servers that must have died while running a fingerprint */
--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -13,10 +13,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define THRESHOLD_SHARE       0.8 /**< of the old version's mean rating: the baseline's limit */
-#define THRESHOLD_RATINGS_MIN 10  /**< ratings that the baseline waits for */
-#define TIMER_MS              60000
-
+#define THRESHOLD_SHARE       0.8   /**< of the old version's mean rating: the baseline's limit */
+#define THRESHOLD_RATINGS_MIN 10    /**< ratings that the baseline waits for */
+#define TIMER_MS              60000 /**< duration of a stage with the timer baseline */
 typedef enum
 {
   METRIC_ERRORS,
@@ -221,7 +220,7 @@
 static double
 alarm_strength (const Alarms *alarms, unsigned first, unsigned *metric_out)
 {
-  double most = 0;
+  double largest = 0;
   unsigned metric, i;
 
   *metric_out = 0;
@@ -229,13 +228,13 @@
     {
       for (i = first; i < ALTERNATIVES; i++)
         {
-          if (alarms->alarms[metric][i] <= most)
+          if (alarms->alarms[metric][i] <= largest)
             continue;
-          most = alarms->alarms[metric][i];
+          largest = alarms->alarms[metric][i];
           *metric_out = metric;
         }
     }
-  return most;
+  return largest;
 }
 
 static double
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -10,10 +10,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define ROLLOUT_TEAMS_MAX 256
-#define ROLLOUT_KINDS_MAX 32 /**< number of request kinds; see RolloutEvidence.request_kind */
-#define ROLLOUT_WHY_MAX   128
-
+#define ROLLOUT_TEAMS_MAX 256 /**< teams tested separately */
+#define ROLLOUT_KINDS_MAX 32  /**< number of request kinds; see RolloutEvidence.request_kind */
+#define ROLLOUT_WHY_MAX   128 /**< bytes with the final NUL */
 /** Sums over the answers of one version to one team since the last evidence; the sums of several
  *  VMs can be added. */
 typedef struct
--- a/src/choose_search.c
+++ b/src/choose_search.c
@@ -2,9 +2,8 @@
 
 #include <math.h>
 
-#define RANDOM_STEPS           65536
-#define FULL_SEARCH_STAGES_MAX 5
-
+#define RANDOM_STEPS           65536 /**< resolution of random shares */
+#define FULL_SEARCH_STAGES_MAX 5     /**< with more candidates plans have at most two stages */
 /** Lower confidence bound of a plan's quality. */
 static double
 quality_lower_bound (const Search *search, const ForecastPlan *plan)
@@ -68,13 +67,13 @@
 static unsigned
 search_stages_max (const Search *search)
 {
-  unsigned most = search->query->settings->stages_max;
+  unsigned stages_limit = search->query->settings->stages_max;
 
   if (search->single)
     return 1;
-  if (__builtin_popcount (search->forecast->useful) > FULL_SEARCH_STAGES_MAX && most > 2)
+  if (__builtin_popcount (search->forecast->useful) > FULL_SEARCH_STAGES_MAX && stages_limit > 2)
     return 2;
-  return most;
+  return stages_limit;
 }
 
 void
--- a/src/choose_server_power_of_two.c
+++ b/src/choose_server_power_of_two.c
@@ -7,7 +7,7 @@
 #include "util_assert.h"
 #include <string.h>
 
-#define CANDIDATES_MAX   64
+#define CANDIDATES_MAX   64   /**< servers considered for one attempt */
 #define TOKEN_MS_DEFAULT 15.0 /**< assumed time per token of a server that has not answered yet */
 
 /** How much busier, as a share of its slots, a server may be that probably has the prompt prefix
--- a/src/config_class.c
+++ b/src/config_class.c
@@ -6,8 +6,7 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define DEADLINE_MS_MAX 86400000
-
+#define DEADLINE_MS_MAX 86400000 /**< a day */
 typedef struct
 {
   struct json_object *stages;
--- a/src/config_file.c
+++ b/src/config_file.c
@@ -6,8 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define READ_SIZE 4096
-
+#define READ_SIZE 4096 /**< bytes */
 bool
 config_file_read (const char *path, Buffer *text, CheckList *list)
 {
--- a/src/config_model.c
+++ b/src/config_model.c
@@ -6,7 +6,7 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define COST_MAX              1e6
+#define COST_MAX              1e6 /**< cost units per 1,000 tokens */
 #define CONFIG_NUMBER_MAX     999999999999.0
 #define PRIOR_QUALITY_DEFAULT 0.5
 
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -9,8 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SHOWN_NAME_MAX 48
-
+#define SHOWN_NAME_MAX 48 /**< bytes, with the final NUL */
 typedef struct
 {
   struct json_object *models;
--- a/src/config_parse.h
+++ b/src/config_parse.h
@@ -7,8 +7,7 @@
 #include "config.h"
 #include <json-c/json.h>
 
-#define CONFIG_PATH_MAX 256
-
+#define CONFIG_PATH_MAX       256 /**< bytes of a path in an error message, with the final NUL */
 #define CONFIG_VERSION_STATES (VERSION_WITHDRAWN + 1)
 #define CONFIG_ROLLOUT_STATES (ROLLOUT_BACKED_OUT + 1)
 
--- a/src/config_text.c
+++ b/src/config_text.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NUMBER_SIZE   32
+#define NUMBER_SIZE   32                 /**< bytes of a number in text, with the final NUL */
 #define DIGITS_MIN    15                 /**< every decimal of 15 digits is preserved by a double */
 #define DIGITS_MAX    17                 /**< every double is preserved by 17 digits */
 #define INTEGER_BOUND 9007199254740992.0 /**< 2^53: integers below it are exact in a double */
--- a/src/session.h
+++ b/src/session.h
@@ -8,10 +8,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SESSION_TOKEN_MAX   512
-#define SESSION_VERSION_MAX 64
-#define SESSION_KEY_SIZE    32
-
+#define SESSION_TOKEN_MAX   512 /**< bytes with the final NUL */
+#define SESSION_VERSION_MAX 64  /**< bytes of MODEL@VERSION with the final NUL */
+#define SESSION_KEY_SIZE    32  /**< bytes */
 /** Writes the token of a session of the team on version, "MODEL@VERSION". key is derived from the
  *  site key. */
 void session_seal (const uint8_t key[SESSION_KEY_SIZE],
--- a/src/session_named.c
+++ b/src/session_named.c
@@ -10,11 +10,11 @@
 
 #define STEP          "session.start"
 #define KEY_MAX       128
-#define KEY_HASH_LEN  16
-#define TEAM_MAX      63
+#define KEY_HASH_LEN  16 /* bytes */
+#define TEAM_MAX      63 /* characters of the team in a key */
 #define SHARDS        16
 #define WAYS          4 /* associativity: entries of the set in which a key is cached */
-#define ATTEMPTS_MAX  2
+#define ATTEMPTS_MAX  2 /* inserts of a row whose outcome is unknown */
 #define VERSION_FIELD "version"
 
 typedef struct
--- a/tests/test_choose_index.c
+++ b/tests/test_choose_index.c
@@ -56,8 +56,8 @@
   server_index_free (index);
 }
 
-/* With 360 gates and 660 engines every engine must be watched by some gates, and none by many times
-   more gates than others; otherwise engines stand idle or are overloaded. */
+/* With 360 gates and 660 engines every engine must be watched by some gates, and none by far more
+   gates than the others; otherwise engines are idle or overloaded. */
 static void
 test_large_site_is_watched_evenly (void)
 {
