--- a/src/choose.c
+++ b/src/choose.c
@@ -145,7 +145,7 @@
   return -1;
 }
 
-/** The version of a model that answers this caller. */
+/** Selects the version of a model that answers this caller. */
 static Reason
 version_for_model (const ChooseRequest *request, unsigned model, unsigned *out)
 {
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -50,24 +50,24 @@
 /** NULL if there is none of that name. */
 const CascadePolicy *cascade_policy_find (const char *name);
 
-/** True if a stage's rating lets its answer pass on to the caller. */
+/** True if a stage's rating is high enough to forward its answer to the caller. */
 bool cascade_passes (const ChoosePlan *plan, double score);
 
-/** What became of one stage's answer. */
+/** The outcome of one stage's answer. */
 typedef struct
 {
   const Config *config;
   int class_index; /**< -1: the caller named a model; nothing is learned */
   unsigned team;
   unsigned version;
-  int previous; /**< version whose answer had not passed before; -1: first stage */
+  int previous; /**< version of the stage before, whose answer failed its rating; -1: first stage */
   double quality_target;
   int64_t now_ms;
 } CascadeOutcome;
 
-/** Its rating came in, whether it gated the answer or was a sample. */
+/** Records the answer's rating, whether it decided about forwarding or the answer was a sample. */
 void cascade_record_rating (Estimates *estimates, const CascadeOutcome *outcome, double score);
-/** It was generated: its tokens, prompt included, and its time. */
+/** Records the answer's tokens, prompt included, and the time that it took. */
 void
 cascade_record_run (Estimates *estimates, const CascadeOutcome *outcome, double tokens, double ms);
 
--- a/src/choose_forecast.h
+++ b/src/choose_forecast.h
@@ -74,6 +74,7 @@
 void forecast_extend (const Forecast *forecast, ForecastPath *path, unsigned stage);
 /** The plan of the path's stages and a last stage, whose answer is not rated. */
 ForecastPlan forecast_finish (const Forecast *forecast, const ForecastPath *path, unsigned stage);
+/** The plan of the stages in mask, of which there must be at least one. */
 ForecastPlan forecast_plan (const Forecast *forecast, unsigned mask);
 
 #endif
--- a/src/choose_limit.h
+++ b/src/choose_limit.h
@@ -39,11 +39,11 @@
 {
   const Config *config;
   unsigned team;
-  int64_t tokens;    /**< expected, prompt included */
+  int64_t tokens;    /**< expected tokens of request and answer */
   unsigned capacity; /**< requests in progress that this gate's share of the backend servers can
                         handle */
-  int64_t wait_ms;   /**< expected until the first token */
-  int64_t work_ms;   /**< expected from the first token until the end */
+  int64_t wait_ms;   /**< expected time until the first token */
+  int64_t work_ms;   /**< expected time from the first token until the end */
   int64_t now_ms;
   int64_t deadline_ms; /**< boot-time clock, as now_ms; 0: none, and refused first when capacity is
                           short */
--- a/src/choose_limit_share.h
+++ b/src/choose_limit_share.h
@@ -10,7 +10,7 @@
 /** A gate's position in one view. */
 typedef struct
 {
-  unsigned members; /**< 0: no view yet, and so no share */
+  unsigned members; /**< live VMs in the view; 0: no view yet, and so no share */
   int rank;
   int64_t until_ms; /**< of a former position: time until which it still applies */
 } LimitPosition;
@@ -28,13 +28,16 @@
   LimitPosition now;
   LimitPosition former[LIMIT_POSITIONS_MAX];
   unsigned former_count;
-  int64_t settled_ms;
+  int64_t settled_ms; /**< when the newest view is settled */
 } LimitShares;
 
 void limit_shares_init (LimitShares *shares, int64_t settle_ms);
 void limit_shares_clear (LimitShares *shares);
+/** Sets the gate's position in the newest view; see limiter_set_view. */
 void limit_shares_set_view (LimitShares *shares, unsigned members, int rank, int64_t now_ms);
+/** The gate's current share of a limit of requests in progress. */
 int64_t limit_shares_count (LimitShares *shares, int64_t limit, int64_t now_ms);
+/** The gate's current share of a limit per second. */
 double limit_shares_rate (LimitShares *shares, double limit, int64_t now_ms);
 /** Milliseconds until the newest view is settled; 0 or less if it is. */
 int64_t limit_shares_unsettled_ms (LimitShares *shares, int64_t now_ms);
--- a/src/choose_limit_team.h
+++ b/src/choose_limit_team.h
@@ -17,14 +17,14 @@
 {
   uint64_t key; /**< 0: free */
   int64_t in_progress;
-  double tokens; /**< token bucket: tokens available now; below 0: overdrawn */
-  int64_t refilled_ms;
+  double tokens;       /**< token bucket: tokens available now; below 0: overdrawn */
+  int64_t refilled_ms; /**< when the bucket was last refilled; INT64_MIN: never */
   int64_t last_request_ms;
   double weight;
   double recent_mean; /**< recent mean of in_progress (half-life 10 s) */
-  int64_t mean_ms;
-  double long_mean; /**< long-term mean of in_progress (half-life 10 min), starting from 0 at the
-                       team's first request */
+  int64_t mean_ms;    /**< when the means were last updated */
+  double long_mean;   /**< long-term mean of in_progress (half-life 10 min), starting from 0 at the
+                         team's first request */
 } LimitTeam;
 
 typedef struct
--- a/src/choose_quarantine.h
+++ b/src/choose_quarantine.h
@@ -27,7 +27,7 @@
 typedef struct
 {
   uint64_t server; /**< hash of the server's name */
-  uint32_t age_ms; /**< since it died */
+  uint32_t age_ms; /**< time since it died */
   uint32_t count;
   uint64_t flights[QUARANTINE_FLIGHT_MAX]; /**< fingerprints of the requests in flight there */
 } QuarantineDeath;
--- a/src/choose_rollout_control.h
+++ b/src/choose_rollout_control.h
@@ -41,6 +41,7 @@
  *  times depend on the load, so slowness is only compared over the same period; ratings and errors
  *  stay comparable. */
 bool rollout_control_is_live (RolloutControl *control, unsigned answers);
+/** Expected figures of the old version for requests of the evidence's team and kind. */
 RolloutExpected rollout_control_expected (const RolloutControl *control,
                                           const RolloutEvidence *evidence);
 
--- a/src/choose_search.h
+++ b/src/choose_search.h
@@ -37,7 +37,7 @@
  *  new plan's mask, or 0. */
 unsigned
 search_explore (const CascadeQuery *query, const Forecast *forecast, const ForecastPlan *found);
-/** True for at most explore_share of the requests. */
+/** True for at most a share explore_share of the requests, selected by their random bits. */
 bool search_may_explore (const CascadeQuery *query);
 
 #endif
--- a/src/config.h
+++ b/src/config.h
@@ -71,7 +71,7 @@
 typedef struct
 {
   unsigned index;
-  char *name; /**< path segment under /v1/services/ */
+  char *name; /**< path segment under /v1/services/ in requests */
   bool idempotent;
 } ConfigService;
 
--- a/src/settings.h
+++ b/src/settings.h
@@ -27,9 +27,9 @@
 typedef struct
 {
   SettingsCommon common;
-  SettingsAddress callers;    /**< HTTP for callers */
-  SettingsAddress local;      /**< health, readiness, counters */
-  SettingsAddress steward;    /**< RPC of this VM's steward */
+  SettingsAddress callers;    /**< HTTP endpoint for callers */
+  SettingsAddress local;      /**< HTTP endpoint for health, readiness and counters */
+  SettingsAddress steward;    /**< RPC endpoint of this VM's steward */
   char *tls_certificate_file; /**< NULL: plain HTTP */
   char *tls_key_file;
   int64_t streams_max;           /**< most requests in progress */
@@ -58,8 +58,8 @@
   SettingsAddress rpc;       /**< ONC RPC, UDP and TCP on the same port */
   SettingsAddress advertise; /**< where other stewards reach rpc, if at another address; else its
                                 address is NULL */
-  SettingsAddress operators; /**< HTTP for lovagectl */
-  SettingsAddress local;     /**< health, readiness, counters */
+  SettingsAddress operators; /**< HTTP endpoint for lovagectl */
+  SettingsAddress local;     /**< HTTP endpoint for health, readiness and counters */
   char *tls_certificate_file;
   char *tls_key_file;
   int64_t heartbeat_ms;
--- a/tests/test_choose_limit.c
+++ b/tests/test_choose_limit.c
@@ -168,7 +168,7 @@
   CU_ASSERT (total <= limit);
   CU_ASSERT_EQUAL (admit (limiters[GATES], 0).reason, REASON_TEAM_LIMIT);
   CU_ASSERT (admit (limiters[GATES], 0).retry_after_ms >= limit_settings_default.settle_ms - 10);
-  /* The three have lost their grants; the seven share the limit. */
+  /* By now the grants of the three have expired; the seven share the limit. */
   query.now_ms = SETTLED + limit_settings_default.settle_ms;
   for (i = 0; i <= GATES; i++)
     {
