--- a/src/choose_search.h
+++ b/src/choose_search.h
@@ -19,7 +19,7 @@
   ForecastPlan cheapest; /**< cheapest plan that meets the target with the required confidence, and
                             the deadline; mask 0: none */
   ForecastPlan fastest;  /**< fastest plan that meets the target, in time or not; mask 0: none */
-  ForecastPlan closest;  /**< plan of highest quality */
+  ForecastPlan closest;  /**< plan with the highest lower bound of its quality */
   bool reachable;        /**< some plan possibly meets the target */
   ForecastPlan *below;   /**< plans that meet the deadline and miss the target by little;
                             SEARCH_PLANS_MAX, borrowed */
