--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -75,7 +75,7 @@
     .request = &request,
     .estimates = bench->estimates,
     .settings = &cascade_settings_default,
-    .rating_up = true,
+    .rating_available = true,
     .rating_ms = 150,
     .random = random,
   };
@@ -91,7 +91,7 @@
   ChoosePlan plan = { .count = 0 };
   int picked = 0;
 
-  if (bench->admit && !quarantine_holds (bench->quarantine, random | 1, now_ms))
+  if (bench->admit && !quarantine_contains (bench->quarantine, random | 1, now_ms))
     {
       if (limit_policy_default.admit (bench->limiter, &limit).reason == REASON_NONE)
         limiter_end (bench->limiter, bench->config, team, limit.tokens, limit.tokens);
@@ -136,8 +136,8 @@
           if (p != v && (v > CHOOSE_STAGES_MAX || p > CHOOSE_STAGES_MAX))
             continue;
           for (i = 0; i < WARM_RATINGS; i++)
-            cascade_rated (bench->estimates, &outcome, i % 4 == 0 ? 0.3 : 0.95);
-          cascade_ran (bench->estimates, &outcome, 700, 2500);
+            cascade_record_rating (bench->estimates, &outcome, i % 4 == 0 ? 0.3 : 0.95);
+          cascade_record_run (bench->estimates, &outcome, 700, 2500);
         }
 }
 
@@ -209,7 +209,7 @@
   make_servers (&bench);
   bench.estimates = estimates_new (&estimate_settings_default);
   bench.limiter = limiter_new (&limit_settings_default);
-  limiter_view (bench.limiter, 1, 0, 0);
+  limiter_set_view (bench.limiter, 1, 0, 0);
   bench.quarantine = quarantine_new (&quarantine_settings_default);
   if (argc == 6)
     warm (&bench);
--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -138,7 +138,7 @@
     .request = &ask,
     .estimates = site_gate (site, request)->estimates,
     .settings = &cascade_settings_default,
-    .rating_up = site->rating_up,
+    .rating_available = site->rating_up,
     .rating_ms = RATING_MS,
     .random = site_random (site),
   };
@@ -185,7 +185,7 @@
   LimitVerdict verdict = site->policy->limit->admit (gate->limiter, &query);
 
   request->admitted = verdict.reason == REASON_NONE;
-  request->borrowed = verdict.borrowed;
+  request->borrowed = verdict.beyond_fair_share;
   request->tokens = query.tokens;
   return verdict;
 }
@@ -213,8 +213,8 @@
     site->result.others_asked += request_measured (site, request);
   request->asked = true;
   if (site->policy->quarantine
-      && quarantine_holds (site_gate (site, request)->quarantine, request->fingerprint,
-                           site_ms (site)))
+      && quarantine_contains (site_gate (site, request)->quarantine, request->fingerprint,
+                              site_ms (site)))
     {
       request_refuse (site, index, REASON_QUARANTINED, 0);
       return;
@@ -285,8 +285,8 @@
   view->latency_var = (1 - LATENCY_WEIGHT) * (view->latency_var + LATENCY_WEIGHT * delta * delta);
   if (request_measured (site, request))
     site->result.cost += version->cost_per_1k * tokens / 1000;
-  cascade_ran (gate->estimates, &outcome, tokens,
-               (double)(site->now_us - request->sent_us) / US_PER_MS);
+  cascade_record_run (gate->estimates, &outcome, tokens,
+                      (double)(site->now_us - request->sent_us) / US_PER_MS);
 }
 
 /** A share of the answers that no stage's rating gates is rated for what is learned of it; of a
@@ -301,7 +301,7 @@
     return;
   score = rating_of (site, request);
   rollout_note_rating (site, request, score);
-  cascade_rated (site_gate (site, request)->estimates, outcome, score);
+  cascade_record_rating (site_gate (site, request)->estimates, outcome, score);
 }
 
 void
@@ -335,7 +335,7 @@
     {
       score = rating_of (site, request);
       rollout_note_rating (site, request, score);
-      cascade_rated (site_gate (site, request)->estimates, &outcome, score);
+      cascade_record_rating (site_gate (site, request)->estimates, &outcome, score);
       if (cascade_passes (&request->plan, score))
         {
           end_answered (site, request, site->now_us);
--- a/src/choose_limit_share.c
+++ b/src/choose_limit_share.c
@@ -1,5 +1,5 @@
 /**
- * Parts of site-wide limits.
+ * Shares of site-wide limits.
  */
 #include "choose_limit_share.h"
 
@@ -41,14 +41,14 @@
   shares->former_count = kept;
 }
 
-/** Adds the newest place to the former ones. More than can be remembered are taken for one without
- * a part, until the last of them is settled, which is safe. */
+/** Adds the newest position to the former ones. If there are too many to remember, they are
+ *  replaced by one position without a share until the last of them is settled, which is safe. */
 static void
 add_former (LimitShares *shares)
 {
-  LimitPlace *last;
+  LimitPosition *last;
 
-  if (shares->former_count == LIMIT_PLACES_MAX)
+  if (shares->former_count == LIMIT_POSITIONS_MAX)
     {
       shares->former_count = 1;
       shares->former[0].members = 0;
@@ -60,7 +60,7 @@
 }
 
 void
-limit_shares_view (LimitShares *shares, unsigned members, int rank, int64_t now_ms)
+limit_shares_set_view (LimitShares *shares, unsigned members, int rank, int64_t now_ms)
 {
   pthread_mutex_lock (&shares->lock);
   if (members != shares->now.members || rank != shares->now.rank)
@@ -68,59 +68,59 @@
       drop_settled (shares, now_ms);
       shares->settled_ms = now_ms + shares->settle_ms;
       add_former (shares);
-      shares->now = (LimitPlace){ .members = members, .rank = rank };
+      shares->now = (LimitPosition){ .members = members, .rank = rank };
     }
   pthread_mutex_unlock (&shares->lock);
 }
 
 static int64_t
-place_count (const LimitPlace *place, int64_t limit)
+position_count (const LimitPosition *position, int64_t limit)
 {
-  return place->members > 0 ? limit_share (limit, place->members, place->rank) : 0;
+  return position->members > 0 ? limit_share (limit, position->members, position->rank) : 0;
 }
 
 int64_t
 limit_shares_count (LimitShares *shares, int64_t limit, int64_t now_ms)
 {
-  int64_t least;
+  int64_t smallest;
   unsigned i;
 
   pthread_mutex_lock (&shares->lock);
   drop_settled (shares, now_ms);
-  least = place_count (&shares->now, limit);
+  smallest = position_count (&shares->now, limit);
   for (i = 0; i < shares->former_count; i++)
     {
-      int64_t part = place_count (&shares->former[i], limit);
+      int64_t share = position_count (&shares->former[i], limit);
 
-      least = part < least ? part : least;
+      smallest = share < smallest ? share : smallest;
     }
   pthread_mutex_unlock (&shares->lock);
-  return least;
+  return smallest;
 }
 
 static double
-place_rate (const LimitPlace *place, double limit)
+position_rate (const LimitPosition *position, double limit)
 {
-  return place->members > 0 ? limit / place->members : 0;
+  return position->members > 0 ? limit / position->members : 0;
 }
 
 double
 limit_shares_rate (LimitShares *shares, double limit, int64_t now_ms)
 {
-  double least;
+  double smallest;
   unsigned i;
 
   pthread_mutex_lock (&shares->lock);
   drop_settled (shares, now_ms);
-  least = place_rate (&shares->now, limit);
+  smallest = position_rate (&shares->now, limit);
   for (i = 0; i < shares->former_count; i++)
-    least = fmin (least, place_rate (&shares->former[i], limit));
+    smallest = fmin (smallest, position_rate (&shares->former[i], limit));
   pthread_mutex_unlock (&shares->lock);
-  return least;
+  return smallest;
 }
 
 int64_t
-limit_shares_unsettled (LimitShares *shares, int64_t now_ms)
+limit_shares_unsettled_ms (LimitShares *shares, int64_t now_ms)
 {
   int64_t ms;
 
--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -1,15 +1,15 @@
 /**
- * Teams' use at one gate.
+ * Each team's usage at one gate.
  */
 #include "choose_limit_team.h"
 
 #include "util_id.h"
 #include <math.h>
 
-#define MEAN_HALF_MS  10000.0
-#define USUAL_HALF_MS 600000.0
-#define MS_PER_S      1000.0
-#define SHARD_BITS    8 /**< of the key that don't choose the shard */
+#define RECENT_HALF_LIFE_MS 10000.0
+#define LONG_HALF_LIFE_MS   600000.0
+#define MS_PER_S            1000.0
+#define SHARD_BITS          8 /**< low bits of the key that are not used to select the shard */
 
 void
 limit_teams_init (LimitTeams *teams)
@@ -56,18 +56,19 @@
       if (team->in_progress > 0)
         continue;
       if (found == NULL
-          || (found->key != 0 && (team->key == 0 || team->asked_ms < found->asked_ms)))
+          || (found->key != 0
+              && (team->key == 0 || team->last_request_ms < found->last_request_ms)))
         found = team;
     }
   if (found != NULL)
-    *found = (LimitTeam){ .key = key, .filled_ms = INT64_MIN };
+    *found = (LimitTeam){ .key = key, .refilled_ms = INT64_MIN };
   return found;
 }
 
 static double
-faded_mean (double mean, double value, int64_t ms, double half_ms)
+decayed_mean (double mean, double value, int64_t ms, double half_life_ms)
 {
-  double kept = exp2 (-(double)ms / half_ms);
+  double kept = exp2 (-(double)ms / half_life_ms);
 
   return kept * mean + (1 - kept) * value;
 }
@@ -78,10 +79,10 @@
   double in_progress = (double)team->in_progress;
   int64_t ms = now_ms - team->mean_ms;
 
-  team->mean = faded_mean (team->mean, in_progress, ms, MEAN_HALF_MS);
-  /* The first time there is no time since the last. */
+  team->recent_mean = decayed_mean (team->recent_mean, in_progress, ms, RECENT_HALF_LIFE_MS);
+  /* On the first call there is no previous sample to measure the interval from. */
   if (team->mean_ms != 0)
-    team->usual = faded_mean (team->usual, in_progress, ms, USUAL_HALF_MS);
+    team->long_mean = decayed_mean (team->long_mean, in_progress, ms, LONG_HALF_LIFE_MS);
   team->mean_ms = now_ms;
 }
 
@@ -99,10 +100,10 @@
         {
           LimitTeam *team = &shard->teams[j];
 
-          if (team->key == 0 || now_ms - team->asked_ms >= active_ms)
+          if (team->key == 0 || now_ms - team->last_request_ms >= active_ms)
             continue;
           update_mean (team, now_ms);
-          out[n++] = (LimitActive){ team->weight, team->mean };
+          out[n++] = (LimitActive){ team->weight, team->recent_mean };
         }
       pthread_mutex_unlock (&shard->lock);
     }
@@ -110,15 +111,15 @@
 }
 
 void
-limit_team_fill (LimitTeam *team, double rate, double burst_s, int64_t now_ms)
+limit_team_refill (LimitTeam *team, double rate, double burst_s, int64_t now_ms)
 {
-  double most = rate * burst_s;
+  double max_tokens = rate * burst_s;
 
-  if (team->filled_ms == INT64_MIN)
-    team->tokens = most;
+  if (team->refilled_ms == INT64_MIN)
+    team->tokens = max_tokens;
   else
-    team->tokens += rate * (double)(now_ms - team->filled_ms) / MS_PER_S;
-  team->filled_ms = now_ms;
-  if (team->tokens > most)
-    team->tokens = most;
+    team->tokens += rate * (double)(now_ms - team->refilled_ms) / MS_PER_S;
+  team->refilled_ms = now_ms;
+  if (team->tokens > max_tokens)
+    team->tokens = max_tokens;
 }
--- a/src/config_class.c
+++ b/src/config_class.c
@@ -1,13 +1,12 @@
 /**
- * Section "classes": named ways of answering, each a cascade of models.
+ * Section "classes": request classes, each with a cascade of models.
  */
 #include "config_parse.h"
 #include "util_field.h"
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define DEADLINE_MS_MAX 86400000
-
+#define DEADLINE_MS_MAX 86400000 /**< a day */
 typedef struct
 {
   struct json_object *stages;
--- a/src/config_model.c
+++ b/src/config_model.c
@@ -1,12 +1,12 @@
 /**
- * Section "models": each model with its versions.
+ * Section "models": each model and its versions.
  */
 #include "config_parse.h"
 #include "util_field.h"
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define COST_MAX              1e6
+#define COST_MAX              1e6 /**< cost units per 1,000 tokens */
 #define CONFIG_NUMBER_MAX     999999999999.0
 #define PRIOR_QUALITY_DEFAULT 0.5
 
@@ -47,9 +47,9 @@
               parser->list);
   state = fields.state == NULL
               ? 0
-              : config_word (config_version_states, CONFIG_VERSION_STATES, fields.state);
+              : config_enum_index (config_version_states, CONFIG_VERSION_STATES, fields.state);
   if (state < 0)
-    config_word_error (parser, path, "state", config_version_states, CONFIG_VERSION_STATES);
+    config_enum_error (parser, path, "state", config_version_states, CONFIG_VERSION_STATES);
   free (fields.state);
   *version = (ConfigVersion){
     .index = (unsigned)config->version_count++,
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -1,6 +1,6 @@
 /**
- * Reading of a configuration document: the sections in an order in which each refers only to
- * sections that were read before it.
+ * Reads a configuration document: the sections in an order in which each refers only to sections
+ * read before it.
  */
 #include "config_parse.h"
 #include "util_field.h"
@@ -9,8 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SHOWN_NAME_MAX 48
-
+#define SHOWN_NAME_MAX 48 /**< bytes, with the final NUL */
 typedef struct
 {
   struct json_object *models;
@@ -48,7 +47,7 @@
   return section == NULL ? 0 : (size_t)json_object_object_length (section);
 }
 
-/** A name as it may stand in an error line: cut off, and without control characters. */
+/** A name as shown in an error message: truncated, and with control characters replaced. */
 static const char *
 shown_name (const char *name, char out[SHOWN_NAME_MAX])
 {
@@ -104,7 +103,7 @@
 static bool
 listed (const char *const *strings, size_t count, const char *text)
 {
-  return config_word (strings, count, text) >= 0;
+  return config_enum_index (strings, count, text) >= 0;
 }
 
 const char **
@@ -137,7 +136,7 @@
 }
 
 int
-config_word (const char *const *names, size_t count, const char *text)
+config_enum_index (const char *const *names, size_t count, const char *text)
 {
   for (size_t i = 0; i < count; i++)
     if (strcmp (names[i], text) == 0)
@@ -146,7 +145,7 @@
 }
 
 void
-config_word_error (ConfigParser *parser,
+config_enum_error (ConfigParser *parser,
                    const char *path,
                    const char *name,
                    const char *const *names,
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -41,7 +41,7 @@
 {
   int64_t now_ms = clock_boot_ms ();
 
-  limiter_view (limit->limiter, members, rank, now_ms);
+  limiter_set_view (limit->limiter, members, rank, now_ms);
   if (members > 0 && __atomic_load_n (&limit->first_view_ms, __ATOMIC_RELAXED) == 0)
     __atomic_store_n (&limit->first_view_ms, now_ms, __ATOMIC_RELAXED);
 }
@@ -150,7 +150,7 @@
   verdict = limit_policy_default.admit (limit->limiter, &query);
   r->limited_tokens = query.tokens;
   r->limited = verdict.reason == REASON_NONE;
-  r->borrowed = verdict.borrowed;
+  r->borrowed = verdict.beyond_fair_share;
   if (r->limited)
     return true;
   refusal_set (&r->refusal, verdict.reason, REQUEST_NOT_RUN, "request.limit", NULL);
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -112,12 +112,12 @@
                      u_int *count)
 {
   QuarantineDeath deaths[QUARANTINE_DEATHS_MAX];
-  size_t known = quarantine_news (d->set, deaths, QUARANTINE_DEATHS_MAX, now_ms);
+  size_t known = quarantine_recent_deaths (d->set, deaths, QUARANTINE_DEATHS_MAX, now_ms);
   Share share = { .left = *room };
   size_t fresh = 0;
 
   while (known > 0
-         && deaths[known - 1].age_ms > quarantine_settings_default.memory_ms - LAST_TOLD_MS)
+         && deaths[known - 1].age_ms > quarantine_settings_default.retention_ms - LAST_TOLD_MS)
     known--;
   while (fresh < known && deaths[fresh].age_ms < STEWARD_DEATHS_FRESH_MS)
     fresh++;
--- a/src/steward_rollout_watch.c
+++ b/src/steward_rollout_watch.c
@@ -35,7 +35,7 @@
   RolloutSettings settings = rollout_settings_default;
   RolloutWatch *w = memory_alloc (sizeof *w);
 
-  settings.alarm += log ((double)(stewards > 0 ? stewards : 1));
+  settings.alarm_threshold += log ((double)(stewards > 0 ? stewards : 1));
   w->rollout = *rollout;
   w->team_max = teams + TEAMS_SPARE < ROLLOUT_TEAMS_MAX ? teams + TEAMS_SPARE : ROLLOUT_TEAMS_MAX;
   w->teams = memory_array (w->team_max, sizeof *w->teams);
@@ -189,10 +189,10 @@
 RolloutDecision
 rollout_watch_decide (RolloutWatch *w, size_t stage, int64_t now)
 {
-  feed (w, EVIDENCE_OLD, rollout_test_control);
+  feed (w, EVIDENCE_OLD, rollout_test_add_control);
   feed (w, EVIDENCE_NEW, rollout_test_add);
   if (!w->staged || w->stage != stage)
-    rollout_test_stage (w->test, stage, now);
+    rollout_test_begin_stage (w->test, stage, now);
   w->staged = true;
   w->stage = stage;
   return rollout_policy_default.decide (w->test, now);
