--- a/tests/fake_gate.c
+++ b/tests/fake_gate.c
@@ -85,7 +85,7 @@
 }
 
 FakeGate *
-fake_gate_new_cut (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls)
+fake_gate_new_disconnected (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls)
 {
   FakeGate *gate = memory_alloc (sizeof *gate);
   BillOptions options = {
@@ -111,7 +111,7 @@
 FakeGate *
 fake_gate_new (FakeSite *site, uint64_t incarnation, size_t spool_max)
 {
-  FakeGate *gate = fake_gate_new_cut (site, incarnation, spool_max, 0);
+  FakeGate *gate = fake_gate_new_disconnected (site, incarnation, spool_max, 0);
 
   INVARIANT (suite_wait (is_indexed, gate), "the gate's row was not written");
   return gate;
--- a/tests/fake_gate.h
+++ b/tests/fake_gate.h
@@ -35,7 +35,7 @@
 FakeGate *fake_gate_new (FakeSite *site, uint64_t incarnation, size_t spool_max);
 /** A gate that starts while calls of these kinds are refused; does not wait for its row. */
 FakeGate *
-fake_gate_new_cut (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls);
+fake_gate_new_disconnected (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls);
 /** Ends it within timeout_ms; 0 drops what is in its memory. Returns the records left. */
 size_t fake_gate_free (FakeGate *gate, int timeout_ms);
 /** Waits until all its records are in the table. */
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -23,7 +23,7 @@
   int port;
   FakeAnswer answer;
   bool stopping;
-  int go;
+  int resumed;
   int connections;
   int requests;
   int left;
@@ -98,9 +98,9 @@
 wait_go (FakeServer *s)
 {
   pthread_mutex_lock (&s->lock);
-  while (!s->go && !s->stopping)
+  while (!s->resumed && !s->stopping)
     pthread_cond_wait (&s->changed, &s->lock);
-  s->go = 0;
+  s->resumed = 0;
   pthread_mutex_unlock (&s->lock);
 }
 
@@ -130,11 +130,11 @@
       at = answer->pause_at;
       wait_go (s);
     }
-  if (!answer->drip_ms)
+  if (!answer->byte_delay_ms)
     return send_all (fd, answer->text + at, len - at);
   for (; at < len; at++)
     {
-      clock_sleep_ms (answer->drip_ms);
+      clock_sleep_ms (answer->byte_delay_ms);
       if (!send_all (fd, answer->text + at, 1))
         return false;
     }
@@ -153,7 +153,7 @@
     return;
   bool stayed = !answer.text || send_answer (s, fd, &answer);
   char block[64];
-  if (stayed && answer.hold && wait_readable (s, fd) && read (fd, block, sizeof block) <= 0)
+  if (stayed && answer.keep_open && wait_readable (s, fd) && read (fd, block, sizeof block) <= 0)
     stayed = false;
   pthread_mutex_lock (&s->lock);
   s->left += !stayed;
@@ -223,10 +223,10 @@
 }
 
 void
-fake_server_go (FakeServer *server)
+fake_server_resume (FakeServer *server)
 {
   pthread_mutex_lock (&server->lock);
-  server->go = 1;
+  server->resumed = 1;
   pthread_cond_broadcast (&server->changed);
   pthread_mutex_unlock (&server->lock);
 }
@@ -253,7 +253,7 @@
 }
 
 int
-fake_server_left (FakeServer *server)
+fake_server_aborted (FakeServer *server)
 {
   return read_count (server, &server->left);
 }
--- a/tests/test_bill_recover.c
+++ b/tests/test_bill_recover.c
@@ -90,7 +90,7 @@
 test_no_objects_without_the_row (void)
 {
   FakeSite site = fake_site_new ();
-  FakeGate *gate = fake_gate_new_cut (&site, 1, SPOOL_MAX, CALL_TXN);
+  FakeGate *gate = fake_gate_new_disconnected (&site, 1, SPOOL_MAX, CALL_TXN);
 
   CU_ASSERT_EQUAL (fake_gate_commit (gate, 1), BILL_AT_REPLICA);
   fake_gate_kill (gate);
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -215,7 +215,7 @@
   /* A server that takes the request and says nothing, and one that sends a byte now and then so
    * that it is never silent for long. */
   const FakeAnswer answers[] = { { .text = CHUNKED_OK, .pause_at = 1 },
-                                 { .text = CHUNKED_OK, .drip_ms = 50 },
+                                 { .text = CHUNKED_OK, .byte_delay_ms = 50 },
                                  { .text = CHUNKED_OK, .pause_at = sizeof CHUNKED_HEAD } };
   for (size_t i = 0; i < SUITE_COUNT (answers); i++)
     {
@@ -235,7 +235,7 @@
 static bool
 has_left (void *context)
 {
-  return fake_server_left (context) == 1;
+  return fake_server_aborted (context) == 1;
 }
 
 static void
@@ -245,7 +245,7 @@
    * engine knows that the caller has left. */
   FakeAnswer answer = { .text = CHUNKED_HEAD "5\r\nhello\r\n",
                         .pause_at = sizeof CHUNKED_HEAD + 9,
-                        .hold = true };
+                        .keep_open = true };
   FakeServer *server = fake_server_new (&answer);
   HttpRequest request = request_to (fake_server_port (server));
   HttpExchange *exchange = NULL;
@@ -255,7 +255,7 @@
   CU_ASSERT_PTR_NULL (http_exchange_header (exchange, "X-Test"));
   CU_ASSERT_EQUAL (http_exchange_read (exchange, data, sizeof data - 1, NULL), 5);
   CU_ASSERT_STRING_EQUAL (data, "hello");
-  fake_server_go (server);
+  fake_server_resume (server);
   http_exchange_free (exchange);
   CU_ASSERT_TRUE (suite_wait (has_left, server));
   fake_server_free (server);
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -144,14 +144,14 @@
     StatusCode code;
   } cases[] = {
     /* none, on an open connection: the read timeout ends it */
-    { { .hold = true }, 0, 0, STATUS_UNKNOWN },
+    { { .keep_open = true }, 0, 0, STATUS_UNKNOWN },
     { { 0 }, 0, 0, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello" }, 0, 0, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello" }, 0, 0, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello" }, 0, 4, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello" }, 0, 5, STATUS_OK },
     { { .text = "HTTP/1.1 302 X\r\nLocation: /a\r\nContent-Length: 0\r\n\r\n" }, 0, 0, STATUS_OK },
-    { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", .drip_ms = 10 },
+    { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", .byte_delay_ms = 10 },
       50,
       0,
       STATUS_UNKNOWN }
