--- a/src/gate_answer.c
+++ b/src/gate_answer.c
@@ -41,7 +41,7 @@
 
   if (content == NULL || json_object_get_string_len (content) == 0)
     return status_ok (st);
-  answer->pieces++;
+  answer->chunks++;
   if (!answer->keep_content)
     return status_ok (st);
   len = (size_t)json_object_get_string_len (content);
@@ -59,7 +59,7 @@
 }
 
 static StatusCode
-add_piece (GateAnswer *answer, struct json_object *root, Status *st)
+add_chunk (GateAnswer *answer, struct json_object *root, Status *st)
 {
   struct json_object *choices = member (root, "choices", json_type_array);
   struct json_object *choice;
@@ -68,7 +68,7 @@
 
   add_usage (answer, root);
   if (choices == NULL)
-    return status_set (st, STATUS_INVALID, STEP, NULL, "a piece has no \"choices\"");
+    return status_set (st, STATUS_INVALID, STEP, NULL, "a chunk has no \"choices\"");
   if (json_object_array_length (choices) == 0)
     return status_ok (st);
   choice = json_object_array_get_idx (choices, 0);
@@ -96,15 +96,15 @@
   json_tokener_reset (answer->tokener);
   root = json_tokener_parse_ex (answer->tokener, data, (int)len);
   if (json_tokener_get_error (answer->tokener) != json_tokener_success)
-    code = status_set (st, STATUS_INVALID, STEP, NULL, "a piece is no JSON object");
+    code = status_set (st, STATUS_INVALID, STEP, NULL, "a chunk is no JSON object");
   else
-    code = add_piece (answer, root, st);
+    code = add_chunk (answer, root, st);
   json_object_put (root);
   return code;
 }
 
 bool
-answer_whole (const GateAnswer *answer)
+answer_is_complete (const GateAnswer *answer)
 {
   return answer->done && answer->finish_reason[0] != '\0';
 }
@@ -112,7 +112,7 @@
 int64_t
 answer_completion_tokens (const GateAnswer *answer)
 {
-  return answer->has_usage ? answer->completion_tokens : answer->pieces;
+  return answer->has_usage ? answer->completion_tokens : answer->chunks;
 }
 
 void
--- a/src/gate_answer.h
+++ b/src/gate_answer.h
@@ -22,14 +22,14 @@
   bool has_usage;
   int64_t prompt_tokens;
   int64_t completion_tokens;
-  struct json_tokener *tokener; /**< kept from piece to piece; NULL until the first one */
-  int64_t pieces;               /**< pieces with text: the tokens counted when usage never came */
+  struct json_tokener *tokener; /**< kept from chunk to chunk; NULL until the first one */
+  int64_t chunks;               /**< chunks with text: the tokens counted when usage never came */
 } GateAnswer;
 
 /** Takes the data of one event in order. */
 StatusCode answer_add (GateAnswer *answer, const char *data, size_t len, Status *st);
 /** An answer is whole only with a finish reason and the end mark. */
-bool answer_whole (const GateAnswer *answer);
+bool answer_is_complete (const GateAnswer *answer);
 int64_t answer_completion_tokens (const GateAnswer *answer);
 /** Adds the answer as one chat-completions object. */
 void answer_json (const GateAnswer *answer, const char *id, const char *model, Buffer *out);
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -21,7 +21,7 @@
 #define REFUSED_WITHIN_US INT64_C (100000)
 #define PROBE_TIMEOUT_MS  200
 /** For the steward's answer, before a request that lost an answer to a death is sent again. */
-#define NEWS_WAIT_MS 100
+#define RENEWAL_WAIT_MS 100
 
 /** How the beginning of an attempt went. */
 typedef enum
@@ -71,7 +71,7 @@
   return said;
 }
 
-/* What was read stays in a->early: a plain service's answer may be something else. */
+/* What was read stays in a->peeked: a plain service's answer may be something else. */
 static bool
 says_not_run (GateAttempt *a)
 {
@@ -80,13 +80,13 @@
 
   if (a->http_status != 503 && a->http_status != 409)
     return false;
-  while (a->early.len < ERROR_BODY_MAX && n > 0)
+  while (a->peeked.len < ERROR_BODY_MAX && n > 0)
     {
       n = http_exchange_read (a->exchange, block, sizeof (block), NULL);
       if (n > 0)
-        buffer_add (&a->early, block, (size_t)n);
+        buffer_add (&a->peeked, block, (size_t)n);
     }
-  return n == 0 && a->early.len > 0 && is_not_run (a->early.data);
+  return n == 0 && a->peeked.len > 0 && is_not_run (a->peeked.data);
 }
 
 static void
@@ -140,13 +140,13 @@
                    r->may_have_run ? REQUEST_UNKNOWN : REQUEST_NOT_RUN, STEP, "%s", st->message);
       return BEGIN_STOP;
     }
-  if (code != STATUS_UNAVAILABLE && a->watched && gate_request_gone (r))
+  if (code != STATUS_UNAVAILABLE && a->watched && gate_request_caller_left (r))
     return begin_ended (r, REFUSAL_CALLER_LEFT);
-  if (code != STATUS_UNAVAILABLE && gate_request_late (r))
+  if (code != STATUS_UNAVAILABLE && gate_request_past_deadline (r))
     return begin_ended (r, REASON_DEADLINE_PAST);
   if (code != STATUS_UNAVAILABLE)
     return begin_unknown (r, st, SERVER_FAILED);
-  gate_attempt_end (r, SERVER_UNREACHED);
+  gate_attempt_end (r, SERVER_UNREACHABLE);
   return BEGIN_NEXT;
 }
 
@@ -175,7 +175,7 @@
 
 /* A claimed request is run to its end whether its caller stays or not. */
 static void
-watch (GateRequest *r, GateAttempt *a)
+watch_caller (GateRequest *r, GateAttempt *a)
 {
   a->watched = a->version >= 0 && !r->claimed;
   if (!a->watched)
@@ -189,7 +189,7 @@
 
 /* A refused connection cost nothing and certainly did not run: it is no attempt. */
 static void
-count (GateRequest *r, const GateAttempt *a, StatusCode code)
+count_attempt (GateRequest *r, const GateAttempt *a, StatusCode code)
 {
   bool quick = clock_boot_us () - a->begun_us < REFUSED_WITHIN_US;
 
@@ -219,9 +219,9 @@
   gate_stream_init (&a->stream, &gate_attempt_stream_ops, a);
   gate_server_begin (a->server, clock_boot_ms ());
   r->excluded[server] = 1;
-  watch (r, a);
+  watch_caller (r, a);
   code = gate_attempt_send (a, &st);
-  count (r, a, code);
+  count_attempt (r, a, code);
   if (code != STATUS_OK)
     return begin_failed (r, a, code, &st);
   return check_head (r, a);
@@ -248,13 +248,13 @@
 is_quarantined (GateRequest *r)
 {
   if (r->server_died && !r->retry_granted)
-    gate_grant_hear (r->gate, NEWS_WAIT_MS);
+    gate_grant_renew_and_wait (r->gate, RENEWAL_WAIT_MS);
   return r->may_have_run && gate_request_quarantined (r);
 }
 
 /* What nothing was sent of since the budget was asked needs no further retry from it. */
 static bool
-is_paid (const GateRequest *r, const RetryQuery *query)
+is_within_budget (const GateRequest *r, const RetryQuery *query)
 {
   bool late = query->deadline_ms != 0 && query->now_ms >= query->deadline_ms;
 
@@ -282,7 +282,7 @@
       refusal_set (&r->refusal, REASON_QUARANTINED, REQUEST_UNKNOWN, STEP, NULL);
       return false;
     }
-  if (is_paid (r, &query))
+  if (is_within_budget (r, &query))
     return true;
   answer = retry_policy_default.decide (r->gate->retries, &query);
   if (answer.verdict == RETRY_NOW)
@@ -320,7 +320,7 @@
         case BEGIN_NEXT:
           break;
         }
-      if (!r->claimed && gate_request_gone (r))
+      if (!r->claimed && gate_request_caller_left (r))
         return refuse_no_server (r);
     }
 }
@@ -369,7 +369,7 @@
   if (a == NULL)
     return;
   if (result == SERVER_NEUTRAL && a->exchange != NULL && a->http_status == 200 && a->version >= 0
-      && !gate_watch_noticed (&a->watch))
+      && !gate_watch_caller_left (&a->watch))
     {
       snprintf (r->cancel.id, sizeof (r->cancel.id), "%s", a->id);
       r->cancel.config_server = a->config_server;
@@ -381,7 +381,7 @@
   if (result == SERVER_FAILED)
     confirm_death (r, a);
   gate_stream_free (&a->stream);
-  buffer_free (&a->early);
+  buffer_free (&a->peeked);
   free (a);
   r->attempt = NULL;
 }
--- a/src/gate_attempt.h
+++ b/src/gate_attempt.h
@@ -30,7 +30,7 @@
   int version; /**< index; -1: a plain service */
   HttpExchange *exchange;
   int http_status;
-  Buffer early; /**< bytes of the answer that were read to see whether it ran */
+  Buffer peeked; /**< bytes of the answer that were read to see whether it ran */
   int64_t begun_us;
   bool first_seen;
   double first_token_ms;
--- a/src/gate_attempt_stream.c
+++ b/src/gate_attempt_stream.c
@@ -10,13 +10,13 @@
 
 static long stream_read (void *context, char *data, size_t len, Status *st);
 static StatusCode stream_resume (void *context, int64_t from, Status *st);
-static bool stream_gone (void *context);
+static bool stream_caller_left (void *context);
 static void stream_pause (void *context, unsigned n);
 
 const GateStreamOps gate_attempt_stream_ops = {
   .read = stream_read,
   .resume = stream_resume,
-  .gone = stream_gone,
+  .caller_left = stream_caller_left,
   .pause = stream_pause,
 };
 
@@ -45,7 +45,7 @@
   StatusCode code;
   int status;
 
-  if (gate_request_late (a->request) && !gate_watch_was_passed_on (&a->watch))
+  if (gate_request_past_deadline (a->request) && !gate_watch_is_relayed (&a->watch))
     return status_set (st, STATUS_NOT_FOUND, STEP, a->config_server->name,
                        "the deadline has passed");
   http_exchange_free (a->exchange);
@@ -66,11 +66,11 @@
 
 /* Asked at each event, so it costs no system call: the watch thread looks at the socket. */
 static bool
-stream_gone (void *context)
+stream_caller_left (void *context)
 {
   const GateAttempt *a = context;
 
-  return a->watched && gate_watch_noticed (&a->watch);
+  return a->watched && gate_watch_caller_left (&a->watch);
 }
 
 static void
@@ -86,7 +86,7 @@
   GateAttempt *a = r->attempt;
   StreamResult result = gate_stream_next (&a->stream, out, st);
 
-  if (!a->first_seen && (result == STREAM_PIECE || result == STREAM_END))
+  if (!a->first_seen && (result == STREAM_CHUNK || result == STREAM_END))
     {
       a->first_seen = true;
       a->first_token_ms = (double)(clock_boot_us () - a->begun_us) / 1000.0;
--- a/src/gate_callers.c
+++ b/src/gate_callers.c
@@ -22,11 +22,11 @@
 
 #define STEP    "http.start"
 #define BACKLOG 1024
-/* Deferred, as enabling one end over TLS would otherwise call back at once, and may end the
+/* Deferred, as enabling one end handoff TLS would otherwise call back at once, and may end the
  * connection under its caller. */
 #define END_OPTIONS (BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)
 /* At a stop, until callers have taken the last bytes of their answers. */
-#define FLUSH_MOST_MS 1000
+#define FLUSH_MAX_MS  1000
 #define FLUSH_STEP_US 5000
 
 /** A connection on its way from this thread to libmicrohttpd. */
@@ -35,7 +35,7 @@
   struct cds_list_head node;
   int fd; /* libmicrohttpd's end */
   GateLink *link;
-} HandOver;
+} Handoff;
 
 struct GateCallers
 {
@@ -45,37 +45,37 @@
   SSL_CTX *tls; /* NULL: plain HTTP */
   struct event_base *base;
   struct evconnlistener *listener;
-  struct event *refuse_more; /* made active by other threads */
-  struct event *end;         /* the same */
-  int64_t end_ms;            /* when the loop ends at the latest; 0: no end yet */
-  sem_t refused_more;
+  struct event *stop_accepting; /* made active by other threads */
+  struct event *end;            /* the same */
+  int64_t end_ms;               /* when the loop ends at the latest; 0: no end yet */
+  sem_t accept_stopped;
   pthread_t thread;
   bool running;
   struct cds_list_head filters; /* the loop's thread only */
-  pthread_mutex_t lock;         /* of hand_overs */
-  struct cds_list_head hand_overs;
+  pthread_mutex_t lock;         /* of handoffs */
+  struct cds_list_head handoffs;
 };
 
 static void
-forget (HandOver *over)
+handoff_free (Handoff *handoff)
 {
-  cds_list_del (&over->node);
-  free (over);
+  cds_list_del (&handoff->node);
+  free (handoff);
 }
 
 /* Takes the link out of the list; call it with the lock held. NULL: there is none. */
 static GateLink *
 take_link (GateCallers *callers, int fd)
 {
-  HandOver *over;
+  Handoff *handoff;
   GateLink *link;
 
-  cds_list_for_each_entry (over, &callers->hand_overs, node)
+  cds_list_for_each_entry (handoff, &callers->handoffs, node)
   {
-    if (over->fd != fd)
+    if (handoff->fd != fd)
       continue;
-    link = over->link;
-    forget (over);
+    link = handoff->link;
+    handoff_free (handoff);
     return link;
   }
   return NULL;
@@ -95,24 +95,24 @@
 /* A link that is in the list for this number belongs to a connection that libmicrohttpd closed
  * without a word, having no room for it. */
 static void
-add_hand_over (GateCallers *callers, int fd, GateLink *link)
+add_handoff (GateCallers *callers, int fd, GateLink *link)
 {
-  HandOver *over = memory_alloc (sizeof (*over));
+  Handoff *handoff = memory_alloc (sizeof (*handoff));
 
-  over->fd = fd;
-  over->link = gate_link_hold (link);
+  handoff->fd = fd;
+  handoff->link = gate_link_hold (link);
   pthread_mutex_lock (&callers->lock);
   gate_link_release (take_link (callers, fd));
-  cds_list_add_tail (&over->node, &callers->hand_overs);
+  cds_list_add_tail (&handoff->node, &callers->handoffs);
   pthread_mutex_unlock (&callers->lock);
 }
 
 /* libmicrohttpd owns fd from here on, also when it doesn't take it. It asks for the link in a
  * thread of its own. */
 static void
-hand_over (GateCallers *callers, int fd, GateLink *link, const struct sockaddr *from, int from_len)
+hand_off (GateCallers *callers, int fd, GateLink *link, const struct sockaddr *from, int from_len)
 {
-  add_hand_over (callers, fd, link);
+  add_handoff (callers, fd, link);
   if (MHD_add_connection (callers->daemon, fd, from, (socklen_t)from_len) != MHD_YES)
     log_msg (MSG_GATE_CONNECTION_REFUSED, "fd=\"%d\"", fd);
 }
@@ -154,19 +154,19 @@
   server = bufferevent_socket_new (callers->base, pair[0], END_OPTIONS);
   link = gate_link_new ();
   gate_filter_new (caller, server, link, &callers->limits, &callers->filters);
-  hand_over (callers, pair[1], link, from, from_len);
+  hand_off (callers, pair[1], link, from, from_len);
   gate_link_release (link);
 }
 
 static void
-on_refuse_more (evutil_socket_t fd UNUSED, short what UNUSED, void *context)
+on_stop_accepting (evutil_socket_t fd UNUSED, short what UNUSED, void *context)
 {
   GateCallers *callers = context;
 
   if (callers->listener)
     evconnlistener_free (callers->listener);
   callers->listener = NULL;
-  sem_post (&callers->refused_more);
+  sem_post (&callers->accept_stopped);
 }
 
 static void
@@ -177,8 +177,8 @@
   int64_t now_ms = clock_boot_ms ();
 
   if (callers->end_ms == 0)
-    callers->end_ms = now_ms + FLUSH_MOST_MS;
-  gate_filters_hurry (&callers->filters);
+    callers->end_ms = now_ms + FLUSH_MAX_MS;
+  gate_filters_skip_linger (&callers->filters);
   if (cds_list_empty (&callers->filters) || now_ms >= callers->end_ms)
     event_base_loopbreak (callers->base);
   else
@@ -222,12 +222,12 @@
   callers->settings = settings;
   callers->limits = *limits;
   CDS_INIT_LIST_HEAD (&callers->filters);
-  CDS_INIT_LIST_HEAD (&callers->hand_overs);
+  CDS_INIT_LIST_HEAD (&callers->handoffs);
   pthread_mutex_init (&callers->lock, NULL);
-  sem_init (&callers->refused_more, 0, 0);
+  sem_init (&callers->accept_stopped, 0, 0);
   evthread_use_pthreads ();
   callers->base = event_base_new ();
-  callers->refuse_more = event_new (callers->base, -1, 0, on_refuse_more, callers);
+  callers->stop_accepting = event_new (callers->base, -1, 0, on_stop_accepting, callers);
   callers->end = event_new (callers->base, -1, 0, on_end, callers);
   if (settings->tls_certificate_file == NULL || use_certificate (callers, st))
     return callers;
@@ -284,18 +284,18 @@
 }
 
 void
-gate_callers_refuse_more (GateCallers *callers)
+gate_callers_stop_accepting (GateCallers *callers)
 {
   if (!callers->running)
     return;
-  event_active (callers->refuse_more, 0, 0);
-  sem_wait (&callers->refused_more);
+  event_active (callers->stop_accepting, 0, 0);
+  sem_wait (&callers->accept_stopped);
 }
 
 void
 gate_callers_free (GateCallers *callers)
 {
-  HandOver *over, *next_over;
+  Handoff *handoff, *next_handoff;
 
   if (callers->running)
     {
@@ -303,18 +303,18 @@
       pthread_join (callers->thread, NULL);
     }
   gate_filters_free (&callers->filters);
-  cds_list_for_each_entry_safe (over, next_over, &callers->hand_overs, node)
+  cds_list_for_each_entry_safe (handoff, next_handoff, &callers->handoffs, node)
   {
-    gate_link_release (over->link);
-    forget (over);
+    gate_link_release (handoff->link);
+    handoff_free (handoff);
   }
   if (callers->listener)
     evconnlistener_free (callers->listener);
-  event_free (callers->refuse_more);
+  event_free (callers->stop_accepting);
   event_free (callers->end);
   event_base_free (callers->base);
   SSL_CTX_free (callers->tls);
   pthread_mutex_destroy (&callers->lock);
-  sem_destroy (&callers->refused_more);
+  sem_destroy (&callers->accept_stopped);
   free (callers);
 }
--- a/src/gate_callers.h
+++ b/src/gate_callers.h
@@ -22,7 +22,7 @@
 GateLink *gate_callers_link (GateCallers *callers, int fd);
 /** Takes no further connections; those that are open go on. When it returns, the daemon is given
  *  none any more. */
-void gate_callers_refuse_more (GateCallers *callers);
+void gate_callers_stop_accepting (GateCallers *callers);
 /** Sends what is written, for a bounded time, and ends all connections. */
 void gate_callers_free (GateCallers *callers);
 
--- a/src/gate_deaths.c
+++ b/src/gate_deaths.c
@@ -4,10 +4,10 @@
 #include <string.h>
 
 void
-gate_deaths_news (Gate *gate, DeathNews *out)
+gate_deaths_collect (Gate *gate, DeathReports *out)
 {
-  out->count = (u_int)quarantine_news (gate->servers.sightings, out->deaths, LOVAGE_DEATHS_MAX,
-                                       clock_boot_ms ());
+  out->count = (u_int)quarantine_news (gate->servers.observed_deaths, out->deaths,
+                                       LOVAGE_DEATHS_MAX, clock_boot_ms ());
   for (u_int i = 0; i < out->count; i++)
     {
       QuarantineDeath *death = &out->deaths[i];
@@ -18,7 +18,7 @@
 }
 
 void
-gate_deaths_take (Gate *gate, const rpc_death *list, size_t count)
+gate_deaths_merge (Gate *gate, const rpc_death *list, size_t count)
 {
   int64_t now_ms = clock_boot_ms ();
 
--- a/src/gate_deaths.h
+++ b/src/gate_deaths.h
@@ -16,11 +16,11 @@
   QuarantineDeath deaths[LOVAGE_DEATHS_MAX];
   rpc_death list[LOVAGE_DEATHS_MAX];
   u_int count;
-} DeathNews;
+} DeathReports;
 
 /** This VM's own sightings. */
-void gate_deaths_news (struct Gate *gate, DeathNews *out);
+void gate_deaths_collect (struct Gate *gate, DeathReports *out);
 /** Sightings of any VM. */
-void gate_deaths_take (struct Gate *gate, const rpc_death *list, size_t count);
+void gate_deaths_merge (struct Gate *gate, const rpc_death *list, size_t count);
 
 #endif
--- a/src/gate_filter.c
+++ b/src/gate_filter.c
@@ -12,9 +12,9 @@
 
 #define STEP "request.head"
 /* Bytes that one side hasn't taken yet from which the other is no longer read: two reads' worth. */
-#define OUTPUT_MOST 32768
+#define OUTPUT_MAX 32768
 /* Bytes of later requests that are kept while one is being answered. */
-#define AHEAD_MOST 32768
+#define READ_AHEAD_MAX 32768
 /* A request that follows its predecessor's last byte at once may overtake the word that this one
  * was answered, by some microseconds. */
 #define ANSWERED_CHECK_US 1000
@@ -35,13 +35,13 @@
   bool mid_request;  /* some of the next one's bytes were passed on */
   bool answer_begun; /* the server has written since the request in progress began */
   bool lingering;    /* all is written; what the caller sends is dropped */
-  bool hurried;
+  bool skip_linger;
 };
 
 static void caller_read (GateFilter *filter);
 
 static size_t
-waiting_to_leave (struct bufferevent *bev)
+output_pending (struct bufferevent *bev)
 {
   return evbuffer_get_length (bufferevent_get_output (bev));
 }
@@ -76,10 +76,10 @@
 {
   struct timeval wait = { .tv_sec = LINGER_S };
 
-  if (filter->lingering || waiting_to_leave (filter->caller) > 0)
+  if (filter->lingering || output_pending (filter->caller) > 0)
     return;
   end_output (filter->caller);
-  if (filter->hurried)
+  if (filter->skip_linger)
     {
       filter_free (filter);
       return;
@@ -126,7 +126,7 @@
 /* The answers that are complete are in the server's socket at the latest by now. Bytes that come
  * from it after this call belong to the next request. */
 static void
-take_answers (GateFilter *filter)
+forward_answers (GateFilter *filter)
 {
   char block[READ_BLOCK];
   ssize_t len;
@@ -139,7 +139,7 @@
 
 /* One run of bytes that lie together; false at a fault. */
 static bool
-pass_on (GateFilter *filter)
+forward_input (GateFilter *filter)
 {
   struct evbuffer *input = bufferevent_get_input (filter->caller);
   struct evbuffer_iovec run;
@@ -149,7 +149,7 @@
 
   evbuffer_peek (input, -1, NULL, &run, 1);
   if (!filter->mid_request)
-    take_answers (filter);
+    forward_answers (filter);
   result = gate_framing_feed (&filter->framing, run.iov_base, run.iov_len, &used, &pass);
   if (pass.len > 0)
     bufferevent_write (filter->server, pass.data, pass.len);
@@ -175,12 +175,12 @@
           await_answer (filter);
           return;
         }
-      if (!pass_on (filter))
+      if (!forward_input (filter))
         {
           refuse (filter);
           return;
         }
-      if (waiting_to_leave (filter->server) > OUTPUT_MOST)
+      if (output_pending (filter->server) > OUTPUT_MAX)
         {
           bufferevent_disable (filter->caller, EV_READ);
           return;
@@ -223,7 +223,7 @@
 
   filter->answer_begun = true;
   bufferevent_write_buffer (filter->caller, bufferevent_get_input (bev));
-  if (waiting_to_leave (filter->caller) > OUTPUT_MOST)
+  if (output_pending (filter->caller) > OUTPUT_MAX)
     bufferevent_disable (bev, EV_READ);
 }
 
@@ -276,7 +276,7 @@
   cds_list_add_tail (&filter->node, list);
   bufferevent_setcb (caller, on_caller_read, on_caller_written, on_caller_event, filter);
   bufferevent_setcb (server, on_server_read, on_server_written, on_server_event, filter);
-  bufferevent_setwatermark (caller, EV_READ, 0, AHEAD_MOST);
+  bufferevent_setwatermark (caller, EV_READ, 0, READ_AHEAD_MAX);
   bufferevent_set_timeouts (caller, NULL, &stalled);
   bufferevent_enable (caller, EV_READ | EV_WRITE);
   bufferevent_enable (server, EV_READ | EV_WRITE);
@@ -284,13 +284,13 @@
 }
 
 void
-gate_filters_hurry (struct cds_list_head *list)
+gate_filters_skip_linger (struct cds_list_head *list)
 {
   GateFilter *filter, *next;
 
   cds_list_for_each_entry_safe (filter, next, list, node)
   {
-    filter->hurried = true;
+    filter->skip_linger = true;
     if (filter->lingering)
       filter_free (filter);
   }
--- a/src/gate_filter.h
+++ b/src/gate_filter.h
@@ -25,7 +25,7 @@
                              const GateFilterLimits *limits,
                              struct cds_list_head *list);
 /** What is written is still sent, but nobody's last bytes are awaited any more. */
-void gate_filters_hurry (struct cds_list_head *list);
+void gate_filters_skip_linger (struct cds_list_head *list);
 void gate_filters_free (struct cds_list_head *list);
 
 #endif
--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -11,12 +11,12 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ASK_INTERVAL_MS 250
-#define ASK_TIMEOUT_MS  1000
+#define RENEW_INTERVAL_MS 250
+#define RENEW_TIMEOUT_MS  1000
 
 static void *grant_run (void *context);
-static void ask_once (Gate *gate);
-static void take_brakes (Gate *gate, const rpc_grant *grant);
+static void renew_once (Gate *gate);
+static void add_brakes (Gate *gate, const rpc_grant *grant);
 
 bool
 gate_grant_valid (Gate *gate)
@@ -34,7 +34,7 @@
 
 /* Brakes only ever add up here; a configuration that names a later `released` frees a version. */
 static void
-take_brakes (Gate *gate, const rpc_grant *grant)
+add_brakes (Gate *gate, const rpc_grant *grant)
 {
   for (u_int i = 0; i < grant->brakes.brakes_len; i++)
     {
@@ -52,7 +52,7 @@
 }
 
 static void
-note_change (bool had, bool has)
+log_change (bool had, bool has)
 {
   if (had == has)
     return;
@@ -65,7 +65,7 @@
  * here, so a gate that could not read a configuration takes no new work on the old one.
  */
 static void
-take_grant (Gate *gate, const rpc_grant *grant, int64_t sent_ms)
+apply_grant (Gate *gate, const rpc_grant *grant, int64_t sent_ms)
 {
   GateGrant *own = &gate->grant;
   int64_t until_ms = 0;
@@ -78,7 +78,7 @@
     platform_group_set_interval (gate->group, platform_group_interval (grant->members));
   __atomic_store_n (&own->rank, (int64_t)grant->rank, __ATOMIC_RELAXED);
   gate_limit_view (&gate->limit, grant->members, grant->rank);
-  gate_replicas_name (&gate->replicas, grant->peers.peers_val, grant->peers.peers_len);
+  gate_replicas_set_peers (&gate->replicas, grant->peers.peers_val, grant->peers.peers_len);
   if (grant->number > gate_config_number (gate))
     gate_config_fetch (gate, grant->number);
   gate_config_apply_brakes (gate);
@@ -90,7 +90,7 @@
 }
 
 static void
-ask_once (Gate *gate)
+renew_once (Gate *gate)
 {
   bool stopping = __atomic_load_n (&gate->stopping, __ATOMIC_ACQUIRE);
   rpc_grant_ask ask = {
@@ -100,20 +100,20 @@
     .stopping = stopping,
   };
   rpc_evidence evidence[LOVAGE_BRAKES_MAX];
-  DeathNews news;
+  DeathReports news;
   rpc_grant grant = { 0 };
   int64_t sent_ms = clock_boot_ms ();
   Status st = { 0 };
   StatusCode code;
 
-  gate_deaths_news (gate, &news);
+  gate_deaths_collect (gate, &news);
   ask.deaths.deaths_val = news.list;
   ask.deaths.deaths_len = news.count;
   ask.evidence.evidence_val = evidence;
   ask.evidence.evidence_len
       = (u_int)gate_evidence_take (gate->evidence, evidence, LOVAGE_BRAKES_MAX);
   code = rpc_client_call (gate->grant.steward, LOVAGE_GRANT, (xdrproc_t)xdr_rpc_grant_ask, &ask,
-                          (xdrproc_t)xdr_rpc_grant, &grant, ASK_TIMEOUT_MS, &st);
+                          (xdrproc_t)xdr_rpc_grant, &grant, RENEW_TIMEOUT_MS, &st);
 
   if (code != STATUS_OK)
     {
@@ -123,64 +123,64 @@
         gate_evidence_put_back (gate->evidence, evidence, ask.evidence.evidence_len);
       return;
     }
-  take_brakes (gate, &grant);
-  gate_deaths_take (gate, grant.deaths.deaths_val, grant.deaths.deaths_len);
-  take_grant (gate, &grant, sent_ms);
+  add_brakes (gate, &grant);
+  gate_deaths_merge (gate, grant.deaths.deaths_val, grant.deaths.deaths_len);
+  apply_grant (gate, &grant, sent_ms);
   xdr_free ((xdrproc_t)xdr_rpc_grant, (char *)&grant);
 }
 
 void
-gate_grant_wake (Gate *gate)
+gate_grant_renew (Gate *gate)
 {
   GateGrant *grant = &gate->grant;
 
   if (!grant->running)
     return;
   pthread_mutex_lock (&grant->lock);
-  grant->wanted++;
+  grant->requested++;
   pthread_cond_broadcast (&grant->changed);
   pthread_mutex_unlock (&grant->lock);
 }
 
 void
-gate_grant_hear (Gate *gate, int64_t most_ms)
+gate_grant_renew_and_wait (Gate *gate, int64_t max_ms)
 {
   GateGrant *grant = &gate->grant;
-  int64_t until_ms = clock_boot_ms () + most_ms;
+  int64_t until_ms = clock_boot_ms () + max_ms;
   uint64_t ask;
 
   if (!grant->running)
     return;
   pthread_mutex_lock (&grant->lock);
-  ask = ++grant->wanted;
+  ask = ++grant->requested;
   pthread_cond_broadcast (&grant->changed);
-  while (grant->heard < ask && !grant->stop
+  while (grant->completed < ask && !grant->stop
          && wait_ms (&grant->changed, &grant->lock, until_ms - clock_boot_ms ()))
     continue;
   pthread_mutex_unlock (&grant->lock);
 }
 
-/* What was wanted before the ask that begins now; false: to be stopped. */
+/* What was requested before the ask that begins now; false: to be stopped. */
 static bool
-begin_ask (GateGrant *grant, uint64_t *wanted)
+begin_renewal (GateGrant *grant, uint64_t *requested)
 {
   bool goes_on;
 
   pthread_mutex_lock (&grant->lock);
-  *wanted = grant->wanted;
+  *requested = grant->requested;
   goes_on = !grant->stop;
   pthread_mutex_unlock (&grant->lock);
   return goes_on;
 }
 
-/* Waits until next_ms, or until an ask is wanted that the last one was not. */
+/* Waits until next_ms, or until an ask is requested that the last one was not. */
 static void
-end_ask (GateGrant *grant, uint64_t wanted, int64_t next_ms)
+finish_renewal (GateGrant *grant, uint64_t requested, int64_t next_ms)
 {
   pthread_mutex_lock (&grant->lock);
-  grant->heard = wanted;
+  grant->completed = requested;
   pthread_cond_broadcast (&grant->changed);
-  while (grant->wanted == wanted && !grant->stop
+  while (grant->requested == requested && !grant->stop
          && wait_ms (&grant->changed, &grant->lock, next_ms - clock_boot_ms ()))
     continue;
   pthread_mutex_unlock (&grant->lock);
@@ -191,20 +191,20 @@
 {
   Gate *gate = context;
   bool had = false;
-  uint64_t wanted;
+  uint64_t requested;
 
-  gate_rcu_enter ();
-  while (begin_ask (&gate->grant, &wanted))
+  gate_rcu_register ();
+  while (begin_renewal (&gate->grant, &requested))
     {
-      int64_t next_ms = clock_boot_ms () + ASK_INTERVAL_MS;
+      int64_t next_ms = clock_boot_ms () + RENEW_INTERVAL_MS;
       int64_t number = gate_config_number (gate);
       bool has;
-      ask_once (gate);
+      renew_once (gate);
       has = gate_grant_valid (gate);
-      note_change (had, has);
+      log_change (had, has);
       had = has;
       /* The steward calls a number in force only once its gate has said so: say it at once. */
-      end_ask (&gate->grant, wanted, gate_config_number (gate) > number ? 0 : next_ms);
+      finish_renewal (&gate->grant, requested, gate_config_number (gate) > number ? 0 : next_ms);
     }
   return NULL;
 }
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -144,14 +144,14 @@
   gate_sweep_working (http->sweep, sweep_entry (r->connection));
   refusal_set (&r->refusal, REFUSAL_TOO_LARGE, REQUEST_NOT_RUN, "request.body",
                "expected at most %zu bytes", max);
-  gate_refused_note (r);
+  gate_refused_record (r);
   gate_raw_refuse (r->fd, &r->refusal);
   gate_raw_drain (r->fd);
   return MHD_NO;
 }
 
 static enum MHD_Result
-on_whole_request (GateHttp *http, GateRequest *r)
+on_complete_request (GateHttp *http, GateRequest *r)
 {
   enum MHD_Result queued = MHD_NO;
 
@@ -164,13 +164,13 @@
     case RUN_REFUSED:
       queued = gate_respond_refusal (r);
       break;
-    case RUN_WHOLE:
-      queued = gate_respond_whole (r);
+    case RUN_COMPLETE:
+      queued = gate_respond_complete (r);
       break;
     case RUN_STREAM:
       queued = gate_respond_stream (r);
       break;
-    case RUN_GONE:
+    case RUN_CALLER_LEFT:
       break;
     }
   gate_respond_resume_timeout (r);
@@ -196,7 +196,7 @@
     return on_head (cls, r, method);
   if (*upload_size > 0)
     return on_body (cls, r, upload, upload_size);
-  return on_whole_request (cls, r);
+  return on_complete_request (cls, r);
 }
 
 static void
@@ -280,7 +280,7 @@
 {
   int64_t until_ms = clock_boot_ms () + DRAIN_MAX_MS;
 
-  gate_callers_refuse_more (http->callers);
+  gate_callers_stop_accepting (http->callers);
   while (clock_boot_ms () < until_ms && gate_sweep_open (http->sweep) > 0)
     clock_sleep_ms (DRAIN_STEP_MS);
 }
--- a/src/gate_learn.c
+++ b/src/gate_learn.c
@@ -31,9 +31,9 @@
   CascadeOutcome outcome = outcome_of (r);
   double ms = (double)(clock_boot_us () - a->begun_us) / 1000.0;
 
-  gate_limit_worked (&r->gate->limit, ms);
-  if (answer->pieces > 1)
-    gate_server_token_time (a->server, (ms - a->first_token_ms) / (double)(answer->pieces - 1));
+  gate_limit_record_time (&r->gate->limit, ms);
+  if (answer->chunks > 1)
+    gate_server_token_time (a->server, (ms - a->first_token_ms) / (double)(answer->chunks - 1));
   cascade_ran (r->gate->estimates, &outcome,
                (double)(answer->prompt_tokens + answer_completion_tokens (answer)), ms);
   gate_evidence_answer (r->gate->evidence, &key, r->caller_hash,
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -4,13 +4,13 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define CAPACITY_PART    1.1 /* of the slots that may be taken or waited for */
-#define REFRESH_MS       50
-#define BYTES_A_TOKEN    4
-#define OUTPUT_TOKENS    256 /* expected of an answer whose caller set no bound */
-#define WORK_FIRST_MS    1000
-#define SMOOTHING        0.05
-#define CAPACITY_UNKNOWN 100000U
+#define CAPACITY_FACTOR      1.1 /* of the slots that may be taken or waited for */
+#define REFRESH_MS           50
+#define BYTES_PER_TOKEN      4
+#define OUTPUT_TOKENS        256 /* expected of an answer whose caller set no bound */
+#define ANSWER_TIME_FIRST_MS 1000
+#define SMOOTHING            0.05
+#define CAPACITY_UNKNOWN     100000U
 
 /** Sums over the engines that this gate watches. */
 typedef struct
@@ -24,7 +24,7 @@
 void
 gate_limit_init (GateLimit *limit)
 {
-  *limit = (GateLimit){ .work_ms = WORK_FIRST_MS };
+  *limit = (GateLimit){ .answer_time_ms = ANSWER_TIME_FIRST_MS };
   limit->limiter = limiter_new (&limit_settings_default);
   pthread_mutex_init (&limit->lock, NULL);
 }
@@ -90,31 +90,31 @@
 }
 
 /*
- * What this gate's part of the engines can bear: an even part of all, or, where the balancer gives
- * it more than the other gates, also what the engines' reports show as free. Worked out now and
- * then, since it looks at each engine.
+ * What this gate's part of the engines can bear: an equal_share part of all, or, where the balancer
+ * gives it more than the other gates, also what the engines' reports show as free. Worked out now
+ * and then, since it looks at each engine.
  */
 static void
 refresh (GateLimit *limit, const GateRequest *r, int64_t now_ms)
 {
   int64_t members = __atomic_load_n (&r->gate->grant.members, __ATOMIC_RELAXED);
   PoolSums sums;
-  double bearable;
-  double even;
+  double usable_slots;
+  double equal_share;
   double with_free;
 
   if (limit->at_ms > 0 && now_ms - limit->at_ms < REFRESH_MS)
     return;
   sums = sum_pool (r->snapshot, now_ms);
-  bearable = sums.slots * CAPACITY_PART;
-  even = bearable / (double)(members > 0 ? members : 1);
-  with_free = sums.own + (bearable > sums.load ? bearable - sums.load : 0);
+  usable_slots = sums.slots * CAPACITY_FACTOR;
+  equal_share = usable_slots / (double)(members > 0 ? members : 1);
+  with_free = sums.own + (usable_slots > sums.load ? usable_slots - sums.load : 0);
   limit->at_ms = now_ms;
-  limit->capacity = (unsigned)(even > with_free ? even : with_free) + 1;
+  limit->capacity = (unsigned)(equal_share > with_free ? equal_share : with_free) + 1;
   /* Without an engine the plan or the choice of the server says so better than a limit. */
   if (sums.least_excess < 0)
     limit->capacity = CAPACITY_UNKNOWN;
-  limit->wait_ms = sums.least_excess > 0 ? (int64_t)(sums.least_excess * limit->work_ms) : 0;
+  limit->wait_ms = sums.least_excess > 0 ? (int64_t)(sums.least_excess * limit->answer_time_ms) : 0;
 }
 
 static int64_t
@@ -126,7 +126,7 @@
   if (json_object_object_get_ex (r->json, "max_tokens", &max)
       && json_object_get_int64 (max) < output)
     output = json_object_get_int64 (max);
-  return (int64_t)(r->body.len / BYTES_A_TOKEN) + output;
+  return (int64_t)(r->body.len / BYTES_PER_TOKEN) + output;
 }
 
 bool
@@ -172,9 +172,9 @@
 }
 
 void
-gate_limit_worked (GateLimit *limit, double ms)
+gate_limit_record_time (GateLimit *limit, double ms)
 {
   pthread_mutex_lock (&limit->lock);
-  limit->work_ms += SMOOTHING * (ms - limit->work_ms);
+  limit->answer_time_ms += SMOOTHING * (ms - limit->answer_time_ms);
   pthread_mutex_unlock (&limit->lock);
 }
--- a/src/gate_limit.h
+++ b/src/gate_limit.h
@@ -20,7 +20,7 @@
   int64_t at_ms;        /**< when capacity and wait were worked out; boot-time clock */
   unsigned capacity;
   int64_t wait_ms;
-  double work_ms;        /**< moving mean of an answer's time */
+  double answer_time_ms; /**< moving mean of an answer's time */
   int64_t first_view_ms; /**< atomic; 0: none yet */
 } GateLimit;
 
@@ -36,6 +36,6 @@
 /** Gives back what an admitted request held. */
 void gate_limit_end (struct GateRequest *r);
 /** An answer took so long. */
-void gate_limit_worked (GateLimit *limit, double ms);
+void gate_limit_record_time (GateLimit *limit, double ms);
 
 #endif
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -15,14 +15,14 @@
 #include <string.h>
 #include <sys/resource.h>
 
-#define MEMBERS_AT_START    9 /* until the first grant */
-#define GROUP_OPS_MAX       400
-#define TABLE_TIMEOUT_MS    1500
-#define SESSIONS_REMEMBERED 20000
-#define FILES_A_STREAM      7
-#define FILES_SPARE         256
-#define STOP_STEP_MS        20
-#define STOP_BILL_MIN_MS    2000
+#define MEMBERS_AT_START  9 /* until the first grant */
+#define GROUP_OPS_MAX     400
+#define TABLE_TIMEOUT_MS  1500
+#define SESSION_CACHE_MAX 20000
+#define FILES_PER_STREAM  7
+#define FILES_SPARE       256
+#define STOP_STEP_MS      20
+#define STOP_BILL_MIN_MS  2000
 
 /** Whole gate with the parts that main alone drives. */
 typedef struct
@@ -73,7 +73,7 @@
   buffer_printf (out, "gate_granted %d\n", gate_grant_valid (gate) ? 1 : 0);
   buffer_printf (out, "gate_bill_backlog %zu\n", backlog.count);
   buffer_printf (out, "gate_bill_backlog_bytes %zu\n", backlog.bytes);
-  gate_refused_text (out);
+  gate_refused_metrics (out);
   gate_snapshot_put (snapshot);
 }
 
@@ -126,14 +126,14 @@
   bill.group = gate->group;
   gate->bill = bill_writer_new (&bill);
   gate->releaser = claim_releaser_new (gate->platform);
-  gate->sessions = session_named_new (gate->group, SESSIONS_REMEMBERED);
+  gate->sessions = session_named_new (gate->group, SESSION_CACHE_MAX);
   gate->sample = gate_sample_start (gate);
 }
 
 static void
-wake_grant (void *context)
+renew_grant (void *context)
 {
-  gate_grant_wake (context);
+  gate_grant_renew (context);
 }
 
 static bool
@@ -148,8 +148,8 @@
   gate->incarnation = id_random_u64 ();
   gate_servers_init (&gate->servers, settings->common.vm, settings->common.failure_domain);
   gate->servers.quarantine = quarantine_new (&quarantine_settings_default);
-  gate->servers.sightings = quarantine_new (&quarantine_settings_default);
-  gate->servers.died = wake_grant;
+  gate->servers.observed_deaths = quarantine_new (&quarantine_settings_default);
+  gate->servers.on_death = renew_grant;
   gate->servers.context = gate;
   gate_rating_init (&gate->rating);
   gate_limit_init (&gate->limit);
@@ -216,7 +216,7 @@
   gate_replicas_clear (&gate->replicas);
   gate_evidence_free (gate->evidence);
   quarantine_free (gate->servers.quarantine);
-  quarantine_free (gate->servers.sightings);
+  quarantine_free (gate->servers.observed_deaths);
   gate_limit_clear (&gate->limit);
   estimates_free (gate->estimates);
   retry_budget_free (gate->retries);
@@ -228,7 +228,7 @@
 static void
 raise_file_limit (const SettingsGate *settings)
 {
-  rlim_t wanted = (rlim_t)settings->streams_max * FILES_A_STREAM + FILES_SPARE;
+  rlim_t wanted = (rlim_t)settings->streams_max * FILES_PER_STREAM + FILES_SPARE;
   struct rlimit limit;
 
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= wanted)
--- a/src/gate_pick.c
+++ b/src/gate_pick.c
@@ -5,41 +5,41 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** One thread's place for states; all zero between choices. */
+/** One thread's array for states; all zero between choices. */
 typedef struct
 {
   size_t count;
   ServerView views[];
-} Place;
+} ViewArray;
 
-static pthread_key_t place_key;
-static pthread_once_t place_once = PTHREAD_ONCE_INIT;
+static pthread_key_t array_key;
+static pthread_once_t array_once = PTHREAD_ONCE_INIT;
 
 static void
 make_key (void)
 {
-  int error = pthread_key_create (&place_key, free);
+  int error = pthread_key_create (&array_key, free);
 
   INVARIANT (error == 0, "pthread_key_create: %s", strerror (error));
 }
 
 /* Kept, since zeroing a new one for hundreds of servers costs more than the decision. */
-static Place *
-place_for (size_t count)
+static ViewArray *
+view_array_for (size_t count)
 {
-  Place *place;
+  ViewArray *array;
   int error;
 
-  (void)pthread_once (&place_once, make_key);
-  place = pthread_getspecific (place_key);
-  if (place != NULL && place->count >= count)
-    return place;
-  free (place);
-  place = memory_alloc (sizeof *place + count * sizeof *place->views);
-  place->count = count;
-  error = pthread_setspecific (place_key, place);
+  (void)pthread_once (&array_once, make_key);
+  array = pthread_getspecific (array_key);
+  if (array != NULL && array->count >= count)
+    return array;
+  free (array);
+  array = memory_alloc (sizeof *array + count * sizeof *array->views);
+  array->count = count;
+  error = pthread_setspecific (array_key, array);
   INVARIANT (error == 0, "pthread_setspecific: %s", strerror (error));
-  return place;
+  return array;
 }
 
 static const IndexList *
@@ -91,7 +91,7 @@
 gate_pick (const ServerPolicy *policy, GateServer *const *servers, ServerQuery *query)
 {
   size_t count = query->config->server_count;
-  ServerView *views = place_for (count)->views;
+  ServerView *views = view_array_for (count)->views;
   const IndexList *list = list_of (query);
   int picked = -1;
 
--- a/src/gate_poll.c
+++ b/src/gate_poll.c
@@ -14,7 +14,7 @@
 #define POLL_TIMEOUT_MS  1000
 #define REPORT_MAX       (64UL * 1024)
 /** Reads of one thread in one interval; further engines wait for their turn. */
-#define POLL_ROUND (GATE_POLL_READS_MAX / POLL_THREADS)
+#define READS_PER_ROUND (GATE_POLL_READS_MAX / POLL_THREADS)
 
 /** A watched engine and the connection that is kept to it. */
 typedef struct
@@ -69,17 +69,17 @@
 {
   struct json_object *root = answer->data != NULL ? json_tokener_parse (answer->data) : NULL;
   struct json_object *draining;
-  bool leaves;
+  bool is_draining;
 
   if (!json_object_is_type (root, json_type_object))
     {
       json_object_put (root);
       return false;
     }
-  leaves = json_object_object_get_ex (root, "draining", &draining)
-           && json_object_get_boolean (draining);
+  is_draining = json_object_object_get_ex (root, "draining", &draining)
+                && json_object_get_boolean (draining);
   gate_server_report (server, count_member (root, "running") + count_member (root, "queued"),
-                      leaves, count_member (root, "at_ms"), clock_boot_ms ());
+                      is_draining, count_member (root, "at_ms"), clock_boot_ms ());
   json_object_put (root);
   return true;
 }
@@ -163,7 +163,7 @@
     return;
   if (thread->engines == NULL || thread->number != snapshot->config->number)
     take_engines (thread, snapshot);
-  for (size_t i = 0; i < thread->engine_count && i < POLL_ROUND; i++)
+  for (size_t i = 0; i < thread->engine_count && i < READS_PER_ROUND; i++)
     {
       const PollEngine *engine = &thread->engines[thread->next];
       if (stopped (thread->poll))
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -110,7 +110,7 @@
    at a first stage of 1% of the callers a tenth of them would keep a bad version ten times as long.
  */
 static bool
-plan_is_on_trial (const GateRequest *r)
+plan_has_rollout (const GateRequest *r)
 {
   const Config *config = r->snapshot->config;
 
@@ -139,7 +139,7 @@
   r->sampled = gate_sample_draw (r->gate->sample);
   if (!gate_session_read (r) || !choose_versions (r))
     return false;
-  if (plan_is_on_trial (r))
+  if (plan_has_rollout (r))
     r->sampled = true;
   if (!r->session_named || r->session_version[0] != '\0')
     return true;
--- a/src/gate_rating.c
+++ b/src/gate_rating.c
@@ -41,7 +41,7 @@
 /* After two failures in a row cascades are planned without ratings for a while, where each would
    otherwise wait for its time-out; samples go on asking and find the service back. */
 static void
-note (GateRating *rating, bool rated, double ms)
+record_result (GateRating *rating, bool rated, double ms)
 {
   pthread_mutex_lock (&rating->lock);
   if (rated)
@@ -69,7 +69,7 @@
                                     RATE_TIMEOUT_MS, score, &st)
                == STATUS_OK;
 
-  note (&gate->rating, rated, (double)(clock_boot_us () - begun_us) / 1000.0);
+  record_result (&gate->rating, rated, (double)(clock_boot_us () - begun_us) / 1000.0);
   counter_add (rated ? COUNTER_GATE_RATINGS : COUNTER_GATE_RATINGS_MISSED, 1);
   return rated;
 }
--- a/src/gate_refused.c
+++ b/src/gate_refused.c
@@ -22,7 +22,7 @@
 }
 
 void
-gate_refused_note (const GateRequest *r)
+gate_refused_record (const GateRequest *r)
 {
   char message[QUOTED_MAX];
   char asked[BILL_NAME_MAX * 2];
@@ -43,7 +43,7 @@
 }
 
 void
-gate_refused_text (Buffer *out)
+gate_refused_metrics (Buffer *out)
 {
   for (int i = REASON_NONE + 1; i < REFUSAL_COUNT; i++)
     buffer_printf (out, "gate_refused_%s %lld\n", refusal_name (i),
--- a/src/gate_refused.h
+++ b/src/gate_refused.h
@@ -7,8 +7,8 @@
 #include "gate_request.h"
 
 /** Counts r->refusal by its reason, and logs it unless many were logged this second. */
-void gate_refused_note (const GateRequest *r);
+void gate_refused_record (const GateRequest *r);
 /** Adds a "gate_refused_REASON count" line for each reason. */
-void gate_refused_text (Buffer *out);
+void gate_refused_metrics (Buffer *out);
 
 #endif
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -17,7 +17,7 @@
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
-  gate_attempt_end (r, SERVER_WELL);
+  gate_attempt_end (r, SERVER_SUCCEEDED);
   r->phase = RELAY_CLOSING;
 }
 
@@ -55,7 +55,7 @@
   r->sent = 0;
   switch (gate_attempt_next (r, &r->out, &st))
     {
-    case STREAM_PIECE:
+    case STREAM_CHUNK:
       gate_bill_keep (r);
       break;
     case STREAM_END:
@@ -64,7 +64,7 @@
     case STREAM_CUT:
       cut (r, &st);
       break;
-    case STREAM_GONE:
+    case STREAM_CALLER_LEFT:
       cancel (r);
       return false;
     }
@@ -90,7 +90,7 @@
     return;
   if (r->billed)
     {
-      gate_attempt_end (r, SERVER_WELL);
+      gate_attempt_end (r, SERVER_SUCCEEDED);
       return;
     }
   if (r->claimed)
--- a/src/gate_reorder.h
+++ b/src/gate_reorder.h
@@ -1,5 +1,5 @@
 /**
- * Puts the pieces of a stream in the order of their sequence numbers: each piece is given out
+ * Puts the chunks of a stream in the order of their sequence numbers: each chunk is given out
  * exactly once, and none before those in front of it. No I/O.
  */
 #ifndef GATE_REORDER_H
@@ -9,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define REORDER_WINDOW 32 /**< pieces that may be held behind a gap */
+#define REORDER_WINDOW 32 /**< chunks that may be held behind a gap */
 
 typedef struct
 {
@@ -19,7 +19,7 @@
 
 typedef struct
 {
-  int64_t next; /**< number of the piece that is given out next */
+  int64_t next; /**< number of the chunk that is given out next */
   unsigned held;
   ReorderSlot slots[REORDER_WINDOW]; /**< by number modulo the window */
 } Reorder;
@@ -32,10 +32,10 @@
 } ReorderResult;
 
 ReorderResult reorder_push (Reorder *reorder, int64_t number, const char *data, size_t len);
-/** Takes the next piece into *out (overwritten) and its number into *number; false: it has not
+/** Takes the next chunk into *out (overwritten) and its number into *number; false: it has not
  *  come yet. */
 bool reorder_pop (Reorder *reorder, Buffer *out, int64_t *number);
-/** True if pieces wait behind one that has not come. */
+/** True if chunks wait behind one that has not come. */
 bool reorder_has_gap (const Reorder *reorder);
 void reorder_free (Reorder *reorder);
 
--- a/src/gate_replicas.c
+++ b/src/gate_replicas.c
@@ -10,7 +10,7 @@
 #define COPY_TIMEOUT_MS 500
 #define MESSAGE_MAX     (512UL * 1024) /* bytes of records in one message */
 
-static void follow_names (Gate *gate);
+static void update_peers (Gate *gate);
 static bool copy_to (Gate *gate, GatePeer *peer, const char *const *records, size_t count);
 
 void
@@ -32,13 +32,13 @@
 }
 
 void
-gate_replicas_name (GateReplicas *replicas, const rpc_peer *peers, size_t count)
+gate_replicas_set_peers (GateReplicas *replicas, const rpc_peer *peers, size_t count)
 {
   pthread_mutex_lock (&replicas->lock);
-  replicas->named_count = count < LOVAGE_PEERS_MAX ? count : LOVAGE_PEERS_MAX;
-  for (size_t i = 0; i < replicas->named_count; i++)
+  replicas->granted_count = count < LOVAGE_PEERS_MAX ? count : LOVAGE_PEERS_MAX;
+  for (size_t i = 0; i < replicas->granted_count; i++)
     {
-      GatePeer *peer = &replicas->named[i];
+      GatePeer *peer = &replicas->granted[i];
       *peer = (GatePeer){ .port = peers[i].port };
       snprintf (peer->address, sizeof (peer->address), "%s", peers[i].address);
       snprintf (peer->failure_domain, sizeof (peer->failure_domain), "%s", peers[i].failure_domain);
@@ -46,17 +46,17 @@
   pthread_mutex_unlock (&replicas->lock);
 }
 
-/* Takes over the newest names; connections to peers that are still named are kept. */
+/* Takes over the newest names; connections to peers that are still granted are kept. */
 static void
-follow_names (Gate *gate)
+update_peers (Gate *gate)
 {
   GateReplicas *replicas = &gate->replicas;
   GatePeer next[LOVAGE_PEERS_MAX];
   size_t count;
 
   pthread_mutex_lock (&replicas->lock);
-  count = replicas->named_count;
-  memcpy (next, replicas->named, sizeof (next));
+  count = replicas->granted_count;
+  memcpy (next, replicas->granted, sizeof (next));
   pthread_mutex_unlock (&replicas->lock);
   for (size_t i = 0; i < replicas->peer_count; i++)
     {
@@ -78,7 +78,7 @@
 
 /* One message of as many records as fit; returns how many they are, 0 if they were not taken. */
 static size_t
-send_some (Gate *gate, GatePeer *peer, const char *const *records, size_t count)
+send_batch (Gate *gate, GatePeer *peer, const char *const *records, size_t count)
 {
   rpc_record list[LOVAGE_RECORDS_MAX];
   rpc_bill_copy copy = { .gate = gate->incarnation, .records = { .records_val = list } };
@@ -111,7 +111,7 @@
     peer->client = rpc_client_new (&gate->site_key, gate->incarnation, peer->address, peer->port);
   while (sent < count)
     {
-      size_t n = send_some (gate, peer, records + sent, count - sent);
+      size_t n = send_batch (gate, peer, records + sent, count - sent);
       if (n == 0)
         return false;
       sent += n;
@@ -127,7 +127,7 @@
   const char *domains[COPIES_WANTED];
   int copies = 0;
 
-  follow_names (gate);
+  update_peers (gate);
   for (size_t i = 0; i < replicas->peer_count && copies < COPIES_WANTED; i++)
     {
       GatePeer *peer = &replicas->peers[i];
--- a/src/gate_replicas.h
+++ b/src/gate_replicas.h
@@ -21,9 +21,9 @@
 
 typedef struct
 {
-  pthread_mutex_t lock;             /**< guards named */
-  GatePeer named[LOVAGE_PEERS_MAX]; /**< as the last grant said */
-  size_t named_count;
+  pthread_mutex_t lock;               /**< guards granted */
+  GatePeer granted[LOVAGE_PEERS_MAX]; /**< as the last grant said */
+  size_t granted_count;
   GatePeer peers[LOVAGE_PEERS_MAX]; /**< the bill writer's own */
   size_t peer_count;
 } GateReplicas;
@@ -31,7 +31,7 @@
 void gate_replicas_init (GateReplicas *replicas);
 void gate_replicas_clear (GateReplicas *replicas);
 /** The peers of a new grant. */
-void gate_replicas_name (GateReplicas *replicas, const rpc_peer *peers, size_t count);
+void gate_replicas_set_peers (GateReplicas *replicas, const rpc_peer *peers, size_t count);
 /** For BillReplicator.copy; context is the Gate. Returns the number of other failure domains in
  *  which a VM has taken all of the records. */
 int gate_replicas_copy (void *context, const char *const *records, size_t count);
--- a/src/gate_request.c
+++ b/src/gate_request.c
@@ -48,13 +48,13 @@
 }
 
 bool
-gate_request_gone (const GateRequest *r)
+gate_request_caller_left (const GateRequest *r)
 {
-  return gate_watch_gone (r->fd);
+  return gate_watch_socket_closed (r->fd);
 }
 
 bool
-gate_request_late (const GateRequest *r)
+gate_request_past_deadline (const GateRequest *r)
 {
   return !r->claimed && r->deadline_ms > 0 && clock_boot_ms () >= r->deadline_ms;
 }
@@ -72,8 +72,8 @@
 {
   int64_t *retry_after_ms = &r->refusal.retry_after_ms;
 
-  if (r->server_died && *retry_after_ms > 0 && *retry_after_ms < REQUEST_DEATH_NEWS_MS)
-    *retry_after_ms = REQUEST_DEATH_NEWS_MS;
+  if (r->server_died && *retry_after_ms > 0 && *retry_after_ms < REQUEST_DEATH_PROPAGATION_MS)
+    *retry_after_ms = REQUEST_DEATH_PROPAGATION_MS;
 }
 
 static const char *
--- a/src/gate_request.h
+++ b/src/gate_request.h
@@ -21,7 +21,7 @@
 #define REQUEST_LOST_MAX 2
 /** In which other VMs hear that a server died: the request that was running there does not come
  * back before. */
-#define REQUEST_DEATH_NEWS_MS 3000
+#define REQUEST_DEATH_PROPAGATION_MS 3000
 /** Tries of one stage that may end unsent, such as at servers that refuse the connection: each
  * costs a round trip. */
 #define REQUEST_UNSENT_MAX  16
@@ -113,10 +113,10 @@
 /** Parses the body; false: refused. */
 bool gate_request_read_body (GateRequest *r);
 /** True if the caller has closed its side. */
-bool gate_request_gone (const GateRequest *r);
+bool gate_request_caller_left (const GateRequest *r);
 /** True if its deadline has passed and it may be ended: one with a claim runs on, so that a re-send
  *  finds its answer. */
-bool gate_request_late (const GateRequest *r);
+bool gate_request_past_deadline (const GateRequest *r);
 /** True if it crashed backend servers before. */
 bool gate_request_quarantined (const GateRequest *r);
 /** A refusal after a server's death: its client is told a time in which all VMs have the news. */
--- a/src/gate_respond.c
+++ b/src/gate_respond.c
@@ -84,7 +84,7 @@
   struct MHD_Response *response;
   char seconds[24];
 
-  gate_refused_note (r);
+  gate_refused_record (r);
   refusal_json (&r->refusal, &body);
   response = MHD_create_response_from_buffer (body.len, body.data, MHD_RESPMEM_MUST_FREE);
   INVARIANT (response != NULL, "request=\"%s\"", r->id);
@@ -101,7 +101,7 @@
 }
 
 enum MHD_Result
-gate_respond_whole (GateRequest *r)
+gate_respond_complete (GateRequest *r)
 {
   struct MHD_Response *response;
 
@@ -111,7 +111,7 @@
   r->out = (Buffer){ 0 };
   add_common (r, response, r->answer_type, REQUEST_ANSWERED);
   add_version (r, response);
-  gate_attempt_end (r, SERVER_WELL);
+  gate_attempt_end (r, SERVER_SUCCEEDED);
   return queue (r, (unsigned)r->http_status, response);
 }
 
--- a/src/gate_respond.h
+++ b/src/gate_respond.h
@@ -8,7 +8,7 @@
 
 enum MHD_Result gate_respond_refusal (GateRequest *r);
 /** The whole answer in r->out. */
-enum MHD_Result gate_respond_whole (GateRequest *r);
+enum MHD_Result gate_respond_complete (GateRequest *r);
 /** r->out first, then what gate_run_next gives, each event flushed. */
 enum MHD_Result gate_respond_stream (GateRequest *r);
 
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -16,10 +16,10 @@
 /** How one stage went. */
 typedef enum
 {
-  STAGE_PIECE, /**< the first events are in r->out */
-  STAGE_WHOLE, /**< the whole answer was collected */
+  STAGE_STREAMING, /**< the first events are in r->out */
+  STAGE_COMPLETE,  /**< the whole answer was collected */
   STAGE_FAILED,
-  STAGE_GONE
+  STAGE_CALLER_LEFT
 } StageResult;
 
 static StageResult run_stage (GateRequest *r, unsigned version, bool collect);
@@ -38,11 +38,11 @@
   answer->keep_content = collect || r->sampled;
   answer->content_optional = !collect;
   answer->content_max = collect ? SERVICE_ANSWER_MAX : SAMPLE_TEXT_MAX;
-  while ((result = gate_attempt_next (r, &r->out, st)) == STREAM_PIECE && collect)
+  while ((result = gate_attempt_next (r, &r->out, st)) == STREAM_CHUNK && collect)
     {
       if (!r->stream)
         buffer_clear (&r->out);
-      if (gate_request_late (r))
+      if (gate_request_past_deadline (r))
         return STREAM_CUT;
     }
   return result;
@@ -53,7 +53,7 @@
 static bool
 retry_after_cut (GateRequest *r, const Status *st)
 {
-  bool late = gate_request_late (r);
+  bool late = gate_request_past_deadline (r);
 
   r->may_have_run = true;
   if (!late)
@@ -83,12 +83,12 @@
       Status st = { 0 };
       switch (read_answer (r, collect, &st))
         {
-        case STREAM_PIECE:
-          return STAGE_PIECE;
+        case STREAM_CHUNK:
+          return STAGE_STREAMING;
         case STREAM_END:
-          return STAGE_WHOLE;
-        case STREAM_GONE:
-          return STAGE_GONE;
+          return STAGE_COMPLETE;
+        case STREAM_CALLER_LEFT:
+          return STAGE_CALLER_LEFT;
         case STREAM_CUT:
           if (!retry_after_cut (r, &st))
             return STAGE_FAILED;
@@ -100,7 +100,7 @@
 /* True if the collected answer meets the target. A rating service that can't be reached gives no
    reason to pass an answer on: the caller gets the last stage's. */
 static bool
-passes (GateRequest *r)
+meets_target (GateRequest *r)
 {
   const Config *config = r->snapshot->config;
   const GateAnswer *answer = &r->attempt->stream.answer;
@@ -114,7 +114,7 @@
 }
 
 static RunResult
-answer_whole_now (GateRequest *r)
+answer_complete (GateRequest *r)
 {
   char model[BILL_NAME_MAX];
 
@@ -131,13 +131,13 @@
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
-  return RUN_WHOLE;
+  return RUN_COMPLETE;
 }
 
 static RunResult
 answer_streamed (GateRequest *r)
 {
-  gate_watch_passed_on (&r->attempt->watch);
+  gate_watch_set_relayed (&r->attempt->watch);
   r->http_status = 200;
   snprintf (r->answer_type, sizeof (r->answer_type), "text/event-stream");
   gate_bill_keep (r);
@@ -167,17 +167,17 @@
       r->rated = rated;
       switch (run_stage (r, r->plan.versions[i], rated || !r->stream))
         {
-        case STAGE_PIECE:
+        case STAGE_STREAMING:
           return answer_streamed (r);
-        case STAGE_GONE:
-          return RUN_GONE;
-        case STAGE_WHOLE:
-          if (!rated || passes (r))
-            return answer_whole_now (r);
+        case STAGE_CALLER_LEFT:
+          return RUN_CALLER_LEFT;
+        case STAGE_COMPLETE:
+          if (!rated || meets_target (r))
+            return answer_complete (r);
           gate_learn_answer (r);
           gate_attempt_bill (r, true);
           r->previous_version = r->attempt->version;
-          gate_attempt_end (r, SERVER_WELL);
+          gate_attempt_end (r, SERVER_SUCCEEDED);
           buffer_clear (&r->out);
           counter_add (COUNTER_GATE_STAGES_FAILED, 1);
           break;
@@ -194,11 +194,11 @@
 read_service (GateRequest *r, Status *st)
 {
   char data[READ_SIZE];
-  const Buffer *early = &r->attempt->early;
+  const Buffer *peeked = &r->attempt->peeked;
   long n;
 
-  if (early->len > 0)
-    buffer_add (&r->out, early->data, early->len);
+  if (peeked->len > 0)
+    buffer_add (&r->out, peeked->data, peeked->len);
   while ((n = http_exchange_read (r->attempt->exchange, data, sizeof (data), st)) > 0)
     {
       if (r->out.len + (size_t)n > SERVICE_ANSWER_MAX)
@@ -229,7 +229,7 @@
           gate_bill_keep (r);
           gate_attempt_bill (r, true);
           gate_bill_commit (r, BILL_ANSWERED);
-          return RUN_WHOLE;
+          return RUN_COMPLETE;
         }
       if (!retry_after_cut (r, &st))
         break;
@@ -247,7 +247,7 @@
     case PREPARE_REFUSED:
       break;
     case PREPARE_ANSWERED:
-      result = RUN_WHOLE;
+      result = RUN_COMPLETE;
       break;
     case PREPARE_READY:
       result = r->kind == REQUEST_CHAT ? run_chat (r) : run_service (r);
--- a/src/gate_run.h
+++ b/src/gate_run.h
@@ -8,10 +8,10 @@
 
 typedef enum
 {
-  RUN_REFUSED, /**< r->refusal says why */
-  RUN_WHOLE,   /**< the answer is in r->out and its usage record is durable */
-  RUN_STREAM,  /**< the first events are in r->out; gate_run_next gives the rest */
-  RUN_GONE     /**< the caller has left */
+  RUN_REFUSED,    /**< r->refusal says why */
+  RUN_COMPLETE,   /**< the answer is in r->out and its usage record is durable */
+  RUN_STREAM,     /**< the first events are in r->out; gate_run_next gives the rest */
+  RUN_CALLER_LEFT /**< the caller has left */
 } RunResult;
 
 /** Runs the request until its answer or its first event is there. */
--- a/src/gate_servers.c
+++ b/src/gate_servers.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between a broken answer and the refused connection that shows its server dead. */
+/* Between a aborted answer and the refused connection that shows its server dead. */
 #define DEATH_WINDOW_MS   5000
 #define BUSY_PAUSE_MS     100
 #define LATENCY_SMOOTHING 0.1
@@ -143,7 +143,7 @@
 /* A refused connection opens the breaker at once: nothing listens there, and each further attempt
    would only cost its caller time. */
 static void
-view_unreached (ServerView *view, int64_t now_ms)
+view_unreachable (ServerView *view, int64_t now_ms)
 {
   if (view->failures < BREAKER_FAILURES - 1)
     view->failures = BREAKER_FAILURES - 1;
@@ -151,12 +151,12 @@
 }
 
 static void
-note_break (GateServer *server, uint64_t fingerprint, int64_t now_ms)
+record_abort (GateServer *server, uint64_t fingerprint, int64_t now_ms)
 {
   if (fingerprint == 0)
     return;
-  server->breaks[server->next_break] = (ServerBreak){ .fingerprint = fingerprint, .at_ms = now_ms };
-  server->next_break = (server->next_break + 1) % QUARANTINE_FLIGHT_MAX;
+  server->aborts[server->next_abort] = (ServerAbort){ .fingerprint = fingerprint, .at_ms = now_ms };
+  server->next_abort = (server->next_abort + 1) % QUARANTINE_FLIGHT_MAX;
 }
 
 static void
@@ -171,7 +171,7 @@
     death->flights[death->count++] = fingerprint;
 }
 
-/* Under the lock: a connection was refused. If answers were broken off shortly before, the server
+/* Under the lock: a connection was refused. If answers were aborted off shortly before, the server
    has died under them, and under those whose threads have not noticed yet: told one by one they
    would let the first look like the cause. A server that was stopped or cut off broke none off. */
 static bool
@@ -180,10 +180,10 @@
   *death = (QuarantineDeath){ .server = id_hash_string (server->name, 0) };
   for (unsigned i = 0; i < QUARANTINE_FLIGHT_MAX; i++)
     {
-      ServerBreak *broken = &server->breaks[i];
-      if (broken->fingerprint != 0 && now_ms - broken->at_ms <= DEATH_WINDOW_MS)
-        death_add (death, broken->fingerprint);
-      broken->fingerprint = 0;
+      ServerAbort *aborted = &server->aborts[i];
+      if (aborted->fingerprint != 0 && now_ms - aborted->at_ms <= DEATH_WINDOW_MS)
+        death_add (death, aborted->fingerprint);
+      aborted->fingerprint = 0;
     }
   if (death->count == 0)
     return false;
@@ -197,7 +197,7 @@
 
 /* Under the lock: true for the first sighting of a death; others only add to what ran there. */
 static bool
-is_first_sighting (GateServer *server, int64_t now_ms)
+is_first_report (GateServer *server, int64_t now_ms)
 {
   bool first = server->died_ms == 0 || now_ms - server->died_ms > DEATH_WINDOW_MS;
 
@@ -207,13 +207,13 @@
 }
 
 static void
-tell_death (GateServer *server, const QuarantineDeath *death, int64_t now_ms)
+report_death (GateServer *server, const QuarantineDeath *death, int64_t now_ms)
 {
   GateServers *servers = server->owner;
   bool first;
 
   pthread_mutex_lock (&server->lock);
-  first = is_first_sighting (server, now_ms);
+  first = is_first_report (server, now_ms);
   pthread_mutex_unlock (&server->lock);
   if (first)
     {
@@ -222,9 +222,9 @@
     }
   if (servers->quarantine != NULL)
     quarantine_add (servers->quarantine, death, now_ms);
-  if (servers->sightings != NULL && quarantine_add (servers->sightings, death, now_ms)
-      && servers->died != NULL)
-    servers->died (servers->context);
+  if (servers->observed_deaths != NULL && quarantine_add (servers->observed_deaths, death, now_ms)
+      && servers->on_death != NULL)
+    servers->on_death (servers->context);
 }
 
 static void
@@ -260,16 +260,16 @@
   load_note (&server->history, view, now_ms);
   switch (result)
     {
-    case SERVER_WELL:
+    case SERVER_SUCCEEDED:
       breaker_success (view);
       break;
-    case SERVER_UNREACHED:
-      view_unreached (view, now_ms);
+    case SERVER_UNREACHABLE:
+      view_unreachable (view, now_ms);
       died = find_death (server, now_ms, &death);
       break;
     case SERVER_FAILED:
       breaker_failure (view, now_ms, id_random_u64 ());
-      note_break (server, fingerprint, now_ms);
+      record_abort (server, fingerprint, now_ms);
       break;
     case SERVER_BUSY:
       view_busy (view, now_ms);
@@ -279,7 +279,7 @@
     }
   pthread_mutex_unlock (&server->lock);
   if (died)
-    tell_death (server, &death, now_ms);
+    report_death (server, &death, now_ms);
   INVARIANT (left >= 0, "server=\"%s\" in_flight=\"%lld\"", server->name, (long long)left);
 }
 
@@ -306,11 +306,11 @@
 
   pthread_mutex_lock (&server->lock);
   server->report_missed = true;
-  view_unreached (&server->view, now_ms);
+  view_unreachable (&server->view, now_ms);
   died = refused && find_death (server, now_ms, &death);
   pthread_mutex_unlock (&server->lock);
   if (died)
-    tell_death (server, &death, now_ms);
+    report_death (server, &death, now_ms);
 }
 
 void
--- a/src/gate_servers.h
+++ b/src/gate_servers.h
@@ -12,12 +12,12 @@
 #include <pthread.h>
 #include <urcu/list.h>
 
-/** An answer that was broken off, by the request's fingerprint. */
+/** An answer that was aborted off, by the request's fingerprint. */
 typedef struct
 {
   uint64_t fingerprint; /**< 0: none */
   int64_t at_ms;
-} ServerBreak;
+} ServerAbort;
 
 typedef struct
 {
@@ -28,8 +28,8 @@
   pthread_mutex_t lock; /**< guards what follows */
   ServerView view;
   LoadHistory history;
-  ServerBreak breaks[QUARANTINE_FLIGHT_MAX]; /**< the latest ones, in a ring */
-  unsigned next_break;
+  ServerAbort aborts[QUARANTINE_FLIGHT_MAX]; /**< the latest ones, in a ring */
+  unsigned next_abort;
   uint64_t running[QUARANTINE_FLIGHT_MAX]; /**< fingerprints of requests sent there; 0: free */
   int64_t died_ms;                         /**< when its last death was seen; 0: none */
   bool report_missed;                      /**< the last load report did not come */
@@ -39,11 +39,11 @@
 {
   pthread_mutex_t lock;
   struct cds_list_head list;
-  uint64_t node;                /**< stable hash of this VM */
-  const char *failure_domain;   /**< ours */
-  Quarantine *quarantine;       /**< told of servers that died; NULL: nobody */
-  Quarantine *sightings;        /**< only what this VM saw itself, for the others; NULL: nobody */
-  void (*died) (void *context); /**< called when sightings has news; NULL: nobody */
+  uint64_t node;               /**< stable hash of this VM */
+  const char *failure_domain;  /**< ours */
+  Quarantine *quarantine;      /**< told of servers that died; NULL: nobody */
+  Quarantine *observed_deaths; /**< only what this VM saw itself, for the others; NULL: nobody */
+  void (*on_death) (void *context); /**< called when sightings has news; NULL: nobody */
   void *context;
 } GateServers;
 
@@ -57,11 +57,11 @@
 /** How an attempt at a server went, as far as the server's health is concerned. */
 typedef enum
 {
-  SERVER_WELL,
-  SERVER_UNREACHED, /**< refused the connection: the attempt did not run */
-  SERVER_FAILED,    /**< gave no whole answer */
-  SERVER_BUSY,      /**< it said that it did not run the request */
-  SERVER_NEUTRAL    /**< says nothing: we ended the attempt ourselves */
+  SERVER_SUCCEEDED,
+  SERVER_UNREACHABLE, /**< refused the connection: the attempt did not run */
+  SERVER_FAILED,      /**< gave no whole answer */
+  SERVER_BUSY,        /**< it said that it did not run the request */
+  SERVER_NEUTRAL      /**< says nothing: we ended the attempt ourselves */
 } ServerResult;
 
 void gate_server_begin (GateServer *server, int64_t now_ms);
@@ -78,7 +78,7 @@
 void
 gate_server_report (GateServer *server, int64_t load, bool draining, int64_t at_ms, int64_t now_ms);
 /** Its load report did not come: no connection (refused), or no answer in time; or a connection was
- *  refused after an answer had been broken off. */
+ *  refused after an answer had been aborted off. */
 void gate_server_report_missed (GateServer *server, bool refused, int64_t now_ms);
 /** Copies the view. */
 void gate_server_view (GateServer *server, ServerView *out);
--- a/src/gate_snapshot.c
+++ b/src/gate_snapshot.c
@@ -10,7 +10,7 @@
 static pthread_key_t rcu_key;
 
 static void
-rcu_leave (void *registered)
+rcu_unregister (void *registered)
 {
   (void)registered;
   rcu_unregister_thread ();
@@ -19,12 +19,12 @@
 static void
 rcu_key_make (void)
 {
-  int failed = pthread_key_create (&rcu_key, rcu_leave);
+  int failed = pthread_key_create (&rcu_key, rcu_unregister);
   INVARIANT (failed == 0, "pthread_key_create gave %d", failed);
 }
 
 void
-gate_rcu_enter (void)
+gate_rcu_register (void)
 {
   static __thread bool entered;
 
@@ -84,7 +84,7 @@
 {
   GateSnapshot *snapshot;
 
-  gate_rcu_enter ();
+  gate_rcu_register ();
   rcu_read_lock ();
   snapshot = __atomic_load_n (&snapshots->newest, __ATOMIC_ACQUIRE);
   if (snapshot != NULL)
--- a/src/gate_snapshot.h
+++ b/src/gate_snapshot.h
@@ -36,6 +36,6 @@
 GateSnapshot *gate_snapshot_ref (GateSnapshot *snapshot);
 void gate_snapshot_put (GateSnapshot *snapshot);
 /** Registers the calling thread with RCU until it ends; may be called again. */
-void gate_rcu_enter (void);
+void gate_rcu_register (void);
 
 #endif
--- a/src/gate_sse.c
+++ b/src/gate_sse.c
@@ -96,15 +96,15 @@
   const char *at;
   const char *stop;
 
-  if (parser->broken)
-    return SSE_BROKEN;
+  if (parser->malformed)
+    return SSE_MALFORMED;
   do
     {
       len = event_length (&parser->pending, &body);
       if (len == 0)
         {
-          parser->broken = parser->pending.len > parser->event_max;
-          return parser->broken ? SSE_BROKEN : SSE_NONE;
+          parser->malformed = parser->pending.len > parser->event_max;
+          return parser->malformed ? SSE_MALFORMED : SSE_NONE;
         }
       if (body == 0)
         buffer_consume (&parser->pending, len);
@@ -115,21 +115,21 @@
   buffer_clear (&event->data);
   at = parser->pending.data;
   stop = at + body;
-  while (at < stop && !parser->broken)
+  while (at < stop && !parser->malformed)
     {
       const char *end = memchr (at, '\n', (size_t)(stop - at));
-      parser->broken = !read_line (event, at, (size_t)(end - at));
+      parser->malformed = !read_line (event, at, (size_t)(end - at));
       at = end + 1;
     }
   buffer_consume (&parser->pending, len);
-  return parser->broken ? SSE_BROKEN : SSE_EVENT;
+  return parser->malformed ? SSE_MALFORMED : SSE_EVENT;
 }
 
 void
 sse_parser_reset (SseParser *parser)
 {
   buffer_clear (&parser->pending);
-  parser->broken = false;
+  parser->malformed = false;
 }
 
 void
--- a/src/gate_sse.h
+++ b/src/gate_sse.h
@@ -21,14 +21,14 @@
 {
   Buffer pending;   /**< bytes of an event that has not ended */
   size_t event_max; /**< bytes of one event; a longer one is an error */
-  bool broken;
+  bool malformed;
 } SseParser;
 
 typedef enum
 {
   SSE_NONE, /**< more bytes are needed */
   SSE_EVENT,
-  SSE_BROKEN /**< an id that is no number, or an event too long */
+  SSE_MALFORMED /**< an id that is no number, or an event too long */
 } SseResult;
 
 void sse_parser_init (SseParser *parser, size_t event_max);
--- a/src/gate_stream.c
+++ b/src/gate_stream.c
@@ -6,12 +6,12 @@
 #define EVENT_SIZE_MAX (256UL * 1024)
 #define DONE_MARK      "[DONE]"
 
-/** What became of one step towards the next piece. */
+/** What became of one step towards the next chunk. */
 typedef enum
 {
-  STEP_AGAIN, /**< look for a piece again */
+  STEP_AGAIN, /**< look for a chunk again */
   STEP_CUT,
-  STEP_GONE
+  STEP_CALLER_LEFT
 } StreamStep;
 
 static StreamStep take_event (GateStream *stream, Status *st);
@@ -37,12 +37,12 @@
   sse_parser_free (&stream->parser);
   sse_event_free (&stream->event);
   reorder_free (&stream->reorder);
-  buffer_free (&stream->piece);
+  buffer_free (&stream->chunk);
   buffer_free (&stream->closing);
   answer_free (&stream->answer);
 }
 
-/* A gap or a cut: the missing pieces are asked for by number. Without this a piece lost between the
+/* A gap or a cut: the missing chunks are asked for by number. Without this a chunk lost between the
    engine and us would leave a hole in an answer that looks whole. */
 static StreamStep
 resume (GateStream *stream, Status *st)
@@ -51,8 +51,8 @@
     {
       StatusCode code;
       stream->ops->pause (stream->context, stream->resumes++);
-      if (stream->ops->gone (stream->context))
-        return STEP_GONE;
+      if (stream->ops->caller_left (stream->context))
+        return STEP_CALLER_LEFT;
       sse_parser_reset (&stream->parser);
       code = stream->ops->resume (stream->context, stream->reorder.next, st);
       if (code == STATUS_OK)
@@ -69,16 +69,16 @@
   char data[READ_SIZE];
   long len;
 
-  if (stream->ops->gone (stream->context))
-    return STEP_GONE;
+  if (stream->ops->caller_left (stream->context))
+    return STEP_CALLER_LEFT;
   len = stream->ops->read (stream->context, data, sizeof (data), st);
   if (len > 0)
     {
       sse_parser_feed (&stream->parser, data, (size_t)len);
       return STEP_AGAIN;
     }
-  if (stream->ops->gone (stream->context))
-    return STEP_GONE;
+  if (stream->ops->caller_left (stream->context))
+    return STEP_CALLER_LEFT;
   if (len == 0)
     status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream ended before its answer did");
   return resume (stream, st);
@@ -103,13 +103,13 @@
     return STEP_AGAIN;
   if (event->id < 0)
     {
-      status_set (st, STATUS_INVALID, STEP, NULL, "a piece has no number");
+      status_set (st, STATUS_INVALID, STEP, NULL, "a chunk has no number");
       return STEP_CUT;
     }
   switch (reorder_push (&stream->reorder, event->id, event->data.data, event->data.len))
     {
     case REORDER_TOO_FAR:
-      status_set (st, STATUS_UNKNOWN, STEP, NULL, "piece %lld came while %lld is missing",
+      status_set (st, STATUS_UNKNOWN, STEP, NULL, "chunk %lld came while %lld is missing",
                   (long long)event->id, (long long)stream->reorder.next);
       return resume (stream, st);
     case REORDER_DUPLICATE:
@@ -128,7 +128,7 @@
     {
     case SSE_EVENT:
       return take_event (stream, st);
-    case SSE_BROKEN:
+    case SSE_MALFORMED:
       status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream's events can't be read");
       return resume (stream, st);
     case SSE_NONE:
@@ -137,12 +137,12 @@
   return read_more (stream, st);
 }
 
-/* One "data:" line for each line of the piece. */
+/* One "data:" line for each line of the chunk. */
 static void
-add_data (Buffer *to, const Buffer *piece)
+add_data (Buffer *to, const Buffer *chunk)
 {
-  const char *at = piece->data;
-  const char *stop = at + piece->len;
+  const char *at = chunk->data;
+  const char *stop = at + chunk->len;
 
   while (at < stop)
     {
@@ -157,24 +157,24 @@
   buffer_add (to, "\n", 1);
 }
 
-/* Passes on one piece in order; from the finish reason on they are kept back for the end. */
+/* Passes on one chunk in order; from the finish reason on they are kept back for the end. */
 static bool
-give_piece (GateStream *stream, Buffer *out, bool *given, Status *st)
+emit_chunk (GateStream *stream, Buffer *out, bool *emitted, Status *st)
 {
   int64_t number = 0;
   Buffer *to;
 
-  *given = false;
-  if (!reorder_pop (&stream->reorder, &stream->piece, &number))
+  *emitted = false;
+  if (!reorder_pop (&stream->reorder, &stream->chunk, &number))
     return true;
-  if (answer_add (&stream->answer, stream->piece.data, stream->piece.len, st) != STATUS_OK)
+  if (answer_add (&stream->answer, stream->chunk.data, stream->chunk.len, st) != STATUS_OK)
     return false;
-  if (is_done_mark (&stream->piece))
+  if (is_done_mark (&stream->chunk))
     return true;
-  *given = stream->answer.finish_reason[0] == '\0';
-  to = *given ? out : &stream->closing;
+  *emitted = stream->answer.finish_reason[0] == '\0';
+  to = *emitted ? out : &stream->closing;
   buffer_printf (to, "id: %lld\n", (long long)number);
-  add_data (to, &stream->piece);
+  add_data (to, &stream->chunk);
   return true;
 }
 
@@ -184,14 +184,14 @@
   for (;;)
     {
       int64_t before = stream->reorder.next;
-      bool given;
+      bool emitted;
       StreamStep step;
 
-      if (!give_piece (stream, out, &given, st))
+      if (!emit_chunk (stream, out, &emitted, st))
         return STREAM_CUT;
-      if (given)
-        return STREAM_PIECE;
-      if (answer_whole (&stream->answer) && !reorder_has_gap (&stream->reorder))
+      if (emitted)
+        return STREAM_CHUNK;
+      if (answer_is_complete (&stream->answer) && !reorder_has_gap (&stream->reorder))
         {
           buffer_add (out, stream->closing.data, stream->closing.len);
           buffer_add_string (out, "data: " DONE_MARK "\n\n");
@@ -202,7 +202,7 @@
       step = advance (stream, st);
       if (step == STEP_CUT)
         return STREAM_CUT;
-      if (step == STEP_GONE)
-        return STREAM_GONE;
+      if (step == STEP_CALLER_LEFT)
+        return STREAM_CALLER_LEFT;
     }
 }
--- a/src/gate_stream.h
+++ b/src/gate_stream.h
@@ -1,5 +1,5 @@
 /**
- * One model engine's answer as an ordered stream: pieces come out exactly once and in order, a gap
+ * One model engine's answer as an ordered stream: chunks come out exactly once and in order, a gap
  * or a cut is resumed by sequence number, and only a whole answer ends properly. The engine is
  * reached through a table of function pointers, so that tests drive it without I/O.
  */
@@ -17,21 +17,21 @@
 {
   /** As http_exchange_read. */
   long (*read) (void *context, char *data, size_t len, Status *st);
-  /** Gives up the present connection and opens the stream again from a piece's number.
+  /** Gives up the present connection and opens the stream again from a chunk's number.
    *  STATUS_NOT_FOUND: the engine no longer has it. */
   StatusCode (*resume) (void *context, int64_t from, Status *st);
   /** True if nobody waits for the answer any more. */
-  bool (*gone) (void *context);
+  bool (*caller_left) (void *context);
   /** Waits before the n-th resumption, n from 0. */
   void (*pause) (void *context, unsigned n);
 } GateStreamOps;
 
 typedef enum
 {
-  STREAM_PIECE, /**< an event to be passed on at once */
-  STREAM_END,   /**< whole; the closing events, to be passed on after the bill is durable */
-  STREAM_CUT,   /**< no whole answer can be had */
-  STREAM_GONE   /**< nobody waits for it */
+  STREAM_CHUNK,      /**< an event to be passed on at once */
+  STREAM_END,        /**< whole; the closing events, to be passed on after the bill is durable */
+  STREAM_CUT,        /**< no whole answer can be had */
+  STREAM_CALLER_LEFT /**< nobody waits for it */
 } StreamResult;
 
 typedef struct
@@ -41,7 +41,7 @@
   SseParser parser;
   SseEvent event;
   Reorder reorder;
-  Buffer piece;
+  Buffer chunk;
   Buffer closing; /**< events from the finish reason on, held until the end */
   GateAnswer answer;
   unsigned resumes;
--- a/src/gate_watch.c
+++ b/src/gate_watch.c
@@ -8,14 +8,14 @@
 #include <string.h>
 
 #define WATCH_INTERVAL_MS 100
-#define CANCELS_A_ROUND   32
+#define CANCELS_PER_ROUND 32
 #define CANCEL_TIMEOUT_MS 1000
 #define CANCEL_ANSWER_MAX 4096
 #define ADDRESS_MAX       64
-#define SILENT_MAX        16
-#define SILENT_MS         5000
+#define UNRESPONSIVE_MAX  16
+#define UNRESPONSIVE_MS   5000
 
-/** One engine to be told, copied so that the lock isn't held meanwhile. */
+/** One engine to be cancelled, copied so that the lock isn't held meanwhile. */
 typedef struct
 {
   char address[ADDRESS_MAX];
@@ -26,15 +26,15 @@
 /** Engines that lately did not answer. */
 typedef struct
 {
-  Cancel engines[SILENT_MAX];
-  int64_t until_ms[SILENT_MAX];
+  Cancel engines[UNRESPONSIVE_MAX];
+  int64_t until_ms[UNRESPONSIVE_MAX];
   size_t next;
-} SilentEngines;
+} UnresponsiveEngines;
 
 static void *watch_run (void *context);
 
 bool
-gate_watch_gone (int fd)
+gate_watch_socket_closed (int fd)
 {
   struct pollfd p = { .fd = fd, .events = POLLRDHUP };
 
@@ -44,21 +44,21 @@
 }
 
 bool
-gate_watch_noticed (const WatchEntry *entry)
+gate_watch_caller_left (const WatchEntry *entry)
 {
-  return __atomic_load_n (&entry->noticed, __ATOMIC_ACQUIRE);
+  return __atomic_load_n (&entry->caller_left, __ATOMIC_ACQUIRE);
 }
 
 void
-gate_watch_passed_on (WatchEntry *entry)
+gate_watch_set_relayed (WatchEntry *entry)
 {
-  __atomic_store_n (&entry->passed_on, true, __ATOMIC_RELEASE);
+  __atomic_store_n (&entry->relayed, true, __ATOMIC_RELEASE);
 }
 
 bool
-gate_watch_was_passed_on (const WatchEntry *entry)
+gate_watch_is_relayed (const WatchEntry *entry)
 {
-  return __atomic_load_n (&entry->passed_on, __ATOMIC_ACQUIRE);
+  return __atomic_load_n (&entry->relayed, __ATOMIC_ACQUIRE);
 }
 
 bool
@@ -77,34 +77,34 @@
   Buffer answer = { 0 };
   int http_status = 0;
   Status st = { 0 };
-  bool told;
+  bool cancelled;
 
   snprintf (path, sizeof (path), "/v1/streams/%s", id);
-  told = http_call (&request, &http_status, &answer, &st) == STATUS_OK;
-  if (!told)
+  cancelled = http_call (&request, &http_status, &answer, &st) == STATUS_OK;
+  if (!cancelled)
     counter_add (COUNTER_GATE_CANCELS_MISSED, 1);
   buffer_free (&answer);
-  return told;
+  return cancelled;
 }
 
 /* Notes and tells whether the entry's answer is to be ended, once. */
 static bool
-is_over (WatchEntry *entry, int64_t now_ms)
+must_cancel (WatchEntry *entry, int64_t now_ms)
 {
-  if (entry->late || gate_watch_noticed (entry))
+  if (entry->past_deadline || gate_watch_caller_left (entry))
     return false;
-  if (gate_watch_gone (entry->fd))
+  if (gate_watch_socket_closed (entry->fd))
     {
-      __atomic_store_n (&entry->noticed, true, __ATOMIC_RELEASE);
+      __atomic_store_n (&entry->caller_left, true, __ATOMIC_RELEASE);
       return true;
     }
-  entry->late
-      = entry->deadline_ms > 0 && now_ms >= entry->deadline_ms && !gate_watch_was_passed_on (entry);
-  return entry->late;
+  entry->past_deadline
+      = entry->deadline_ms > 0 && now_ms >= entry->deadline_ms && !gate_watch_is_relayed (entry);
+  return entry->past_deadline;
 }
 
 static size_t
-find_gone (GateWatch *watch, Cancel cancels[CANCELS_A_ROUND])
+collect_cancels (GateWatch *watch, Cancel cancels[CANCELS_PER_ROUND])
 {
   WatchEntry *entry;
   size_t count = 0;
@@ -114,9 +114,9 @@
   cds_list_for_each_entry (entry, &watch->entries, list)
   {
     Cancel *cancel = &cancels[count];
-    if (count == CANCELS_A_ROUND)
+    if (count == CANCELS_PER_ROUND)
       break;
-    if (!is_over (entry, now_ms))
+    if (!must_cancel (entry, now_ms))
       continue;
     snprintf (cancel->address, sizeof (cancel->address), "%s", entry->config_server->address);
     snprintf (cancel->id, sizeof (cancel->id), "%s", entry->id);
@@ -128,14 +128,14 @@
 }
 
 static bool
-is_silent (const SilentEngines *silent, const Cancel *cancel)
+is_unresponsive (const UnresponsiveEngines *unresponsive, const Cancel *cancel)
 {
   int64_t now_ms = clock_boot_ms ();
 
-  for (size_t i = 0; i < SILENT_MAX; i++)
+  for (size_t i = 0; i < UNRESPONSIVE_MAX; i++)
     {
-      if (silent->until_ms[i] > now_ms && silent->engines[i].port == cancel->port
-          && strcmp (silent->engines[i].address, cancel->address) == 0)
+      if (unresponsive->until_ms[i] > now_ms && unresponsive->engines[i].port == cancel->port
+          && strcmp (unresponsive->engines[i].address, cancel->address) == 0)
         return true;
     }
   return false;
@@ -144,30 +144,30 @@
 /* An engine that hangs would hold the watch for a second for each of its callers that leave, and
    with it the callers of all others; it is left alone for a while. */
 static void
-cancel_at (SilentEngines *silent, const Cancel *cancel)
+cancel_at (UnresponsiveEngines *unresponsive, const Cancel *cancel)
 {
-  if (is_silent (silent, cancel))
+  if (is_unresponsive (unresponsive, cancel))
     return;
   if (gate_watch_cancel (cancel->address, cancel->port, cancel->id))
     return;
-  silent->engines[silent->next] = *cancel;
-  silent->until_ms[silent->next] = clock_boot_ms () + SILENT_MS;
-  silent->next = (silent->next + 1) % SILENT_MAX;
+  unresponsive->engines[unresponsive->next] = *cancel;
+  unresponsive->until_ms[unresponsive->next] = clock_boot_ms () + UNRESPONSIVE_MS;
+  unresponsive->next = (unresponsive->next + 1) % UNRESPONSIVE_MAX;
 }
 
 static void *
 watch_run (void *context)
 {
   GateWatch *watch = context;
-  Cancel cancels[CANCELS_A_ROUND];
-  SilentEngines silent = { 0 };
+  Cancel cancels[CANCELS_PER_ROUND];
+  UnresponsiveEngines unresponsive = { 0 };
 
   while (!__atomic_load_n (&watch->stop, __ATOMIC_ACQUIRE))
     {
-      size_t count = find_gone (watch, cancels);
+      size_t count = collect_cancels (watch, cancels);
       for (size_t i = 0; i < count; i++)
-        cancel_at (&silent, &cancels[i]);
-      if (count < CANCELS_A_ROUND)
+        cancel_at (&unresponsive, &cancels[i]);
+      if (count < CANCELS_PER_ROUND)
         clock_sleep_ms (WATCH_INTERVAL_MS);
     }
   return NULL;
--- a/src/gate_watch.h
+++ b/src/gate_watch.h
@@ -21,9 +21,9 @@
   char id[WATCH_ID_MAX]; /**< of the attempt */
   const ConfigServer *config_server;
   int64_t deadline_ms; /**< boot-time clock; 0: none */
-  bool passed_on;      /**< atomic: the caller has a part of the answer; the deadline is met */
-  bool late;           /**< the engine was told because of the deadline; the watch thread's own */
-  bool noticed;        /**< atomic: the caller has left, and the engine was told */
+  bool relayed;        /**< atomic: the caller has a part of the answer; the deadline is met */
+  bool past_deadline;  /**< the engine was told because of the deadline; the watch thread's own */
+  bool caller_left;    /**< atomic: the caller has left, and the engine was told */
 } WatchEntry;
 
 typedef struct
@@ -40,12 +40,12 @@
 void gate_watch_add (GateWatch *watch, WatchEntry *entry);
 void gate_watch_remove (GateWatch *watch, WatchEntry *entry);
 /** A part of the answer goes to the caller. */
-void gate_watch_passed_on (WatchEntry *entry);
-bool gate_watch_was_passed_on (const WatchEntry *entry);
+void gate_watch_set_relayed (WatchEntry *entry);
+bool gate_watch_is_relayed (const WatchEntry *entry);
 /** True if the watch has seen the caller leave. */
-bool gate_watch_noticed (const WatchEntry *entry);
+bool gate_watch_caller_left (const WatchEntry *entry);
 /** True if the caller at the other end of the socket has closed its side. */
-bool gate_watch_gone (int fd);
+bool gate_watch_socket_closed (int fd);
 /** Tells an engine to end an answer; bounded in time. False: it did not answer. */
 bool gate_watch_cancel (const char *address, int port, const char *id);
 
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -12,7 +12,7 @@
 static const EvidenceKey key = { .team = "tender", .model = "draft", .version = "v7" };
 static const EvidenceKey other = { .team = "branch", .model = "draft", .version = "v7" };
 
-/** Each report holds what came since the last one, by team, with callers told apart. */
+/** Each report holds what came since the last one, by team, with callers notified apart. */
 static void
 test_reports (void)
 {
@@ -63,7 +63,7 @@
   gate_evidence_free (evidence);
 }
 
-/** More callers than are told apart: the count stays at its bound. */
+/** More callers than are notified apart: the count stays at its bound. */
 static void
 test_many_callers (void)
 {
@@ -107,7 +107,7 @@
   ServerView view;
 
   gate_server_begin (server, 1000);
-  gate_server_end (server, SERVER_UNREACHED, 0, 1000);
+  gate_server_end (server, SERVER_UNREACHABLE, 0, 1000);
   gate_server_view (server, &view);
   CU_ASSERT (view.open_until_ms > 1000);
   CU_ASSERT_EQUAL (view.in_flight, 0);
@@ -180,7 +180,7 @@
 
 /** One attempt under this fingerprint that the server broke off. */
 static void
-broken (GateServer *server, uint64_t fingerprint, int64_t now_ms)
+abort_answer (GateServer *server, uint64_t fingerprint, int64_t now_ms)
 {
   gate_server_begin (server, now_ms);
   gate_server_end (server, SERVER_FAILED, fingerprint, now_ms);
@@ -205,17 +205,17 @@
   a = named_server (&servers, &config, &entry, "a");
   b = named_server (&servers, &config, &entry, "b");
   c = named_server (&servers, &config, &entry, "c");
-  broken (a, 77, 1000);
+  abort_answer (a, 77, 1000);
   gate_server_report (a, 0, false, 1200, 1200);
-  broken (b, 77, 2000);
+  abort_answer (b, 77, 2000);
   gate_server_report_missed (b, false, 2500);
   gate_server_report_missed (c, true, 2500);
   CU_ASSERT (!quarantine_holds (quarantine, 77, 3000));
   gate_server_report_missed (b, true, 3000);
   CU_ASSERT (!quarantine_holds (quarantine, 77, 3000));
-  broken (a, 77, 4000);
+  abort_answer (a, 77, 4000);
   gate_server_begin (a, 4100);
-  gate_server_end (a, SERVER_UNREACHED, 88, 4100);
+  gate_server_end (a, SERVER_UNREACHABLE, 88, 4100);
   CU_ASSERT (quarantine_holds (quarantine, 77, 4200));
   CU_ASSERT (!quarantine_holds (quarantine, 88, 4200));
   gate_server_put (a);
@@ -234,7 +234,8 @@
  * A crash prompt and a bystander run at two engines that die one after the other. The bystander's
  * thread is the first to notice each time; taken alone it would look like the cause. All that ran
  * there is in the sighting, so neither is held, and the bystander's own end adds nothing. A request
- * that was answered before the death, or never sent, is not in it. Each sighting is told at once.
+ * that was answered before the death, or never sent, is not in it. Each sighting is notified at
+ * once.
  */
 static void
 test_death_takes_what_runs (void)
@@ -243,13 +244,13 @@
   Quarantine *sightings = quarantine_new (&quarantine_settings_default);
   QuarantineDeath news[QUARANTINE_DEATHS_MAX];
   GateServers servers;
-  int told = 0;
+  int notified = 0;
 
   gate_servers_init (&servers, "vm-1", "oita");
   servers.quarantine = quarantine;
-  servers.sightings = sightings;
-  servers.died = count_call;
-  servers.context = &told;
+  servers.observed_deaths = sightings;
+  servers.on_death = count_call;
+  servers.context = &notified;
   for (int i = 0; i < 2; i++)
     {
       ConfigServer entry;
@@ -262,14 +263,14 @@
           gate_server_running (server, fingerprint);
         }
       gate_server_begin (server, now_ms);
-      gate_server_end (server, SERVER_WELL, 3, now_ms);
+      gate_server_end (server, SERVER_SUCCEEDED, 3, now_ms);
       gate_server_end (server, SERVER_FAILED, 1, now_ms);
       gate_server_report_missed (server, true, now_ms);
-      CU_ASSERT_EQUAL (told, i + 1);
+      CU_ASSERT_EQUAL (notified, i + 1);
       gate_server_end (server, SERVER_FAILED, 2, now_ms + 5);
       gate_server_report_missed (server, true, now_ms + 5);
-      CU_ASSERT_EQUAL (told, i + 1);
-      gate_server_end (server, SERVER_UNREACHED, 4, now_ms + 6);
+      CU_ASSERT_EQUAL (notified, i + 1);
+      gate_server_end (server, SERVER_UNREACHABLE, 4, now_ms + 6);
       gate_server_put (server);
     }
   CU_ASSERT_EQUAL (quarantine_news (sightings, news, QUARANTINE_DEATHS_MAX, 2500), 2);
@@ -292,33 +293,33 @@
   static Gate vms[2];
   ConfigServer entry;
   Config config;
-  DeathNews news[2];
+  DeathReports news[2];
 
   for (int i = 0; i < 2; i++)
     {
       GateServer *server;
       gate_servers_init (&vms[i].servers, "vm", "oita");
       vms[i].servers.quarantine = quarantine_new (&quarantine_settings_default);
-      vms[i].servers.sightings = quarantine_new (&quarantine_settings_default);
+      vms[i].servers.observed_deaths = quarantine_new (&quarantine_settings_default);
       server = named_server (&vms[i].servers, &config, &entry, i == 0 ? "a" : "b");
-      broken (server, 77, clock_boot_ms ());
+      abort_answer (server, 77, clock_boot_ms ());
       gate_server_report_missed (server, true, clock_boot_ms ());
       gate_server_put (server);
-      gate_deaths_news (&vms[i], &news[i]);
+      gate_deaths_collect (&vms[i], &news[i]);
       CU_ASSERT_EQUAL (news[i].count, 1);
       CU_ASSERT (!quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
     }
   for (int i = 0; i < 2; i++)
     {
-      DeathNews again;
-      gate_deaths_take (&vms[i], news[i].list, news[i].count);
+      DeathReports again;
+      gate_deaths_merge (&vms[i], news[i].list, news[i].count);
       CU_ASSERT (!quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
-      gate_deaths_take (&vms[i], news[1 - i].list, news[1 - i].count);
+      gate_deaths_merge (&vms[i], news[1 - i].list, news[1 - i].count);
       CU_ASSERT (quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
-      gate_deaths_news (&vms[i], &again);
+      gate_deaths_collect (&vms[i], &again);
       CU_ASSERT_EQUAL (again.count, 1);
       quarantine_free (vms[i].servers.quarantine);
-      quarantine_free (vms[i].servers.sightings);
+      quarantine_free (vms[i].servers.observed_deaths);
     }
 }
 
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -183,7 +183,7 @@
 static void
 check_answered (GateRequest *r, const char *text)
 {
-  CU_ASSERT_EQUAL (gate_run (r), RUN_WHOLE);
+  CU_ASSERT_EQUAL (gate_run (r), RUN_COMPLETE);
   CU_ASSERT (r->out.data != NULL && strstr (r->out.data, text) != NULL);
   gate_request_free (r);
 }
@@ -331,7 +331,7 @@
   site->gate.servers.quarantine = quarantine_new (&quarantine_settings_default);
   CU_ASSERT_EQUAL (gate_run (r), RUN_REFUSED);
   CU_ASSERT_EQUAL (r->refusal.reason, REFUSAL_BACKEND_FAILED);
-  CU_ASSERT (r->refusal.retry_after_ms >= REQUEST_DEATH_NEWS_MS);
+  CU_ASSERT (r->refusal.retry_after_ms >= REQUEST_DEATH_PROPAGATION_MS);
   gate_request_free (r);
   check_refused (request_new (site, "draft", "", BODY), REASON_QUARANTINED, REQUEST_NOT_RUN);
   CU_ASSERT_EQUAL (ran (site), REQUEST_LOST_MAX);
@@ -371,7 +371,7 @@
   Site *site = site_new (ENGINE_PLAIN_503);
   GateRequest *r = request_new (site, "ledger", "", "{}");
 
-  CU_ASSERT_EQUAL (gate_run (r), RUN_WHOLE);
+  CU_ASSERT_EQUAL (gate_run (r), RUN_COMPLETE);
   CU_ASSERT_EQUAL (r->http_status, 503);
   CU_ASSERT_STRING_EQUAL (r->out.data, "{\"sorry\":\"later\"}");
   gate_request_free (r);
@@ -460,7 +460,7 @@
   gate_request_free (r);
   CU_ASSERT_EQUAL (only_bill (site).outcome, BILL_ANSWERED);
   r = request_new (site, "issue", "order-1", STREAMED);
-  CU_ASSERT_EQUAL (gate_run (r), RUN_WHOLE);
+  CU_ASSERT_EQUAL (gate_run (r), RUN_COMPLETE);
   CU_ASSERT (strstr (r->out.data, "one") != NULL && strstr (r->out.data, "three") != NULL);
   CU_ASSERT (strstr (r->out.data, "data: [DONE]") != NULL);
   gate_request_free (r);
--- a/tests/test_gate_stream.c
+++ b/tests/test_gate_stream.c
@@ -7,7 +7,7 @@
 
 #define CONNECTIONS_MAX 6
 
-#define PIECE(n, text)                                                                             \
+#define CHUNK(n, text)                                                                             \
   "id: " #n "\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" text                    \
   "\"},\"finish_reason\":null}]}\n\n"
 #define FINISH(n)                                                                                  \
@@ -31,12 +31,12 @@
 
 static const StreamCase cases[] = {
   { .name = "whole",
-    .connections = { PIECE (0, "a") PIECE (1, "b") PIECE (2, "c") FINISH (3) DONE },
+    .connections = { CHUNK (0, "a") CHUNK (1, "b") CHUNK (2, "c") FINISH (3) DONE },
     .result = STREAM_END,
     .text = "abc",
     .resumed_from = { -1, -1, -1 } },
   { .name = "byte by byte",
-    .connections = { PIECE (0, "a") PIECE (1, "b") FINISH (2) DONE },
+    .connections = { CHUNK (0, "a") CHUNK (1, "b") FINISH (2) DONE },
     .read_size = 1,
     .result = STREAM_END,
     .text = "ab",
@@ -48,69 +48,69 @@
     .text = "a",
     .resumed_from = { -1, -1, -1 } },
   { .name = "duplicates",
-    .connections = { PIECE (0, "a") PIECE (0, "a") PIECE (1, "b") PIECE (0, "a") PIECE (1, "b")
+    .connections = { CHUNK (0, "a") CHUNK (0, "a") CHUNK (1, "b") CHUNK (0, "a") CHUNK (1, "b")
                          FINISH (2) FINISH (2) DONE },
     .result = STREAM_END,
     .text = "ab",
     .resumed_from = { -1, -1, -1 },
     .duplicates = 4 },
   { .name = "reordered",
-    .connections = { PIECE (2, "c") PIECE (0, "a") FINISH (3) PIECE (1, "b") DONE },
+    .connections = { CHUNK (2, "c") CHUNK (0, "a") FINISH (3) CHUNK (1, "b") DONE },
     .result = STREAM_END,
     .text = "abc",
     .resumed_from = { -1, -1, -1 } },
-  { .name = "end mark before the last piece",
-    .connections = { PIECE (0, "a") FINISH (2) DONE PIECE (1, "b") },
+  { .name = "end mark before the last chunk",
+    .connections = { CHUNK (0, "a") FINISH (2) DONE CHUNK (1, "b") },
     .result = STREAM_END,
     .text = "ab",
     .resumed_from = { -1, -1, -1 } },
   { .name = "gap, filled by resuming",
-    .connections = { PIECE (0, "a") PIECE (2, "c") FINISH (3) DONE,
-                     PIECE (1, "b") PIECE (2, "c") FINISH (3) DONE },
+    .connections = { CHUNK (0, "a") CHUNK (2, "c") FINISH (3) DONE,
+                     CHUNK (1, "b") CHUNK (2, "c") FINISH (3) DONE },
     .result = STREAM_END,
     .text = "abc",
     .resumed_from = { 1, -1, -1 } },
   { .name = "gap that nothing fills",
-    .connections = { PIECE (0, "a") PIECE (2, "c") FINISH (3) DONE },
+    .connections = { CHUNK (0, "a") CHUNK (2, "c") FINISH (3) DONE },
     .result = STREAM_CUT,
     .text = "a",
     .resumed_from = { 1, 1, 1 } },
   { .name = "gap behind a proper end",
-    .connections = { PIECE (0, "a") FINISH (2) DONE, PIECE (1, "b") FINISH (2) DONE },
+    .connections = { CHUNK (0, "a") FINISH (2) DONE, CHUNK (1, "b") FINISH (2) DONE },
     .ends_properly = true,
     .result = STREAM_END,
     .text = "ab",
     .resumed_from = { 1, -1, -1 } },
-  { .name = "cut within a piece, then resumed",
-    .connections = { PIECE (0, "a") "id: 1\ndata: {\"choi", PIECE (1, "b") FINISH (2) DONE },
+  { .name = "cut within a chunk, then resumed",
+    .connections = { CHUNK (0, "a") "id: 1\ndata: {\"choi", CHUNK (1, "b") FINISH (2) DONE },
     .result = STREAM_END,
     .text = "ab",
     .resumed_from = { 1, -1, -1 } },
   { .name = "cut twice",
-    .connections = { PIECE (0, "a"), PIECE (1, "b"), PIECE (2, "c") FINISH (3) DONE },
+    .connections = { CHUNK (0, "a"), CHUNK (1, "b"), CHUNK (2, "c") FINISH (3) DONE },
     .result = STREAM_END,
     .text = "abc",
     .resumed_from = { 1, 2, -1 } },
   { .name = "cut more often than is resumed",
-    .connections = { PIECE (0, "a"), PIECE (1, "b"), PIECE (2, "c"), PIECE (3, "d"),
-                     PIECE (4, "e") FINISH (5) DONE },
+    .connections = { CHUNK (0, "a"), CHUNK (1, "b"), CHUNK (2, "c"), CHUNK (3, "d"),
+                     CHUNK (4, "e") FINISH (5) DONE },
     .result = STREAM_CUT,
     .text = "abcd",
     .resumed_from = { 1, 2, 3 } },
   { .name = "end mark without a finish reason",
-    .connections = { PIECE (0, "a") DONE },
+    .connections = { CHUNK (0, "a") DONE },
     .ends_properly = true,
     .result = STREAM_CUT,
     .text = "a",
     .resumed_from = { 1, 1, 1 } },
   { .name = "finish reason without the end mark",
-    .connections = { PIECE (0, "a") FINISH (1) },
+    .connections = { CHUNK (0, "a") FINISH (1) },
     .ends_properly = true,
     .result = STREAM_CUT,
     .text = "a",
     .resumed_from = { 2, 2, 2 } },
   { .name = "end mark lost, then resumed",
-    .connections = { PIECE (0, "a") FINISH (1), DONE },
+    .connections = { CHUNK (0, "a") FINISH (1), DONE },
     .result = STREAM_END,
     .text = "a",
     .resumed_from = { 2, -1, -1 } },
@@ -121,27 +121,27 @@
     .text = "",
     .resumed_from = { 0, 0, 0 } },
   { .name = "error event",
-    .connections = { PIECE (0, "a") "event: error\ndata: {}\n\n", PIECE (1, "b") FINISH (2) DONE },
+    .connections = { CHUNK (0, "a") "event: error\ndata: {}\n\n", CHUNK (1, "b") FINISH (2) DONE },
     .result = STREAM_CUT,
     .text = "a",
     .resumed_from = { -1, -1, -1 } },
-  { .name = "piece without a number",
+  { .name = "chunk without a number",
     .connections = { "data: {\"choices\":[]}\n\n" FINISH (0) DONE },
     .result = STREAM_CUT,
     .text = "",
     .resumed_from = { -1, -1, -1 } },
   { .name = "number that is none, then resumed",
-    .connections = { "id: x1\ndata: {}\n\n", PIECE (0, "a") FINISH (1) DONE },
+    .connections = { "id: x1\ndata: {}\n\n", CHUNK (0, "a") FINISH (1) DONE },
     .result = STREAM_END,
     .text = "a",
     .resumed_from = { 0, -1, -1 } },
-  { .name = "piece that is no JSON",
-    .connections = { PIECE (0, "a") "id: 1\ndata: {nonsense\n\n" FINISH (2) DONE },
+  { .name = "chunk that is no JSON",
+    .connections = { CHUNK (0, "a") "id: 1\ndata: {nonsense\n\n" FINISH (2) DONE },
     .result = STREAM_CUT,
     .text = "a",
     .resumed_from = { -1, -1, -1 } },
-  { .name = "piece beyond the window, then resumed",
-    .connections = { PIECE (0, "a") PIECE (40, "z"), PIECE (1, "b") FINISH (2) DONE },
+  { .name = "chunk beyond the window, then resumed",
+    .connections = { CHUNK (0, "a") CHUNK (40, "z"), CHUNK (1, "b") FINISH (2) DONE },
     .result = STREAM_END,
     .text = "ab",
     .resumed_from = { 1, -1, -1 } },
@@ -155,7 +155,7 @@
   size_t at;
   unsigned resumes;
   int64_t resumed_from[CONNECTIONS_MAX];
-  int gone_after; /**< questions after which the caller has left; -1: never */
+  int left_after; /**< questions after which the caller has left; -1: never */
 } Engine;
 
 static long
@@ -195,13 +195,13 @@
 }
 
 static bool
-engine_gone (void *context)
+engine_caller_left (void *context)
 {
   Engine *e = context;
 
-  if (e->gone_after < 0)
+  if (e->left_after < 0)
     return false;
-  return e->gone_after-- == 0;
+  return e->left_after-- == 0;
 }
 
 static void
@@ -214,11 +214,11 @@
 static const GateStreamOps ops = {
   .read = engine_read,
   .resume = engine_resume,
-  .gone = engine_gone,
+  .caller_left = engine_caller_left,
   .pause = engine_pause,
 };
 
-/** Adds the texts of the pieces in the events' bytes. */
+/** Adds the texts of the chunks in the events' bytes. */
 static void
 add_texts (Buffer *texts, const Buffer *events)
 {
@@ -241,7 +241,7 @@
     {
       Buffer out = { 0 };
       result = gate_stream_next (stream, &out, st);
-      if (result != STREAM_PIECE)
+      if (result != STREAM_CHUNK)
         {
           *last = out;
           return result;
@@ -256,7 +256,7 @@
 static void
 check_case (const StreamCase *c)
 {
-  Engine engine = { .c = c, .resumed_from = { -1, -1, -1 }, .gone_after = -1 };
+  Engine engine = { .c = c, .resumed_from = { -1, -1, -1 }, .left_after = -1 };
   GateStream stream;
   Buffer texts = { 0 };
   Buffer last = { 0 };
@@ -284,7 +284,7 @@
     {
       CU_ASSERT_EQUAL (last.len, 0);
       CU_ASSERT (st.message[0] != '\0');
-      /* Pieces are counted where the engine's own usage never came. */
+      /* Chunks are counted where the engine's own usage never came. */
       CU_ASSERT_EQUAL (answer_completion_tokens (&stream.answer),
                        stream.answer.has_usage ? 3 : (int64_t)strlen (c->text));
     }
@@ -294,8 +294,8 @@
 }
 
 /*
- * A caller sees an answer that looks whole but lacks a piece, or has one twice, or ends early
- * without a word. The engine's pieces arrived twice, late, in another order, or the connection was
+ * A caller sees an answer that looks whole but lacks a chunk, or has one twice, or ends early
+ * without a word. The engine's chunks arrived twice, late, in another order, or the connection was
  * cut; only numbers and both end marks tell a whole answer.
  */
 static void
@@ -313,8 +313,8 @@
 test_caller_leaves (void)
 {
   static const StreamCase c
-      = { .connections = { PIECE (0, "a"), PIECE (1, "b") FINISH (2) DONE }, .read_size = 20 };
-  Engine engine = { .c = &c, .gone_after = 0 };
+      = { .connections = { CHUNK (0, "a"), CHUNK (1, "b") FINISH (2) DONE }, .read_size = 20 };
+  Engine engine = { .c = &c, .left_after = 0 };
   GateStream stream;
   Buffer texts = { 0 };
   Buffer last = { 0 };
@@ -325,7 +325,7 @@
   for (;; asked++)
     {
       StreamResult result;
-      engine = (Engine){ .c = &c, .gone_after = asked };
+      engine = (Engine){ .c = &c, .left_after = asked };
       gate_stream_init (&stream, &ops, &engine);
       result = read_all (&stream, &texts, &last, &st);
       buffer_clear (&texts);
@@ -333,7 +333,7 @@
       gate_stream_free (&stream);
       if (result == STREAM_END)
         break;
-      CU_ASSERT_EQUAL (result, STREAM_GONE);
+      CU_ASSERT_EQUAL (result, STREAM_CALLER_LEFT);
       CU_ASSERT (asked < 100);
       if (asked >= 100)
         break;
@@ -342,7 +342,7 @@
   buffer_free (&texts);
 }
 
-/** Every order of six pieces comes out as 0 to 5, each once, also with each sent twice. */
+/** Every order of six chunks comes out as 0 to 5, each once, also with each sent twice. */
 static void
 test_every_order (void)
 {
@@ -401,8 +401,8 @@
       CU_ASSERT_EQUAL (sse_parser_next (&parser, &event), SSE_NONE);
     }
   sse_parser_feed (&parser, block, 1);
-  CU_ASSERT_EQUAL (sse_parser_next (&parser, &event), SSE_BROKEN);
-  CU_ASSERT_EQUAL (sse_parser_next (&parser, &event), SSE_BROKEN);
+  CU_ASSERT_EQUAL (sse_parser_next (&parser, &event), SSE_MALFORMED);
+  CU_ASSERT_EQUAL (sse_parser_next (&parser, &event), SSE_MALFORMED);
   sse_parser_free (&parser);
   sse_event_free (&event);
 }
@@ -411,18 +411,18 @@
 static void
 test_collected_answer (void)
 {
-  static const char piece[] = "{\"choices\":[{\"delta\":{\"content\":\"say \\\"yes\\\"\"}}]}";
+  static const char chunk[] = "{\"choices\":[{\"delta\":{\"content\":\"say \\\"yes\\\"\"}}]}";
   GateAnswer answer = { .keep_content = true, .content_max = 20 };
   Buffer json = { 0 };
   Status st = { 0 };
 
-  CU_ASSERT_EQUAL (answer_add (&answer, piece, strlen (piece), &st), STATUS_OK);
-  CU_ASSERT_EQUAL (answer_add (&answer, piece, strlen (piece), &st), STATUS_OK);
-  CU_ASSERT_EQUAL (answer_add (&answer, piece, strlen (piece), &st), STATUS_FULL);
+  CU_ASSERT_EQUAL (answer_add (&answer, chunk, strlen (chunk), &st), STATUS_OK);
+  CU_ASSERT_EQUAL (answer_add (&answer, chunk, strlen (chunk), &st), STATUS_OK);
+  CU_ASSERT_EQUAL (answer_add (&answer, chunk, strlen (chunk), &st), STATUS_FULL);
   answer_json (&answer, "id-1", "draft@v7", &json);
   CU_ASSERT (strstr (json.data, "\"content\":\"say \\\"yes\\\"say \\\"yes\\\"\"") != NULL);
   CU_ASSERT (strstr (json.data, "\"model\":\"draft@v7\"") != NULL);
-  CU_ASSERT (!answer_whole (&answer));
+  CU_ASSERT (!answer_is_complete (&answer));
   buffer_free (&json);
   answer_free (&answer);
 }
