--- a/src/gate.h
+++ b/src/gate.h
@@ -1,6 +1,6 @@
-/**
- * The gate: takes callers' requests, decides, drives the attempts, relays the answers and records
- * usage. See docs/design/requests.md.
+/** State of one lovage-gate process: settings, policies, and the modules that admit callers'
+ * requests, send them to backend servers, relay the answers and record usage. See
+ * docs/design/requests.md.
  */
 #ifndef GATE_H
 #define GATE_H
@@ -48,11 +48,11 @@
   GateServers servers;
   GateSnapshots snapshots;
   GateGrant grant;
-  int64_t in_flight; /**< atomic: requests admitted and not ended */
+  int64_t in_flight; /**< atomic: requests admitted and not yet finished */
   bool stopping;     /**< atomic */
 } Gate;
 
-/** True if requests may be taken; otherwise the reason. */
+/** REASON_NONE if new requests may be admitted now; otherwise the Reason to refuse them with. */
 int gate_admission (Gate *gate);
 
 #endif
--- a/src/gate_answer.c
+++ b/src/gate_answer.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ANSWER_DEPTH_MAX 32
+#define ANSWER_DEPTH_MAX 32 /* nesting of the JSON in one chunk */
 #define STEP             "answer"
 
 static struct json_object *
@@ -96,7 +96,7 @@
   json_tokener_reset (answer->tokener);
   root = json_tokener_parse_ex (answer->tokener, data, (int)len);
   if (json_tokener_get_error (answer->tokener) != json_tokener_success)
-    code = status_set (st, STATUS_INVALID, STEP, NULL, "a chunk is no JSON object");
+    code = status_set (st, STATUS_INVALID, STEP, NULL, "a chunk is not a JSON object");
   else
     code = add_chunk (answer, root, st);
   json_object_put (root);
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -15,20 +15,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP           "attempt"
-#define ERROR_BODY_MAX 4096
-/** A refused connection comes back within a round trip; one that takes longer is an attempt. */
+#define STEP "attempt"
+#define ERROR_BODY_MAX                                                                             \
+  4096 /* bytes of an error body that are read to see whether it says "not run" */
+/** A refused connection takes one round trip. A failure that takes longer counts as an attempt. */
 #define REFUSED_WITHIN_US INT64_C (100000)
 #define PROBE_TIMEOUT_MS  200
-/** For the steward's answer, before a request that lost an answer to a death is sent again. */
+/** For the death reports of other VMs, before a request whose server died is sent again. */
 #define RENEWAL_WAIT_MS 100
 
-/** How the beginning of an attempt went. */
+/** Result of starting an attempt. */
 typedef enum
 {
   BEGIN_OK,
-  BEGIN_NEXT, /**< not run there: another server may be tried */
-  BEGIN_STOP  /**< r->refusal is set */
+  BEGIN_NEXT, /**< no answer from this server; another one may be tried */
+  BEGIN_STOP  /**< the request is refused; r->refusal is set */
 } BeginResult;
 
 static int
@@ -50,7 +51,7 @@
   return gate_pick (r->gate->policy, r->snapshot->servers, &query);
 }
 
-/* True if the body is {"error":{"code":C}} with a code that says that the request did not run. */
+/* True if the body is {"error":{"code":C}} and the code says that the request did not run. */
 static bool
 is_not_run (const char *body)
 {
@@ -71,7 +72,7 @@
   return said;
 }
 
-/* What was read stays in a->peeked: a plain service's answer may be something else. */
+/* The bytes read stay in a->peeked: a plain service's 503 or 409 may be its regular answer. */
 static bool
 says_not_run (GateAttempt *a)
 {
@@ -109,7 +110,7 @@
   return BEGIN_NEXT;
 }
 
-/* The request was ended by us while it waited for the head of its answer. */
+/* The gate itself ended the request while it waited for the head of the response. */
 static BeginResult
 begin_ended (GateRequest *r, int reason)
 {
@@ -150,7 +151,8 @@
   return BEGIN_NEXT;
 }
 
-/* The head of an engine's answer. Any other than 200 is final only for this server. */
+/* Checks the status of the response. An engine's 5xx, or a body that says that the request did not
+   run, rules out this server only; any other status but 200 refuses the request. */
 static BeginResult
 check_head (GateRequest *r, GateAttempt *a)
 {
@@ -173,7 +175,7 @@
   return BEGIN_STOP;
 }
 
-/* A claimed request is run to its end whether its caller stays or not. */
+/* Requests with a claim are not watched: they run to their end even if the caller leaves. */
 static void
 watch_caller (GateRequest *r, GateAttempt *a)
 {
@@ -187,7 +189,8 @@
   gate_watch_add (&r->gate->watch, &a->watch);
 }
 
-/* A refused connection cost nothing and certainly did not run: it is no attempt. */
+/* A connection refused at once cost nothing and the request certainly did not run, so it does not
+   count as an attempt. */
 static void
 count_attempt (GateRequest *r, const GateAttempt *a, StatusCode code)
 {
@@ -227,7 +230,8 @@
   return check_head (r, a);
 }
 
-/* No server is left to try: what the last one did, or that there was none. */
+/* No server is left to try. Keeps the refusal of the last attempt if there is one. Returns false.
+ */
 static bool
 refuse_no_server (GateRequest *r)
 {
@@ -242,8 +246,8 @@
   return false;
 }
 
-/* True if the same prompt crashed servers here or at other VMs. After a death the news is fetched:
-   the next server may be the one too many. */
+/* True if the same request has crashed servers here or at other VMs. After a death the reports of
+   the other VMs are fetched first, since this request may have crashed servers there too. */
 static bool
 is_quarantined (GateRequest *r)
 {
@@ -252,7 +256,8 @@
   return r->may_have_run && gate_request_quarantined (r);
 }
 
-/* What nothing was sent of since the budget was asked needs no further retry from it. */
+/* True if the next attempt needs no further retry from the budget: it is the first one that is
+   sent, or the retry granted last has not been sent yet. */
 static bool
 is_within_budget (const GateRequest *r, const RetryQuery *query)
 {
@@ -261,8 +266,8 @@
   return (r->stage_attempts == 0 || r->retry_granted) && query->server_left && !late;
 }
 
-/* True if another server may be tried after one failed; otherwise r->refusal says why not. After an
-   attempt that certainly did not run, a non-idempotent request may be sent again too. */
+/* True if another server may be tried after one failed; otherwise r->refusal says why not. A
+   request that is not idempotent may be sent again only if no attempt of it can have run. */
 static bool
 may_retry (GateRequest *r)
 {
@@ -348,8 +353,8 @@
                  * config->versions[a->version].cost_per_1k / 1000.0;
 }
 
-/* An answer was broken off: one connection shows whether its server is dead, so that this and the
-   other VMs know before the request is tried elsewhere or refused. */
+/* The server broke off an answer. One connection attempt shows whether it is dead, so that this VM
+   and the others know before the request is sent elsewhere or refused. */
 static void
 confirm_death (GateRequest *r, const GateAttempt *a)
 {
--- a/src/gate_attempt.h
+++ b/src/gate_attempt.h
@@ -14,7 +14,7 @@
 
 #define ATTEMPT_ID_MAX WATCH_ID_MAX
 
-/** An engine's answer that nobody waits for any more. */
+/** An engine's answer that is no longer needed and is to be cancelled there. */
 typedef struct
 {
   char id[ATTEMPT_ID_MAX]; /**< empty: none */
@@ -27,34 +27,33 @@
   char id[ATTEMPT_ID_MAX]; /**< sent as X-Lovage-Request */
   const ConfigServer *config_server;
   GateServer *server;
-  int version; /**< index; -1: a plain service */
+  int version; /**< version index; -1: a plain service */
   HttpExchange *exchange;
   int http_status;
-  Buffer peeked; /**< bytes of the answer that were read to see whether it ran */
+  Buffer peeked; /**< bytes of the body already read to see whether it says "not run" */
   int64_t begun_us;
   bool first_seen;
   double first_token_ms;
-  int guard_reason;  /**< why may_finish said no; REASON_NONE: it did not */
-  GateStream stream; /**< engines */
-  WatchEntry watch;  /**< engines, while nobody holds a claim */
+  int guard_reason;  /**< why gate_guard stopped the attempt; REASON_NONE: it did not */
+  GateStream stream; /**< engines only */
+  WatchEntry watch;  /**< engines only, and only for requests without a claim */
   bool watched;
 } GateAttempt;
 
-/**
- * Chooses servers until one takes the request; a server is never tried twice. On success the
- * attempt is r->attempt with the head of a 200 answer (services: any answer) read; otherwise
- * r->refusal says why.
+/** Tries servers until one accepts the request; none is tried twice in a stage. On success
+ * r->attempt is the attempt, with the head of a 200 response read (services: of any response);
+ * otherwise r->refusal says why.
  */
 bool gate_attempt_begin (struct GateRequest *r, int version);
-/** Next events of an engine's answer; see gate_stream_next. */
+/** Appends the next events of an engine's answer to out; see gate_stream_next. */
 StreamResult gate_attempt_next (struct GateRequest *r, Buffer *out, Status *st);
-/** Adds the attempt to the usage record; charged: at its cost, else at none. */
+/** Adds the attempt to the usage record, at its cost if charged, otherwise at no cost. */
 void gate_attempt_bill (struct GateRequest *r, bool charged);
-/** Closes the exchange. An engine's answer that we ended ourselves (SERVER_NEUTRAL) is noted in
- *  r->cancel. */
+/** Closes the connection and frees the attempt. With SERVER_NEUTRAL, an engine's unfinished answer
+ * is recorded in r->cancel. */
 void gate_attempt_end (struct GateRequest *r, ServerResult result);
-/** Tells the engine to end the answer noted in r->cancel: after a closed connection alone it goes
- * on for a while, since the stream could be resumed. */
+/** Tells the engine to cancel the answer recorded in r->cancel. Closing the connection is not
+ * enough: the engine then goes on for a while, since the stream could be resumed. */
 void gate_attempt_cancel (struct GateRequest *r);
 
 #endif
--- a/src/gate_attempt_send.c
+++ b/src/gate_attempt_send.c
@@ -10,7 +10,7 @@
 #define HEADERS_MAX       6
 #define NUMBER_MAX        24
 #define PRIORITY_USUAL    "0"
-#define PRIORITY_BORROWED "-1" /* beyond the team's fair part */
+#define PRIORITY_BORROWED "-1" /* beyond the team's fair share */
 
 static int
 read_timeout_ms (const GateRequest *r)
@@ -46,7 +46,6 @@
   return text;
 }
 
-/* Sends the request and reads the head of the answer. */
 StatusCode
 gate_attempt_send (GateAttempt *a, Status *st)
 {
--- a/src/gate_attempt_send.h
+++ b/src/gate_attempt_send.h
@@ -6,8 +6,8 @@
 
 #include "gate_attempt.h"
 
-/** Sends it, with the guard before its last byte, and reads the head of the answer; codes as
- *  http_exchange_begin. */
+/** Sends the request, calls gate_guard before its last byte, and reads the head of the response.
+ * Returns the codes of http_exchange_begin. */
 StatusCode gate_attempt_send (GateAttempt *a, Status *st);
 
 #endif
--- a/src/gate_attempt_stream.c
+++ b/src/gate_attempt_stream.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 
 #define STEP           "attempt.resume"
-#define PAUSE_MS       50 /**< before the n-th resumption: n times this */
+#define PAUSE_MS       50 /**< the n-th resumption (from 0) waits n times this */
 #define PATH_MAX_BYTES (ATTEMPT_ID_MAX + 64)
 
 static long stream_read (void *context, char *data, size_t len, Status *st);
@@ -64,7 +64,7 @@
                      "resuming the stream gave HTTP status %d", status);
 }
 
-/* Asked at each event, so it costs no system call: the watch thread looks at the socket. */
+/* Called for each event, so it makes no system call: the watch thread polls the socket. */
 static bool
 stream_caller_left (void *context)
 {
--- a/src/gate_attempt_stream.h
+++ b/src/gate_attempt_stream.h
@@ -1,5 +1,4 @@
-/**
- * An engine's answer as a stream: reading, resuming and ending it over HTTP.
+/** Reads, resumes and cancels an engine's answer over HTTP: the GateStreamOps of an attempt.
  */
 #ifndef GATE_ATTEMPT_STREAM_H
 #define GATE_ATTEMPT_STREAM_H
@@ -9,7 +8,7 @@
 #define ATTEMPT_CONNECT_TIMEOUT_MS 1000
 #define ATTEMPT_ANSWER_MAX         (64UL * 1024 * 1024)
 
-/** The context is the GateAttempt. */
+/** The context argument is the GateAttempt. */
 extern const GateStreamOps gate_attempt_stream_ops;
 
 #endif
--- a/src/gate_bill.c
+++ b/src/gate_bill.c
@@ -84,7 +84,7 @@
     }
   if (ran && !r->billed)
     {
-      /* The stages that ran before the one that failed brought the caller nothing. */
+      /* The caller got no answer, so the stages that ran before the failed one are free too. */
       for (size_t i = 0; i < r->bill.attempt_count; i++)
         r->bill.attempts[i].cost = 0;
       r->refusal.state = REQUEST_UNKNOWN;
--- a/src/gate_bill.h
+++ b/src/gate_bill.h
@@ -1,17 +1,18 @@
-/**
- * The usage record and the claim of one request, at its end.
+/** Writes the usage record of a finished request and settles or releases its claim.
  */
 #ifndef GATE_BILL_H
 #define GATE_BILL_H
 
 #include "gate_request.h"
 
-/** Adds r->out to the copy that a claim keeps, while it is short enough. */
+/** For a claimed request, appends r->out to the copy of the answer that is stored with the claim.
+ * An answer longer than CLAIM_ANSWER_MAX bytes is not stored. */
 void gate_bill_keep (GateRequest *r);
-/** Makes the usage record durable, with the claim's settlement; at most once for a request. */
+/** Makes the usage record durable and, if the request was answered, settles its claim in the same
+ * write. Called at most once for a request. */
 void gate_bill_commit (GateRequest *r, BillOutcome outcome);
-/** The request was refused: a claim of one that did not run is given back; one that may have run
- *  is recorded. */
+/** Handles a refused request: releases the claim if the request did not run; otherwise writes a
+ * usage record at no cost. */
 void gate_bill_refused (GateRequest *r);
 
 #endif
--- a/src/gate_body.c
+++ b/src/gate_body.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #define STEP             "request.body"
-#define BODY_DEPTH_MAX   32
-#define PREFIX_HASH_MAX  1024
+#define BODY_DEPTH_MAX   32   /* nesting of the JSON */
+#define PREFIX_HASH_MAX  1024 /* bytes of the first message that are hashed */
 #define PREFIX_HASH_SEED 1
 
 static bool parse (GateRequest *r);
@@ -20,7 +20,7 @@
   return false;
 }
 
-/* json-c gives the offset at which it stopped; people look for line and column. */
+/* Converts json-c's byte offset into line and column, which are easier to find in an editor. */
 static bool
 refuse_syntax (GateRequest *r, size_t offset, const char *what)
 {
--- a/src/gate_callers.c
+++ b/src/gate_callers.c
@@ -22,14 +22,14 @@
 
 #define STEP    "http.start"
 #define BACKLOG 1024
-/* Deferred, as enabling one end handoff TLS would otherwise call back at once, and may end the
- * connection under its caller. */
+/* Callbacks are deferred: enabling one end over TLS would otherwise run them at once, and they may
+ * free the connection while its caller still uses it. */
 #define END_OPTIONS (BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)
-/* At a stop, until callers have taken the last bytes of their answers. */
+/* Time that a stop allows callers to read the last bytes of their answers. */
 #define FLUSH_MAX_MS  1000
 #define FLUSH_STEP_US 5000
 
-/** A connection on its way from this thread to libmicrohttpd. */
+/** A connection given to libmicrohttpd whose link has not been fetched by on_connection yet. */
 typedef struct
 {
   struct cds_list_head node;
@@ -46,13 +46,13 @@
   struct event_base *base;
   struct evconnlistener *listener;
   struct event *stop_accepting; /* made active by other threads */
-  struct event *end;            /* the same */
-  int64_t end_ms;               /* when the loop ends at the latest; 0: no end yet */
+  struct event *end;            /* likewise: ends the loop */
+  int64_t end_ms;               /* boot-time clock; latest end of the loop; 0: not ending */
   sem_t accept_stopped;
   pthread_t thread;
   bool running;
-  struct cds_list_head filters; /* the loop's thread only */
-  pthread_mutex_t lock;         /* of handoffs */
+  struct cds_list_head filters; /* used by the loop's thread only */
+  pthread_mutex_t lock;         /* guards handoffs */
   struct cds_list_head handoffs;
 };
 
@@ -63,7 +63,7 @@
   free (handoff);
 }
 
-/* Takes the link out of the list; call it with the lock held. NULL: there is none. */
+/* Removes the link of fd from the list; the lock must be held. NULL: there is none. */
 static GateLink *
 take_link (GateCallers *callers, int fd)
 {
@@ -92,8 +92,8 @@
   return link;
 }
 
-/* A link that is in the list for this number belongs to a connection that libmicrohttpd closed
- * without a word, having no room for it. */
+/* An older link listed under this descriptor number belongs to a connection that libmicrohttpd
+ * closed without a callback because its connection limit was reached; it is released. */
 static void
 add_handoff (GateCallers *callers, int fd, GateLink *link)
 {
@@ -107,7 +107,7 @@
   pthread_mutex_unlock (&callers->lock);
 }
 
-/* libmicrohttpd owns fd from here on, also when it doesn't take it. It asks for the link in a
+/* libmicrohttpd owns fd from here on, even if it rejects the connection. It fetches the link in a
  * thread of its own. */
 static void
 hand_off (GateCallers *callers, int fd, GateLink *link, const struct sockaddr *from, int from_len)
@@ -203,14 +203,16 @@
   SSL_CTX_set_min_proto_version (callers->tls, TLS1_2_VERSION);
   if (SSL_CTX_use_certificate_chain_file (callers->tls, settings->tls_certificate_file) != 1)
     {
-      status_set (st, STATUS_INVALID, STEP, NULL, "%s: no certificate in PEM can be read from it",
+      status_set (st, STATUS_INVALID, STEP, NULL,
+                  "%s: cannot read a PEM certificate chain from this file",
                   settings->tls_certificate_file);
       return false;
     }
   if (SSL_CTX_use_PrivateKey_file (callers->tls, settings->tls_key_file, SSL_FILETYPE_PEM) == 1)
     return true;
-  status_set (st, STATUS_INVALID, STEP, NULL, "%s: no key of %s can be read from it",
-              settings->tls_key_file, settings->tls_certificate_file);
+  status_set (st, STATUS_INVALID, STEP, NULL,
+              "%s: cannot read the private key of %s from this file", settings->tls_key_file,
+              settings->tls_certificate_file);
   return false;
 }
 
@@ -254,7 +256,7 @@
       v6->sin6_port = htons ((uint16_t)address->port);
       return true;
     }
-  status_set (st, STATUS_INVALID, STEP, address->address, "expected an IP number");
+  status_set (st, STATUS_INVALID, STEP, address->address, "expected an IP address");
   return false;
 }
 
@@ -274,7 +276,7 @@
                                                (struct sockaddr *)&address, len);
   if (!callers->listener)
     {
-      status_set (st, STATUS_INTERNAL, STEP, at->address, "can't listen on port %lld",
+      status_set (st, STATUS_INTERNAL, STEP, at->address, "cannot listen on port %lld",
                   (long long)at->port);
       return false;
     }
--- a/src/gate_callers.h
+++ b/src/gate_callers.h
@@ -1,6 +1,6 @@
-/**
- * The callers' sockets: listens, ends TLS, and hands each connection through a filter of malformed
- * requests to libmicrohttpd. One thread with an event loop, which does nothing but move bytes.
+/** Accepts callers' connections, terminates TLS, and hands each connection to libmicrohttpd through
+ * a filter that stops malformed requests. Runs one thread with an event loop that only copies
+ * bytes.
  */
 #ifndef GATE_CALLERS_H
 #define GATE_CALLERS_H
@@ -12,18 +12,18 @@
 
 typedef struct GateCallers GateCallers;
 
-/** Nothing is listened to yet; NULL, and *st, when the certificate can't be used. */
+/** Does not listen yet. NULL, with *st set, if the certificate or its key cannot be used. */
 GateCallers *
 gate_callers_new (const SettingsGate *settings, const GateFilterLimits *limits, Status *st);
-/** Listens, and hands connections to the daemon. False, and *st, when the address can't be had. */
+/** Starts to listen and to hand connections to the daemon. False, with *st set, if the address
+ * cannot be bound. */
 bool gate_callers_start (GateCallers *callers, struct MHD_Daemon *daemon, Status *st);
-/** The link of a connection that the daemon has just been given, held for the caller of this
- *  function; NULL if fd is none. */
+/** The link of a connection that has just been handed to the daemon as fd, with a reference for the
+ * function's caller; NULL if there is none. */
 GateLink *gate_callers_link (GateCallers *callers, int fd);
-/** Takes no further connections; those that are open go on. When it returns, the daemon is given
- *  none any more. */
+/** Stops accepting connections; open ones continue. After it returns, the daemon gets no more. */
 void gate_callers_stop_accepting (GateCallers *callers);
-/** Sends what is written, for a bounded time, and ends all connections. */
+/** Flushes pending output for a bounded time, closes all connections and frees callers. */
 void gate_callers_free (GateCallers *callers);
 
 #endif
--- a/src/gate_config.c
+++ b/src/gate_config.c
@@ -22,7 +22,7 @@
   return number;
 }
 
-/* By version index; the caller frees it. */
+/* Whether each version is stopped by a brake, by version index; the caller frees the array. */
 static bool *
 brakes_of (Gate *gate, const Config *config)
 {
--- a/src/gate_deaths.h
+++ b/src/gate_deaths.h
@@ -1,6 +1,5 @@
-/**
- * News of backend servers that died: what this VM saw goes to the steward, what others saw comes
- * with the grant.
+/** Exchanges reports of dead backend servers with the steward: those observed by this VM are sent
+ * with the request for a grant; those of all VMs come back with the grant.
  */
 #ifndef GATE_DEATHS_H
 #define GATE_DEATHS_H
@@ -10,7 +9,8 @@
 
 struct Gate;
 
-/** What rpc_death entries point to. */
+/** Death reports in wire form. list points into deaths, so the struct must not be moved or copied.
+ */
 typedef struct
 {
   QuarantineDeath deaths[LOVAGE_DEATHS_MAX];
@@ -18,9 +18,9 @@
   u_int count;
 } DeathReports;
 
-/** This VM's own sightings. */
+/** Collects the deaths that this VM has observed itself. */
 void gate_deaths_collect (struct Gate *gate, DeathReports *out);
-/** Sightings of any VM. */
+/** Adds the deaths observed by any VM to this gate's quarantine. */
 void gate_deaths_merge (struct Gate *gate, const rpc_death *list, size_t count);
 
 #endif
--- a/src/gate_evidence.c
+++ b/src/gate_evidence.c
@@ -5,19 +5,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALLERS_MAX 1024 /* distinct callers told apart in one report; a power of two */
+#define CALLERS_MAX 1024 /* size of the table of distinct callers in one report; a power of two */
 
 typedef struct
 {
   EvidenceKey key;
-  rpc_evidence sums; /* without strings */
-  uint64_t *callers; /* open addressing; NULL until the first one */
+  rpc_evidence sums; /* its string members are unused */
+  uint64_t *callers; /* hash table with open addressing; NULL until the first caller */
 } Cell;
 
 struct GateEvidence
 {
   pthread_mutex_t lock;
-  Cell **cells; /* cells stay where they are: reports point to their names */
+  Cell **cells; /* allocated one by one, since reports point to their names */
   size_t count;
 };
 
@@ -58,7 +58,8 @@
   free (evidence);
 }
 
-/* Under the lock. Teams times versions are a few hundred. */
+/* Finds or adds a cell; the lock must be held. A linear search is enough for the few hundred pairs
+   of team and version. */
 static Cell *
 cell_of (GateEvidence *evidence, const EvidenceKey *key)
 {
@@ -78,8 +79,8 @@
   return cell;
 }
 
-/* Counts a caller once a report; beyond three quarters of the table no further ones are told
-   apart, and the count stays. */
+/* Counts each caller once per report. Once the table is three quarters full, further callers are
+   not counted. */
 static void
 add_caller (Cell *cell, uint64_t caller)
 {
--- a/src/gate_evidence.h
+++ b/src/gate_evidence.h
@@ -1,5 +1,5 @@
-/**
- * Evidence about versions since the last report to the steward, by team and version.
+/** Answers, errors, slow first tokens and ratings of each version since the last report to the
+ * steward, by team and version. The steward merges them over all gates.
  */
 #ifndef GATE_EVIDENCE_H
 #define GATE_EVIDENCE_H
@@ -9,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define EVIDENCE_SLOW_MS 1000 /**< a first token that comes later is counted as slow */
+#define EVIDENCE_SLOW_MS 1000 /**< a first token that takes longer counts as slow */
 
 typedef struct
 {
@@ -28,10 +28,10 @@
 gate_evidence_answer (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller, bool slow);
 void gate_evidence_error (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller);
 void gate_evidence_rated (GateEvidence *evidence, const EvidenceKey *key, double score);
-/** Moves up to max entries to out, whose strings are the evidence's own until the next call of
- *  this or of put_back; returns how many. One thread only. */
+/** Moves up to max entries to out and returns how many. Their strings belong to evidence and stay
+ * valid until the next call of this function or of gate_evidence_put_back. For one thread only. */
 size_t gate_evidence_take (GateEvidence *evidence, rpc_evidence *out, size_t max);
-/** Adds entries that did not reach the steward again. */
+/** Adds back entries that did not reach the steward. */
 void gate_evidence_put_back (GateEvidence *evidence, const rpc_evidence *entries, size_t count);
 
 #endif
--- a/src/gate_filter.c
+++ b/src/gate_filter.c
@@ -11,31 +11,31 @@
 #include <sys/socket.h>
 
 #define STEP "request.head"
-/* Bytes that one side hasn't taken yet from which the other is no longer read: two reads' worth. */
+/* Bytes pending for one side beyond which the other side is no longer read: two reads' worth. */
 #define OUTPUT_MAX 32768
-/* Bytes of later requests that are kept while one is being answered. */
+/* Bytes of later requests that are buffered while one is being answered. */
 #define READ_AHEAD_MAX 32768
-/* A request that follows its predecessor's last byte at once may overtake the word that this one
- * was answered, by some microseconds. */
+/* Interval at which a waiting request checks whether its predecessor has been answered. The caller
+ * can see the last byte of an answer some microseconds before the link counts it. */
 #define ANSWERED_CHECK_US 1000
 #define READ_BLOCK        4096
-/* Closing a socket with unread bytes resets the connection, and the last answer would be lost on
- * its way: what the caller still sends is read for so long. */
+/* Time for which the caller's bytes are still read and dropped after the last answer: closing a
+ * socket with unread bytes resets the connection, and the caller could lose that answer. */
 #define LINGER_S 1
 
 struct GateFilter
 {
   struct cds_list_head node;
   struct bufferevent *caller;
-  struct bufferevent *server; /* libmicrohttpd's side; NULL: closed */
+  struct bufferevent *server; /* the end towards libmicrohttpd; NULL: closed */
   struct event *timer;
   GateLink *link;
   GateFraming framing;
-  int64_t requests;  /* passed on whole */
-  bool mid_request;  /* some of the next one's bytes were passed on */
+  int64_t requests;  /* forwarded completely */
+  bool mid_request;  /* the request in progress has been forwarded in part */
   bool answer_begun; /* the server has written since the request in progress began */
-  bool lingering;    /* all is written; what the caller sends is dropped */
-  bool skip_linger;
+  bool lingering;    /* all output is sent; the caller's bytes are dropped */
+  bool skip_linger;  /* close without lingering: the gate stops */
 };
 
 static void caller_read (GateFilter *filter);
@@ -59,7 +59,7 @@
   free (filter);
 }
 
-/* Over TLS the end has a record of its own; without it the answer looks cut. */
+/* TLS has a close_notify record; without it the answer looks truncated to the caller. */
 static void
 end_output (struct bufferevent *caller)
 {
@@ -70,7 +70,7 @@
   shutdown (bufferevent_getfd (caller), SHUT_WR);
 }
 
-/* Call it last: it may free the filter. */
+/* May free the filter: the caller of this function must not use it afterwards. */
 static void
 linger (GateFilter *filter)
 {
@@ -89,7 +89,7 @@
   evtimer_add (filter->timer, &wait);
 }
 
-/* Call it last. */
+/* May free the filter. */
 static void
 close_server (GateFilter *filter)
 {
@@ -98,7 +98,8 @@
   linger (filter);
 }
 
-/* Call it last. */
+/* Answers a malformed request, unless an answer to an earlier one is being written, and closes the
+ * connection. May free the filter. */
 static void
 refuse (GateFilter *filter)
 {
@@ -123,8 +124,8 @@
   evtimer_add (filter->timer, &wait);
 }
 
-/* The answers that are complete are in the server's socket at the latest by now. Bytes that come
- * from it after this call belong to the next request. */
+/* Called when all earlier requests have been answered: their answers are in the server's socket by
+ * now and are forwarded. Bytes that arrive from it later belong to the next request. */
 static void
 forward_answers (GateFilter *filter)
 {
@@ -137,7 +138,7 @@
   filter->answer_begun = false;
 }
 
-/* One run of bytes that lie together; false at a fault. */
+/* Forwards one contiguous run of the caller's bytes. False: the request is malformed. */
 static bool
 forward_input (GateFilter *filter)
 {
@@ -161,8 +162,8 @@
   return result != FRAMING_FAULT;
 }
 
-/* Requests go on one at a time: with one answer outstanding at most, it is known which request a
- * refusal is for. */
+/* Forwards one request at a time. With at most one answer outstanding it is known which request a
+ * refusal belongs to. */
 static void
 caller_read (GateFilter *filter)
 {
@@ -207,8 +208,9 @@
     linger (filter);
 }
 
-/* A caller that has left, has sent its last byte, or takes no bytes any more: libmicrohttpd's side
- * sees its end in turn, and what runs for it is cancelled. */
+/* The caller has left, has shut down its sending side, or reads nothing any more. Freeing the
+ * filter closes libmicrohttpd's connection too, and the request that runs for this caller is
+ * cancelled. */
 static void
 on_caller_event (struct bufferevent *bev UNUSED, short what, void *context)
 {
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -1,6 +1,7 @@
-/* Two parsers that read one head differently let a caller hide a request within another, and
- * libmicrohttpd takes heads (a folded line, a NUL) whose other reading it doesn't show, or answers
- * them twice (a negative length, no host). Such heads must end before it sees their last line. */
+/* Guards against request smuggling: if two parsers read one head differently, a caller can hide a
+ * request within another. libmicrohttpd accepts ambiguous heads without a sign of it (a folded
+ * line, a NUL) and answers others twice (a negative length, no host). It never gets the last line
+ * of such a head. */
 #include "gate_framing.h"
 #include <stdint.h>
 #include <string.h>
@@ -10,14 +11,14 @@
 void
 gate_framing_init (GateFraming *framing, size_t head_max)
 {
-  /* Bodies are bounded behind this, where their refusal is written. */
+  /* gate_http.c limits the body and writes the refusal of one that is too long. */
   HttpIntakeLimits limits = { .head_max = head_max, .body_max = SIZE_MAX };
 
   http_intake_init (&framing->intake, &limits);
   framing->passed = 0;
 }
 
-/* Whole lines go on at once, so that a head that comes slowly is seen to be on its way. */
+/* Complete lines are forwarded at once, so that libmicrohttpd sees a slow head arrive. */
 static void
 pass_lines (GateFraming *framing, Buffer *pass)
 {
--- a/src/gate_framing.h
+++ b/src/gate_framing.h
@@ -1,7 +1,6 @@
-/**
- * Follows the requests of one caller's connection byte by byte and tells which bytes may go on to
- * libmicrohttpd. The end of a head is held back until the head leaves no doubt where its body ends
- * and for which host it is. No I/O.
+/** Parses the requests of one caller's connection and decides which bytes may be forwarded to
+ * libmicrohttpd. The end of a head is held back until it is certain where the body ends and which
+ * host the request is for. No I/O.
  */
 #ifndef GATE_FRAMING_H
 #define GATE_FRAMING_H
@@ -12,19 +11,20 @@
 typedef enum
 {
   FRAMING_MORE,
-  FRAMING_DONE, /**< the end of a request; what follows belongs to the next one */
-  FRAMING_FAULT /**< nothing more of this connection may be passed on */
+  FRAMING_DONE, /**< the request is complete; further bytes belong to the next one */
+  FRAMING_FAULT /**< malformed; nothing more of this connection may be forwarded */
 } FramingResult;
 
 typedef struct
 {
   HttpIntake intake;
-  size_t passed; /**< bytes of the head in progress that were passed on */
+  size_t passed; /**< bytes of the current head that have been forwarded */
 } GateFraming;
 
-/** Heads longer than head_max bytes are a fault. */
+/** A head longer than head_max bytes is a fault. */
 void gate_framing_init (GateFraming *framing, size_t head_max);
-/** Takes bytes up to the end of one request; adds to *pass those that may go on. */
+/** Reads bytes up to the end of one request, sets *used to their number, and appends to *pass those
+ * that may be forwarded. */
 FramingResult
 gate_framing_feed (GateFraming *framing, const char *data, size_t len, size_t *used, Buffer *pass);
 /** After a fault: the reason (GateReason) with which to refuse the request. */
--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -32,7 +32,8 @@
   snprintf (out, size, "%s", name != NULL ? name : "");
 }
 
-/* Brakes only ever add up here; a configuration that names a later `released` frees a version. */
+/* Only adds brakes. A version is released by a configuration whose `released` is later than the
+ * brake. */
 static void
 add_brakes (Gate *gate, const rpc_grant *grant)
 {
@@ -59,10 +60,10 @@
   log_msg (has ? MSG_GATE_GRANT : MSG_GATE_GRANT_LOST, NULL);
 }
 
-/*
- * The grant is counted from before the ask was sent: the steward's word was true at some moment
- * after that. It counts only once the configuration that it speaks of, or a newer one, is in force
- * here, so a gate that could not read a configuration takes no new work on the old one.
+/* The grant runs from before the renewal was sent, since the steward's confirmation was true at
+ * some moment after that. It is valid only once the configuration that it names, or a newer one, is
+ * in force here, so a gate that could not read a configuration admits no requests under the old
+ * one.
  */
 static void
 apply_grant (Gate *gate, const rpc_grant *grant, int64_t sent_ms)
@@ -70,8 +71,8 @@
   GateGrant *own = &gate->grant;
   int64_t until_ms = 0;
 
-  /* Each gate writes less often the more there are, so that the site stays within what the table
-     service takes. */
+  /* The more gates there are, the less often each one writes, so that the site stays within the
+     rate that the table service accepts. */
   if (__atomic_exchange_n (&own->members, (int64_t)grant->members, __ATOMIC_RELAXED)
           != (int64_t)grant->members
       && grant->members > 0)
@@ -118,7 +119,7 @@
   if (code != STATUS_OK)
     {
       counter_add (COUNTER_GATE_GRANTS_MISSED, 1);
-      /* Evidence of which it is not known whether it arrived is lost rather than counted twice. */
+      /* If it is unknown whether the evidence arrived, it is dropped rather than counted twice. */
       if (code != STATUS_UNKNOWN)
         gate_evidence_put_back (gate->evidence, evidence, ask.evidence.evidence_len);
       return;
@@ -160,7 +161,8 @@
   pthread_mutex_unlock (&grant->lock);
 }
 
-/* What was requested before the ask that begins now; false: to be stopped. */
+/* Sets *requested to the renewals that the one that begins now satisfies. False: the thread is to
+ * end. */
 static bool
 begin_renewal (GateGrant *grant, uint64_t *requested)
 {
@@ -173,7 +175,8 @@
   return goes_on;
 }
 
-/* Waits until next_ms, or until an ask is requested that the last one was not. */
+/* Marks the renewal as completed, then waits until next_ms or until another renewal is requested.
+ */
 static void
 finish_renewal (GateGrant *grant, uint64_t requested, int64_t next_ms)
 {
@@ -203,7 +206,8 @@
       has = gate_grant_valid (gate);
       log_change (had, has);
       had = has;
-      /* The steward calls a number in force only once its gate has said so: say it at once. */
+      /* The steward treats a configuration as in force only once the gate has reported its number,
+         so a new number is reported at once. */
       finish_renewal (&gate->grant, requested, gate_config_number (gate) > number ? 0 : next_ms);
     }
   return NULL;
--- a/src/gate_grant.h
+++ b/src/gate_grant.h
@@ -1,7 +1,6 @@
-/**
- * The grant: the steward's time-limited word that this gate's configuration is fresh. Counted from
- * the moment before the ask was sent, on the boot-time clock, so that neither a slow answer nor a
- * suspended VM lengthens it.
+/** The grant: a lease from the steward which confirms that this gate's configuration is current.
+ * While it is valid, new requests may be admitted. It runs from the moment before the renewal was
+ * sent, on the boot-time clock, so that neither a slow answer nor a suspended VM extends it.
  */
 #ifndef GATE_GRANT_H
 #define GATE_GRANT_H
@@ -19,24 +18,25 @@
   RpcClient *steward;
   pthread_t thread;
   bool running;
-  pthread_mutex_t lock; /**< guards what follows to completed */
+  pthread_mutex_t lock; /**< guards the members up to completed */
   pthread_cond_t changed;
   bool stop;
-  uint64_t requested;    /**< asks requested at once, counted */
-  uint64_t completed;    /**< of them, those whose ask has ended */
-  int64_t until_ms;      /**< atomic; boot-time clock; 0: none */
-  int64_t members;       /**< atomic; VMs in the view; 0: not known */
-  int64_t rank;          /**< atomic; of this VM among them; -1: not a member */
-  ClusterBrakes *brakes; /**< the grant thread's own */
+  uint64_t requested;    /**< renewals requested ahead of the interval, counted */
+  uint64_t completed;    /**< value of requested when the last finished renewal began */
+  int64_t until_ms;      /**< atomic; boot-time clock; end of the grant; 0: none */
+  int64_t members;       /**< atomic; VMs in the membership view; 0: not known */
+  int64_t rank;          /**< atomic; position of this VM among them; -1: not a member */
+  ClusterBrakes *brakes; /**< used by the grant thread only */
 } GateGrant;
 
 void gate_grant_start (struct Gate *gate);
 void gate_grant_stop (struct Gate *gate);
-/** Asks now, not at the next interval: there is news for the steward. */
+/** Renews now instead of at the next interval, to send a death report to the steward. */
 void gate_grant_renew (struct Gate *gate);
-/** Asks now and waits for the end of that ask, at most max_ms: for news of other VMs. */
+/** Renews now and waits at most max_ms for the end of that renewal, to get the death reports of
+ * other VMs. */
 void gate_grant_renew_and_wait (struct Gate *gate, int64_t max_ms);
-/** True while new work may be taken. */
+/** True while new requests may be admitted. */
 bool gate_grant_valid (struct Gate *gate);
 
 #endif
--- a/src/gate_guard.c
+++ b/src/gate_guard.c
@@ -8,7 +8,7 @@
 static int check_server (const GateAttempt *a, const GateSnapshot *newest);
 static int check_version (const GateAttempt *a, const GateSnapshot *newest);
 
-/* The version as the newest configuration knows it, by its names; -1: it is gone. */
+/* Index in the newest configuration of the version with the same names; -1: it no longer exists. */
 static int
 version_in (const GateAttempt *a, const GateSnapshot *newest)
 {
@@ -56,7 +56,8 @@
   return newest->config->teams[team].services[service] ? REASON_NONE : REASON_NOT_ALLOWED;
 }
 
-/* The server must still be the one that was chosen: same name, same address, not leaving. */
+/* The server must still have the same name and address as the chosen one and must not be leaving.
+ */
 static int
 check_server (const GateAttempt *a, const GateSnapshot *newest)
 {
@@ -85,12 +86,11 @@
   return a->version < 0 ? check_service (a, newest) : check_version (a, newest);
 }
 
-/*
- * Failure guarded against: this process stands still (a paused VM) between its check and its send,
- * while the version is withdrawn elsewhere; it wakes and sends. The grant is read after the
- * configuration was checked, and the configuration must then still be the newest: at the moment at
- * which the clock was read, the grant was for what was checked. What stays open is a pause between
- * that reading and the one write of the last byte.
+/* Guards against a process that is paused between its check and its send (a suspended VM) while the
+ * version is withdrawn elsewhere, and that sends the request after it resumes. The grant is read
+ * after the configuration was checked, and the configuration must then still be the newest: so when
+ * the clock was read, the grant covered the configuration that was checked. A pause between that
+ * reading and the write of the last byte is not detected.
  */
 static int
 guard_reason (const GateAttempt *a)
--- a/src/gate_guard.h
+++ b/src/gate_guard.h
@@ -1,13 +1,14 @@
-/**
- * The last check before a request runs, made directly before its last byte is sent: a backend
- * server can't run a request whose body never ended. See docs/design/requests.md.
+/** The last check before a request runs, made immediately before its last byte is sent. If the
+ * check fails that byte is withheld, and a backend server cannot run a request whose body is
+ * incomplete. See docs/design/requests.md.
  */
 #ifndef GATE_GUARD_H
 #define GATE_GUARD_H
 
 #include "gate_attempt.h"
 
-/** For HttpRequest.may_finish; context is the GateAttempt. Leaves the reason in guard_reason. */
+/** Callback for HttpRequest.may_finish; context is the GateAttempt. True: the last byte may be
+ * sent. False: the reason is in the attempt's guard_reason. */
 bool gate_guard (void *context);
 
 #endif
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -11,9 +11,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP              "http.start"
-#define STACK_SIZE        (256UL * 1024)
-#define CONNECTION_MEMORY (16UL * 1024) /**< beside the headers: answers' heads and chunks */
+#define STEP       "http.start"
+#define STACK_SIZE (256UL * 1024)
+#define CONNECTION_MEMORY                                                                          \
+  (16UL * 1024) /**< bytes per connection in addition to the request's head, for response heads    \
+                   and blocks */
 #define CONNECTIONS_SPARE 64
 #define DRAIN_MAX_MS      500
 #define DRAIN_STEP_MS     10
@@ -91,8 +93,8 @@
   *socket_context = c;
 }
 
-/* The request line has come; the URI is not decoded yet, so that a plain service gets it as sent.
- */
+/* Called with the request line, before libmicrohttpd decodes the URI: a plain service gets it as
+   the caller sent it. */
 static void *
 on_uri (void *cls, const char *uri, struct MHD_Connection *connection)
 {
@@ -128,7 +130,7 @@
   return gate_respond_refusal (r);
 }
 
-/* A body without a stated length that turns out too long. */
+/* Adds a block to the body. A body without Content-Length may turn out too long here. */
 static enum MHD_Result
 on_body (GateHttp *http, GateRequest *r, const char *upload, size_t *upload_size)
 {
@@ -257,7 +259,7 @@
   http->daemon = start_daemon (http);
   if (http->daemon != NULL)
     return gate_callers_start (http->callers, http->daemon, st);
-  status_set (st, STATUS_INTERNAL, STEP, NULL, "libmicrohttpd doesn't start");
+  status_set (st, STATUS_INTERNAL, STEP, NULL, "libmicrohttpd could not be started");
   return false;
 }
 
@@ -273,8 +275,8 @@
   return NULL;
 }
 
-/* Callers that had connected when the listening socket was closed still get their refusal with its
-   time to come back, where an early stop would reset their connections. */
+/* Callers that were connected when the listening socket was closed still get a refusal with a retry
+   time; stopping at once would reset their connections. */
 static void
 drain (GateHttp *http)
 {
--- a/src/gate_http.h
+++ b/src/gate_http.h
@@ -1,5 +1,4 @@
-/**
- * The callers' side: HTTP by libmicrohttpd, with a thread per connection.
+/** Serves HTTP to callers with libmicrohttpd, with one thread per connection.
  */
 #ifndef GATE_HTTP_H
 #define GATE_HTTP_H
@@ -10,8 +9,8 @@
 typedef struct GateHttp GateHttp;
 
 GateHttp *gate_http_start (Gate *gate, Status *st);
-/** Takes no further connections, waits shortly for those that are open, and closes them; call it
- * when no request is in progress any more. */
+/** Stops accepting connections, waits up to half a second for requests that are arriving or being
+ * answered, and closes all connections. Call it when no admitted request is in progress. */
 void gate_http_stop (GateHttp *http);
 
 #endif
--- a/src/gate_learn.h
+++ b/src/gate_learn.h
@@ -1,17 +1,18 @@
-/**
- * What each attempt teaches: the estimates that order a cascade's stages, and the evidence about
- * versions that the steward merges over all gates. All calls are about r->attempt.
+/** Updates statistics with the outcome of r->attempt: the estimates by which the stages of a
+ * cascade are ordered, and the evidence about versions that the steward merges over all gates.
  */
 #ifndef GATE_LEARN_H
 #define GATE_LEARN_H
 
 #include "gate_request.h"
 
-/** Its answer is whole. A final answer that was drawn for it goes to the rating service too. */
+/** Records a complete answer. A sampled answer is queued for the rating service too, unless it was
+ * rated already. */
 void gate_learn_answer (GateRequest *r);
-/** It gave no whole answer, for its version's or its server's sake. */
+/** Records that the version or its server gave no complete answer. Does nothing for plain services.
+ */
 void gate_learn_error (GateRequest *r);
-/** Its answer was rated before it was passed on. */
+/** Records the score of an answer that was rated before it was relayed. */
 void gate_learn_rated (GateRequest *r, double score);
 
 #endif
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -4,20 +4,20 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define CAPACITY_FACTOR      1.1 /* of the slots that may be taken or waited for */
-#define REFRESH_MS           50
+#define CAPACITY_FACTOR      1.1 /* of the engines' slots; requests beyond the slots wait */
+#define REFRESH_MS           50  /* least time between two computations of the capacity */
 #define BYTES_PER_TOKEN      4
-#define OUTPUT_TOKENS        256 /* expected of an answer whose caller set no bound */
-#define ANSWER_TIME_FIRST_MS 1000
-#define SMOOTHING            0.05
+#define OUTPUT_TOKENS        256  /* assumed if the caller sets no smaller max_tokens */
+#define ANSWER_TIME_FIRST_MS 1000 /* assumed until answers have been measured */
+#define SMOOTHING            0.05 /* weight of the newest answer in the moving average */
 #define CAPACITY_UNKNOWN     100000U
 
-/** Sums over the engines that this gate watches. */
+/** Sums over the usable engines that this gate watches. */
 typedef struct
 {
   double slots;
-  double load;
-  double own;
+  double load;         /**< requests in progress from all gates, as estimated by server_load */
+  double own;          /**< of these, the requests of this gate */
   double least_excess; /**< requests waiting for each slot at the least loaded one; -1: no engine */
 } PoolSums;
 
@@ -89,10 +89,9 @@
   return sums;
 }
 
-/*
- * What this gate's part of the engines can bear: an equal_share part of all, or, where the balancer
- * gives it more than the other gates, also what the engines' reports show as free. Worked out now
- * and then, since it looks at each engine.
+/* Recomputes capacity: an equal share of the slots or, if the balancer sends this gate more than
+ * the others, its own requests plus the slots that the engines report as free, whichever is larger.
+ * Done at most every REFRESH_MS, since it reads the state of each engine.
  */
 static void
 refresh (GateLimit *limit, const GateRequest *r, int64_t now_ms)
@@ -111,7 +110,8 @@
   with_free = sums.own + (usable_slots > sums.load ? usable_slots - sums.load : 0);
   limit->at_ms = now_ms;
   limit->capacity = (unsigned)(equal_share > with_free ? equal_share : with_free) + 1;
-  /* Without an engine the plan or the choice of the server says so better than a limit. */
+  /* Without a usable engine, planning or the choice of the server gives a better reason to refuse.
+   */
   if (sums.least_excess < 0)
     limit->capacity = CAPACITY_UNKNOWN;
   limit->wait_ms = sums.least_excess > 0 ? (int64_t)(sums.least_excess * limit->answer_time_ms) : 0;
--- a/src/gate_link.h
+++ b/src/gate_link.h
@@ -1,6 +1,5 @@
-/**
- * What a caller's connection and libmicrohttpd's side of it know of each other: how many requests
- * have been answered to the end. Held by both sides; freed by whichever leaves last.
+/** Counter of completely answered requests, shared by a caller's connection (GateFilter) and the
+ * libmicrohttpd connection behind it. Reference-counted: the last holder frees it.
  */
 #ifndef GATE_LINK_H
 #define GATE_LINK_H
@@ -9,7 +8,7 @@
 
 typedef struct GateLink GateLink;
 
-/** Held once. */
+/** Starts with one reference. */
 GateLink *gate_link_new (void);
 GateLink *gate_link_hold (GateLink *link);
 /** NULL is allowed. */
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -1,4 +1,4 @@
-/* lovage-gate: takes callers' requests. */
+/* lovage-gate: accepts callers' requests and routes them to backend servers. */
 #include "gate.h"
 #include "gate_http.h"
 #include "gate_poll.h"
@@ -15,16 +15,16 @@
 #include <string.h>
 #include <sys/resource.h>
 
-#define MEMBERS_AT_START  9 /* until the first grant */
-#define GROUP_OPS_MAX     400
+#define MEMBERS_AT_START  9   /* assumed until the first grant gives the number */
+#define GROUP_OPS_MAX     400 /* operations in one transaction */
 #define TABLE_TIMEOUT_MS  1500
 #define SESSION_CACHE_MAX 20000
-#define FILES_PER_STREAM  7
+#define FILES_PER_STREAM  7 /* see raise_file_limit */
 #define FILES_SPARE       256
 #define STOP_STEP_MS      20
 #define STOP_BILL_MIN_MS  2000
 
-/** Whole gate with the parts that main alone drives. */
+/** The gate and the modules that only main starts and stops. */
 typedef struct
 {
   Gate gate;
@@ -35,7 +35,8 @@
 
 const char *argp_program_version = "lovage-gate 0.1";
 
-/* The balancer is not told to send work before the teams with limits can be served. */
+/* Until this is true the readiness check fails, so that the balancer sends no requests before teams
+   with limits can be served. */
 static bool
 limits_settled (Gate *gate)
 {
@@ -170,8 +171,8 @@
   return true;
 }
 
-/* New requests are refused from here on, with a word to come back; those in progress end by
-   themselves, and no connection is closed under them. */
+/* Refuses new requests, with a retry time, and waits for those in progress. Their connections stay
+   open until they have ended or the stop timeout has passed. */
 static void
 wait_for_requests (Gate *gate)
 {
@@ -190,7 +191,8 @@
     }
 }
 
-/* Records that are in no lasting place yet get what is left of the bound. */
+/* Stops all modules. Usage records that are not durable yet get the rest of the stop timeout.
+   Returns the number of records left. */
 static size_t
 stop (Main *m)
 {
@@ -223,8 +225,9 @@
   return left;
 }
 
-/* Each request in progress has a socket to its caller, a pair before libmicrohttpd and one to its
-   engine; a second connection, without an engine, may be waiting to be refused. */
+/* Each request in progress has a socket to its caller, a socket pair to libmicrohttpd and a socket
+   to its engine. The other three are for a second connection, without an engine, that may be
+   waiting to be refused. */
 static void
 raise_file_limit (const SettingsGate *settings)
 {
--- a/src/gate_pick.c
+++ b/src/gate_pick.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** One thread's array for states; all zero between choices. */
+/** One thread's reusable array of server states; all zero between choices. */
 typedef struct
 {
   size_t count;
@@ -23,7 +23,8 @@
   INVARIANT (error == 0, "pthread_key_create: %s", strerror (error));
 }
 
-/* Kept, since zeroing a new one for hundreds of servers costs more than the decision. */
+/* Returns the thread's array with at least count entries. It is reused, since zeroing a new one for
+   hundreds of servers costs more than the choice. */
 static ViewArray *
 view_array_for (size_t count)
 {
@@ -81,11 +82,11 @@
     views[list->servers[i]] = (ServerView){ 0 };
 }
 
-/*
- * Hundreds of servers may be watched for some version, and copying the states of all costs half as
- * much again as the rest of the decision. A choice looks at those watched for its own version, and
- * at others only if none of these is usable. A pick from outside the list, or none, was made
- * without the states of the others; so they are copied then, and the choice is made again.
+/* The gate may watch hundreds of servers for all versions together, and copying the states of all
+ * adds half of the cost of the rest of the choice. A policy looks at the servers watched for the
+ * requested version, and at others only if none of these is usable. So the states of the first are
+ * copied; if the policy then picks none of them, it did so without the states of the others, which
+ * are copied too before it picks again.
  */
 int
 gate_pick (const ServerPolicy *policy, GateServer *const *servers, ServerQuery *query)
--- a/src/gate_poll.c
+++ b/src/gate_poll.c
@@ -13,10 +13,10 @@
 #define POLL_STEP_MS     50
 #define POLL_TIMEOUT_MS  1000
 #define REPORT_MAX       (64UL * 1024)
-/** Reads of one thread in one interval; further engines wait for their turn. */
+/** Reads by one thread in one interval; further engines are read in later intervals. */
 #define READS_PER_ROUND (GATE_POLL_READS_MAX / POLL_THREADS)
 
-/** A watched engine and the connection that is kept to it. */
+/** A watched engine and the persistent connection to it. */
 typedef struct
 {
   unsigned server; /**< its index in the configuration */
@@ -28,10 +28,10 @@
   GatePoll *poll;
   unsigned index;
   pthread_t thread;
-  PollEngine *engines; /**< this thread's share of the watched ones */
+  PollEngine *engines; /**< this thread's share of the watched engines */
   size_t engine_count;
-  size_t next;    /**< whose turn it is */
-  int64_t number; /**< of the configuration that the engines are from */
+  size_t next;    /**< index of the engine to read next */
+  int64_t number; /**< number of the configuration that engines was built from */
 } PollThread;
 
 struct GatePoll
@@ -113,7 +113,7 @@
   free (engines);
 }
 
-/* The reader of the last configuration for this address, or a new one. */
+/* Takes over the existing reader of this address, or creates one. */
 static HttpReader *
 take_reader (PollThread *thread, const ConfigServer *server)
 {
@@ -129,7 +129,8 @@
   return http_reader_new (server->address, server->port, 1);
 }
 
-/* Takes every POLL_THREADSth watched engine; connections to those that left are closed. */
+/* Rebuilds the thread's share: every POLL_THREADSth watched engine. Connections to engines that are
+   no longer in the share are closed. */
 static void
 take_engines (PollThread *thread, const GateSnapshot *snapshot)
 {
@@ -153,7 +154,7 @@
   thread->number = config->number;
 }
 
-/* One round over this thread's share of the engines, or over as many as a round may read. */
+/* Reads the next READS_PER_ROUND engines of this thread's share, or all if there are fewer. */
 static void
 poll_round (PollThread *thread)
 {
--- a/src/gate_poll.h
+++ b/src/gate_poll.h
@@ -1,14 +1,14 @@
-/**
- * Reads the load reports of the engines that this gate watches, over a kept connection to each:
- * about every second, or in turn if that would be more than GATE_POLL_READS_MAX reads a second.
+/** Reads the load reports of the engines that this gate watches, over a persistent connection to
+ * each: each engine about once a second, or in turn if that would exceed GATE_POLL_READS_MAX reads
+ * per second.
  */
 #ifndef GATE_POLL_H
 #define GATE_POLL_H
 
 #include "gate.h"
 
-/** Reads a second in the mean of several seconds, whatever the number of engines, so that the bytes
- *  of control are bounded. */
+/** Reads per second, on average over several seconds and for any number of engines. Bounds the
+ * network traffic for control. */
 #define GATE_POLL_READS_MAX 32
 
 typedef struct GatePoll GatePoll;
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -45,7 +45,8 @@
   r->admitted = true;
   if (__atomic_add_fetch (&gate->in_flight, 1, __ATOMIC_ACQ_REL) > gate->settings.streams_max)
     return refuse (r, REASON_OVERLOAD, "request.admit");
-  /* Asked after the request was counted: a graceful stop sees either the count or is seen here. */
+  /* Checked after the request was counted in in_flight: either a graceful stop sees the count and
+     waits, or the check sees the stop. */
   reason = gate_admission (gate);
   if (reason != REASON_NONE)
     return refuse (r, reason, "request.admit");
@@ -96,8 +97,8 @@
   return reason == REASON_NONE || refuse (r, reason, "request.plan");
 }
 
-/* A caller-named session starts on the plan's last version: the row must be there before anything
-   is sent, and which stage of a cascade would pass is not known then. */
+/* Binds a new caller-named session to the plan's last version: the row must be written before
+   anything is sent, when it is not known yet which stage of a cascade will meet the target. */
 static bool
 start_named_session (GateRequest *r)
 {
@@ -106,9 +107,9 @@
   return gate_session_bind (r, version) && choose_versions (r);
 }
 
-/* True if a version of the plan is being rolled out: each of its answers is worth a rating, since
-   at a first stage of 1% of the callers a tenth of them would keep a bad version ten times as long.
- */
+/* True if a version of the plan is being rolled out. All answers of such a plan are rated: a
+   roll-out may start with 1% of the callers, and if only a tenth of their answers were rated, a bad
+   version would stay in use ten times as long. */
 static bool
 plan_has_rollout (const GateRequest *r)
 {
@@ -161,7 +162,8 @@
   const char *team = gate_request_team (r)->name;
   char key[REQUEST_KEY_MAX + 1 + 20];
 
-  /* A re-send is the same request only with the same body: otherwise one key would pay for many. */
+  /* A re-send is billed as the same request only if its body is the same. Otherwise one idempotency
+     key would cover the cost of many requests. */
   key[0] = '\0';
   if (r->key[0] != '\0')
     snprintf (key, sizeof (key), "%s.%016llx", r->key, (unsigned long long)body_hash (r));
@@ -225,7 +227,8 @@
   return result;
 }
 
-/* A prompt that crashes each server that runs it comes back with every re-send of its caller. */
+/* Refuses a request that has crashed servers before: its caller sends it again after each failure.
+ */
 static bool
 check_quarantine (GateRequest *r)
 {
--- a/src/gate_probe.c
+++ b/src/gate_probe.c
@@ -8,7 +8,7 @@
 
 #define PORT_SIZE 8
 
-/* The error of a connection that was begun, or 0: made, or not decided in time. */
+/* Error of a connection attempt in progress; 0 if it succeeded or did not finish in time. */
 static int
 connect_error (int fd, int timeout_ms)
 {
--- a/src/gate_probe.h
+++ b/src/gate_probe.h
@@ -1,13 +1,12 @@
-/**
- * Whether anything listens where a backend server should.
+/** Checks whether a backend server's port refuses connections.
  */
 #ifndef GATE_PROBE_H
 #define GATE_PROBE_H
 
 #include <stdbool.h>
 
-/** Connects once and closes. True only if the connection was refused: a server that is frozen or
- *  cut off is not known to be dead. Takes timeout_ms at most. */
+/** Connects once and closes the connection. True only if it was refused: a server that hangs or
+ * cannot be reached may still be alive. Takes at most timeout_ms. */
 bool gate_probe_refused (const char *address, int port, int timeout_ms);
 
 #endif
--- a/src/gate_rating.c
+++ b/src/gate_rating.c
@@ -4,10 +4,10 @@
 #include "util_counter.h"
 
 #define RATE_TIMEOUT_MS 2000
-#define DOWN_FAILURES   2
-#define DOWN_MS         5000
-#define FIRST_MS        50
-#define SMOOTHING       0.1
+#define DOWN_FAILURES   2    /* consecutive failures after which the service counts as down */
+#define DOWN_MS         5000 /* time for which cascades are then planned without ratings */
+#define FIRST_MS        50   /* assumed time of a rating until one has been measured */
+#define SMOOTHING       0.1  /* weight of the newest rating in the moving average */
 
 void
 gate_rating_init (GateRating *rating)
@@ -38,8 +38,9 @@
   return ms;
 }
 
-/* After two failures in a row cascades are planned without ratings for a while, where each would
-   otherwise wait for its time-out; samples go on asking and find the service back. */
+/* After two consecutive failures cascades are planned without ratings for DOWN_MS, since each
+   rating would otherwise wait for its time-out. Samples are still sent and detect that the service
+   is back. */
 static void
 record_result (GateRating *rating, bool rated, double ms)
 {
--- a/src/gate_raw.h
+++ b/src/gate_raw.h
@@ -1,19 +1,18 @@
-/**
- * Refusals of requests that have not come whole: libmicrohttpd takes no answer before a request's
- * end, so these go to the caller's socket directly. While a request is being read nothing else
- * writes to its socket.
+/** Refuses requests that have not arrived completely. libmicrohttpd accepts no response before the
+ * end of a request, so these refusals are written directly to the caller's socket. Nothing else
+ * writes to the socket while a request is being read.
  */
 #ifndef GATE_RAW_H
 #define GATE_RAW_H
 
 #include "gate_refusal.h"
 
-/** Adds the refusal as one HTTP answer that closes the connection. */
+/** Appends the refusal to out as an HTTP response with "Connection: close". */
 void gate_raw_answer (const Refusal *refusal, Buffer *out);
-/** Writes that answer to a socket. */
+/** Writes that response to a socket. */
 void gate_raw_refuse (int fd, const Refusal *refusal);
-/** Takes and drops what the caller still sends, for a bounded time: closing a socket with unread
- *  bytes resets the connection, and the refusal would be lost on its way. */
+/** Reads and drops what the caller still sends, for at most a second: closing a socket with unread
+ * bytes resets the connection, and the caller could lose the refusal. */
 void gate_raw_drain (int fd);
 
 #endif
--- a/src/gate_refusal.c
+++ b/src/gate_refusal.c
@@ -7,7 +7,7 @@
 
 typedef struct
 {
-  const char *name; /**< NULL: reason_name gives it */
+  const char *name; /**< NULL: use reason_name */
   int http_status;
   int64_t retry_after_ms;
   const char *text;
@@ -33,39 +33,39 @@
   [REASON_OVERLOAD] = { NULL, 503, 1 * SECONDS, "too many requests are in progress" },
   [REASON_QUARANTINED] = { NULL, 422, 0, "this request crashed backend servers before" },
   [REASON_NO_GRANT]
-  = { NULL, 503, 1 * SECONDS, "this VM can't show now that its configuration is fresh" },
+  = { NULL, 503, 1 * SECONDS, "this VM cannot confirm now that its configuration is current" },
   [REASON_STOPPING] = { NULL, 503, 1 * SECONDS, "this VM is stopping; another one answers" },
   [REASON_SPOOL_FULL] = { NULL, 503, 5 * SECONDS, "no room for further usage records" },
   [REASON_CLAIM_UNAVAILABLE]
-  = { NULL, 503, 2 * SECONDS, "no durable claim can be had now for a non-idempotent request" },
-  [REFUSAL_MALFORMED] = { "malformed", 400, 0, "the request can't be read" },
+  = { NULL, 503, 2 * SECONDS, "no durable claim can be made now for a non-idempotent request" },
+  [REFUSAL_MALFORMED] = { "malformed", 400, 0, "the request is invalid" },
   [REFUSAL_UNAUTHENTICATED] = { "unauthenticated", 401, 0, "no team has this key" },
   [REFUSAL_NO_ROUTE] = { "no_route", 404, 0, "nothing is served at this path" },
   [REFUSAL_METHOD] = { "method_not_allowed", 405, 0, "the path does not take this method" },
-  [REFUSAL_TOO_LARGE] = { "too_large", 413, 0, "the body is longer than this system takes" },
+  [REFUSAL_TOO_LARGE] = { "too_large", 413, 0, "the body is longer than this system accepts" },
   [REFUSAL_HEAD_TOO_LARGE]
-  = { "head_too_large", 431, 0, "the head is longer than this system takes" },
+  = { "head_too_large", 431, 0, "the head is longer than this system accepts" },
   [REFUSAL_READ_TIMEOUT]
   = { "read_timeout", 408, 1 * SECONDS, "the request took too long to arrive" },
   [REFUSAL_BAD_SESSION] = { "bad_session", 400, 0, "the session token is not one for this team" },
-  [REFUSAL_SESSION_UNAVAILABLE]
-  = { "session_unavailable", 503, 2 * SECONDS, "a caller-named session can't be looked up now" },
+  [REFUSAL_SESSION_UNAVAILABLE] = { "session_unavailable", 503, 2 * SECONDS,
+                                    "a caller-named session cannot be looked up or stored now" },
   [REFUSAL_CLAIM_IN_PROGRESS]
-  = { "claim_in_progress", 409, 2 * SECONDS, "another attempt under this key has started" },
+  = { "claim_in_progress", 409, 2 * SECONDS, "another attempt with this key has started" },
   [REFUSAL_CLAIM_NOT_KEPT]
-  = { "answer_not_kept", 409, 0, "the request ran under this key; its answer was not kept" },
+  = { "answer_not_kept", 409, 0, "the request ran with this key; its answer was not kept" },
   [REFUSAL_CLAIM_MISMATCH]
   = { "key_mismatch", 422, 0, "the idempotency key was used for another request" },
   [REFUSAL_NOT_TAKEN]
-  = { "not_taken", 503, 1 * SECONDS, "no backend server that was tried took the request" },
+  = { "not_taken", 503, 1 * SECONDS, "no backend server that was tried accepted the request" },
   [REFUSAL_BACKEND_REJECTED]
-  = { "backend_rejected", 502, 0, "the backend server refused the request as wrong" },
+  = { "backend_rejected", 502, 0, "the backend server rejected the request as invalid" },
   [REFUSAL_BACKEND_FAILED]
-  = { "backend_failed", 502, 1 * SECONDS, "the backend server gave no whole answer" },
+  = { "backend_failed", 502, 1 * SECONDS, "the backend server gave no complete answer" },
   [REFUSAL_ANSWER_TOO_LARGE]
-  = { "answer_too_large", 502, 0, "the answer is longer than this system holds" },
+  = { "answer_too_large", 502, 0, "the answer is longer than this system can store" },
   [REFUSAL_CALLER_LEFT] = { "caller_left", 499, 0, "the caller left before its answer began" },
-  [REFUSAL_INTERNAL] = { "internal", 500, 1 * SECONDS, "a fault of the router" },
+  [REFUSAL_INTERNAL] = { "internal", 500, 1 * SECONDS, "internal error of the router" },
 };
 
 static const RefusalEntry *
--- a/src/gate_refusal.h
+++ b/src/gate_refusal.h
@@ -1,6 +1,5 @@
-/**
- * Refusals: the one table that maps each reason to its HTTP status, its text and the time to come
- * back. A refusal is given at once.
+/** Refusals: the table that maps each reason to its HTTP status, text and retry time, and the JSON
+ * that callers get.
  */
 #ifndef GATE_REFUSAL_H
 #define GATE_REFUSAL_H
@@ -8,26 +7,27 @@
 #include "choose.h"
 #include "util_buffer.h"
 
-/** Reasons of the gate itself, counted on from those of the decision (Reason). */
+/** Reasons of the gate itself; their values follow those of Reason (choose.h). */
 typedef enum
 {
-  REFUSAL_MALFORMED = REASON_COUNT, /**< the body or a header can't be read */
+  REFUSAL_MALFORMED = REASON_COUNT, /**< the body or a header is invalid */
   REFUSAL_UNAUTHENTICATED,
   REFUSAL_NO_ROUTE,
   REFUSAL_METHOD,
   REFUSAL_TOO_LARGE,
   REFUSAL_HEAD_TOO_LARGE,
-  REFUSAL_READ_TIMEOUT,        /**< the request took too long to arrive */
-  REFUSAL_BAD_SESSION,         /**< the session token is not one of ours for this team */
-  REFUSAL_SESSION_UNAVAILABLE, /**< a caller-named session can't be looked up now */
-  REFUSAL_CLAIM_IN_PROGRESS,   /**< another attempt under the key has started */
-  REFUSAL_CLAIM_NOT_KEPT,      /**< it ran, but its answer was not kept */
-  REFUSAL_CLAIM_MISMATCH,      /**< the idempotency key belongs to another body */
-  REFUSAL_NOT_TAKEN,           /**< each backend server tried refused or could not be reached */
-  REFUSAL_BACKEND_REJECTED,    /**< the backend server found the request wrong */
-  REFUSAL_BACKEND_FAILED,      /**< sent to a backend server, which gave no whole answer */
+  REFUSAL_READ_TIMEOUT, /**< the request took too long to arrive */
+  REFUSAL_BAD_SESSION,  /**< the session token was not issued to this team, or the session's name is
+                           invalid */
+  REFUSAL_SESSION_UNAVAILABLE, /**< a caller-named session cannot be looked up or stored now */
+  REFUSAL_CLAIM_IN_PROGRESS,   /**< another request with the same idempotency key has started */
+  REFUSAL_CLAIM_NOT_KEPT,      /**< the request ran before, but its answer was not stored */
+  REFUSAL_CLAIM_MISMATCH,      /**< the idempotency key was used with another body */
+  REFUSAL_NOT_TAKEN, /**< every backend server tried refused the request or was unreachable */
+  REFUSAL_BACKEND_REJECTED, /**< the backend server rejected the request as invalid */
+  REFUSAL_BACKEND_FAILED,   /**< sent to a backend server that gave no complete answer */
   REFUSAL_ANSWER_TOO_LARGE,
-  REFUSAL_CALLER_LEFT, /**< nobody reads this one; it is counted and logged */
+  REFUSAL_CALLER_LEFT, /**< never delivered; only counted and logged */
   REFUSAL_INTERNAL,
   REFUSAL_COUNT
 } GateReason;
@@ -49,25 +49,26 @@
   RequestState state;
   char step[REFUSAL_STEP_MAX];
   char message[REFUSAL_MESSAGE_MAX];
-  int64_t retry_after_ms; /**< 0: coming back does not help */
+  int64_t retry_after_ms; /**< 0: retrying does not help */
 } Refusal;
 
-/** Lower-case name on the wire. */
+/** Name of the reason in JSON and metrics. */
 const char *refusal_name (int reason);
 int refusal_http_status (int reason);
 const char *refusal_text (int reason);
-/** Default time to come back in milliseconds; 0: coming back does not help. */
+/** Default retry time in milliseconds; 0: retrying does not help. */
 int64_t refusal_retry_after_ms (int reason);
 const char *request_state_name (RequestState state);
 
-/** Fills *refusal with the table's text, or with the formatted one if format is not NULL. */
+/** Fills *refusal, with the table's retry time. The message is the table's text if format is NULL,
+ * otherwise the formatted one. */
 void refusal_set (Refusal *refusal,
                   int reason,
                   RequestState state,
                   const char *step,
                   const char *format,
                   ...) __attribute__ ((format (printf, 5, 6)));
-/** Adds {"error":{…}}. */
+/** Appends {"error":{…}} to out. */
 void refusal_json (const Refusal *refusal, Buffer *out);
 
 #endif
--- a/src/gate_refused.c
+++ b/src/gate_refused.c
@@ -8,9 +8,9 @@
 
 static int64_t counts[REFUSAL_COUNT]; /* atomic */
 static int64_t log_second;            /* atomic */
-static int64_t log_lines;             /* atomic: in that second */
+static int64_t log_lines;             /* atomic: logged in log_second */
 
-/* A flood of refusals must not become a flood of lines. */
+/* Limits the log lines per second, so that many refusals do not flood the log. */
 static bool
 may_log (void)
 {
--- a/src/gate_refused.h
+++ b/src/gate_refused.h
@@ -6,9 +6,9 @@
 
 #include "gate_request.h"
 
-/** Counts r->refusal by its reason, and logs it unless many were logged this second. */
+/** Counts r->refusal by its reason and logs it, within a limit of lines per second. */
 void gate_refused_record (const GateRequest *r);
-/** Adds a "gate_refused_REASON count" line for each reason. */
+/** Appends a "gate_refused_REASON count" line for each reason to out. */
 void gate_refused_metrics (Buffer *out);
 
 #endif
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -1,4 +1,4 @@
-/* The later events of a streamed answer, and what happens when its caller leaves. */
+/* Relays the events of a streamed answer after the first ones, and handles callers that leave. */
 #include "gate_bill.h"
 #include "gate_learn.h"
 #include "gate_run.h"
@@ -8,8 +8,8 @@
 static void cancel (GateRequest *r);
 static void cut (GateRequest *r, const Status *st);
 
-/* Everything but the closing events has been passed on at once; these follow the durable usage
-   record, so that an answer which the caller holds whole is always billed. */
+/* All events but the closing ones have been relayed at once. These are relayed only after the usage
+   record is durable, so that a caller never has a complete answer that is not billed. */
 static void
 finish (GateRequest *r)
 {
@@ -71,8 +71,8 @@
   return true;
 }
 
-/* The caller of a claimed request has left: the engine's answer is read to its end and kept under
-   the claim, since running it again is forbidden. */
+/* The caller of a claimed request has left. The engine's answer is read to its end and stored with
+   the claim, since the request must not run a second time. */
 static void
 run_on (GateRequest *r)
 {
--- a/src/gate_reorder.h
+++ b/src/gate_reorder.h
@@ -1,6 +1,5 @@
-/**
- * Puts the chunks of a stream in the order of their sequence numbers: each chunk is given out
- * exactly once, and none before those in front of it. No I/O.
+/** Sorts the chunks of a stream by their sequence numbers: each chunk is returned exactly once, and
+ * only after all chunks with lower numbers. No I/O.
  */
 #ifndef GATE_REORDER_H
 #define GATE_REORDER_H
@@ -19,23 +18,23 @@
 
 typedef struct
 {
-  int64_t next; /**< number of the chunk that is given out next */
-  unsigned held;
+  int64_t next;                      /**< number of the chunk to return next */
+  unsigned held;                     /**< chunks in slots */
   ReorderSlot slots[REORDER_WINDOW]; /**< by number modulo the window */
 } Reorder;
 
 typedef enum
 {
   REORDER_TAKEN,
-  REORDER_DUPLICATE, /**< given out or held already; dropped */
+  REORDER_DUPLICATE, /**< returned or held already; dropped */
   REORDER_TOO_FAR    /**< the gap before it is larger than the window */
 } ReorderResult;
 
 ReorderResult reorder_push (Reorder *reorder, int64_t number, const char *data, size_t len);
-/** Takes the next chunk into *out (overwritten) and its number into *number; false: it has not
- *  come yet. */
+/** Moves the next chunk to *out (overwritten) and its number to *number. False: it has not arrived.
+ */
 bool reorder_pop (Reorder *reorder, Buffer *out, int64_t *number);
-/** True if chunks wait behind one that has not come. */
+/** True if chunks are held behind one that has not arrived. */
 bool reorder_has_gap (const Reorder *reorder);
 void reorder_free (Reorder *reorder);
 
--- a/src/gate_replicas.c
+++ b/src/gate_replicas.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define COPIES_WANTED   2
+#define COPIES_WANTED   2 /* other failure domains */
 #define COPY_TIMEOUT_MS 500
-#define MESSAGE_MAX     (512UL * 1024) /* bytes of records in one message */
+#define MESSAGE_MAX     (512UL * 1024) /* bytes; a message takes no more records beyond it */
 
 static void update_peers (Gate *gate);
 static bool copy_to (Gate *gate, GatePeer *peer, const char *const *records, size_t count);
@@ -46,7 +46,7 @@
   pthread_mutex_unlock (&replicas->lock);
 }
 
-/* Takes over the newest names; connections to peers that are still granted are kept. */
+/* Copies the peers of the newest grant; connections to peers that it still names are reused. */
 static void
 update_peers (Gate *gate)
 {
@@ -76,7 +76,8 @@
   replicas->peer_count = count;
 }
 
-/* One message of as many records as fit; returns how many they are, 0 if they were not taken. */
+/* Sends one message with as many records as fit. Returns their number, or 0 if they were not
+ * accepted. */
 static size_t
 send_batch (Gate *gate, GatePeer *peer, const char *const *records, size_t count)
 {
--- a/src/gate_request.c
+++ b/src/gate_request.c
@@ -210,7 +210,8 @@
   return true;
 }
 
-/* Who the caller is for a roll-out's buckets: what it says, or else its address. */
+/* Identifies the caller for the buckets of a roll-out: by its X-Lovage-Caller header, or else by
+   its IP address. */
 static bool
 read_caller (GateRequest *r)
 {
--- a/src/gate_request.h
+++ b/src/gate_request.h
@@ -1,5 +1,4 @@
-/**
- * One caller's request, from its headers to its end.
+/** One caller's request, from the arrival of its headers until it is freed.
  */
 #ifndef GATE_REQUEST_H
 #define GATE_REQUEST_H
@@ -17,15 +16,16 @@
 
 #define REQUEST_CALLER_MAX 128
 #define REQUEST_KEY_MAX    128 /**< idempotency key */
-/** A request that crashes the servers that run it takes down this many at most. */
+/** Backend servers that may break off their answers to one request before it is refused: a request
+ * that crashes each server that runs it takes down this many at most. */
 #define REQUEST_LOST_MAX 2
-/** In which other VMs hear that a server died: the request that was running there does not come
- * back before. */
+/** Time until the other VMs have the report of a server's death. A caller whose request was running
+ * there is told to retry no sooner. */
 #define REQUEST_DEATH_PROPAGATION_MS 3000
-/** Tries of one stage that may end unsent, such as at servers that refuse the connection: each
- * costs a round trip. */
+/** Attempts of one stage that may end without the request having been sent, for example because a
+ * server refuses the connection. Bounded because each costs a round trip. */
 #define REQUEST_UNSENT_MAX  16
-#define REQUEST_SESSION_MAX 64 /**< a caller's own name of a session */
+#define REQUEST_SESSION_MAX 64 /**< bytes of a session name chosen by the caller */
 
 typedef enum
 {
@@ -33,12 +33,12 @@
   REQUEST_SERVICE
 } RequestKind;
 
-/** How far the answer to the caller has come. */
+/** Progress of the answer to the caller. */
 typedef enum
 {
-  RELAY_OPEN,    /**< more pieces are to come */
-  RELAY_CLOSING, /**< the last bytes are in out; then the proper end */
-  RELAY_FAILING  /**< an error event is in out; then the connection is cut */
+  RELAY_OPEN,    /**< more events follow */
+  RELAY_CLOSING, /**< out holds the last bytes; the response then ends regularly */
+  RELAY_FAILING  /**< out holds an error event; the connection is then closed */
 } RelayPhase;
 
 typedef struct GateRequest
@@ -47,26 +47,27 @@
   struct MHD_Connection *connection;
   int fd; /**< the caller's socket */
   char id[ID_SIZE];
-  int64_t begun_ms; /**< boot-time clock: headers read */
+  int64_t begun_ms; /**< boot-time clock: when the request line was read */
   Refusal refusal;
 
   RequestKind kind;
-  char *method; /**< NULL until the headers were read */
-  char *path;   /**< as in the request line; services: what is sent to the backend server */
-  const char *content_type; /**< of the body, as the caller said */
+  char *method; /**< NULL until the headers have been read */
+  char
+      *path; /**< as in the request line; for plain services, the path sent to the backend server */
+  const char *content_type; /**< the caller's Content-Type header, or NULL */
   Buffer body;
   struct json_object *json;
-  bool stream; /**< the caller wants events */
+  bool stream; /**< the caller asked for a text/event-stream */
 
   GateSnapshot *snapshot;
   unsigned team;
   char asked[BILL_NAME_MAX];
   char key[REQUEST_KEY_MAX + 1]; /**< idempotency key; empty: none */
   char caller[REQUEST_CALLER_MAX + 1];
-  char session[SESSION_TOKEN_MAX]; /**< as given; empty: none */
+  char session[SESSION_TOKEN_MAX]; /**< X-Lovage-Session as received; empty: none */
   char session_version[SESSION_VERSION_MAX];
-  bool session_named;      /**< a name of the caller's own, kept in a row */
-  Idempotency idempotency; /**< as the caller's header says */
+  bool session_named;      /**< session is a name chosen by the caller, stored in a table row */
+  Idempotency idempotency; /**< from the X-Lovage-Idempotent header */
   bool idempotent;
   int64_t deadline_ms; /**< boot-time clock; 0: none */
   int service;         /**< index, or -1 */
@@ -74,55 +75,58 @@
   uint64_t caller_hash;
   uint64_t fingerprint; /**< of team and body; see choose_quarantine.h */
   ChoosePlan plan;
-  int previous_version; /**< whose answer did not pass in this cascade; -1: none */
-  bool rated;           /**< the present stage's answer is rated before it is passed on */
-  bool sampled;         /**< the answer goes to the rating service after the caller has it */
+  int previous_version; /**< index of the version whose answer missed the target in an earlier stage
+                           of this cascade; -1: none */
+  bool rated;           /**< the current stage's answer is rated before it is relayed */
+  bool sampled;         /**< the answer is rated after the caller has received it */
 
   bool admitted;
-  bool limited;           /**< holds a place by choose_limit */
-  bool borrowed;          /**< beyond its team's fair part: engines take it after other work */
-  int64_t limited_tokens; /**< that it was admitted for */
+  bool limited;           /**< holds a slot granted by choose_limit */
+  bool borrowed;          /**< beyond its team's fair share: engines run it after other work */
+  int64_t limited_tokens; /**< tokens reserved at admission */
   bool claimed;
   Claim claim;
   BillRecord bill;
   bool billed;
-  GateAttempt *attempt; /**< the one that answers, or is being tried */
+  GateAttempt *attempt; /**< the current attempt, or NULL */
   unsigned attempt_number;
-  uint8_t *excluded;       /**< by server index: tried already */
-  GateCancel cancel;       /**< answer to be ended at its engine when the caller has its refusal */
-  unsigned stage_attempts; /**< of the present stage, sent */
-  unsigned stage_unsent;   /**< of the present stage, that were not sent and cost no time */
-  bool retry_granted;      /**< by the budget, for an attempt that is not sent yet */
-  unsigned lost_answers;   /**< attempts whose server broke off the connection */
-  bool server_died;        /**< the last server broke off its answer and refuses connections */
-  bool may_have_run;       /**< some attempt may have run without an answer */
+  uint8_t *excluded; /**< by server index: 1 if already tried in this stage */
+  GateCancel cancel; /**< answer to cancel at its engine once the caller has its refusal */
+  unsigned
+      stage_attempts; /**< attempts of the current stage, without those counted in stage_unsent */
+  unsigned stage_unsent; /**< attempts of the current stage that were refused at once, unsent */
+  bool retry_granted;    /**< the budget has granted a retry that has not been sent yet */
+  unsigned lost_answers; /**< attempts that may have run and gave no complete answer */
+  bool server_died;      /**< a server broke off its answer and now refuses connections */
+  bool may_have_run;     /**< some attempt may have run without giving an answer */
 
   int http_status; /**< of the answer */
   char answer_type[64];
   Buffer out;  /**< bytes for the caller */
   size_t sent; /**< of out */
   RelayPhase phase;
-  Buffer kept;        /**< copy of the answer for the claim */
-  bool kept_overflow; /**< it is too long to be kept */
+  Buffer kept;        /**< copy of the answer, to be stored with the claim */
+  bool kept_overflow; /**< the answer is too long to be stored */
 } GateRequest;
 
-/** uri is as the caller sent it: neither decoded nor without its query. */
+/** uri is as the caller sent it: not decoded, and with its query. */
 GateRequest *gate_request_new (Gate *gate, struct MHD_Connection *connection, const char *uri);
-/** Reads route, headers and team; false: refused. */
+/** Reads route and headers and authenticates the team. False: r->refusal says why not. */
 bool gate_request_read_head (GateRequest *r, const char *method);
-/** Parses the body; false: refused. */
+/** Parses and checks the body. False: r->refusal says why not. */
 bool gate_request_read_body (GateRequest *r);
-/** True if the caller has closed its side. */
+/** True if the caller has closed its side of the connection. */
 bool gate_request_caller_left (const GateRequest *r);
-/** True if its deadline has passed and it may be ended: one with a claim runs on, so that a re-send
- *  finds its answer. */
+/** True if the deadline has passed and the request may be ended. Never true with a claim: such a
+ * request runs to its end, so that a re-send finds its answer. */
 bool gate_request_past_deadline (const GateRequest *r);
-/** True if it crashed backend servers before. */
+/** True if a request with the same fingerprint has crashed backend servers before. */
 bool gate_request_quarantined (const GateRequest *r);
-/** A refusal after a server's death: its client is told a time in which all VMs have the news. */
+/** After a server's death, raises the refusal's retry time to REQUEST_DEATH_PROPAGATION_MS, so that
+ * all VMs have the death report when the caller retries. */
 void gate_request_refused_by_death (GateRequest *r);
 const ConfigTeam *gate_request_team (const GateRequest *r);
-/** Ends what is still open: an unfinished answer is cancelled and billed. */
+/** Frees the request. An unfinished answer is cancelled and billed. */
 void gate_request_free (GateRequest *r);
 
 #endif
--- a/src/gate_respond.c
+++ b/src/gate_respond.c
@@ -53,7 +53,7 @@
   add_header (response, "X-Lovage-Config", number);
 }
 
-/* Which version answers, and the session that it opens. */
+/* Adds the version that answers and the session that is bound to it. */
 static void
 add_version (GateRequest *r, struct MHD_Response *response)
 {
--- a/src/gate_respond.h
+++ b/src/gate_respond.h
@@ -1,5 +1,4 @@
-/**
- * Hands answers and refusals to libmicrohttpd.
+/** Queues answers and refusals as libmicrohttpd responses.
  */
 #ifndef GATE_RESPOND_H
 #define GATE_RESPOND_H
@@ -7,13 +6,13 @@
 #include "gate_request.h"
 
 enum MHD_Result gate_respond_refusal (GateRequest *r);
-/** The whole answer in r->out. */
+/** Responds with the complete answer in r->out. */
 enum MHD_Result gate_respond_complete (GateRequest *r);
-/** r->out first, then what gate_run_next gives, each event flushed. */
+/** Responds with r->out and then with the events from gate_run_next, each flushed at once. */
 enum MHD_Result gate_respond_stream (GateRequest *r);
 
-/** libmicrohttpd counts the time that we wait for an engine as the caller's idleness; between
- *  these two calls it does not. */
+/** libmicrohttpd counts the time in which the gate waits for an engine towards the connection's
+ * idle time-out. Between these two calls the time-out is off. */
 void gate_respond_pause_timeout (GateRequest *r);
 void gate_respond_resume_timeout (GateRequest *r);
 unsigned gate_idle_timeout_s (const Gate *gate);
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -13,11 +13,11 @@
 #define SERVICE_ANSWER_MAX (16UL * 1024 * 1024)
 #define READ_SIZE          4096
 
-/** How one stage went. */
+/** Result of one stage of a plan. */
 typedef enum
 {
   STAGE_STREAMING, /**< the first events are in r->out */
-  STAGE_COMPLETE,  /**< the whole answer was collected */
+  STAGE_COMPLETE,  /**< the complete answer was collected */
   STAGE_FAILED,
   STAGE_CALLER_LEFT
 } StageResult;
@@ -26,9 +26,9 @@
 static RunResult run_chat (GateRequest *r);
 static RunResult run_service (GateRequest *r);
 
-/* Reads an engine's answer to its first event, or to its end if it is collected. A deadline that
-   passes ends what nobody has seen yet, unless the request holds a claim: that one runs on, so that
-   a re-send finds its answer. */
+/* Reads an engine's answer up to its first event, or to its end if it is collected. If the deadline
+   passes while an answer is collected, it is cut, unless the request has a claim and so must run to
+   its end. */
 static StreamResult
 read_answer (GateRequest *r, bool collect, Status *st)
 {
@@ -48,8 +48,9 @@
   return result;
 }
 
-/* The engine's answer was cut for good. True if the stage may be tried at another server: nothing
-   has reached the caller, and the request may run again. */
+/* The answer was cut and could not be resumed; the caller has received nothing of it. True if the
+   request may be tried at another server, that is, if it is idempotent and its deadline has not
+   passed. */
 static bool
 retry_after_cut (GateRequest *r, const Status *st)
 {
@@ -97,8 +98,8 @@
   return STAGE_FAILED;
 }
 
-/* True if the collected answer meets the target. A rating service that can't be reached gives no
-   reason to pass an answer on: the caller gets the last stage's. */
+/* True if the collected answer meets the quality target. Without a rating it does not: the caller
+   then gets the answer of a later stage. */
 static bool
 meets_target (GateRequest *r)
 {
@@ -144,7 +145,8 @@
   return RUN_STREAM;
 }
 
-/* True if the next stage may still answer: nothing forbids running the request (again). */
+/* True if the next stage may run after one failed: the request has not run yet or is idempotent,
+   and neither a passed deadline nor a missing grant forbids it. */
 static bool
 next_stage_may_run (const GateRequest *r)
 {
@@ -189,7 +191,7 @@
   return RUN_REFUSED;
 }
 
-/* A plain service's answer is read whole before its usage record is written. */
+/* A plain service's answer is read completely before its usage record is written. */
 static bool
 read_service (GateRequest *r, Status *st)
 {
--- a/src/gate_sample.c
+++ b/src/gate_sample.c
@@ -48,7 +48,7 @@
   free (s);
 }
 
-/* The next sample, or NULL when the thread shall end. */
+/* Waits for the next sample. NULL: the thread is to end. */
 static Sample *
 take (GateSample *sample)
 {
@@ -130,7 +130,8 @@
   return ldexp ((double)(id_random_u64 () >> 11), -53) < share;
 }
 
-/* The class, or for a caller that named a model that model: the service may rate by it. */
+/* Name that the rating service gets as the class: the quality class or, if the caller asked for a
+   model, that model. */
 static const char *
 class_name (const GateRequest *r)
 {
--- a/src/gate_sample.h
+++ b/src/gate_sample.h
@@ -1,7 +1,6 @@
-/**
- * Sends a share of the answers to the rating service after their callers have them, so that what is
- * known of a version stays fresh where no stage is rated. Bounded: when the service is slow,
- * samples are dropped.
+/** Sends a sample of the answers to the rating service after their callers have received them, so
+ * that the quality estimates of versions stay current where no cascade stage is rated. The queue is
+ * bounded: if the service is slow, samples are dropped.
  */
 #ifndef GATE_SAMPLE_H
 #define GATE_SAMPLE_H
@@ -11,16 +10,16 @@
 struct Gate;
 struct GateRequest;
 
-#define SAMPLE_TEXT_MAX (256UL * 1024) /**< longer answers are not sampled */
+#define SAMPLE_TEXT_MAX (256UL * 1024) /**< bytes; longer answers are not sampled */
 
 typedef struct GateSample GateSample;
 
 GateSample *gate_sample_start (struct Gate *gate);
-/** Drops what waits and ends. */
+/** Drops the queued samples and ends the thread. */
 void gate_sample_stop (GateSample *sample);
-/** True for sample_share of the calls. */
+/** Random: true with a probability of settings.sample_share. */
 bool gate_sample_draw (GateSample *sample);
-/** Takes the text of r->attempt's answer. */
+/** Queues a copy of r->attempt's answer to be rated. */
 void gate_sample_add (GateSample *sample, struct GateRequest *r);
 
 #endif
--- a/src/gate_servers.c
+++ b/src/gate_servers.c
@@ -8,10 +8,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between a aborted answer and the refused connection that shows its server dead. */
+/* Longest time between an aborted answer and the refused connection that shows that its server
+ * died. */
 #define DEATH_WINDOW_MS   5000
-#define BUSY_PAUSE_MS     100
-#define LATENCY_SMOOTHING 0.1
+#define BUSY_PAUSE_MS     100 /* no new requests for so long after the server said that it is busy */
+#define LATENCY_SMOOTHING 0.1 /* weight of the newest value in the moving averages */
 
 static GateServer *server_find (GateServers *servers, const char *name);
 static GateServer *server_new (GateServers *servers, const char *name);
@@ -111,7 +112,7 @@
   pthread_mutex_unlock (&server->lock);
 }
 
-/* Under the lock. One that was not sent, or found no place, has no entry. */
+/* The lock must be held. A request that was not sent, or found all entries used, has none. */
 static void
 running_end (GateServer *server, uint64_t fingerprint)
 {
@@ -140,8 +141,8 @@
   pthread_mutex_unlock (&server->lock);
 }
 
-/* A refused connection opens the breaker at once: nothing listens there, and each further attempt
-   would only cost its caller time. */
+/* A refused connection opens the circuit breaker at once: nothing listens there, and further
+   attempts would only cost callers time. */
 static void
 view_unreachable (ServerView *view, int64_t now_ms)
 {
@@ -171,9 +172,11 @@
     death->flights[death->count++] = fingerprint;
 }
 
-/* Under the lock: a connection was refused. If answers were aborted off shortly before, the server
-   has died under them, and under those whose threads have not noticed yet: told one by one they
-   would let the first look like the cause. A server that was stopped or cut off broke none off. */
+/* Called with the lock held after a connection was refused. If answers were broken off shortly
+   before, the server died while it ran them. All requests in progress there are added to the
+   report, also those whose threads have not noticed the death yet: reported one by one, the first
+   would look like the cause. A server that was stopped or became unreachable has broken off no
+   answers. */
 static bool
 find_death (GateServer *server, int64_t now_ms, QuarantineDeath *death)
 {
@@ -195,7 +198,8 @@
   return true;
 }
 
-/* Under the lock: true for the first sighting of a death; others only add to what ran there. */
+/* The lock must be held. True for the first report of a death; later ones within DEATH_WINDOW_MS
+   only add requests to it. */
 static bool
 is_first_report (GateServer *server, int64_t now_ms)
 {
@@ -289,8 +293,8 @@
   pthread_mutex_lock (&server->lock);
   load_report (&server->history, &server->view, load, at_ms, now_ms);
   server->view.draining = draining;
-  /* A server that was away and reports again is tried at once. One that reports but fails its
-     attempts stays closed until the breaker's time is over. */
+  /* A server that was unreachable and reports again is tried at once. For one that reports but
+     fails its attempts the breaker stays open until its time is over. */
   if (server->report_missed)
     breaker_success (&server->view);
   server->died_ms = 0;
--- a/src/gate_session.c
+++ b/src/gate_session.c
@@ -21,7 +21,7 @@
   if (strlen (r->session) > REQUEST_SESSION_MAX || strchr (r->session, '/') != NULL)
     {
       refusal_set (&r->refusal, REFUSAL_BAD_SESSION, REQUEST_NOT_RUN, STEP,
-                   "a session's name has at most %d bytes and no '/'", REQUEST_SESSION_MAX);
+                   "a session's name may have at most %d bytes and no '/'", REQUEST_SESSION_MAX);
       return false;
     }
   r->session_named = true;
@@ -30,10 +30,9 @@
   return true;
 }
 
-/*
- * Written before anything is sent: if the row came after the answer, a table that is away then
- * would leave a session that has started on a version which nobody remembers. A row that another
- * request of the session wrote meanwhile wins.
+/* The row is written before anything is sent. If it were written after the answer and the table
+ * service failed then, the session would have started on a version that is recorded nowhere. If
+ * another request of the session has written the row meanwhile, that row applies.
  */
 bool
 gate_session_bind (GateRequest *r, unsigned version)
--- a/src/gate_snapshot.c
+++ b/src/gate_snapshot.c
@@ -62,8 +62,8 @@
   free (snapshot);
 }
 
-/* The pointer is stored and loaded with the compiler's atomics in place of liburcu's macros, which
-   ThreadSanitizer can't see through; the grace period is liburcu's. */
+/* The pointer is stored and loaded with the compiler's atomics instead of liburcu's macros, which
+   ThreadSanitizer does not understand; the grace period is liburcu's. */
 void
 gate_snapshot_publish (GateSnapshots *snapshots, GateSnapshot *snapshot)
 {
--- a/src/gate_snapshot.h
+++ b/src/gate_snapshot.h
@@ -1,7 +1,6 @@
-/**
- * The configuration in force in this gate, with brakes and backend servers, published by RCU: a
- * request holds a reference for its whole life, and checks directly before its last byte is sent
- * against the newest one.
+/** Snapshot of the configuration in force in this gate, with brakes and backend servers, published
+ * by RCU. A request keeps the snapshot that it started with; immediately before its last byte is
+ * sent it is checked against the newest one.
  */
 #ifndef GATE_SNAPSHOT_H
 #define GATE_SNAPSHOT_H
@@ -13,7 +12,7 @@
 
 typedef struct
 {
-  int refs; /**< use gate_snapshot_get and gate_snapshot_put */
+  int refs; /**< atomic; see gate_snapshot_get and gate_snapshot_put */
   Config *config;
   bool *braked;         /**< by version index */
   GateServer **servers; /**< by server index */
@@ -22,17 +21,18 @@
 
 typedef struct
 {
-  GateSnapshot *newest; /**< read under rcu_read_lock; NULL until the first configuration came */
+  GateSnapshot
+      *newest; /**< read under rcu_read_lock; NULL until the first configuration is in force */
 } GateSnapshots;
 
-/** Takes over the caller's reference of config; braked is copied (version_count entries). */
+/** Takes over the caller's reference to config and copies braked (version_count entries). */
 GateSnapshot *gate_snapshot_new (Config *config, const bool *braked, GateServers *servers);
-/** Makes snapshot the newest and drops the one before it. The number only ever rises. Called by
- *  one thread only. */
+/** Makes snapshot the newest and releases the previous one, whose configuration number must not be
+ * higher. Called by one thread only. */
 void gate_snapshot_publish (GateSnapshots *snapshots, GateSnapshot *snapshot);
-/** The newest with a reference, or NULL. */
+/** Returns the newest snapshot with a new reference, or NULL. */
 GateSnapshot *gate_snapshot_get (GateSnapshots *snapshots);
-/** A further reference of one that the caller holds. */
+/** Takes another reference to a snapshot that the caller holds. */
 GateSnapshot *gate_snapshot_ref (GateSnapshot *snapshot);
 void gate_snapshot_put (GateSnapshot *snapshot);
 /** Registers the calling thread with RCU until it ends; may be called again. */
--- a/src/gate_sse.c
+++ b/src/gate_sse.c
@@ -19,7 +19,8 @@
   buffer_add (&parser->pending, data, len);
 }
 
-/* Length of the first event with its closing empty line, or 0; *body is its length without it. */
+/* Length of the first event including the empty line that ends it, or 0 if it is incomplete; *body
+   is its length without that line. */
 static size_t
 event_length (const Buffer *buf, size_t *body)
 {
--- a/src/gate_sse.h
+++ b/src/gate_sse.h
@@ -1,5 +1,4 @@
-/**
- * Splits the bytes of a text/event-stream into its events. No I/O.
+/** Parses a text/event-stream into events. No I/O.
  */
 #ifndef GATE_SSE_H
 #define GATE_SSE_H
@@ -12,15 +11,15 @@
 
 typedef struct
 {
-  int64_t id; /**< -1: the event has none */
+  int64_t id; /**< -1: the event has no id */
   char name[SSE_EVENT_NAME_MAX];
   Buffer data; /**< lines joined by '\n' */
 } SseEvent;
 
 typedef struct
 {
-  Buffer pending;   /**< bytes of an event that has not ended */
-  size_t event_max; /**< bytes of one event; a longer one is an error */
+  Buffer pending;   /**< bytes of an incomplete event */
+  size_t event_max; /**< longest incomplete event in bytes; a longer one is an error */
   bool malformed;
 } SseParser;
 
@@ -28,14 +27,14 @@
 {
   SSE_NONE, /**< more bytes are needed */
   SSE_EVENT,
-  SSE_MALFORMED /**< an id that is no number, or an event too long */
+  SSE_MALFORMED /**< an id that is not a number, or an event that is too long */
 } SseResult;
 
 void sse_parser_init (SseParser *parser, size_t event_max);
 void sse_parser_feed (SseParser *parser, const char *data, size_t len);
-/** Takes the next whole event; *event is overwritten, its data buffer reused. */
+/** Moves the next complete event to *event, which is overwritten; its data buffer is reused. */
 SseResult sse_parser_next (SseParser *parser, SseEvent *event);
-/** Forgets what is pending, e.g. before a resumed stream's bytes. */
+/** Discards pending bytes and clears an error, e.g. before a resumed stream. */
 void sse_parser_reset (SseParser *parser);
 void sse_parser_free (SseParser *parser);
 void sse_event_free (SseEvent *event);
--- a/src/gate_stream.c
+++ b/src/gate_stream.c
@@ -6,10 +6,10 @@
 #define EVENT_SIZE_MAX (256UL * 1024)
 #define DONE_MARK      "[DONE]"
 
-/** What became of one step towards the next chunk. */
+/** Result of one step towards the next chunk. */
 typedef enum
 {
-  STEP_AGAIN, /**< look for a chunk again */
+  STEP_AGAIN, /**< check again whether the next chunk is available */
   STEP_CUT,
   STEP_CALLER_LEFT
 } StreamStep;
@@ -42,8 +42,8 @@
   answer_free (&stream->answer);
 }
 
-/* A gap or a cut: the missing chunks are asked for by number. Without this a chunk lost between the
-   engine and us would leave a hole in an answer that looks whole. */
+/* Requests the missing chunks by number after a gap or a lost connection. Without this a chunk lost
+   on the way from the engine would be missing in an answer that looks complete. */
 static StreamStep
 resume (GateStream *stream, Status *st)
 {
@@ -80,7 +80,7 @@
   if (stream->ops->caller_left (stream->context))
     return STEP_CALLER_LEFT;
   if (len == 0)
-    status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream ended before its answer did");
+    status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream ended before its answer was complete");
   return resume (stream, st);
 }
 
@@ -109,7 +109,7 @@
   switch (reorder_push (&stream->reorder, event->id, event->data.data, event->data.len))
     {
     case REORDER_TOO_FAR:
-      status_set (st, STATUS_UNKNOWN, STEP, NULL, "chunk %lld came while %lld is missing",
+      status_set (st, STATUS_UNKNOWN, STEP, NULL, "received chunk %lld while %lld is missing",
                   (long long)event->id, (long long)stream->reorder.next);
       return resume (stream, st);
     case REORDER_DUPLICATE:
@@ -129,7 +129,7 @@
     case SSE_EVENT:
       return take_event (stream, st);
     case SSE_MALFORMED:
-      status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream's events can't be read");
+      status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream's events are malformed");
       return resume (stream, st);
     case SSE_NONE:
       break;
@@ -137,7 +137,7 @@
   return read_more (stream, st);
 }
 
-/* One "data:" line for each line of the chunk. */
+/* Writes one "data:" line for each line of the chunk. */
 static void
 add_data (Buffer *to, const Buffer *chunk)
 {
@@ -157,7 +157,9 @@
   buffer_add (to, "\n", 1);
 }
 
-/* Passes on one chunk in order; from the finish reason on they are kept back for the end. */
+/* Takes the next chunk in order and writes it to out; from the one with the finish reason on,
+   chunks are held back in stream->closing. *emitted: whether a chunk was written to out. False: *st
+   has the error. */
 static bool
 emit_chunk (GateStream *stream, Buffer *out, bool *emitted, Status *st)
 {
--- a/src/gate_stream.h
+++ b/src/gate_stream.h
@@ -1,7 +1,7 @@
-/**
- * One model engine's answer as an ordered stream: chunks come out exactly once and in order, a gap
- * or a cut is resumed by sequence number, and only a whole answer ends properly. The engine is
- * reached through a table of function pointers, so that tests drive it without I/O.
+/** One model engine's answer as an ordered stream: each chunk is returned exactly once and in
+ * order, the stream is resumed by sequence number after a gap or a lost connection, and STREAM_END
+ * is returned only for a complete answer. The engine is accessed through a table of function
+ * pointers, so that tests run without I/O.
  */
 #ifndef GATE_STREAM_H
 #define GATE_STREAM_H
@@ -11,27 +11,27 @@
 #include "gate_sse.h"
 #include "util_status.h"
 
-#define STREAM_RESUMES_MAX 3
+#define STREAM_RESUMES_MAX 3 /**< per answer */
 
 typedef struct
 {
   /** As http_exchange_read. */
   long (*read) (void *context, char *data, size_t len, Status *st);
-  /** Gives up the present connection and opens the stream again from a chunk's number.
+  /** Closes the current connection and reopens the stream from chunk number from.
    *  STATUS_NOT_FOUND: the engine no longer has it. */
   StatusCode (*resume) (void *context, int64_t from, Status *st);
-  /** True if nobody waits for the answer any more. */
+  /** True if the caller has left and nobody waits for the answer any more. */
   bool (*caller_left) (void *context);
-  /** Waits before the n-th resumption, n from 0. */
+  /** Waits before the n-th resumption, counted from 0. */
   void (*pause) (void *context, unsigned n);
 } GateStreamOps;
 
 typedef enum
 {
-  STREAM_CHUNK,      /**< an event to be passed on at once */
-  STREAM_END,        /**< whole; the closing events, to be passed on after the bill is durable */
-  STREAM_CUT,        /**< no whole answer can be had */
-  STREAM_CALLER_LEFT /**< nobody waits for it */
+  STREAM_CHUNK, /**< an event to relay at once */
+  STREAM_END,   /**< complete; the closing events, to relay after the usage record is durable */
+  STREAM_CUT,   /**< the answer cannot be completed; *st says why */
+  STREAM_CALLER_LEFT /**< GateStreamOps.caller_left returned true */
 } StreamResult;
 
 typedef struct
@@ -49,7 +49,7 @@
 } GateStream;
 
 void gate_stream_init (GateStream *stream, const GateStreamOps *ops, void *context);
-/** Adds the next events' bytes to *out. */
+/** Appends the bytes of the next events to *out. */
 StreamResult gate_stream_next (GateStream *stream, Buffer *out, Status *st);
 void gate_stream_free (GateStream *stream);
 
--- a/src/gate_sweep.c
+++ b/src/gate_sweep.c
@@ -15,9 +15,9 @@
 
 typedef enum
 {
-  SWEEP_CONNECTED, /**< nothing of a request has come */
-  SWEEP_READING,
-  SWEEP_WORKING,
+  SWEEP_CONNECTED, /**< nothing of the first request has arrived */
+  SWEEP_READING,   /**< a request is arriving */
+  SWEEP_WORKING,   /**< a request is being answered, or the connection has been shut down */
   SWEEP_IDLE
 } SweepState;
 
--- a/src/gate_sweep.h
+++ b/src/gate_sweep.h
@@ -1,6 +1,6 @@
-/**
- * Bounds the time in which a caller's request must arrive: callers that send a byte now and then
- * would hold a thread for ever, since each byte restarts libmicrohttpd's own timeout.
+/** Closes connections whose request takes too long to arrive. A thread checks all connections at
+ * regular intervals. libmicrohttpd's own time-out is not enough: each byte restarts it, so a caller
+ * that sends a byte now and then could occupy a thread for ever.
  */
 #ifndef GATE_SWEEP_H
 #define GATE_SWEEP_H
@@ -16,13 +16,14 @@
 
 SweepEntry *gate_sweep_add (GateSweep *sweep, int fd);
 void gate_sweep_remove (GateSweep *sweep, SweepEntry *entry);
-/** A request has begun to arrive. */
+/** Call when a request has begun to arrive. */
 void gate_sweep_reading (GateSweep *sweep, SweepEntry *entry);
-/** The request is here; its time is bounded elsewhere. */
+/** Call when the request has arrived; its time is limited elsewhere. */
 void gate_sweep_working (GateSweep *sweep, SweepEntry *entry);
-/** Connections whose request is on its way or being answered: all but idle ones. */
+/** Number of connections that are not idle: nothing, or a part of a request, has arrived, or a
+ * request is being answered. */
 size_t gate_sweep_open (GateSweep *sweep);
-/** The connection waits for its next request. */
+/** Call when the request has been answered and the connection waits for the next one. */
 void gate_sweep_idle (GateSweep *sweep, SweepEntry *entry);
 
 #endif
--- a/src/gate_thread.h
+++ b/src/gate_thread.h
@@ -6,7 +6,7 @@
 
 #include <pthread.h>
 
-/** A thread that can't be had ends the program. */
+/** Starts a joinable thread with a small stack; ends the program if it cannot be created. */
 void gate_thread_start (pthread_t *thread, void *(*run) (void *context), void *context);
 
 #endif
--- a/src/gate_watch.c
+++ b/src/gate_watch.c
@@ -12,10 +12,10 @@
 #define CANCEL_TIMEOUT_MS 1000
 #define CANCEL_ANSWER_MAX 4096
 #define ADDRESS_MAX       64
-#define UNRESPONSIVE_MAX  16
+#define UNRESPONSIVE_MAX  16 /* engines remembered */
 #define UNRESPONSIVE_MS   5000
 
-/** One engine to be cancelled, copied so that the lock isn't held meanwhile. */
+/** An answer to cancel at its engine, copied so that the lock is not held during the call. */
 typedef struct
 {
   char address[ADDRESS_MAX];
@@ -23,7 +23,7 @@
   char id[WATCH_ID_MAX];
 } Cancel;
 
-/** Engines that lately did not answer. */
+/** Engines that recently did not respond to a cancellation. */
 typedef struct
 {
   Cancel engines[UNRESPONSIVE_MAX];
@@ -87,7 +87,7 @@
   return cancelled;
 }
 
-/* Notes and tells whether the entry's answer is to be ended, once. */
+/* True, once per entry, if its answer must be cancelled; records why in the entry. */
 static bool
 must_cancel (WatchEntry *entry, int64_t now_ms)
 {
@@ -141,8 +141,9 @@
   return false;
 }
 
-/* An engine that hangs would hold the watch for a second for each of its callers that leave, and
-   with it the callers of all others; it is left alone for a while. */
+/* An engine that hangs would block the watch thread for a second for each of its callers that
+   leave, and so delay the cancellations at all other engines. It gets no cancellations for
+   UNRESPONSIVE_MS. */
 static void
 cancel_at (UnresponsiveEngines *unresponsive, const Cancel *cancel)
 {
--- a/src/gate_watch.h
+++ b/src/gate_watch.h
@@ -1,7 +1,7 @@
-/**
- * Notices callers that leave while their request waits for an engine, and deadlines that pass
- * before anything of the answer was passed on, and has the engine end its answer: the thread of the
- * request is blocked in a read and could not. The engine's end of the stream then wakes it.
+/** A thread that detects callers that leave while their request waits for an engine, and deadlines
+ * that pass before any part of the answer was relayed, and cancels the answer at the engine. The
+ * request's own thread cannot do this while it is blocked in a read; when the engine ends the
+ * stream, that read returns.
  */
 #ifndef GATE_WATCH_H
 #define GATE_WATCH_H
@@ -21,9 +21,9 @@
   char id[WATCH_ID_MAX]; /**< of the attempt */
   const ConfigServer *config_server;
   int64_t deadline_ms; /**< boot-time clock; 0: none */
-  bool relayed;        /**< atomic: the caller has a part of the answer; the deadline is met */
-  bool past_deadline;  /**< the engine was told because of the deadline; the watch thread's own */
-  bool caller_left;    /**< atomic: the caller has left, and the engine was told */
+  bool relayed;        /**< atomic: part of the answer was relayed, so the deadline is met */
+  bool past_deadline;  /**< cancelled because of the deadline; used by the watch thread only */
+  bool caller_left;    /**< atomic: cancelled because the caller has left */
 } WatchEntry;
 
 typedef struct
@@ -36,17 +36,18 @@
 
 void gate_watch_start (GateWatch *watch);
 void gate_watch_stop (GateWatch *watch);
-/** The entry is the caller's; what it points to must stay until it is removed. */
+/** The caller of this function owns the entry; it and what it points to must stay valid until it is
+ * removed. */
 void gate_watch_add (GateWatch *watch, WatchEntry *entry);
 void gate_watch_remove (GateWatch *watch, WatchEntry *entry);
-/** A part of the answer goes to the caller. */
+/** Records that part of the answer is being relayed to the caller. */
 void gate_watch_set_relayed (WatchEntry *entry);
 bool gate_watch_is_relayed (const WatchEntry *entry);
-/** True if the watch has seen the caller leave. */
+/** True if the watch thread has seen the caller leave. */
 bool gate_watch_caller_left (const WatchEntry *entry);
-/** True if the caller at the other end of the socket has closed its side. */
+/** True if the peer has closed its side of the socket; makes a system call. */
 bool gate_watch_socket_closed (int fd);
-/** Tells an engine to end an answer; bounded in time. False: it did not answer. */
+/** Cancels an answer at its engine, within a bounded time. False: the engine did not respond. */
 bool gate_watch_cancel (const char *address, int port, const char *id);
 
 #endif
--- a/tests/fake_gate.c
+++ b/tests/fake_gate.c
@@ -100,7 +100,8 @@
   gate->link = fake_link_new (site->platform);
   fake_link_set (gate->link, calls, LINK_REFUSED);
   gate->group = platform_group_new (gate->link, 0, 64, 1000);
-  /* Faults come and go far faster than in life: each call is to meet them. */
+  /* Faults come and go much faster than in production, so the table service must never count as
+   * down. */
   platform_group_set_failure_threshold (gate->group, 0);
   options.platform = gate->link;
   options.group = gate->group;
--- a/tests/fake_gate.h
+++ b/tests/fake_gate.h
@@ -1,6 +1,5 @@
-/**
- * Gates that write usage records, and a steward that settles those of gates that are gone, over an
- * in-memory platform.
+/** Fake gates that write usage records, and a steward that recovers the records of dead gates, with
+ * an in-memory platform.
  */
 #ifndef FAKE_GATE_H
 #define FAKE_GATE_H
@@ -26,29 +25,32 @@
 
 FakeSite fake_site_new (void);
 void fake_site_free (FakeSite *site);
-/** Settles the records of every gate but `alive`, in every place that stewards look at. */
+/** Writes to the table all records left by gates other than `alive`, from the replica and the
+ * objects. */
 void fake_site_settle (FakeSite *site, const FakeGate *alive);
-/** Reads the bill of a key; false if there is none. */
+/** Reads the usage record of a key; false if there is none. */
 bool fake_site_bill (FakeSite *site, const char *key, BillRecord *out);
 
-/** A gate whose row in the table is written. */
+/** A gate; waits until its row in the table is written. */
 FakeGate *fake_gate_new (FakeSite *site, uint64_t incarnation, size_t spool_max);
-/** A gate that starts while calls of these kinds are refused; does not wait for its row. */
+/** A gate that starts while calls of these kinds (CALL_*) are refused; does not wait for its row.
+ */
 FakeGate *
 fake_gate_new_disconnected (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls);
-/** Ends it within timeout_ms; 0 drops what is in its memory. Returns the records left. */
+/** Ends the gate within timeout_ms; with 0 the records in its memory are dropped. Returns the
+ * number of records left. */
 size_t fake_gate_free (FakeGate *gate, int timeout_ms);
 /** Waits until all its records are in the table. */
 bool fake_gate_wait_settled (FakeGate *gate);
 
 /** Commits the record of request n without a claim. */
 BillPlace fake_gate_commit (FakeGate *gate, int n);
-/** True if request n is billed with its own cost. */
+/** True if the table has the record of request n with the right cost. */
 bool fake_site_is_billed (FakeSite *site, int n);
-/** Cuts the gate off and ends it without a chance to write anything. */
+/** Disconnects the gate and ends it, so that it writes nothing more. */
 void fake_gate_kill (FakeGate *gate);
 
-/** Request number n, with cost n + 0.25: sums show what was lost or doubled. */
+/** Record of request n, with cost n + 0.25, so that sums of costs show lost or doubled records. */
 BillRecord fake_bill (int n);
 double fake_bill_cost (const BillRecord *record);
 
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -47,7 +47,8 @@
     }
 }
 
-/* Body bytes and whether the request is whole; false as long as its head is not. */
+/* Sets the number of body bytes and whether the request is complete; false while its head is not.
+ */
 static bool
 measure (const Buffer *in, size_t *body, bool *whole)
 {
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -1,5 +1,5 @@
-/** Evidence for the steward, and what a gate knows of servers: src/gate_evidence.c, gate_servers.c.
- */
+/** Evidence for the steward, and the state of backend servers: src/gate_evidence.c,
+ * src/gate_servers.c. */
 #include "gate.h"
 #include "gate_deaths.h"
 #include "gate_evidence.h"
@@ -12,9 +12,9 @@
 static const EvidenceKey key = { .team = "tender", .model = "draft", .version = "v7" };
 static const EvidenceKey other = { .team = "branch", .model = "draft", .version = "v7" };
 
-/** Each report holds what came since the last one, by team, with callers notified apart. */
+/** Each report covers the time since the last one, by team, and counts distinct callers. */
 static void
-test_reports (void)
+test_report_since_last (void)
 {
   GateEvidence *evidence = gate_evidence_new ();
   rpc_evidence out[4];
@@ -42,9 +42,9 @@
   gate_evidence_free (evidence);
 }
 
-/** A steward that is away for a moment: nothing is lost, and nothing sent twice. */
+/** Entries that did not reach the steward are put back: none is lost, and none is sent twice. */
 static void
-test_put_back (void)
+test_put_back_entries_are_sent_once (void)
 {
   GateEvidence *evidence = gate_evidence_new ();
   rpc_evidence out[4];
@@ -63,9 +63,9 @@
   gate_evidence_free (evidence);
 }
 
-/** More callers than are notified apart: the count stays at its bound. */
+/** With more distinct callers than the table holds, the count stays at its bound. */
 static void
-test_many_callers (void)
+test_caller_count_is_bounded (void)
 {
   GateEvidence *evidence = gate_evidence_new ();
   rpc_evidence out[1];
@@ -93,12 +93,12 @@
   return server;
 }
 
-/*
- * An engine's process has died; each request that is sent there loses time until its breaker opens.
- * A refused connection stops new work at once, and the first report after it is back lets it in.
+/* When an engine's process has died, each request sent there loses time until the breaker opens. A
+ * refused connection opens it at once, and the first load report after the engine's return closes
+ * it.
  */
 static void
-test_refused_connection (void)
+test_refused_connection_opens_breaker (void)
 {
   GateServers servers;
   Config config;
@@ -119,8 +119,8 @@
   gate_server_put (server);
 }
 
-/** An engine that reports well but cuts its answers stays closed until the breaker's time is over.
- */
+/** For an engine that sends load reports but fails its attempts, the breaker stays open for its
+ * time. */
 static void
 test_reports_do_not_close_the_breaker (void)
 {
@@ -144,9 +144,9 @@
   gate_server_put (server);
 }
 
-/** A new configuration keeps what is known of a server of the same name. */
+/** A new configuration keeps the state of a server of the same name. */
 static void
-test_kept_by_name (void)
+test_state_kept_by_name (void)
 {
   GateServers servers;
   Config config;
@@ -178,7 +178,7 @@
   return server;
 }
 
-/** One attempt under this fingerprint that the server broke off. */
+/** One attempt with this fingerprint whose answer the server breaks off. */
 static void
 abort_answer (GateServer *server, uint64_t fingerprint, int64_t now_ms)
 {
@@ -186,13 +186,12 @@
   gate_server_end (server, SERVER_FAILED, fingerprint, now_ms);
 }
 
-/*
- * One prompt crashes the engine that runs it, its caller sends it again, and the next engine dies.
- * After the second it is refused. An engine that broke an answer off but still takes connections
- * has not died, and neither has one that was stopped without an answer in progress.
+/* A prompt that crashes the engine that runs it is sent again by its caller and crashes the next
+ * one. After the second death it is quarantined. An engine that broke off an answer but accepts
+ * connections has not died, and neither has one that was stopped with no answer in progress.
  */
 static void
-test_deaths (void)
+test_second_death_quarantines (void)
 {
   Quarantine *quarantine = quarantine_new (&quarantine_settings_default);
   GateServers servers;
@@ -230,15 +229,14 @@
   ++*(int *)context;
 }
 
-/*
- * A crash prompt and a bystander run at two engines that die one after the other. The bystander's
- * thread is the first to notice each time; taken alone it would look like the cause. All that ran
- * there is in the sighting, so neither is held, and the bystander's own end adds nothing. A request
- * that was answered before the death, or never sent, is not in it. Each sighting is notified at
- * once.
+/* A crash prompt and an innocent request run at two engines that die one after the other. The
+ * thread of the innocent request notices the death first each time; reported alone, that request
+ * would look like the cause. The death report contains all requests that ran there, so neither is
+ * quarantined, and the end of the second one adds nothing. A request that was answered before the
+ * death, or never sent, is not in the report. The callback is called once for each death.
  */
 static void
-test_death_takes_what_runs (void)
+test_death_report_has_all_running (void)
 {
   Quarantine *quarantine = quarantine_new (&quarantine_settings_default);
   Quarantine *sightings = quarantine_new (&quarantine_settings_default);
@@ -282,13 +280,12 @@
   quarantine_free (sightings);
 }
 
-/*
- * A crash prompt is sent to one VM, then to another; each sees one engine die. Only together do
- * they know that one prompt did it, and both refuse it. News that comes back to its VM changes
- * nothing.
+/* A crash prompt is sent to one VM, then to another, and each observes one death. Only with the
+ * reports of both can they tell that one prompt caused the deaths, and then both quarantine it. A
+ * report that comes back to the VM that made it changes nothing.
  */
 static void
-test_deaths_of_two_vms (void)
+test_deaths_of_two_vms_merge (void)
 {
   static Gate vms[2];
   ConfigServer entry;
@@ -327,15 +324,15 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "reports", test_reports },
-    { "put-back", test_put_back },
-    { "many-callers", test_many_callers },
-    { "refused-connection", test_refused_connection },
+    { "report-since-last", test_report_since_last },
+    { "put-back-entries-are-sent-once", test_put_back_entries_are_sent_once },
+    { "caller-count-is-bounded", test_caller_count_is_bounded },
+    { "refused-connection-opens-breaker", test_refused_connection_opens_breaker },
     { "reports-do-not-close-the-breaker", test_reports_do_not_close_the_breaker },
-    { "kept-by-name", test_kept_by_name },
-    { "deaths", test_deaths },
-    { "death-takes-what-runs", test_death_takes_what_runs },
-    { "deaths-of-two-vms", test_deaths_of_two_vms },
+    { "state-kept-by-name", test_state_kept_by_name },
+    { "second-death-quarantines", test_second_death_quarantines },
+    { "death-report-has-all-running", test_death_report_has_all_running },
+    { "deaths-of-two-vms-merge", test_deaths_of_two_vms_merge },
   };
 
   return suite_main (argc, argv, "gate_evidence", suite, SUITE_COUNT (suite));
--- a/tests/test_gate_framing.c
+++ b/tests/test_gate_framing.c
@@ -1,4 +1,4 @@
-/** Which bytes of a caller's connection go on to libmicrohttpd: src/gate_framing.c. */
+/** Which bytes of a caller's connection are forwarded to libmicrohttpd: src/gate_framing.c. */
 #include "gate_framing.h"
 #include "suite.h"
 #include <string.h>
@@ -13,9 +13,9 @@
   int reason; /* of the fault */
 } Outcome;
 
-/* Feeds the bytes in pieces of one size, as a network might cut them. */
+/* Feeds the bytes in blocks of one size, as a network might deliver them. */
 static Outcome
-feed (const char *data, size_t len, size_t piece)
+feed (const char *data, size_t len, size_t block_size)
 {
   Outcome out = { 0 };
   GateFraming framing;
@@ -25,8 +25,8 @@
   while (at < len && !out.fault)
     {
       size_t used, left = len - at;
-      FramingResult result = gate_framing_feed (&framing, data + at, left < piece ? left : piece,
-                                                &used, &out.passed);
+      FramingResult result = gate_framing_feed (
+          &framing, data + at, left < block_size ? left : block_size, &used, &out.passed);
 
       at += used;
       out.requests += result == FRAMING_DONE;
@@ -38,15 +38,15 @@
   return out;
 }
 
-static const size_t pieces[] = { 1, 2, 7, 64, 100000 };
+static const size_t block_sizes[] = { 1, 2, 7, 64, 100000 };
 
-/* All of it goes on, byte for byte, as that many requests. */
+/* Checks that the text is forwarded unchanged, as that many requests. */
 static void
-passes (const char *text, size_t len, unsigned requests)
+check_forwarded (const char *text, size_t len, unsigned requests)
 {
-  for (size_t i = 0; i < SUITE_COUNT (pieces); i++)
+  for (size_t i = 0; i < SUITE_COUNT (block_sizes); i++)
     {
-      Outcome out = feed (text, len, pieces[i]);
+      Outcome out = feed (text, len, block_sizes[i]);
 
       CU_ASSERT (!out.fault);
       CU_ASSERT_EQUAL (out.requests, requests);
@@ -56,14 +56,14 @@
     }
 }
 
-/* The first `requests` requests go on; of the next one at most whole lines and never the empty line
- * that ends its head. */
+/* Checks that the first `requests` requests, of `good` bytes, are forwarded, and of the next one at
+ * most complete lines and never the empty line that ends its head. */
 static void
-stops (const char *text, size_t len, unsigned requests, size_t good)
+check_stopped (const char *text, size_t len, unsigned requests, size_t good)
 {
-  for (size_t i = 0; i < SUITE_COUNT (pieces); i++)
+  for (size_t i = 0; i < SUITE_COUNT (block_sizes); i++)
     {
-      Outcome out = feed (text, len, pieces[i]);
+      Outcome out = feed (text, len, block_sizes[i]);
 
       CU_ASSERT (out.fault);
       CU_ASSERT_EQUAL (out.reason, REFUSAL_MALFORMED);
@@ -75,50 +75,54 @@
     }
 }
 
-#define PASSES(text, requests)  passes (text, sizeof (text) - 1, requests)
-#define STOPS(good, text, done) stops (good text, sizeof (good text) - 1, done, sizeof (good) - 1)
-#define GOOD                    "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
+#define CHECK_FORWARDED(text, requests) check_forwarded (text, sizeof (text) - 1, requests)
+#define CHECK_STOPPED(good, text, done)                                                            \
+  check_stopped (good text, sizeof (good text) - 1, done, sizeof (good) - 1)
+#define GOOD "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
 
 static void
-test_good_requests (void)
+test_good_requests_are_forwarded (void)
 {
-  PASSES (GOOD, 1);
-  PASSES (GOOD GOOD "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 3);
-  PASSES (
+  CHECK_FORWARDED (GOOD, 1);
+  CHECK_FORWARDED (GOOD GOOD "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 3);
+  CHECK_FORWARDED (
       "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2;e=1\r\nab\r\n0\r\n\r\n",
       1);
-  PASSES ("POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\na", 1);
+  CHECK_FORWARDED (
+      "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\na", 1);
 }
 
-/* Story: a caller sends a negative length, no host, a folded line or a NUL; libmicrohttpd answers
-   twice, or reads the head otherwise than the next parser would, and a request hides in another.
-   The end of such a head never gets there. */
+/* Guards against request smuggling: for a head with a negative length, no host, a folded line or a
+   NUL, libmicrohttpd answers twice, or reads the head differently from another parser, so that a
+   request can hide in another. The end of such a head is never forwarded. */
 static void
-test_doubtful_heads (void)
+test_ambiguous_heads_are_stopped (void)
 {
-  STOPS ("", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\nabc", 0);
-  STOPS ("", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: +3\r\n\r\nabc", 0);
-  STOPS ("", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 0);
-  STOPS ("", "POST / HTTP/1.1\r\nHost: x\r\nA: b\r\n c: d\r\nContent-Length: 3\r\n\r\nabc", 0);
-  STOPS ("", "GET / HTTP/1.1\r\nHost: x\r\nA: b\0c\r\n\r\n", 0);
-  STOPS ("",
-         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
-         "0\r\n\r\n",
-         0);
+  CHECK_STOPPED ("", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\nabc", 0);
+  CHECK_STOPPED ("", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: +3\r\n\r\nabc", 0);
+  CHECK_STOPPED ("", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", 0);
+  CHECK_STOPPED ("", "POST / HTTP/1.1\r\nHost: x\r\nA: b\r\n c: d\r\nContent-Length: 3\r\n\r\nabc",
+                 0);
+  CHECK_STOPPED ("", "GET / HTTP/1.1\r\nHost: x\r\nA: b\0c\r\n\r\n", 0);
+  CHECK_STOPPED (
+      "",
+      "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
+      "0\r\n\r\n",
+      0);
 }
 
-/* Story: stray bytes, or a malformed request, follow a good one on the same connection. The good
-   one is answered all the same. */
+/* Stray bytes or a malformed request after a good one on the same connection must not prevent the
+   good one from being forwarded and answered. */
 static void
-test_fault_behind_a_good_request (void)
+test_fault_after_good_request (void)
 {
-  STOPS (GOOD, "\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n", 1);
-  STOPS (GOOD GOOD, "\1\2\3\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n", 2);
-  STOPS (GOOD, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\nabc", 1);
+  CHECK_STOPPED (GOOD, "\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n", 1);
+  CHECK_STOPPED (GOOD GOOD, "\1\2\3\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n", 2);
+  CHECK_STOPPED (GOOD, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\nabc", 1);
 }
 
 static void
-test_long_head (void)
+test_long_head_is_a_fault (void)
 {
   Buffer text = { 0 };
   Outcome out;
@@ -133,10 +137,10 @@
 }
 
 static const SuiteCase cases[] = {
-  { "good_requests", test_good_requests },
-  { "doubtful_heads", test_doubtful_heads },
-  { "fault_behind_a_good_request", test_fault_behind_a_good_request },
-  { "long_head", test_long_head },
+  { "good_requests_are_forwarded", test_good_requests_are_forwarded },
+  { "ambiguous_heads_are_stopped", test_ambiguous_heads_are_stopped },
+  { "fault_after_good_request", test_fault_after_good_request },
+  { "long_head_is_a_fault", test_long_head_is_a_fault },
 };
 
 int
--- a/tests/test_gate_guard.c
+++ b/tests/test_gate_guard.c
@@ -1,4 +1,5 @@
-/** The last check before a request runs: src/gate_guard.c, with src/gate_snapshot.c. */
+/** The check before the last byte of a request is sent: src/gate_guard.c, with src/gate_snapshot.c.
+ */
 #include "gate_guard.h"
 #include "gate_request.h"
 #include "suite.h"
@@ -21,7 +22,7 @@
 
 static const char first[] = MODELS ("active") SERVERS ("9001", "false") TEAM ("tender", "draft");
 
-/** A gate with configuration 1 in force and a grant, and a request on its way to server a. */
+/** A gate with a grant and configuration 1 in force, and a request being sent to server a. */
 typedef struct
 {
   Gate gate;
@@ -77,7 +78,7 @@
   free (s);
 }
 
-/** A change that arrives after the request was decided and before its last byte. */
+/** A change that arrives after the request was planned and before its last byte is sent. */
 typedef struct
 {
   const char *name;
@@ -87,11 +88,11 @@
 } GuardCase;
 
 static const GuardCase cases[] = {
-  { "nothing of ours changed", MODELS ("active") SERVERS ("9001", "false") TEAM ("tender", "draft"),
+  { "no relevant change", MODELS ("active") SERVERS ("9001", "false") TEAM ("tender", "draft"),
     NULL, REASON_NONE },
   { "withdrawn", MODELS ("withdrawn") SERVERS ("9001", "false") TEAM ("tender", "draft"), NULL,
     REASON_VERSION_WITHDRAWN },
-  { "gone",
+  { "removed",
     "{\"models\":{\"draft\":{\"versions\":{\"v2\":{\"state\":\"active\",\"cost_per_1k\":1}}}},"
     "\"backend_servers\":{\"a\":{\"kind\":\"engine\",\"address\":\"127.0.0.1\",\"port\":9001,"
     "\"failure_domain\":\"oita\",\"serves\":[\"draft@v2\"],\"slots\":4,\"checks_fencing\":true}}"
@@ -110,10 +111,9 @@
     REASON_NO_SERVER },
 };
 
-/*
- * A withdrawn version answers a caller seconds after the withdrawal. The request was decided under
- * the old configuration, then its VM stood still, or its connection to the engine was slow; the new
- * configuration came meanwhile, and the request's last byte was sent nevertheless.
+/* Guards against a withdrawn version that answers a caller seconds after the withdrawal: a request
+ * is planned under the old configuration, then its VM is suspended or its connection to the engine
+ * is slow, and its last byte is sent although the new configuration has arrived meanwhile.
  */
 static void
 test_changes_before_the_last_byte (void)
@@ -135,12 +135,11 @@
     }
 }
 
-/*
- * A VM that is cut off goes on sending new work on a configuration that was replaced elsewhere: its
- * grant has ended, or it never had one.
+/* Guards against a disconnected VM that sends new requests under a configuration that has been
+ * replaced elsewhere: its grant has expired, or it never had one.
  */
 static void
-test_no_grant (void)
+test_no_grant_stops_the_send (void)
 {
   Setup *s = setup ();
 
@@ -154,9 +153,9 @@
   teardown (s);
 }
 
-/** A request that connected slowly must not begin to run when its caller has no use of it. */
+/** A request whose deadline passed while it connected must not start to run. */
 static void
-test_deadline (void)
+test_passed_deadline_stops_the_send (void)
 {
   Setup *s = setup ();
 
@@ -168,7 +167,7 @@
   teardown (s);
 }
 
-/** A request keeps the configuration that it was taken under, however many come after it. */
+/** A request keeps the configuration that it started with, however many are published later. */
 static void
 test_request_keeps_its_snapshot (void)
 {
@@ -190,8 +189,8 @@
 {
   static const SuiteCase suite[] = {
     { "changes-before-the-last-byte", test_changes_before_the_last_byte },
-    { "no-grant", test_no_grant },
-    { "deadline", test_deadline },
+    { "no-grant-stops-the-send", test_no_grant_stops_the_send },
+    { "passed-deadline-stops-the-send", test_passed_deadline_stops_the_send },
     { "request-keeps-its-snapshot", test_request_keeps_its_snapshot },
   };
 
--- a/tests/test_gate_pick.c
+++ b/tests/test_gate_pick.c
@@ -1,5 +1,4 @@
-/**
- * The choice of a server by copied states: src/gate_pick.c.
+/** The choice of a server by a copy of the servers' states: src/gate_pick.c.
  */
 #include "gate_pick.h"
 #include "suite.h"
@@ -17,7 +16,7 @@
 typedef struct
 {
   char names[SERVERS][16];
-  unsigned carried[SERVERS][VERSIONS];
+  unsigned served[SERVERS][VERSIONS];
   ConfigServer servers[SERVERS];
   ConfigVersion versions[VERSIONS];
   Config config;
@@ -29,7 +28,7 @@
 
 static char domains[DOMAINS][4] = { "d0", "d1", "d2", "d3" };
 
-/* Each version on two thirds of the servers, so that most carry two. */
+/* Each version is served by two thirds of the servers, so that each server serves two. */
 static Site *
 site_new (void)
 {
@@ -42,10 +41,10 @@
                                       .name = s->names[i],
                                       .failure_domain = domains[i % DOMAINS],
                                       .slots = 8,
-                                      .versions = s->carried[i] };
+                                      .versions = s->served[i] };
       for (unsigned v = 0; v < VERSIONS; v++)
         if ((i + v) % VERSIONS != 0)
-          s->carried[i][s->servers[i].version_count++] = v;
+          s->served[i][s->servers[i].version_count++] = v;
     }
   s->config = (Config){ .servers = s->servers,
                         .server_count = SERVERS,
@@ -81,9 +80,9 @@
                         .index = s->index };
 }
 
-/* What the policy picks when it sees the states of all servers that are watched. */
+/* The policy's pick with the states of all watched servers. */
 static int
-pick_seeing_all (const Site *s, ServerQuery query)
+pick_with_all_states (const Site *s, ServerQuery query)
 {
   ServerView views[SERVERS] = { 0 };
 
@@ -94,7 +93,8 @@
   return server_policy_default.pick (&query);
 }
 
-/* Returns how many picks were outside the version's own list. */
+/* Checks that gate_pick chooses as pick_with_all_states does. Returns how many picks were outside
+ * the version's own list. */
 static unsigned
 compare_picks (const Site *s)
 {
@@ -105,7 +105,7 @@
       uint64_t random = id_hash (&i, sizeof i, 7);
       ServerQuery query = query_of (s, i % VERSIONS, random);
       const IndexList *list = &s->index->versions[query.version];
-      int expected = pick_seeing_all (s, query);
+      int expected = pick_with_all_states (s, query);
       int picked = gate_pick (&server_policy_default, s->states, &query);
       bool in = false;
       CU_ASSERT_EQUAL (picked, expected);
@@ -124,10 +124,10 @@
                         NOW);
 }
 
-/* To copy fewer states must not change what is chosen, or a gate would send to a server that it
- * knows to be draining or failing. */
+/* Copying fewer states must not change the choice: otherwise a gate could send requests to a server
+ * that it knows to be draining or failing. */
 static void
-test_same_as_seeing_all (void)
+test_same_choice_as_with_all_states (void)
 {
   Site *s = site_new ();
 
@@ -138,10 +138,10 @@
   site_free (s);
 }
 
-/* All servers watched for version 0 drain, and so do others, some of which the gate knows from
- * other versions: those must not be picked in their place. */
+/* All servers watched for version 0 are draining, and so are some that are watched for other
+ * versions. These must not be picked instead. */
 static void
-test_list_is_unusable (void)
+test_unusable_list_falls_back_to_others (void)
 {
   Site *s = site_new ();
   const IndexList *list = &s->index->versions[0];
@@ -161,7 +161,7 @@
 }
 
 static void
-test_all_were_tried (void)
+test_no_server_left_gives_none (void)
 {
   Site *s = site_new ();
   ServerQuery query;
@@ -178,9 +178,9 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "same_as_seeing_all", test_same_as_seeing_all },
-    { "list_is_unusable", test_list_is_unusable },
-    { "all_were_tried", test_all_were_tried },
+    { "same_choice_as_with_all_states", test_same_choice_as_with_all_states },
+    { "unusable_list_falls_back_to_others", test_unusable_list_falls_back_to_others },
+    { "no_server_left_gives_none", test_no_server_left_gives_none },
   };
 
   return suite_main (argc, argv, "gate_pick", cases, SUITE_COUNT (cases));
--- a/tests/test_gate_poll.c
+++ b/tests/test_gate_poll.c
@@ -1,5 +1,4 @@
-/**
- * Load reports of many engines: src/gate_poll.c.
+/** Reading the load reports of many engines: src/gate_poll.c.
  */
 #include "fake_keeper.h"
 #include "gate_poll.h"
@@ -8,7 +7,7 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define ENGINES 56 /**< more than a round reads, in each thread */
+#define ENGINES 56 /**< more than one round reads, in each thread */
 #define LEFT    5
 #define PRIOR   "\"cost_per_1k\":1000,\"prior_quality\":0.9"
 
@@ -16,7 +15,7 @@
 {
   Gate gate;
   FakeKeeper *keepers[ENGINES];
-  int wanted; /**< requests, or open connections, that a wait is for */
+  int wanted; /**< number of requests or open connections to wait for */
 } Site;
 
 static int
@@ -29,7 +28,8 @@
   return n;
 }
 
-/* Every engine serves a version of its own, so that the gate watches all of them. */
+/* Publishes a configuration in which each engine serves a version of its own, so that the gate
+   watches all of them. */
 static void
 publish (Site *site, int engines, int64_t number)
 {
@@ -59,7 +59,7 @@
 }
 
 static bool
-read_often (void *context)
+enough_requests (void *context)
 {
   Site *site = context;
 
@@ -67,7 +67,7 @@
 }
 
 static bool
-few_open (void *context)
+expected_open (void *context)
 {
   Site *site = context;
 
@@ -78,16 +78,15 @@
 wait_requests (Site *site, int more)
 {
   site->wanted = sum (site, fake_keeper_requests) + more;
-  CU_ASSERT_TRUE (suite_wait (read_often, site));
+  CU_ASSERT_TRUE (suite_wait (enough_requests, site));
 }
 
 static void
-test_turns_and_budget (void)
+test_reads_are_bounded_and_take_turns (void)
 {
-  /*
-   * A site that has grown: each gate reads hundreds of engines every second, and control takes more
-   * of the network than the users allow. Reads a second are bounded; every engine has its turn, and
-   * connections go with the engines that leave.
+  /* With hundreds of engines, reading all of them every second would use more network traffic for
+   * control than allowed. Checks that the reads per second are bounded, that every engine is read
+   * in turn, and that connections to engines that leave the configuration are closed.
    */
   Site *site = memory_alloc (sizeof (*site));
   GatePoll *poll;
@@ -102,7 +101,7 @@
   poll = gate_poll_start (&site->gate);
   wait_requests (site, 2 * ENGINES);
   seconds = (clock_boot_ms () - from_ms) / 1000;
-  /* A lower bound of the time only; each thread may begin a round at both ends. */
+  /* seconds is rounded down, and each thread may begin one round at either end of the interval. */
   CU_ASSERT_TRUE (sum (site, fake_keeper_requests) <= GATE_POLL_READS_MAX * (seconds + 2));
   CU_ASSERT_EQUAL (sum (site, fake_keeper_connections), ENGINES);
   for (int i = 0; i < ENGINES; i++)
@@ -113,10 +112,10 @@
     }
   publish (site, LEFT, 2);
   site->wanted = LEFT;
-  CU_ASSERT_TRUE (suite_wait (few_open, site));
+  CU_ASSERT_TRUE (suite_wait (expected_open, site));
   wait_requests (site, 2 * LEFT);
   CU_ASSERT_EQUAL (sum (site, fake_keeper_open), LEFT);
-  /* One that stays may be read by another thread now, on a connection of that one's. */
+  /* A remaining engine may now belong to another thread, which opens its own connection. */
   CU_ASSERT_TRUE (sum (site, fake_keeper_connections) <= ENGINES + LEFT);
   gate_poll_stop (poll);
   gate_snapshot_put (site->gate.snapshots.newest);
@@ -128,6 +127,7 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "turns_and_budget", test_turns_and_budget } };
+  const SuiteCase cases[]
+      = { { "reads_are_bounded_and_take_turns", test_reads_are_bounded_and_take_turns } };
   return suite_main (argc, argv, "gate_poll", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_gate_refusal.c
+++ b/tests/test_gate_refusal.c
@@ -1,12 +1,12 @@
-/** Refusals: src/gate_refusal.c. */
+/** The table of refusals and their JSON: src/gate_refusal.c. */
 #include "gate_refusal.h"
 #include "suite.h"
 #include <json-c/json.h>
 #include <string.h>
 
-/** Each reason has a name of its own, a status that is no success, and a text. */
+/** Each reason has a unique name, an HTTP error status, and a text. */
 static void
-test_every_reason (void)
+test_every_reason_has_an_entry (void)
 {
   for (int i = REASON_NONE + 1; i < REFUSAL_COUNT; i++)
     {
@@ -19,34 +19,33 @@
     }
 }
 
-/*
- * A client is told to wait for something that waiting does not mend, and asks for ever; or it is
- * refused for a moment's want and never comes back.
+/* Guards against a client that is told to retry although a retry cannot succeed, and so retries for
+ * ever, and against one that is refused for a temporary reason and not told to retry.
  */
 static void
-test_when_to_come_back (void)
+test_retry_time_only_if_retry_helps (void)
 {
-  static const int passing[] = { REASON_NO_SERVER,         REASON_TEAM_LIMIT,
-                                 REASON_OVERLOAD,          REASON_NO_GRANT,
-                                 REASON_STOPPING,          REASON_SPOOL_FULL,
-                                 REASON_CLAIM_UNAVAILABLE, REASON_VERSION_BRAKED,
-                                 REFUSAL_NOT_TAKEN,        REFUSAL_SESSION_UNAVAILABLE };
-  static const int lasting[]
+  static const int temporary[] = { REASON_NO_SERVER,         REASON_TEAM_LIMIT,
+                                   REASON_OVERLOAD,          REASON_NO_GRANT,
+                                   REASON_STOPPING,          REASON_SPOOL_FULL,
+                                   REASON_CLAIM_UNAVAILABLE, REASON_VERSION_BRAKED,
+                                   REFUSAL_NOT_TAKEN,        REFUSAL_SESSION_UNAVAILABLE };
+  static const int permanent[]
       = { REASON_UNKNOWN_MODEL,     REASON_UNKNOWN_VERSION, REASON_NOT_ALLOWED,
           REASON_VERSION_WITHDRAWN, REASON_QUARANTINED,     REFUSAL_UNAUTHENTICATED,
           REFUSAL_MALFORMED,        REFUSAL_TOO_LARGE,      REFUSAL_NO_ROUTE,
           REFUSAL_CLAIM_MISMATCH,   REFUSAL_HEAD_TOO_LARGE };
 
-  for (size_t i = 0; i < SUITE_COUNT (passing); i++)
+  for (size_t i = 0; i < SUITE_COUNT (temporary); i++)
     {
-      CU_ASSERT (refusal_retry_after_ms (passing[i]) > 0);
-      CU_ASSERT (refusal_http_status (passing[i]) == 503
-                 || refusal_http_status (passing[i]) == 429);
+      CU_ASSERT (refusal_retry_after_ms (temporary[i]) > 0);
+      CU_ASSERT (refusal_http_status (temporary[i]) == 503
+                 || refusal_http_status (temporary[i]) == 429);
     }
-  for (size_t i = 0; i < SUITE_COUNT (lasting); i++)
+  for (size_t i = 0; i < SUITE_COUNT (permanent); i++)
     {
-      CU_ASSERT_EQUAL (refusal_retry_after_ms (lasting[i]), 0);
-      CU_ASSERT (refusal_http_status (lasting[i]) < 500);
+      CU_ASSERT_EQUAL (refusal_retry_after_ms (permanent[i]), 0);
+      CU_ASSERT (refusal_http_status (permanent[i]) < 500);
     }
 }
 
@@ -59,9 +58,9 @@
   return value != NULL ? json_object_get_string (value) : "";
 }
 
-/** The JSON on the wire, with a message that needs quoting. */
+/** The JSON that callers get, with a message that needs quoting. */
 static void
-test_json (void)
+test_json_of_a_refusal (void)
 {
   Refusal refusal = { 0 };
   Buffer out = { 0 };
@@ -84,9 +83,9 @@
   buffer_free (&out);
 }
 
-/** Without a message of its own a refusal has the table's; a long one is cut, not overrun. */
+/** Without a format the message is the table's text; a long message or step is truncated. */
 static void
-test_message (void)
+test_message_default_and_truncation (void)
 {
   Refusal refusal = { 0 };
   char text[2 * REFUSAL_MESSAGE_MAX];
@@ -104,10 +103,10 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "every-reason", test_every_reason },
-    { "when-to-come-back", test_when_to_come_back },
-    { "json", test_json },
-    { "message", test_message },
+    { "every-reason-has-an-entry", test_every_reason_has_an_entry },
+    { "retry-time-only-if-retry-helps", test_retry_time_only_if_retry_helps },
+    { "json-of-a-refusal", test_json_of_a_refusal },
+    { "message-default-and-truncation", test_message_default_and_truncation },
   };
 
   return suite_main (argc, argv, "gate_refusal", suite, SUITE_COUNT (suite));
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -1,6 +1,5 @@
-/**
- * One request through the gate, from its plan to its usage record, against backend servers that
- * behave badly on command and an in-memory platform: src/gate_run.c and what it calls.
+/** One request through the gate, from its plan to its usage record, against fake backend servers
+ * with selectable faults and an in-memory platform: src/gate_run.c and what it calls.
  */
 #include "fake_engine.h"
 #include "fake_platform.h"
@@ -20,7 +19,8 @@
 #define STREAMED                                                                                   \
   "{\"model\":\"draft\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}"
 
-/** A gate with a grant and configuration 1: one model, one class of at most once, one service. */
+/** A gate with a grant and configuration 1: one model, one non-idempotent class, one plain service.
+ */
 typedef struct
 {
   Gate gate;
@@ -130,7 +130,7 @@
   free (site);
 }
 
-/** A request as it is when its body has been read. */
+/** A request in the state after its body has been read. */
 static GateRequest *
 request_new (Site *site, const char *asked, const char *key, const char *body)
 {
@@ -160,7 +160,7 @@
 }
 
 static size_t
-ran (const Site *site)
+requests_run (const Site *site)
 {
   size_t n = 0;
 
@@ -188,7 +188,7 @@
   gate_request_free (r);
 }
 
-/** The only usage record, parsed. */
+/** Checks that there is exactly one usage record, and returns it. */
 static BillRecord
 only_bill (Site *site)
 {
@@ -205,7 +205,7 @@
 }
 
 static void
-test_answered (void)
+test_answer_is_billed (void)
 {
   Site *site = site_new (ENGINE_ANSWERS);
   BillRecord bill;
@@ -220,21 +220,21 @@
   site_free (site);
 }
 
-/** Servers that say that they did not run a request: another one is tried, and none is billed. */
+/** If a server answers that it did not run the request, another one is tried and nothing is billed.
+ */
 static void
-test_not_run (void)
+test_not_run_is_tried_elsewhere (void)
 {
   Site *site = site_new (ENGINE_NOT_RUN);
 
   check_refused (request_new (site, "issue", "order-1", BODY), REFUSAL_NOT_TAKEN, REQUEST_NOT_RUN);
   CU_ASSERT_EQUAL (fake_platform_rows (site->gate.platform, "bill"), 0);
-  CU_ASSERT (ran (site) >= 2);
+  CU_ASSERT (requests_run (site) >= 2);
   site_free (site);
 }
 
-/*
- * A draft's engine dies while it answers. The caller need not notice: the request is idempotent and
- * runs at another server, and what the first one generated costs nothing.
+/* If an engine breaks off its answer to an idempotent request, the request runs again at another
+ * server and the caller gets a complete answer. The tokens of the first attempt are free.
  */
 static void
 test_idempotent_runs_again (void)
@@ -244,7 +244,7 @@
   size_t attempts = 0;
   PlatformRows rows = { 0 };
 
-  /* One engine of three cuts; its turn comes once. */
+  /* One engine breaks off its answers; with round-robin it is chosen once. */
   fake_engine_behave (site->engines[0], ENGINE_CUTS);
   for (int i = 0; i < SERVERS - 1; i++)
     check_answered (request_new (site, "draft", "", BODY), "one two three");
@@ -265,65 +265,63 @@
   site_free (site);
 }
 
-/*
- * An issuance is sent, and its server breaks off without a word: it may have run. A second server
- * must not run it, and the officer's re-send must not either.
+/* The server of a non-idempotent request breaks the connection without an answer, so the request
+ * may have run. It must not run at a second server, and neither may the caller's re-send.
  */
 static void
-test_at_most_once (void)
+test_non_idempotent_runs_at_most_once (void)
 {
   Site *site = site_new (ENGINE_BREAKS);
   BillRecord bill;
 
   check_refused (request_new (site, "issue", "order-1", BODY), REFUSAL_BACKEND_FAILED,
                  REQUEST_UNKNOWN);
-  CU_ASSERT_EQUAL (ran (site), 1);
+  CU_ASSERT_EQUAL (requests_run (site), 1);
   check_refused (request_new (site, "issue", "order-1", BODY), REFUSAL_CLAIM_IN_PROGRESS,
                  REQUEST_UNKNOWN);
-  CU_ASSERT_EQUAL (ran (site), 1);
+  CU_ASSERT_EQUAL (requests_run (site), 1);
   bill = only_bill (site);
   CU_ASSERT_EQUAL (bill.outcome, BILL_UNKNOWN);
   CU_ASSERT_EQUAL (bill.attempts[0].cost, 0);
   check_refused (request_new (site, "ledger", "order-2", "{}"), REFUSAL_BACKEND_FAILED,
                  REQUEST_UNKNOWN);
-  CU_ASSERT_EQUAL (ran (site), 2);
+  CU_ASSERT_EQUAL (requests_run (site), 2);
   site_free (site);
 }
 
-/** A re-send of an answered order gets the same answer, and the order runs once. */
+/** A re-send with the same idempotency key gets the stored answer, and the request runs once. */
 static void
-test_stored_answer (void)
+test_resend_gets_stored_answer (void)
 {
   Site *site = site_new (ENGINE_ANSWERS);
 
   check_answered (request_new (site, "ledger", "order-1", "{}"), "{\"order\":17}");
   check_answered (request_new (site, "ledger", "order-1", "{}"), "{\"order\":17}");
-  CU_ASSERT_EQUAL (ran (site), 1);
+  CU_ASSERT_EQUAL (requests_run (site), 1);
   CU_ASSERT_EQUAL (fake_platform_rows (site->gate.platform, "bill"), 1);
   check_refused (request_new (site, "ledger", "order-1", "{\"other\":1}"), REFUSAL_CLAIM_MISMATCH,
                  REQUEST_NOT_RUN);
   site_free (site);
 }
 
-/** One prompt crashes each engine that runs it: two are lost, not all. */
+/** A prompt that crashes each engine that runs it takes down REQUEST_LOST_MAX engines, not all. */
 static void
-test_crash_prompt (void)
+test_crash_prompt_loses_few_servers (void)
 {
   Site *site = site_new (ENGINE_BREAKS);
 
   check_refused (request_new (site, "draft", "", BODY), REFUSAL_BACKEND_FAILED, REQUEST_UNKNOWN);
-  CU_ASSERT_EQUAL (ran (site), REQUEST_LOST_MAX);
+  CU_ASSERT_EQUAL (requests_run (site), REQUEST_LOST_MAX);
   site_free (site);
 }
 
-/*
- * A crash prompt's client sends it again at once. The death of the first two engines is known
- * before its refusal goes out, so the second send costs none; a bystander that is told to come back
- * is told a time in which other VMs have the news. Engines that only break off an answer are not
- * dead.
+/* The caller of a crash prompt sends it again at once. The deaths of the first two engines are
+ * known before the refusal is sent, so the second request takes down none. The retry time of the
+ * refusal is long enough for the death reports to reach the other VMs. Engines that only break off
+ * an answer are not dead.
  */
 static void
-test_crash_prompt_at_once (void)
+test_crash_prompt_resent_at_once (void)
 {
   Site *site = site_new (ENGINE_DIES);
   GateRequest *r = request_new (site, "draft", "", BODY);
@@ -334,7 +332,7 @@
   CU_ASSERT (r->refusal.retry_after_ms >= REQUEST_DEATH_PROPAGATION_MS);
   gate_request_free (r);
   check_refused (request_new (site, "draft", "", BODY), REASON_QUARANTINED, REQUEST_NOT_RUN);
-  CU_ASSERT_EQUAL (ran (site), REQUEST_LOST_MAX);
+  CU_ASSERT_EQUAL (requests_run (site), REQUEST_LOST_MAX);
   for (int i = 0; i < SERVERS; i++)
     fake_engine_behave (site->engines[i], ENGINE_BREAKS);
   for (int i = 0; i < 2; i++)
@@ -344,10 +342,10 @@
   site_free (site);
 }
 
-/** All engines but one are dead: connections that they refuse are no attempts, and cost no budget.
- */
+/** With all engines but one dead, the connections that they refuse do not count as attempts and use
+ * no retry budget. */
 static void
-test_dead_engines (void)
+test_refused_connections_are_no_attempts (void)
 {
   int64_t retries = counter_value (COUNTER_GATE_RETRIES);
 
@@ -364,9 +362,10 @@
   CU_ASSERT_EQUAL (counter_value (COUNTER_GATE_RETRIES), retries);
 }
 
-/** A plain service's own 503 is its answer; the bytes read to look for "not_run" are part of it. */
+/** A plain service's own 503 is relayed as its answer, including the bytes read to look for
+ * "not_run". */
 static void
-test_service_503 (void)
+test_service_503_is_its_answer (void)
 {
   Site *site = site_new (ENGINE_PLAIN_503);
   GateRequest *r = request_new (site, "ledger", "", "{}");
@@ -378,34 +377,34 @@
   site_free (site);
 }
 
-/** An engine that finds the request wrong is not asked again elsewhere. */
+/** A request that an engine rejects as invalid is not tried at another one. */
 static void
-test_rejected (void)
+test_rejected_is_not_retried (void)
 {
   Site *site = site_new (ENGINE_REFUSES);
 
   check_refused (request_new (site, "draft", "", BODY), REFUSAL_BACKEND_REJECTED, REQUEST_UNKNOWN);
-  CU_ASSERT_EQUAL (ran (site), 1);
+  CU_ASSERT_EQUAL (requests_run (site), 1);
   site_free (site);
 }
 
-/** The table service is down: an order can't be claimed, so it does not run, and is told so. */
+/** While the table service is down, a non-idempotent request cannot be claimed: it does not run,
+ * and its caller is told so. */
 static void
-test_no_claim (void)
+test_no_claim_no_run (void)
 {
   Site *site = site_new (ENGINE_ANSWERS);
 
   fake_platform_fault (site->gate.platform, FAULT_DOWN, CALL_ALL, 0);
   check_refused (request_new (site, "issue", "order-1", BODY), REASON_CLAIM_UNAVAILABLE,
                  REQUEST_NOT_RUN);
-  CU_ASSERT_EQUAL (ran (site), 0);
+  CU_ASSERT_EQUAL (requests_run (site), 0);
   fake_platform_fault (site->gate.platform, FAULT_NONE, CALL_ALL, 0);
   site_free (site);
 }
 
-/*
- * A version is withdrawn after a request was decided and before its last byte. The engine sees a
- * body without end, the caller is told that it did not run, and nothing is billed.
+/* A version is withdrawn after a request was planned and before its last byte is sent. The engine
+ * gets an incomplete body, the caller is told that the request did not run, and nothing is billed.
  */
 static void
 test_withdrawn_before_the_last_byte (void)
@@ -416,7 +415,7 @@
 
   publish (site, "withdrawn", 2);
   check_refused (r, REASON_VERSION_WITHDRAWN, REQUEST_NOT_RUN);
-  CU_ASSERT_EQUAL (ran (site), 0);
+  CU_ASSERT_EQUAL (requests_run (site), 0);
   CU_ASSERT_EQUAL (fake_platform_rows (site->gate.platform, "bill"), 0);
   for (int i = 0; i < 500 && unfinished == 0; i++)
     {
@@ -428,9 +427,10 @@
   site_free (site);
 }
 
-/** A caller leaves within its stream: the engine is told, and what came until then is billed. */
+/** When a caller leaves during a stream, the answer is cancelled at the engine, and the tokens so
+ * far are billed. */
 static void
-test_caller_leaves (void)
+test_caller_leaves_a_stream (void)
 {
   Site *site = site_new (ENGINE_ANSWERS);
   GateRequest *r = request_new (site, "draft", "", STREAMED);
@@ -449,9 +449,10 @@
   site_free (site);
 }
 
-/** A caller leaves within a claimed stream: it is run to its end, and the re-send gets it whole. */
+/** When a caller leaves a claimed stream, the request runs to its end, and a re-send gets the
+ * complete answer. */
 static void
-test_caller_leaves_a_claim (void)
+test_caller_leaves_a_claimed_stream (void)
 {
   Site *site = site_new (ENGINE_ANSWERS);
   GateRequest *r = request_new (site, "issue", "order-1", STREAMED);
@@ -464,13 +465,14 @@
   CU_ASSERT (strstr (r->out.data, "one") != NULL && strstr (r->out.data, "three") != NULL);
   CU_ASSERT (strstr (r->out.data, "data: [DONE]") != NULL);
   gate_request_free (r);
-  CU_ASSERT_EQUAL (ran (site), 1);
+  CU_ASSERT_EQUAL (requests_run (site), 1);
   site_free (site);
 }
 
-/** A stream that can't be brought to its end: an error event and no end mark, billed as cut. */
+/** A stream that cannot be completed ends with an error event and no end mark, and is billed as
+ * cut. */
 static void
-test_stream_cut (void)
+test_cut_stream_ends_with_error (void)
 {
   Site *site = site_new (ENGINE_CUTS);
   GateRequest *r = request_new (site, "draft", "", STREAMED);
@@ -487,7 +489,7 @@
   site_free (site);
 }
 
-/** The end of a stream is given out only after its usage record is in the table. */
+/** The end of a stream is relayed only after its usage record is in the table. */
 static void
 test_bill_before_the_end (void)
 {
@@ -507,9 +509,10 @@
   site_free (site);
 }
 
-/** Admission: no grant, stopping, too many in progress; each refused at once, none sent. */
+/** Without a grant, while stopping, and with too many requests in progress, a request is refused at
+ * once and not sent. */
 static void
-test_admission (void)
+test_admission_refusals (void)
 {
   Site *site = site_new (ENGINE_ANSWERS);
   Gate *gate = &site->gate;
@@ -523,14 +526,14 @@
   gate->in_flight = gate->settings.streams_max;
   check_refused (request_new (site, "draft", "", BODY), REASON_OVERLOAD, REQUEST_NOT_RUN);
   gate->in_flight = 0;
-  CU_ASSERT_EQUAL (ran (site), 0);
+  CU_ASSERT_EQUAL (requests_run (site), 0);
   site_free (site);
 }
 
-/** A team at its limit, and a gate that has no part of the limit yet, are refused with a time to
- *  come back; a place that was given back can be taken again. */
+/** Requests of a team at its limit, and at a gate that has no share of the limit yet, are refused.
+ * Once a request has ended, another one is admitted. */
 static void
-test_team_limit (void)
+test_team_at_its_limit_is_refused (void)
 {
   Site *site = site_new (ENGINE_ANSWERS);
   GateRequest *r = request_new (site, "draft", "", STREAMED);
@@ -545,13 +548,12 @@
   check_refused (request_new (site, "draft", "", BODY), REASON_TEAM_LIMIT, REQUEST_NOT_RUN);
   gate_request_free (r);
   check_answered (request_new (site, "draft", "", BODY), "one two three");
-  CU_ASSERT_EQUAL (ran (site), 2);
+  CU_ASSERT_EQUAL (requests_run (site), 2);
   site_free (site);
 }
 
-/*
- * A technician's deadline passes while an engine says nothing. The answer "deadline past" comes
- * then, not when the engine's silence is given up seconds later, and the engine is told to stop.
+/* A deadline passes while the engine sends nothing. The request is refused then, not when the read
+ * times out seconds later, and its answer is cancelled at the engine.
  */
 static void
 test_deadline_while_waiting (void)
@@ -562,7 +564,7 @@
 
   r->deadline_ms = clock_boot_ms () + 100;
   check_refused (r, REASON_DEADLINE_PAST, REQUEST_UNKNOWN);
-  CU_ASSERT_EQUAL (ran (site), 1);
+  CU_ASSERT_EQUAL (requests_run (site), 1);
   for (int i = 0; i < SERVERS; i++)
     cancelled += fake_engine_cancelled (site->engines[i]);
   CU_ASSERT_EQUAL (cancelled, 1);
@@ -574,24 +576,24 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "answered", test_answered },
-    { "not-run", test_not_run },
+    { "answer-is-billed", test_answer_is_billed },
+    { "not-run-is-tried-elsewhere", test_not_run_is_tried_elsewhere },
     { "idempotent-runs-again", test_idempotent_runs_again },
-    { "at-most-once", test_at_most_once },
-    { "stored-answer", test_stored_answer },
-    { "crash-prompt", test_crash_prompt },
-    { "crash-prompt-at-once", test_crash_prompt_at_once },
-    { "dead-engines", test_dead_engines },
-    { "service-503", test_service_503 },
-    { "rejected", test_rejected },
-    { "no-claim", test_no_claim },
+    { "non-idempotent-runs-at-most-once", test_non_idempotent_runs_at_most_once },
+    { "resend-gets-stored-answer", test_resend_gets_stored_answer },
+    { "crash-prompt-loses-few-servers", test_crash_prompt_loses_few_servers },
+    { "crash-prompt-resent-at-once", test_crash_prompt_resent_at_once },
+    { "refused-connections-are-no-attempts", test_refused_connections_are_no_attempts },
+    { "service-503-is-its-answer", test_service_503_is_its_answer },
+    { "rejected-is-not-retried", test_rejected_is_not_retried },
+    { "no-claim-no-run", test_no_claim_no_run },
     { "withdrawn-before-the-last-byte", test_withdrawn_before_the_last_byte },
-    { "caller-leaves", test_caller_leaves },
-    { "caller-leaves-a-claim", test_caller_leaves_a_claim },
-    { "stream-cut", test_stream_cut },
+    { "caller-leaves-a-stream", test_caller_leaves_a_stream },
+    { "caller-leaves-a-claimed-stream", test_caller_leaves_a_claimed_stream },
+    { "cut-stream-ends-with-error", test_cut_stream_ends_with_error },
     { "bill-before-the-end", test_bill_before_the_end },
-    { "admission", test_admission },
-    { "team-limit", test_team_limit },
+    { "admission-refusals", test_admission_refusals },
+    { "team-at-its-limit-is-refused", test_team_at_its_limit_is_refused },
     { "deadline-while-waiting", test_deadline_while_waiting },
   };
 
--- a/tests/test_gate_stream.c
+++ b/tests/test_gate_stream.c
@@ -1,5 +1,5 @@
-/** Engines' streams: what is passed on, held back, resumed and cut. src/gate_stream.c and its
- * parts. */
+/** Engines' streams: which events are relayed, held back and resumed, and when a stream is cut.
+ * src/gate_stream.c and what it uses. */
 #include "gate_stream.h"
 #include "suite.h"
 #include <stdio.h>
@@ -15,17 +15,17 @@
   "\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":3}}\n\n"
 #define DONE "data: [DONE]\n\n"
 
-/** What the engine sends on each connection, first the one of the request, then the resumed ones.
+/** What the engine sends on each connection: first that of the request, then those of resumptions.
  */
 typedef struct
 {
   const char *name;
-  const char *connections[CONNECTIONS_MAX]; /**< NULL: it can't be opened */
-  bool ends_properly;                       /**< a connection's end looks like a whole answer's */
-  size_t read_size;                         /**< bytes a read gives at most */
+  const char *connections[CONNECTIONS_MAX]; /**< NULL: cannot be opened */
+  bool ends_properly;                       /**< connections end like that of a complete answer */
+  size_t read_size;                         /**< largest read in bytes; 0: no limit */
   StreamResult result;
-  const char *text;        /**< passed on before the end */
-  int64_t resumed_from[3]; /**< the number asked for at each resumption, -1: none */
+  const char *text;        /**< relayed before the end */
+  int64_t resumed_from[3]; /**< chunk number requested at each resumption; -1: none */
   unsigned duplicates;
 } StreamCase;
 
@@ -70,12 +70,12 @@
     .result = STREAM_END,
     .text = "abc",
     .resumed_from = { 1, -1, -1 } },
-  { .name = "gap that nothing fills",
+  { .name = "gap that is never filled",
     .connections = { CHUNK (0, "a") CHUNK (2, "c") FINISH (3) DONE },
     .result = STREAM_CUT,
     .text = "a",
     .resumed_from = { 1, 1, 1 } },
-  { .name = "gap behind a proper end",
+  { .name = "gap before a regular end",
     .connections = { CHUNK (0, "a") FINISH (2) DONE, CHUNK (1, "b") FINISH (2) DONE },
     .ends_properly = true,
     .result = STREAM_END,
@@ -91,7 +91,7 @@
     .result = STREAM_END,
     .text = "abc",
     .resumed_from = { 1, 2, -1 } },
-  { .name = "cut more often than is resumed",
+  { .name = "cut more often than resumptions are allowed",
     .connections = { CHUNK (0, "a"), CHUNK (1, "b"), CHUNK (2, "c"), CHUNK (3, "d"),
                      CHUNK (4, "e") FINISH (5) DONE },
     .result = STREAM_CUT,
@@ -130,12 +130,12 @@
     .result = STREAM_CUT,
     .text = "",
     .resumed_from = { -1, -1, -1 } },
-  { .name = "number that is none, then resumed",
+  { .name = "invalid number, then resumed",
     .connections = { "id: x1\ndata: {}\n\n", CHUNK (0, "a") FINISH (1) DONE },
     .result = STREAM_END,
     .text = "a",
     .resumed_from = { 0, -1, -1 } },
-  { .name = "chunk that is no JSON",
+  { .name = "chunk that is not JSON",
     .connections = { CHUNK (0, "a") "id: 1\ndata: {nonsense\n\n" FINISH (2) DONE },
     .result = STREAM_CUT,
     .text = "a",
@@ -155,7 +155,7 @@
   size_t at;
   unsigned resumes;
   int64_t resumed_from[CONNECTIONS_MAX];
-  int left_after; /**< questions after which the caller has left; -1: never */
+  int left_after; /**< calls of caller_left after which it returns true; -1: never */
 } Engine;
 
 static long
@@ -218,7 +218,7 @@
   .pause = engine_pause,
 };
 
-/** Adds the texts of the chunks in the events' bytes. */
+/** Appends the content of the chunks in the events to texts. */
 static void
 add_texts (Buffer *texts, const Buffer *events)
 {
@@ -231,7 +231,8 @@
     }
 }
 
-/** Reads the stream to its end; texts: of what came before it, last: the bytes of the end. */
+/** Reads the stream to its end. texts: content of the events before the end; last: bytes of the
+ * closing events. */
 static StreamResult
 read_all (GateStream *stream, Buffer *texts, Buffer *last, Status *st)
 {
@@ -284,7 +285,7 @@
     {
       CU_ASSERT_EQUAL (last.len, 0);
       CU_ASSERT (st.message[0] != '\0');
-      /* Chunks are counted where the engine's own usage never came. */
+      /* Chunks are counted if the engine has not reported its usage. */
       CU_ASSERT_EQUAL (answer_completion_tokens (&stream.answer),
                        stream.answer.has_usage ? 3 : (int64_t)strlen (c->text));
     }
@@ -293,21 +294,20 @@
   gate_stream_free (&stream);
 }
 
-/*
- * A caller sees an answer that looks whole but lacks a chunk, or has one twice, or ends early
- * without a word. The engine's chunks arrived twice, late, in another order, or the connection was
- * cut; only numbers and both end marks tell a whole answer.
+/* Guards against an answer that looks complete to the caller but lacks a chunk, contains one twice,
+ * or ends early, because chunks arrived twice, late or in another order, or the connection was
+ * lost. Only the sequence numbers, the finish reason and the end mark show that an answer is
+ * complete.
  */
 static void
-test_table (void)
+test_stream_cases (void)
 {
   for (size_t i = 0; i < SUITE_COUNT (cases); i++)
     check_case (&cases[i]);
 }
 
-/*
- * A caller leaves in the middle of an answer, and the engine goes on generating for nobody. The
- * stream asks before each read and before each resumption.
+/* Guards against an engine that goes on generating for a caller that has left. The stream checks
+ * for this before each read and before each resumption.
  */
 static void
 test_caller_leaves (void)
@@ -319,13 +319,14 @@
   Buffer texts = { 0 };
   Buffer last = { 0 };
   Status st = { 0 };
-  int asked = 0;
+  int checks = 0;
 
-  /* One question later in each round, until the answer comes whole before the last question. */
-  for (;; asked++)
+  /* The caller leaves one check later in each round, until the answer is complete before it leaves.
+   */
+  for (;; checks++)
     {
       StreamResult result;
-      engine = (Engine){ .c = &c, .left_after = asked };
+      engine = (Engine){ .c = &c, .left_after = checks };
       gate_stream_init (&stream, &ops, &engine);
       result = read_all (&stream, &texts, &last, &st);
       buffer_clear (&texts);
@@ -334,17 +335,17 @@
       if (result == STREAM_END)
         break;
       CU_ASSERT_EQUAL (result, STREAM_CALLER_LEFT);
-      CU_ASSERT (asked < 100);
-      if (asked >= 100)
+      CU_ASSERT (checks < 100);
+      if (checks >= 100)
         break;
     }
-  CU_ASSERT (asked > 5);
+  CU_ASSERT (checks > 5);
   buffer_free (&texts);
 }
 
-/** Every order of six chunks comes out as 0 to 5, each once, also with each sent twice. */
+/** Six chunks in every order, each sent twice, are returned in order and once each. */
 static void
-test_every_order (void)
+test_chunks_in_every_order_are_sorted (void)
 {
   unsigned order[6];
 
@@ -385,9 +386,9 @@
     }
 }
 
-/** An event without end must not fill the memory. */
+/** An event without an end must not use unlimited memory. */
 static void
-test_event_too_long (void)
+test_event_too_long_is_malformed (void)
 {
   SseParser parser;
   SseEvent event = { 0 };
@@ -407,9 +408,9 @@
   sse_event_free (&event);
 }
 
-/** A collected answer is bounded, and its text survives quoting. */
+/** A collected answer is limited in length, and its text is quoted correctly in JSON. */
 static void
-test_collected_answer (void)
+test_collected_answer_is_bounded (void)
 {
   static const char chunk[] = "{\"choices\":[{\"delta\":{\"content\":\"say \\\"yes\\\"\"}}]}";
   GateAnswer answer = { .keep_content = true, .content_max = 20 };
@@ -431,11 +432,11 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "table", test_table },
+    { "stream-cases", test_stream_cases },
     { "caller-leaves", test_caller_leaves },
-    { "every-order", test_every_order },
-    { "event-too-long", test_event_too_long },
-    { "collected-answer", test_collected_answer },
+    { "chunks-in-every-order-are-sorted", test_chunks_in_every_order_are_sorted },
+    { "event-too-long-is-malformed", test_event_too_long_is_malformed },
+    { "collected-answer-is-bounded", test_collected_answer_is_bounded },
   };
 
   return suite_main (argc, argv, "gate_stream", suite, SUITE_COUNT (suite));
