--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -15,9 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP "attempt"
-#define ERROR_BODY_MAX                                                                             \
-  4096 /* bytes of an error body that are read to see whether it says "not run" */
+#define STEP           "attempt"
+#define ERROR_BODY_MAX 4096 /* bytes of an error body that are searched for "not run" */
 /** A refused connection takes one round trip. A failure that takes longer counts as an attempt. */
 #define REFUSED_WITHIN_US INT64_C (100000)
 #define PROBE_TIMEOUT_MS  200
--- a/src/gate_callers.c
+++ b/src/gate_callers.c
@@ -203,16 +203,14 @@
   SSL_CTX_set_min_proto_version (callers->tls, TLS1_2_VERSION);
   if (SSL_CTX_use_certificate_chain_file (callers->tls, settings->tls_certificate_file) != 1)
     {
-      status_set (st, STATUS_INVALID, STEP, NULL,
-                  "%s: cannot read a PEM certificate chain from this file",
+      status_set (st, STATUS_INVALID, STEP, NULL, "%s: cannot read a PEM certificate chain from it",
                   settings->tls_certificate_file);
       return false;
     }
   if (SSL_CTX_use_PrivateKey_file (callers->tls, settings->tls_key_file, SSL_FILETYPE_PEM) == 1)
     return true;
-  status_set (st, STATUS_INVALID, STEP, NULL,
-              "%s: cannot read the private key of %s from this file", settings->tls_key_file,
-              settings->tls_certificate_file);
+  status_set (st, STATUS_INVALID, STEP, NULL, "%s: cannot read the private key of %s from it",
+              settings->tls_key_file, settings->tls_certificate_file);
   return false;
 }
 
@@ -256,7 +254,7 @@
       v6->sin6_port = htons ((uint16_t)address->port);
       return true;
     }
-  status_set (st, STATUS_INVALID, STEP, address->address, "expected an IP address");
+  status_set (st, STATUS_INVALID, STEP, address->address, "expected an IP number");
   return false;
 }
 
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -11,11 +11,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP       "http.start"
-#define STACK_SIZE (256UL * 1024)
-#define CONNECTION_MEMORY                                                                          \
-  (16UL * 1024) /**< bytes per connection in addition to the request's head, for response heads    \
-                   and blocks */
+#define STEP              "http.start"
+#define STACK_SIZE        (256UL * 1024)
+#define CONNECTION_MEMORY (16UL * 1024) /**< bytes in addition to the head: responses */
 #define CONNECTIONS_SPARE 64
 #define DRAIN_MAX_MS      500
 #define DRAIN_STEP_MS     10
@@ -259,7 +257,7 @@
   http->daemon = start_daemon (http);
   if (http->daemon != NULL)
     return gate_callers_start (http->callers, http->daemon, st);
-  status_set (st, STATUS_INTERNAL, STEP, NULL, "libmicrohttpd could not be started");
+  status_set (st, STATUS_INTERNAL, STEP, NULL, "libmicrohttpd could not start");
   return false;
 }
 
--- a/src/gate_refusal.c
+++ b/src/gate_refusal.c
@@ -33,12 +33,12 @@
   [REASON_OVERLOAD] = { NULL, 503, 1 * SECONDS, "too many requests are in progress" },
   [REASON_QUARANTINED] = { NULL, 422, 0, "this request crashed backend servers before" },
   [REASON_NO_GRANT]
-  = { NULL, 503, 1 * SECONDS, "this VM cannot confirm now that its configuration is current" },
+  = { NULL, 503, 1 * SECONDS, "this VM cannot show now that its configuration is current" },
   [REASON_STOPPING] = { NULL, 503, 1 * SECONDS, "this VM is stopping; another one answers" },
   [REASON_SPOOL_FULL] = { NULL, 503, 5 * SECONDS, "no room for further usage records" },
   [REASON_CLAIM_UNAVAILABLE]
   = { NULL, 503, 2 * SECONDS, "no durable claim can be made now for a non-idempotent request" },
-  [REFUSAL_MALFORMED] = { "malformed", 400, 0, "the request is invalid" },
+  [REFUSAL_MALFORMED] = { "malformed", 400, 0, "the request cannot be read" },
   [REFUSAL_UNAUTHENTICATED] = { "unauthenticated", 401, 0, "no team has this key" },
   [REFUSAL_NO_ROUTE] = { "no_route", 404, 0, "nothing is served at this path" },
   [REFUSAL_METHOD] = { "method_not_allowed", 405, 0, "the path does not take this method" },
@@ -57,15 +57,15 @@
   [REFUSAL_CLAIM_MISMATCH]
   = { "key_mismatch", 422, 0, "the idempotency key was used for another request" },
   [REFUSAL_NOT_TAKEN]
-  = { "not_taken", 503, 1 * SECONDS, "no backend server that was tried accepted the request" },
+  = { "not_taken", 503, 1 * SECONDS, "no backend server that was tried took the request" },
   [REFUSAL_BACKEND_REJECTED]
-  = { "backend_rejected", 502, 0, "the backend server rejected the request as invalid" },
+  = { "backend_rejected", 502, 0, "the backend server refused the request as not valid" },
   [REFUSAL_BACKEND_FAILED]
   = { "backend_failed", 502, 1 * SECONDS, "the backend server gave no complete answer" },
   [REFUSAL_ANSWER_TOO_LARGE]
-  = { "answer_too_large", 502, 0, "the answer is longer than this system can store" },
+  = { "answer_too_large", 502, 0, "the answer is longer than this system accepts" },
   [REFUSAL_CALLER_LEFT] = { "caller_left", 499, 0, "the caller left before its answer began" },
-  [REFUSAL_INTERNAL] = { "internal", 500, 1 * SECONDS, "internal error of the router" },
+  [REFUSAL_INTERNAL] = { "internal", 500, 1 * SECONDS, "fault in the router" },
 };
 
 static const RefusalEntry *
--- a/src/gate_stream.c
+++ b/src/gate_stream.c
@@ -109,7 +109,7 @@
   switch (reorder_push (&stream->reorder, event->id, event->data.data, event->data.len))
     {
     case REORDER_TOO_FAR:
-      status_set (st, STATUS_UNKNOWN, STEP, NULL, "received chunk %lld while %lld is missing",
+      status_set (st, STATUS_UNKNOWN, STEP, NULL, "chunk %lld arrived while %lld is missing",
                   (long long)event->id, (long long)stream->reorder.next);
       return resume (stream, st);
     case REORDER_DUPLICATE:
@@ -129,7 +129,7 @@
     case SSE_EVENT:
       return take_event (stream, st);
     case SSE_MALFORMED:
-      status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream's events are malformed");
+      status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream's events cannot be read");
       return resume (stream, st);
     case SSE_NONE:
       break;
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -330,7 +330,7 @@
     { "refused-connection-opens-breaker", test_refused_connection_opens_breaker },
     { "reports-do-not-close-the-breaker", test_reports_do_not_close_the_breaker },
     { "state-kept-by-name", test_state_kept_by_name },
-    { "second-death-quarantines", test_second_death_quarantines },
+    { "deaths", test_second_death_quarantines },
     { "death-report-has-all-running", test_death_report_has_all_running },
     { "deaths-of-two-vms-merge", test_deaths_of_two_vms_merge },
   };
--- a/tests/test_gate_guard.c
+++ b/tests/test_gate_guard.c
@@ -88,11 +88,11 @@
 } GuardCase;
 
 static const GuardCase cases[] = {
-  { "no relevant change", MODELS ("active") SERVERS ("9001", "false") TEAM ("tender", "draft"),
-    NULL, REASON_NONE },
+  { "nothing relevant changed",
+    MODELS ("active") SERVERS ("9001", "false") TEAM ("tender", "draft"), NULL, REASON_NONE },
   { "withdrawn", MODELS ("withdrawn") SERVERS ("9001", "false") TEAM ("tender", "draft"), NULL,
     REASON_VERSION_WITHDRAWN },
-  { "removed",
+  { "gone",
     "{\"models\":{\"draft\":{\"versions\":{\"v2\":{\"state\":\"active\",\"cost_per_1k\":1}}}},"
     "\"backend_servers\":{\"a\":{\"kind\":\"engine\",\"address\":\"127.0.0.1\",\"port\":9001,"
     "\"failure_domain\":\"oita\",\"serves\":[\"draft@v2\"],\"slots\":4,\"checks_fencing\":true}}"
@@ -190,7 +190,7 @@
   static const SuiteCase suite[] = {
     { "changes-before-the-last-byte", test_changes_before_the_last_byte },
     { "no-grant-stops-the-send", test_no_grant_stops_the_send },
-    { "passed-deadline-stops-the-send", test_passed_deadline_stops_the_send },
+    { "deadline", test_passed_deadline_stops_the_send },
     { "request-keeps-its-snapshot", test_request_keeps_its_snapshot },
   };
 
--- a/tests/test_gate_refusal.c
+++ b/tests/test_gate_refusal.c
@@ -105,8 +105,8 @@
   static const SuiteCase suite[] = {
     { "every-reason-has-an-entry", test_every_reason_has_an_entry },
     { "retry-time-only-if-retry-helps", test_retry_time_only_if_retry_helps },
-    { "json-of-a-refusal", test_json_of_a_refusal },
-    { "message-default-and-truncation", test_message_default_and_truncation },
+    { "json", test_json_of_a_refusal },
+    { "message", test_message_default_and_truncation },
   };
 
   return suite_main (argc, argv, "gate_refusal", suite, SUITE_COUNT (suite));
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -576,12 +576,12 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "answer-is-billed", test_answer_is_billed },
+    { "answered", test_answer_is_billed },
     { "not-run-is-tried-elsewhere", test_not_run_is_tried_elsewhere },
     { "idempotent-runs-again", test_idempotent_runs_again },
     { "non-idempotent-runs-at-most-once", test_non_idempotent_runs_at_most_once },
     { "resend-gets-stored-answer", test_resend_gets_stored_answer },
-    { "crash-prompt-loses-few-servers", test_crash_prompt_loses_few_servers },
+    { "crash-prompt", test_crash_prompt_loses_few_servers },
     { "crash-prompt-resent-at-once", test_crash_prompt_resent_at_once },
     { "refused-connections-are-no-attempts", test_refused_connections_are_no_attempts },
     { "service-503-is-its-answer", test_service_503_is_its_answer },
--- a/tests/test_gate_stream.c
+++ b/tests/test_gate_stream.c
@@ -75,7 +75,7 @@
     .result = STREAM_CUT,
     .text = "a",
     .resumed_from = { 1, 1, 1 } },
-  { .name = "gap before a regular end",
+  { .name = "gap behind a regular end",
     .connections = { CHUNK (0, "a") FINISH (2) DONE, CHUNK (1, "b") FINISH (2) DONE },
     .ends_properly = true,
     .result = STREAM_END,
@@ -130,7 +130,7 @@
     .result = STREAM_CUT,
     .text = "",
     .resumed_from = { -1, -1, -1 } },
-  { .name = "invalid number, then resumed",
+  { .name = "number that is none, then resumed",
     .connections = { "id: x1\ndata: {}\n\n", CHUNK (0, "a") FINISH (1) DONE },
     .result = STREAM_END,
     .text = "a",
@@ -319,14 +319,14 @@
   Buffer texts = { 0 };
   Buffer last = { 0 };
   Status st = { 0 };
-  int checks = 0;
+  int asked = 0;
 
   /* The caller leaves one check later in each round, until the answer is complete before it leaves.
    */
-  for (;; checks++)
+  for (;; asked++)
     {
       StreamResult result;
-      engine = (Engine){ .c = &c, .left_after = checks };
+      engine = (Engine){ .c = &c, .left_after = asked };
       gate_stream_init (&stream, &ops, &engine);
       result = read_all (&stream, &texts, &last, &st);
       buffer_clear (&texts);
@@ -335,11 +335,11 @@
       if (result == STREAM_END)
         break;
       CU_ASSERT_EQUAL (result, STREAM_CALLER_LEFT);
-      CU_ASSERT (checks < 100);
-      if (checks >= 100)
+      CU_ASSERT (asked < 100);
+      if (asked >= 100)
         break;
     }
-  CU_ASSERT (checks > 5);
+  CU_ASSERT (asked > 5);
   buffer_free (&texts);
 }
 
@@ -432,7 +432,7 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "stream-cases", test_stream_cases },
+    { "table", test_stream_cases },
     { "caller-leaves", test_caller_leaves },
     { "chunks-in-every-order-are-sorted", test_chunks_in_every_order_are_sorted },
     { "event-too-long-is-malformed", test_event_too_long_is_malformed },
