--- a/src/gate.h
+++ b/src/gate.h
@@ -1,4 +1,5 @@
-/** State of one lovage-gate process: settings, policies, and the modules that admit callers'
+/**
+ * State of one lovage-gate process: settings, policies, and the modules that admit callers'
  * requests, send them to backend servers, relay the answers and record usage. See
  * docs/design/requests.md.
  */
--- a/src/gate_answer.h
+++ b/src/gate_answer.h
@@ -1,4 +1,5 @@
-/** Accumulates a model engine's streamed answer: text, usage, and whether it is complete. No I/O.
+/**
+ * Accumulates a model engine's streamed answer: text, usage, and whether it is complete. No I/O.
  */
 #ifndef GATE_ANSWER_H
 #define GATE_ANSWER_H
@@ -12,10 +13,9 @@
 
 typedef struct
 {
-  bool keep_content;  /**< set by the owner: collect the text in content */
-  size_t content_max; /**< bytes of collected text */
-  bool
-      content_optional; /**< drop a text longer than content_max instead of reporting STATUS_FULL */
+  bool keep_content;     /**< set by the owner: collect the text in content */
+  size_t content_max;    /**< bytes of collected text */
+  bool content_optional; /**< drop a text longer than content_max instead of failing */
   Buffer content;
   char finish_reason[ANSWER_FINISH_MAX]; /**< empty: none received yet */
   bool done;                             /**< the end mark [DONE] has been received */
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -52,7 +52,7 @@
 
 /* True if the body is {"error":{"code":C}} and the code says that the request did not run. */
 static bool
-is_not_run (const char *body)
+body_says_not_run (const char *body)
 {
   struct json_object *root = json_tokener_parse (body);
   struct json_object *error;
@@ -73,7 +73,7 @@
 
 /* The bytes read stay in a->peeked: a plain service's 503 or 409 may be its regular answer. */
 static bool
-says_not_run (GateAttempt *a)
+response_says_not_run (GateAttempt *a)
 {
   char block[ERROR_BODY_MAX];
   long n = 1;
@@ -86,11 +86,11 @@
       if (n > 0)
         buffer_add (&a->peeked, block, (size_t)n);
     }
-  return n == 0 && a->peeked.len > 0 && is_not_run (a->peeked.data);
+  return n == 0 && a->peeked.len > 0 && body_says_not_run (a->peeked.data);
 }
 
 static void
-refuse_unknown (GateRequest *r, int reason, const Status *st)
+refuse_outcome_unknown (GateRequest *r, int reason, const Status *st)
 {
   r->may_have_run = true;
   refusal_set (&r->refusal, reason, REQUEST_UNKNOWN, st->step[0] != '\0' ? st->step : STEP,
@@ -99,9 +99,9 @@
 
 /* The request may have run at this server. */
 static BeginResult
-begin_unknown (GateRequest *r, const Status *st, ServerResult result)
+begin_outcome_unknown (GateRequest *r, const Status *st, ServerResult result)
 {
-  refuse_unknown (r, REFUSAL_BACKEND_FAILED, st);
+  refuse_outcome_unknown (r, REFUSAL_BACKEND_FAILED, st);
   r->lost_answers++;
   gate_learn_error (r);
   gate_attempt_bill (r, false);
@@ -145,7 +145,7 @@
   if (code != STATUS_UNAVAILABLE && gate_request_past_deadline (r))
     return begin_ended (r, REASON_DEADLINE_PAST);
   if (code != STATUS_UNAVAILABLE)
-    return begin_unknown (r, st, SERVER_FAILED);
+    return begin_outcome_unknown (r, st, SERVER_FAILED);
   gate_attempt_end (r, SERVER_UNREACHABLE);
   return BEGIN_NEXT;
 }
@@ -158,7 +158,7 @@
   Status st;
 
   a->http_status = http_exchange_status (a->exchange);
-  if (says_not_run (a))
+  if (response_says_not_run (a))
     {
       gate_attempt_end (r, SERVER_BUSY);
       return BEGIN_NEXT;
@@ -167,8 +167,8 @@
     return BEGIN_OK;
   status_set (&st, STATUS_UNKNOWN, STEP, a->config_server->name, "HTTP status %d", a->http_status);
   if (a->http_status >= 500)
-    return begin_unknown (r, &st, SERVER_FAILED);
-  refuse_unknown (r, REFUSAL_BACKEND_REJECTED, &st);
+    return begin_outcome_unknown (r, &st, SERVER_FAILED);
+  refuse_outcome_unknown (r, REFUSAL_BACKEND_REJECTED, &st);
   gate_attempt_bill (r, false);
   gate_attempt_end (r, SERVER_NEUTRAL);
   return BEGIN_STOP;
@@ -229,7 +229,8 @@
   return check_head (r, a);
 }
 
-/* No server is left to try. Keeps the refusal of the last attempt if there is one. Returns false.
+/*
+ * No server is left to try. Keeps the refusal of the last attempt if there is one. Returns false.
  */
 static bool
 refuse_no_server (GateRequest *r)
--- a/src/gate_attempt.h
+++ b/src/gate_attempt.h
@@ -40,7 +40,8 @@
   bool watched;
 } GateAttempt;
 
-/** Tries servers until one accepts the request; none is tried twice in a stage. On success
+/**
+ * Tries servers until one accepts the request; none is tried twice in a stage. On success
  * r->attempt is the attempt, with the head of a 200 response read (services: of any response);
  * otherwise r->refusal says why.
  */
--- a/src/gate_bill.h
+++ b/src/gate_bill.h
@@ -1,4 +1,5 @@
-/** Writes the usage record of a finished request and settles or releases its claim.
+/**
+ * Writes the usage record of a finished request and settles or releases its claim.
  */
 #ifndef GATE_BILL_H
 #define GATE_BILL_H
--- a/src/gate_callers.c
+++ b/src/gate_callers.c
@@ -118,7 +118,7 @@
 }
 
 static struct bufferevent *
-caller_end (GateCallers *callers, evutil_socket_t fd)
+new_caller_bufferevent (GateCallers *callers, evutil_socket_t fd)
 {
   struct bufferevent *bev;
 
@@ -150,7 +150,7 @@
       return;
     }
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof (on));
-  caller = caller_end (callers, fd);
+  caller = new_caller_bufferevent (callers, fd);
   server = bufferevent_socket_new (callers->base, pair[0], END_OPTIONS);
   link = gate_link_new ();
   gate_filter_new (caller, server, link, &callers->limits, &callers->filters);
--- a/src/gate_callers.h
+++ b/src/gate_callers.h
@@ -1,4 +1,5 @@
-/** Accepts callers' connections, terminates TLS, and hands each connection to libmicrohttpd through
+/**
+ * Accepts callers' connections, terminates TLS, and hands each connection to libmicrohttpd through
  * a filter that stops malformed requests. Runs one thread with an event loop that only copies
  * bytes.
  */
--- a/src/gate_config.h
+++ b/src/gate_config.h
@@ -1,4 +1,5 @@
-/** Fetches configurations from the steward and applies them and the brakes. Except for
+/**
+ * Fetches configurations from the steward and applies them and the brakes. Except for
  * gate_config_number, all functions are called by the grant thread only.
  */
 #ifndef GATE_CONFIG_H
--- a/src/gate_deaths.h
+++ b/src/gate_deaths.h
@@ -1,4 +1,5 @@
-/** Exchanges reports of dead backend servers with the steward: those observed by this VM are sent
+/**
+ * Exchanges reports of dead backend servers with the steward: those observed by this VM are sent
  * with the request for a grant; those of all VMs come back with the grant.
  */
 #ifndef GATE_DEATHS_H
@@ -9,7 +10,8 @@
 
 struct Gate;
 
-/** Death reports in wire form. list points into deaths, so the struct must not be moved or copied.
+/**
+ * Death reports in wire form. list points into deaths, so the struct must not be moved or copied.
  */
 typedef struct
 {
--- a/src/gate_evidence.c
+++ b/src/gate_evidence.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALLERS_MAX 1024 /* size of the table of distinct callers in one report; a power of two */
+#define CALLER_TABLE_SIZE                                                                          \
+  1024 /* size of the table of distinct callers in one report; a power of two */
 
 typedef struct
 {
@@ -88,13 +89,13 @@
 
   if (caller == 0)
     caller = 1;
-  at = caller % CALLERS_MAX;
+  at = caller % CALLER_TABLE_SIZE;
   if (cell->callers == NULL)
-    cell->callers = memory_array (CALLERS_MAX, sizeof (uint64_t));
-  if (cell->sums.callers >= CALLERS_MAX * 3 / 4)
+    cell->callers = memory_array (CALLER_TABLE_SIZE, sizeof (uint64_t));
+  if (cell->sums.callers >= CALLER_TABLE_SIZE * 3 / 4)
     return;
   while (cell->callers[at] != 0 && cell->callers[at] != caller)
-    at = (at + 1) % CALLERS_MAX;
+    at = (at + 1) % CALLER_TABLE_SIZE;
   if (cell->callers[at] == caller)
     return;
   cell->callers[at] = caller;
--- a/src/gate_evidence.h
+++ b/src/gate_evidence.h
@@ -1,4 +1,5 @@
-/** Answers, errors, slow first tokens and ratings of each version since the last report to the
+/**
+ * Answers, errors, slow first tokens and ratings of each version since the last report to the
  * steward, by team and version. The steward merges them over all gates.
  */
 #ifndef GATE_EVIDENCE_H
--- a/src/gate_filter.c
+++ b/src/gate_filter.c
@@ -144,17 +144,17 @@
 {
   struct evbuffer *input = bufferevent_get_input (filter->caller);
   struct evbuffer_iovec run;
-  Buffer pass = { 0 };
+  Buffer forward = { 0 };
   FramingResult result;
   size_t used = 0;
 
   evbuffer_peek (input, -1, NULL, &run, 1);
   if (!filter->mid_request)
     forward_answers (filter);
-  result = gate_framing_feed (&filter->framing, run.iov_base, run.iov_len, &used, &pass);
-  if (pass.len > 0)
-    bufferevent_write (filter->server, pass.data, pass.len);
-  buffer_free (&pass);
+  result = gate_framing_feed (&filter->framing, run.iov_base, run.iov_len, &used, &forward);
+  if (forward.len > 0)
+    bufferevent_write (filter->server, forward.data, forward.len);
+  buffer_free (&forward);
   evbuffer_drain (input, used);
   filter->mid_request = result != FRAMING_DONE;
   if (result == FRAMING_DONE)
--- a/src/gate_filter.h
+++ b/src/gate_filter.h
@@ -1,4 +1,5 @@
-/** Forwards the bytes of one caller's connection to and from libmicrohttpd, and answers malformed
+/**
+ * Forwards the bytes of one caller's connection to and from libmicrohttpd, and answers malformed
  * requests itself so that libmicrohttpd never sees their end. All functions are called in the
  * thread of the connection's event loop.
  */
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -15,41 +15,45 @@
   HttpIntakeLimits limits = { .head_max = head_max, .body_max = SIZE_MAX };
 
   http_intake_init (&framing->intake, &limits);
-  framing->passed = 0;
+  framing->forwarded = 0;
 }
 
 /* Complete lines are forwarded at once, so that libmicrohttpd sees a slow head arrive. */
 static void
-pass_lines (GateFraming *framing, Buffer *pass)
+forward_lines (GateFraming *framing, Buffer *forward)
 {
   const Buffer *raw = &framing->intake.raw;
   const char *end = memrchr (raw->data, '\n', raw->len);
   size_t len = end ? (size_t)(end + 1 - raw->data) : 0;
 
-  if (len <= framing->passed)
+  if (len <= framing->forwarded)
     return;
-  buffer_add (pass, raw->data + framing->passed, len - framing->passed);
-  framing->passed = len;
+  buffer_add (forward, raw->data + framing->forwarded, len - framing->forwarded);
+  framing->forwarded = len;
 }
 
 static void
-pass_head (GateFraming *framing, Buffer *pass)
+forward_head (GateFraming *framing, Buffer *forward)
 {
   const HttpHead *head = &framing->intake.head;
 
-  buffer_add (pass, head->text + framing->passed, head->len - framing->passed);
-  framing->passed = head->len;
+  buffer_add (forward, head->text + framing->forwarded, head->len - framing->forwarded);
+  framing->forwarded = head->len;
 }
 
 static void
 next_request (GateFraming *framing)
 {
   http_intake_reset (&framing->intake);
-  framing->passed = 0;
+  framing->forwarded = 0;
 }
 
 FramingResult
-gate_framing_feed (GateFraming *framing, const char *data, size_t len, size_t *used, Buffer *pass)
+gate_framing_feed (GateFraming *framing,
+                   const char *data,
+                   size_t len,
+                   size_t *used,
+                   Buffer *forward)
 {
   HttpIntake *intake = &framing->intake;
   bool was_in_body = intake->in_body;
@@ -62,15 +66,15 @@
   buffer_clear (&intake->body);
   if (!intake->in_body)
     {
-      pass_lines (framing, pass);
+      forward_lines (framing, forward);
       return FRAMING_MORE;
     }
   if (!was_in_body)
     {
-      pass_head (framing, pass);
+      forward_head (framing, forward);
       body_start = intake->head.len - head_had;
     }
-  buffer_add (pass, data + body_start, *used - body_start);
+  buffer_add (forward, data + body_start, *used - body_start);
   if (result == INTAKE_MORE)
     return FRAMING_MORE;
   next_request (framing);
--- a/src/gate_framing.h
+++ b/src/gate_framing.h
@@ -1,4 +1,5 @@
-/** Parses the requests of one caller's connection and decides which bytes may be forwarded to
+/**
+ * Parses the requests of one caller's connection and decides which bytes may be forwarded to
  * libmicrohttpd. The end of a head is held back until it is certain where the body ends and which
  * host the request is for. No I/O.
  */
@@ -18,15 +19,18 @@
 typedef struct
 {
   HttpIntake intake;
-  size_t passed; /**< bytes of the current head that have been forwarded */
+  size_t forwarded; /**< bytes of the current head that have been forwarded */
 } GateFraming;
 
 /** A head longer than head_max bytes is a fault. */
 void gate_framing_init (GateFraming *framing, size_t head_max);
-/** Reads bytes up to the end of one request, sets *used to their number, and appends to *pass those
- * that may be forwarded. */
-FramingResult
-gate_framing_feed (GateFraming *framing, const char *data, size_t len, size_t *used, Buffer *pass);
+/** Reads bytes up to the end of one request, sets *used to their number, and appends to *forward
+ * those that may be forwarded. */
+FramingResult gate_framing_feed (GateFraming *framing,
+                                 const char *data,
+                                 size_t len,
+                                 size_t *used,
+                                 Buffer *forward);
 /** After a fault: the reason (GateReason) with which to refuse the request. */
 int gate_framing_fault (const GateFraming *framing);
 void gate_framing_clear (GateFraming *framing);
--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -53,14 +53,15 @@
 }
 
 static void
-log_change (bool had, bool has)
+log_change (bool was_valid, bool is_valid)
 {
-  if (had == has)
+  if (was_valid == is_valid)
     return;
-  log_msg (has ? MSG_GATE_GRANT : MSG_GATE_GRANT_LOST, NULL);
+  log_msg (is_valid ? MSG_GATE_GRANT : MSG_GATE_GRANT_LOST, NULL);
 }
 
-/* The grant runs from before the renewal was sent, since the steward's confirmation was true at
+/*
+ * The grant runs from before the renewal was sent, since the steward's confirmation was true at
  * some moment after that. It is valid only once the configuration that it names, or a newer one, is
  * in force here, so a gate that could not read a configuration admits no requests under the old
  * one.
@@ -101,15 +102,15 @@
     .stopping = stopping,
   };
   rpc_evidence evidence[LOVAGE_BRAKES_MAX];
-  DeathReports news;
+  DeathReports reports;
   rpc_grant grant = { 0 };
   int64_t sent_ms = clock_boot_ms ();
   Status st = { 0 };
   StatusCode code;
 
-  gate_deaths_collect (gate, &news);
-  ask.deaths.deaths_val = news.list;
-  ask.deaths.deaths_len = news.count;
+  gate_deaths_collect (gate, &reports);
+  ask.deaths.deaths_val = reports.list;
+  ask.deaths.deaths_len = reports.count;
   ask.evidence.evidence_val = evidence;
   ask.evidence.evidence_len
       = (u_int)gate_evidence_take (gate->evidence, evidence, LOVAGE_BRAKES_MAX);
@@ -148,14 +149,14 @@
 {
   GateGrant *grant = &gate->grant;
   int64_t until_ms = clock_boot_ms () + max_ms;
-  uint64_t ask;
+  uint64_t target;
 
   if (!grant->running)
     return;
   pthread_mutex_lock (&grant->lock);
-  ask = ++grant->requested;
+  target = ++grant->requested;
   pthread_cond_broadcast (&grant->changed);
-  while (grant->completed < ask && !grant->stop
+  while (grant->completed < target && !grant->stop
          && wait_ms (&grant->changed, &grant->lock, until_ms - clock_boot_ms ()))
     continue;
   pthread_mutex_unlock (&grant->lock);
@@ -166,16 +167,17 @@
 static bool
 begin_renewal (GateGrant *grant, uint64_t *requested)
 {
-  bool goes_on;
+  bool keep_running;
 
   pthread_mutex_lock (&grant->lock);
   *requested = grant->requested;
-  goes_on = !grant->stop;
+  keep_running = !grant->stop;
   pthread_mutex_unlock (&grant->lock);
-  return goes_on;
+  return keep_running;
 }
 
-/* Marks the renewal as completed, then waits until next_ms or until another renewal is requested.
+/*
+ * Marks the renewal as completed, then waits until next_ms or until another renewal is requested.
  */
 static void
 finish_renewal (GateGrant *grant, uint64_t requested, int64_t next_ms)
@@ -193,7 +195,7 @@
 grant_run (void *context)
 {
   Gate *gate = context;
-  bool had = false;
+  bool was_valid = false;
   uint64_t requested;
 
   gate_rcu_register ();
@@ -201,13 +203,13 @@
     {
       int64_t next_ms = clock_boot_ms () + RENEW_INTERVAL_MS;
       int64_t number = gate_config_number (gate);
-      bool has;
+      bool is_valid;
       renew_once (gate);
-      has = gate_grant_valid (gate);
-      log_change (had, has);
-      had = has;
-      /* The steward treats a configuration as in force only once the gate has reported its number,
-         so a new number is reported at once. */
+      is_valid = gate_grant_valid (gate);
+      log_change (was_valid, is_valid);
+      was_valid = is_valid;
+      /* The steward treats a configuration as in force only once the gate has reported its
+         number, so a new number is reported at once. */
       finish_renewal (&gate->grant, requested, gate_config_number (gate) > number ? 0 : next_ms);
     }
   return NULL;
--- a/src/gate_grant.h
+++ b/src/gate_grant.h
@@ -1,4 +1,5 @@
-/** The grant: a lease from the steward which confirms that this gate's configuration is current.
+/**
+ * The grant: a lease from the steward which confirms that this gate's configuration is current.
  * While it is valid, new requests may be admitted. It runs from the moment before the renewal was
  * sent, on the boot-time clock, so that neither a slow answer nor a suspended VM extends it.
  */
--- a/src/gate_guard.c
+++ b/src/gate_guard.c
@@ -56,7 +56,8 @@
   return newest->config->teams[team].services[service] ? REASON_NONE : REASON_NOT_ALLOWED;
 }
 
-/* The server must still have the same name and address as the chosen one and must not be leaving.
+/*
+ * The server must still have the same name and address as the chosen one and must not be leaving.
  */
 static int
 check_server (const GateAttempt *a, const GateSnapshot *newest)
@@ -86,7 +87,8 @@
   return a->version < 0 ? check_service (a, newest) : check_version (a, newest);
 }
 
-/* Guards against a process that is paused between its check and its send (a suspended VM) while the
+/*
+ * Guards against a process that is paused between its check and its send (a suspended VM) while the
  * version is withdrawn elsewhere, and that sends the request after it resumes. The grant is read
  * after the configuration was checked, and the configuration must then still be the newest: so when
  * the clock was read, the grant covered the configuration that was checked. A pause between that
--- a/src/gate_guard.h
+++ b/src/gate_guard.h
@@ -1,4 +1,5 @@
-/** The last check before a request runs, made immediately before its last byte is sent. If the
+/**
+ * The last check before a request runs, made immediately before its last byte is sent. If the
  * check fails that byte is withheld, and a backend server cannot run a request whose body is
  * incomplete. See docs/design/requests.md.
  */
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -12,8 +12,8 @@
 #include <string.h>
 
 #define STEP              "http.start"
-#define STACK_SIZE        (256UL * 1024)
-#define CONNECTION_MEMORY (16UL * 1024) /**< bytes in addition to the head: responses */
+#define STACK_SIZE        (256UL * 1024) /**< bytes, per connection's thread */
+#define CONNECTION_MEMORY (16UL * 1024)  /**< bytes in addition to the head: responses */
 #define CONNECTIONS_SPARE 64
 #define DRAIN_MAX_MS      500
 #define DRAIN_STEP_MS     10
--- a/src/gate_http.h
+++ b/src/gate_http.h
@@ -1,4 +1,5 @@
-/** Serves HTTP to callers with libmicrohttpd, with one thread per connection.
+/**
+ * Serves HTTP to callers with libmicrohttpd, with one thread per connection.
  */
 #ifndef GATE_HTTP_H
 #define GATE_HTTP_H
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -7,10 +7,10 @@
 #define CAPACITY_FACTOR      1.1 /* of the engines' slots; requests beyond the slots wait */
 #define REFRESH_MS           50  /* least time between two computations of the capacity */
 #define BYTES_PER_TOKEN      4
-#define OUTPUT_TOKENS        256  /* assumed if the caller sets no smaller max_tokens */
-#define ANSWER_TIME_FIRST_MS 1000 /* assumed until answers have been measured */
-#define SMOOTHING            0.05 /* weight of the newest answer in the moving average */
-#define CAPACITY_UNKNOWN     100000U
+#define OUTPUT_TOKENS        256     /* assumed if the caller sets no smaller max_tokens */
+#define ANSWER_TIME_FIRST_MS 1000    /* assumed until answers have been measured */
+#define SMOOTHING            0.05    /* weight of the newest answer in the moving average */
+#define CAPACITY_UNKNOWN     100000U /* effectively no limit */
 
 /** Sums over the usable engines that this gate watches. */
 typedef struct
@@ -89,7 +89,8 @@
   return sums;
 }
 
-/* Recomputes capacity: an equal share of the slots or, if the balancer sends this gate more than
+/*
+ * Recomputes capacity: an equal share of the slots or, if the balancer sends this gate more than
  * the others, its own requests plus the slots that the engines report as free, whichever is larger.
  * Done at most every REFRESH_MS, since it reads the state of each engine.
  */
@@ -110,7 +111,8 @@
   with_free = sums.own + (usable_slots > sums.load ? usable_slots - sums.load : 0);
   limit->at_ms = now_ms;
   limit->capacity = (unsigned)(equal_share > with_free ? equal_share : with_free) + 1;
-  /* Without a usable engine, planning or the choice of the server gives a better reason to refuse.
+  /*
+   * Without a usable engine, planning or the choice of the server gives a better reason to refuse.
    */
   if (sums.least_excess < 0)
     limit->capacity = CAPACITY_UNKNOWN;
--- a/src/gate_limit.h
+++ b/src/gate_limit.h
@@ -1,4 +1,5 @@
-/** Admission control: teams' limits, fair shares of the engines' capacity, and deadlines that
+/**
+ * Admission control: teams' limits, fair shares of the engines' capacity, and deadlines that
  * cannot be met. The policy is in choose_limit; this module supplies its inputs.
  */
 #ifndef GATE_LIMIT_H
@@ -27,7 +28,8 @@
 void gate_limit_clear (GateLimit *limit);
 /** Sets the number of member VMs and this VM's rank among them, from the latest grant. */
 void gate_limit_view (GateLimit *limit, unsigned members, int rank);
-/** True once this VM's shares of the teams' limits are usable. After its start a VM has no share
+/**
+ * True once this VM's shares of the teams' limits are usable. After its start a VM has no share
  * until the other VMs use a membership view that contains it. Always true if no team has a limit.
  */
 bool gate_limit_settled (GateLimit *limit, const Config *config);
--- a/src/gate_link.h
+++ b/src/gate_link.h
@@ -1,4 +1,5 @@
-/** Counter of completely answered requests, shared by a caller's connection (GateFilter) and the
+/**
+ * Counter of completely answered requests, shared by a caller's connection (GateFilter) and the
  * libmicrohttpd connection behind it. Reference-counted: the last holder frees it.
  */
 #ifndef GATE_LINK_H
--- a/src/gate_pick.c
+++ b/src/gate_pick.c
@@ -82,7 +82,8 @@
     views[list->servers[i]] = (ServerView){ 0 };
 }
 
-/* The gate may watch hundreds of servers for all versions together, and copying the states of all
+/*
+ * The gate may watch hundreds of servers for all versions together, and copying the states of all
  * adds half of the cost of the rest of the choice. A policy looks at the servers watched for the
  * requested version, and at others only if none of these is usable. So the states of the first are
  * copied; if the policy then picks none of them, it did so without the states of the others, which
--- a/src/gate_pick.h
+++ b/src/gate_pick.h
@@ -1,4 +1,5 @@
-/** Lets a policy choose a backend server by the servers' current states. Copies only the states
+/**
+ * Lets a policy choose a backend server by the servers' current states. Copies only the states
  * that the choice needs.
  */
 #ifndef GATE_PICK_H
--- a/src/gate_poll.c
+++ b/src/gate_poll.c
@@ -10,9 +10,9 @@
 
 #define POLL_THREADS     4
 #define POLL_INTERVAL_MS 1000
-#define POLL_STEP_MS     50
+#define POLL_STEP_MS     50 /* interval of checks for a stop */
 #define POLL_TIMEOUT_MS  1000
-#define REPORT_MAX       (64UL * 1024)
+#define REPORT_MAX       (64UL * 1024) /* bytes */
 /** Reads by one thread in one interval; further engines are read in later intervals. */
 #define READS_PER_ROUND (GATE_POLL_READS_MAX / POLL_THREADS)
 
--- a/src/gate_poll.h
+++ b/src/gate_poll.h
@@ -1,4 +1,5 @@
-/** Reads the load reports of the engines that this gate watches, over a persistent connection to
+/**
+ * Reads the load reports of the engines that this gate watches, over a persistent connection to
  * each: each engine about once a second, or in turn if that would exceed GATE_POLL_READS_MAX reads
  * per second.
  */
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -227,7 +227,8 @@
   return result;
 }
 
-/* Refuses a request that has crashed servers before: its caller sends it again after each failure.
+/*
+ * Refuses a request that has crashed servers before: its caller sends it again after each failure.
  */
 static bool
 check_quarantine (GateRequest *r)
--- a/src/gate_prepare.h
+++ b/src/gate_prepare.h
@@ -1,4 +1,5 @@
-/** Prepares a request for its first attempt: admission, session, plan, limits and claim.
+/**
+ * Prepares a request for its first attempt: admission, session, plan, limits and claim.
  */
 #ifndef GATE_PREPARE_H
 #define GATE_PREPARE_H
--- a/src/gate_probe.h
+++ b/src/gate_probe.h
@@ -1,4 +1,5 @@
-/** Checks whether a backend server's port refuses connections.
+/**
+ * Checks whether a backend server's port refuses connections.
  */
 #ifndef GATE_PROBE_H
 #define GATE_PROBE_H
--- a/src/gate_rating.h
+++ b/src/gate_rating.h
@@ -1,4 +1,5 @@
-/** Calls the rating service, and keeps track of whether it is available and how long a rating
+/**
+ * Calls the rating service, and keeps track of whether it is available and how long a rating
  * takes.
  */
 #ifndef GATE_RATING_H
--- a/src/gate_raw.h
+++ b/src/gate_raw.h
@@ -1,4 +1,5 @@
-/** Refuses requests that have not arrived completely. libmicrohttpd accepts no response before the
+/**
+ * Refuses requests that have not arrived completely. libmicrohttpd accepts no response before the
  * end of a request, so these refusals are written directly to the caller's socket. Nothing else
  * writes to the socket while a request is being read.
  */
--- a/src/gate_refusal.c
+++ b/src/gate_refusal.c
@@ -13,7 +13,7 @@
   const char *text;
 } RefusalEntry;
 
-#define SECONDS 1000LL
+#define MS_PER_S 1000LL
 
 static const RefusalEntry entries[REFUSAL_COUNT] = {
   [REASON_NONE] = { "none", 200, 0, "not refused" },
@@ -22,22 +22,22 @@
   [REASON_NOT_ALLOWED] = { NULL, 403, 0, "the team may not use what it asked for" },
   [REASON_VERSION_WITHDRAWN]
   = { NULL, 409, 0, "the version was withdrawn; open a new session or name another version" },
-  [REASON_VERSION_BRAKED] = { NULL, 503, 30 * SECONDS, "the version is stopped by a brake" },
+  [REASON_VERSION_BRAKED] = { NULL, 503, 30 * MS_PER_S, "the version is stopped by a brake" },
   [REASON_NO_ALLOWED_VERSION]
-  = { NULL, 503, 30 * SECONDS, "no version is left that the team may use now" },
-  [REASON_NO_SERVER] = { NULL, 503, 1 * SECONDS, "no backend server can take the request now" },
+  = { NULL, 503, 30 * MS_PER_S, "no version is left that the team may use now" },
+  [REASON_NO_SERVER] = { NULL, 503, 1 * MS_PER_S, "no backend server can take the request now" },
   [REASON_TARGET_UNREACHABLE]
-  = { NULL, 503, 30 * SECONDS, "no allowed plan meets the quality target" },
+  = { NULL, 503, 30 * MS_PER_S, "no allowed plan meets the quality target" },
   [REASON_DEADLINE_PAST] = { NULL, 504, 0, "the deadline has passed" },
-  [REASON_TEAM_LIMIT] = { NULL, 429, 1 * SECONDS, "the team's limit is reached" },
-  [REASON_OVERLOAD] = { NULL, 503, 1 * SECONDS, "too many requests are in progress" },
+  [REASON_TEAM_LIMIT] = { NULL, 429, 1 * MS_PER_S, "the team's limit is reached" },
+  [REASON_OVERLOAD] = { NULL, 503, 1 * MS_PER_S, "too many requests are in progress" },
   [REASON_QUARANTINED] = { NULL, 422, 0, "this request crashed backend servers before" },
   [REASON_NO_GRANT]
-  = { NULL, 503, 1 * SECONDS, "this VM cannot show now that its configuration is current" },
-  [REASON_STOPPING] = { NULL, 503, 1 * SECONDS, "this VM is stopping; another one answers" },
-  [REASON_SPOOL_FULL] = { NULL, 503, 5 * SECONDS, "no room for further usage records" },
+  = { NULL, 503, 1 * MS_PER_S, "this VM cannot show now that its configuration is current" },
+  [REASON_STOPPING] = { NULL, 503, 1 * MS_PER_S, "this VM is stopping; another one answers" },
+  [REASON_SPOOL_FULL] = { NULL, 503, 5 * MS_PER_S, "no room for further usage records" },
   [REASON_CLAIM_UNAVAILABLE]
-  = { NULL, 503, 2 * SECONDS, "no durable claim can be made now for a non-idempotent request" },
+  = { NULL, 503, 2 * MS_PER_S, "no durable claim can be made now for a non-idempotent request" },
   [REFUSAL_MALFORMED] = { "malformed", 400, 0, "the request cannot be read" },
   [REFUSAL_UNAUTHENTICATED] = { "unauthenticated", 401, 0, "no team has this key" },
   [REFUSAL_NO_ROUTE] = { "no_route", 404, 0, "nothing is served at this path" },
@@ -46,26 +46,26 @@
   [REFUSAL_HEAD_TOO_LARGE]
   = { "head_too_large", 431, 0, "the head is longer than this system accepts" },
   [REFUSAL_READ_TIMEOUT]
-  = { "read_timeout", 408, 1 * SECONDS, "the request took too long to arrive" },
+  = { "read_timeout", 408, 1 * MS_PER_S, "the request took too long to arrive" },
   [REFUSAL_BAD_SESSION] = { "bad_session", 400, 0, "the session token is not one for this team" },
-  [REFUSAL_SESSION_UNAVAILABLE] = { "session_unavailable", 503, 2 * SECONDS,
+  [REFUSAL_SESSION_UNAVAILABLE] = { "session_unavailable", 503, 2 * MS_PER_S,
                                     "a caller-named session cannot be looked up or stored now" },
   [REFUSAL_CLAIM_IN_PROGRESS]
-  = { "claim_in_progress", 409, 2 * SECONDS, "another attempt with this key has started" },
+  = { "claim_in_progress", 409, 2 * MS_PER_S, "another attempt with this key has started" },
   [REFUSAL_CLAIM_NOT_KEPT]
   = { "answer_not_kept", 409, 0, "the request ran with this key; its answer was not kept" },
   [REFUSAL_CLAIM_MISMATCH]
   = { "key_mismatch", 422, 0, "the idempotency key was used for another request" },
   [REFUSAL_NOT_TAKEN]
-  = { "not_taken", 503, 1 * SECONDS, "no backend server that was tried took the request" },
+  = { "not_taken", 503, 1 * MS_PER_S, "no backend server that was tried took the request" },
   [REFUSAL_BACKEND_REJECTED]
   = { "backend_rejected", 502, 0, "the backend server refused the request as not valid" },
   [REFUSAL_BACKEND_FAILED]
-  = { "backend_failed", 502, 1 * SECONDS, "the backend server gave no complete answer" },
+  = { "backend_failed", 502, 1 * MS_PER_S, "the backend server gave no complete answer" },
   [REFUSAL_ANSWER_TOO_LARGE]
   = { "answer_too_large", 502, 0, "the answer is longer than this system accepts" },
   [REFUSAL_CALLER_LEFT] = { "caller_left", 499, 0, "the caller left before its answer began" },
-  [REFUSAL_INTERNAL] = { "internal", 500, 1 * SECONDS, "fault in the router" },
+  [REFUSAL_INTERNAL] = { "internal", 500, 1 * MS_PER_S, "fault in the router" },
 };
 
 static const RefusalEntry *
--- a/src/gate_refusal.h
+++ b/src/gate_refusal.h
@@ -1,4 +1,5 @@
-/** Refusals: the table that maps each reason to its HTTP status, text and retry time, and the JSON
+/**
+ * Refusals: the table that maps each reason to its HTTP status, text and retry time, and the JSON
  * that callers get.
  */
 #ifndef GATE_REFUSAL_H
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -29,7 +29,7 @@
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_CUT);
   gate_attempt_end (r, SERVER_FAILED);
-  gate_request_refused_by_death (r);
+  gate_request_raise_retry_after (r);
   buffer_add_string (&r->out, "event: error\ndata: ");
   refusal_json (&r->refusal, &r->out);
   buffer_add_string (&r->out, "\n\n");
--- a/src/gate_reorder.h
+++ b/src/gate_reorder.h
@@ -1,4 +1,5 @@
-/** Sorts the chunks of a stream by their sequence numbers: each chunk is returned exactly once, and
+/**
+ * Sorts the chunks of a stream by their sequence numbers: each chunk is returned exactly once, and
  * only after all chunks with lower numbers. No I/O.
  */
 #ifndef GATE_REORDER_H
@@ -31,7 +32,8 @@
 } ReorderResult;
 
 ReorderResult reorder_push (Reorder *reorder, int64_t number, const char *data, size_t len);
-/** Moves the next chunk to *out (overwritten) and its number to *number. False: it has not arrived.
+/**
+ * Moves the next chunk to *out (overwritten) and its number to *number. False: it has not arrived.
  */
 bool reorder_pop (Reorder *reorder, Buffer *out, int64_t *number);
 /** True if chunks are held behind one that has not arrived. */
--- a/src/gate_replicas.h
+++ b/src/gate_replicas.h
@@ -1,4 +1,5 @@
-/** Copies usage records that cannot be made durable at the platform now to stewards in other
+/**
+ * Copies usage records that cannot be made durable at the platform now to stewards in other
  * failure domains. The grant names these stewards (peers).
  */
 #ifndef GATE_REPLICAS_H
--- a/src/gate_request.c
+++ b/src/gate_request.c
@@ -68,7 +68,7 @@
 }
 
 void
-gate_request_refused_by_death (GateRequest *r)
+gate_request_raise_retry_after (GateRequest *r)
 {
   int64_t *retry_after_ms = &r->refusal.retry_after_ms;
 
--- a/src/gate_request.h
+++ b/src/gate_request.h
@@ -1,4 +1,5 @@
-/** One caller's request, from the arrival of its headers until it is freed.
+/**
+ * One caller's request, from the arrival of its headers until it is freed.
  */
 #ifndef GATE_REQUEST_H
 #define GATE_REQUEST_H
@@ -45,38 +46,36 @@
 {
   Gate *gate;
   struct MHD_Connection *connection;
-  int fd; /**< the caller's socket */
+  int fd; /**< socket to the caller, by way of gate_filter; -1: none */
   char id[ID_SIZE];
   int64_t begun_ms; /**< boot-time clock: when the request line was read */
   Refusal refusal;
 
   RequestKind kind;
-  char *method; /**< NULL until the headers have been read */
-  char
-      *path; /**< as in the request line; for plain services, the path sent to the backend server */
+  char *method;             /**< NULL until the headers have been read */
+  char *path;               /**< as received; for plain services, the path sent to the server */
   const char *content_type; /**< the caller's Content-Type header, or NULL */
   Buffer body;
-  struct json_object *json;
-  bool stream; /**< the caller asked for a text/event-stream */
+  struct json_object *json; /**< parsed body; NULL for plain services */
+  bool stream;              /**< the caller asked for a text/event-stream */
 
   GateSnapshot *snapshot;
-  unsigned team;
-  char asked[BILL_NAME_MAX];
+  unsigned team;                 /**< index */
+  char asked[BILL_NAME_MAX];     /**< model, MODEL@VERSION, quality class or service as requested */
   char key[REQUEST_KEY_MAX + 1]; /**< idempotency key; empty: none */
-  char caller[REQUEST_CALLER_MAX + 1];
-  char session[SESSION_TOKEN_MAX]; /**< X-Lovage-Session as received; empty: none */
+  char caller[REQUEST_CALLER_MAX + 1]; /**< identity for roll-outs: header or IP address */
+  char session[SESSION_TOKEN_MAX];     /**< X-Lovage-Session as received; empty: none */
   char session_version[SESSION_VERSION_MAX];
   bool session_named;      /**< session is a name chosen by the caller, stored in a table row */
   Idempotency idempotency; /**< from the X-Lovage-Idempotent header */
   bool idempotent;
-  int64_t deadline_ms; /**< boot-time clock; 0: none */
-  int service;         /**< index, or -1 */
-  uint64_t prefix_hash;
-  uint64_t caller_hash;
+  int64_t deadline_ms;  /**< boot-time clock; 0: none */
+  int service;          /**< index, or -1: not a plain service */
+  uint64_t prefix_hash; /**< of the beginning of the first message */
+  uint64_t caller_hash; /**< of team and caller */
   uint64_t fingerprint; /**< of team and body; see choose_quarantine.h */
   ChoosePlan plan;
-  int previous_version; /**< index of the version whose answer missed the target in an earlier stage
-                           of this cascade; -1: none */
+  int previous_version; /**< index; its answer missed the target in an earlier stage; -1: none */
   bool rated;           /**< the current stage's answer is rated before it is relayed */
   bool sampled;         /**< the answer is rated after the caller has received it */
 
@@ -90,20 +89,19 @@
   bool billed;
   GateAttempt *attempt; /**< the current attempt, or NULL */
   unsigned attempt_number;
-  uint8_t *excluded; /**< by server index: 1 if already tried in this stage */
-  GateCancel cancel; /**< answer to cancel at its engine once the caller has its refusal */
-  unsigned
-      stage_attempts; /**< attempts of the current stage, without those counted in stage_unsent */
-  unsigned stage_unsent; /**< attempts of the current stage that were refused at once, unsent */
-  bool retry_granted;    /**< the budget has granted a retry that has not been sent yet */
-  unsigned lost_answers; /**< attempts that may have run and gave no complete answer */
-  bool server_died;      /**< a server broke off its answer and now refuses connections */
-  bool may_have_run;     /**< some attempt may have run without giving an answer */
+  uint8_t *excluded;       /**< by server index: 1 if already tried in this stage */
+  GateCancel cancel;       /**< answer to cancel at its engine once the caller has its refusal */
+  unsigned stage_attempts; /**< of the current stage, without those in stage_unsent */
+  unsigned stage_unsent;   /**< attempts of the current stage that were refused at once, unsent */
+  bool retry_granted;      /**< the budget has granted a retry that has not been sent yet */
+  unsigned lost_answers;   /**< attempts that may have run and gave no complete answer */
+  bool server_died;        /**< a server broke off its answer and now refuses connections */
+  bool may_have_run;       /**< some attempt may have run without giving an answer */
 
   int http_status; /**< of the answer */
   char answer_type[64];
   Buffer out;  /**< bytes for the caller */
-  size_t sent; /**< of out */
+  size_t sent; /**< bytes of out that libmicrohttpd has taken */
   RelayPhase phase;
   Buffer kept;        /**< copy of the answer, to be stored with the claim */
   bool kept_overflow; /**< the answer is too long to be stored */
@@ -124,7 +122,7 @@
 bool gate_request_quarantined (const GateRequest *r);
 /** After a server's death, raises the refusal's retry time to REQUEST_DEATH_PROPAGATION_MS, so that
  * all VMs have the death report when the caller retries. */
-void gate_request_refused_by_death (GateRequest *r);
+void gate_request_raise_retry_after (GateRequest *r);
 const ConfigTeam *gate_request_team (const GateRequest *r);
 /** Frees the request. An unfinished answer is cancelled and billed. */
 void gate_request_free (GateRequest *r);
--- a/src/gate_respond.h
+++ b/src/gate_respond.h
@@ -1,4 +1,5 @@
-/** Queues answers and refusals as libmicrohttpd responses.
+/**
+ * Queues answers and refusals as libmicrohttpd responses.
  */
 #ifndef GATE_RESPOND_H
 #define GATE_RESPOND_H
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -10,7 +10,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SERVICE_ANSWER_MAX (16UL * 1024 * 1024)
+#define SERVICE_ANSWER_MAX (16UL * 1024 * 1024) /* bytes; of collected engines' answers too */
 #define READ_SIZE          4096
 
 /** Result of one stage of a plan. */
@@ -257,7 +257,7 @@
     }
   if (result == RUN_REFUSED)
     {
-      gate_request_refused_by_death (r);
+      gate_request_raise_retry_after (r);
       gate_bill_refused (r);
     }
   return result;
--- a/src/gate_run.h
+++ b/src/gate_run.h
@@ -1,4 +1,5 @@
-/** Runs one request: admission, session, plan, claim, attempts and usage record.
+/**
+ * Runs one request: admission, session, plan, claim, attempts and usage record.
  */
 #ifndef GATE_RUN_H
 #define GATE_RUN_H
@@ -17,7 +18,8 @@
 RunResult gate_run (GateRequest *r);
 /** Replaces r->out with the next events and sets r->phase. False: the caller has left. */
 bool gate_run_next (GateRequest *r);
-/** Ends the current attempt when the caller has left: the engine's answer is cancelled and its
+/**
+ * Ends the current attempt when the caller has left: the engine's answer is cancelled and its
  * tokens so far are billed. A claimed request runs to its end, so that a re-send finds its answer.
  */
 void gate_run_abandon (GateRequest *r);
--- a/src/gate_sample.c
+++ b/src/gate_sample.c
@@ -11,7 +11,7 @@
 #include <string.h>
 #include <urcu/list.h>
 
-#define QUEUE_MAX 64
+#define QUEUE_MAX 64 /* samples waiting for the rating service */
 
 typedef struct
 {
--- a/src/gate_sample.h
+++ b/src/gate_sample.h
@@ -1,4 +1,5 @@
-/** Sends a sample of the answers to the rating service after their callers have received them, so
+/**
+ * Sends a sample of the answers to the rating service after their callers have received them, so
  * that the quality estimates of versions stay current where no cascade stage is rated. The queue is
  * bounded: if the service is slow, samples are dropped.
  */
--- a/src/gate_servers.h
+++ b/src/gate_servers.h
@@ -1,4 +1,5 @@
-/** This gate's state of each backend server, such as load, latency, circuit breaker and aborted
+/**
+ * This gate's state of each backend server, such as load, latency, circuit breaker and aborted
  * answers. Entries are kept by name across configurations; each has its own lock.
  */
 #ifndef GATE_SERVERS_H
@@ -29,10 +30,9 @@
   LoadHistory history;
   ServerAbort aborts[QUARANTINE_FLIGHT_MAX]; /**< ring of the latest aborted answers */
   unsigned next_abort;
-  uint64_t
-      running[QUARANTINE_FLIGHT_MAX]; /**< fingerprints of requests in progress there; 0: free */
-  int64_t died_ms;                    /**< when its last death was observed; 0: none */
-  bool report_missed;                 /**< the last load report failed */
+  uint64_t running[QUARANTINE_FLIGHT_MAX]; /**< fingerprints of its requests; 0: free */
+  int64_t died_ms;                         /**< when its last death was observed; 0: none */
+  bool report_missed;                      /**< the last load report failed */
 } GateServer;
 
 typedef struct GateServers
--- a/src/gate_session.c
+++ b/src/gate_session.c
@@ -30,7 +30,8 @@
   return true;
 }
 
-/* The row is written before anything is sent. If it were written after the answer and the table
+/*
+ * The row is written before anything is sent. If it were written after the answer and the table
  * service failed then, the session would have started on a version that is recorded nowhere. If
  * another request of the session has written the row meanwhile, that row applies.
  */
--- a/src/gate_session.h
+++ b/src/gate_session.h
@@ -1,4 +1,5 @@
-/** Sessions bind a caller to a version: either by a sealed token, or by a name that the caller
+/**
+ * Sessions bind a caller to a version: either by a sealed token, or by a name that the caller
  * chooses and that is stored in a table row.
  */
 #ifndef GATE_SESSION_H
--- a/src/gate_snapshot.h
+++ b/src/gate_snapshot.h
@@ -1,4 +1,5 @@
-/** Snapshot of the configuration in force in this gate, with brakes and backend servers, published
+/**
+ * Snapshot of the configuration in force in this gate, with brakes and backend servers, published
  * by RCU. A request keeps the snapshot that it started with; immediately before its last byte is
  * sent it is checked against the newest one.
  */
--- a/src/gate_sse.h
+++ b/src/gate_sse.h
@@ -1,4 +1,5 @@
-/** Parses a text/event-stream into events. No I/O.
+/**
+ * Parses a text/event-stream into events. No I/O.
  */
 #ifndef GATE_SSE_H
 #define GATE_SSE_H
--- a/src/gate_stream.h
+++ b/src/gate_stream.h
@@ -1,4 +1,5 @@
-/** One model engine's answer as an ordered stream: each chunk is returned exactly once and in
+/**
+ * One model engine's answer as an ordered stream: each chunk is returned exactly once and in
  * order, the stream is resumed by sequence number after a gap or a lost connection, and STREAM_END
  * is returned only for a complete answer. The engine is accessed through a table of function
  * pointers, so that tests run without I/O.
--- a/src/gate_sweep.c
+++ b/src/gate_sweep.c
@@ -61,7 +61,7 @@
 }
 
 static void
-refuse_reader (const SweepEntry *entry)
+refuse_slow_caller (const SweepEntry *entry)
 {
   Refusal refusal = { 0 };
 
@@ -89,7 +89,7 @@
       {
         if (!overdue (sweep, entry, now_ms))
           continue;
-        refuse_reader (entry);
+        refuse_slow_caller (entry);
         entry->state = SWEEP_WORKING;
       }
       pthread_mutex_unlock (&sweep->lock);
--- a/src/gate_sweep.h
+++ b/src/gate_sweep.h
@@ -1,4 +1,5 @@
-/** Closes connections whose request takes too long to arrive. A thread checks all connections at
+/**
+ * Closes connections whose request takes too long to arrive. A thread checks all connections at
  * regular intervals. libmicrohttpd's own time-out is not enough: each byte restarts it, so a caller
  * that sends a byte now and then could occupy a thread for ever.
  */
--- a/src/gate_watch.h
+++ b/src/gate_watch.h
@@ -1,4 +1,5 @@
-/** A thread that detects callers that leave while their request waits for an engine, and deadlines
+/**
+ * A thread that detects callers that leave while their request waits for an engine, and deadlines
  * that pass before any part of the answer was relayed, and cancels the answer at the engine. The
  * request's own thread cannot do this while it is blocked in a read; when the engine ends the
  * stream, that read returns.
--- a/tests/fake_gate.h
+++ b/tests/fake_gate.h
@@ -1,4 +1,5 @@
-/** Fake gates that write usage records, and a steward that recovers the records of dead gates, with
+/**
+ * Fake gates that write usage records, and a steward that recovers the records of dead gates, with
  * an in-memory platform.
  */
 #ifndef FAKE_GATE_H
@@ -33,7 +34,8 @@
 
 /** A gate; waits until its row in the table is written. */
 FakeGate *fake_gate_new (FakeSite *site, uint64_t incarnation, size_t spool_max);
-/** A gate that starts while calls of these kinds (CALL_*) are refused; does not wait for its row.
+/**
+ * A gate that starts while calls of these kinds (CALL_*) are refused; does not wait for its row.
  */
 FakeGate *
 fake_gate_new_disconnected (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls);
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -47,10 +47,11 @@
     }
 }
 
-/* Sets the number of body bytes and whether the request is complete; false while its head is not.
+/*
+ * Sets the number of body bytes and whether the request is complete; false while its head is not.
  */
 static bool
-measure (const Buffer *in, size_t *body, bool *whole)
+parse_request (const Buffer *in, size_t *body, bool *complete)
 {
   const char *head_end = strstr (in->data, "\r\n\r\n");
   if (!head_end)
@@ -60,13 +61,13 @@
   const char *length = strcasestr (in->data, "\r\nContent-Length:");
   if (strcasestr (in->data, "\r\nTransfer-Encoding: chunked"))
     {
-      *whole = got >= strlen (CHUNKED_END) && strstr (start, CHUNKED_END);
+      *complete = got >= strlen (CHUNKED_END) && strstr (start, CHUNKED_END);
       *body = 0;
       return true;
     }
   size_t want = length && length < head_end ? strtoul (strchr (length, ':') + 1, NULL, 10) : 0;
   *body = got;
-  *whole = got >= want;
+  *complete = got >= want;
   return true;
 }
 
@@ -75,8 +76,8 @@
 read_request (FakeServer *s, int fd)
 {
   Buffer in = { 0 };
-  bool whole = false;
-  while (!whole && wait_readable (s, fd))
+  bool complete = false;
+  while (!complete && wait_readable (s, fd))
     {
       char block[4096];
       ssize_t n = read (fd, block, sizeof block);
@@ -84,19 +85,19 @@
         break;
       buffer_add (&in, block, (size_t)n);
       size_t body = 0;
-      measure (&in, &body, &whole);
+      parse_request (&in, &body, &complete);
       pthread_mutex_lock (&s->lock);
       s->body = body;
-      s->requests += whole;
+      s->requests += complete;
       pthread_cond_broadcast (&s->changed);
       pthread_mutex_unlock (&s->lock);
     }
   buffer_free (&in);
-  return whole;
+  return complete;
 }
 
 static void
-wait_go (FakeServer *s)
+wait_for_resume (FakeServer *s)
 {
   pthread_mutex_lock (&s->lock);
   while (!s->resumed && !s->stopping)
@@ -129,7 +130,7 @@
       if (!send_all (fd, answer->text, answer->pause_at))
         return false;
       at = answer->pause_at;
-      wait_go (s);
+      wait_for_resume (s);
     }
   if (!answer->byte_delay_ms)
     return send_all (fd, answer->text + at, len - at);
--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -1,4 +1,5 @@
-/** A TCP server that counts HTTP requests and answers each with the same given bytes, valid or not,
+/**
+ * A TCP server that counts HTTP requests and answers each with the same given bytes, valid or not,
  * then closes the connection.
  */
 #ifndef FAKE_SERVER_H
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -93,7 +93,8 @@
   return server;
 }
 
-/* When an engine's process has died, each request sent there loses time until the breaker opens. A
+/*
+ * When an engine's process has died, each request sent there loses time until the breaker opens. A
  * refused connection opens it at once, and the first load report after the engine's return closes
  * it.
  */
@@ -186,7 +187,8 @@
   gate_server_end (server, SERVER_FAILED, fingerprint, now_ms);
 }
 
-/* A prompt that crashes the engine that runs it is sent again by its caller and crashes the next
+/*
+ * A prompt that crashes the engine that runs it is sent again by its caller and crashes the next
  * one. After the second death it is quarantined. An engine that broke off an answer but accepts
  * connections has not died, and neither has one that was stopped with no answer in progress.
  */
@@ -229,7 +231,8 @@
   ++*(int *)context;
 }
 
-/* A crash prompt and an innocent request run at two engines that die one after the other. The
+/*
+ * A crash prompt and an innocent request run at two engines that die one after the other. The
  * thread of the innocent request notices the death first each time; reported alone, that request
  * would look like the cause. The death report contains all requests that ran there, so neither is
  * quarantined, and the end of the second one adds nothing. A request that was answered before the
@@ -239,14 +242,14 @@
 test_death_report_has_all_running (void)
 {
   Quarantine *quarantine = quarantine_new (&quarantine_settings_default);
-  Quarantine *sightings = quarantine_new (&quarantine_settings_default);
+  Quarantine *observed = quarantine_new (&quarantine_settings_default);
   QuarantineDeath news[QUARANTINE_DEATHS_MAX];
   GateServers servers;
   int notified = 0;
 
   gate_servers_init (&servers, "vm-1", "oita");
   servers.quarantine = quarantine;
-  servers.observed_deaths = sightings;
+  servers.observed_deaths = observed;
   servers.on_death = count_call;
   servers.context = &notified;
   for (int i = 0; i < 2; i++)
@@ -271,16 +274,17 @@
       gate_server_end (server, SERVER_UNREACHABLE, 4, now_ms + 6);
       gate_server_put (server);
     }
-  CU_ASSERT_EQUAL (quarantine_news (sightings, news, QUARANTINE_DEATHS_MAX, 2500), 2);
+  CU_ASSERT_EQUAL (quarantine_news (observed, news, QUARANTINE_DEATHS_MAX, 2500), 2);
   CU_ASSERT_EQUAL (news[0].count, 2);
   CU_ASSERT_EQUAL (news[1].count, 2);
   CU_ASSERT (!quarantine_holds (quarantine, 1, 2500));
   CU_ASSERT (!quarantine_holds (quarantine, 2, 2500));
   quarantine_free (quarantine);
-  quarantine_free (sightings);
+  quarantine_free (observed);
 }
 
-/* A crash prompt is sent to one VM, then to another, and each observes one death. Only with the
+/*
+ * A crash prompt is sent to one VM, then to another, and each observes one death. Only with the
  * reports of both can they tell that one prompt caused the deaths, and then both quarantine it. A
  * report that comes back to the VM that made it changes nothing.
  */
--- a/tests/test_gate_guard.c
+++ b/tests/test_gate_guard.c
@@ -1,4 +1,5 @@
-/** The check before the last byte of a request is sent: src/gate_guard.c, with src/gate_snapshot.c.
+/**
+ * The check before the last byte of a request is sent: src/gate_guard.c, with src/gate_snapshot.c.
  */
 #include "gate_guard.h"
 #include "gate_request.h"
@@ -111,7 +112,8 @@
     REASON_NO_SERVER },
 };
 
-/* Guards against a withdrawn version that answers a caller seconds after the withdrawal: a request
+/*
+ * Guards against a withdrawn version that answers a caller seconds after the withdrawal: a request
  * is planned under the old configuration, then its VM is suspended or its connection to the engine
  * is slow, and its last byte is sent although the new configuration has arrived meanwhile.
  */
@@ -135,7 +137,8 @@
     }
 }
 
-/* Guards against a disconnected VM that sends new requests under a configuration that has been
+/*
+ * Guards against a disconnected VM that sends new requests under a configuration that has been
  * replaced elsewhere: its grant has expired, or it never had one.
  */
 static void
--- a/tests/test_gate_pick.c
+++ b/tests/test_gate_pick.c
@@ -1,4 +1,5 @@
-/** The choice of a server by a copy of the servers' states: src/gate_pick.c.
+/**
+ * The choice of a server by a copy of the servers' states: src/gate_pick.c.
  */
 #include "gate_pick.h"
 #include "suite.h"
--- a/tests/test_gate_poll.c
+++ b/tests/test_gate_poll.c
@@ -1,4 +1,5 @@
-/** Reading the load reports of many engines: src/gate_poll.c.
+/**
+ * Reading the load reports of many engines: src/gate_poll.c.
  */
 #include "fake_keeper.h"
 #include "gate_poll.h"
@@ -7,15 +8,15 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define ENGINES 56 /**< more than one round reads, in each thread */
-#define LEFT    5
-#define PRIOR   "\"cost_per_1k\":1000,\"prior_quality\":0.9"
+#define ENGINES   56 /**< more than one round reads, in each thread */
+#define REMAINING 5
+#define PRIOR     "\"cost_per_1k\":1000,\"prior_quality\":0.9"
 
 typedef struct
 {
   Gate gate;
   FakeKeeper *keepers[ENGINES];
-  int wanted; /**< number of requests or open connections to wait for */
+  int expected; /**< number of requests or open connections to wait for */
 } Site;
 
 static int
@@ -63,7 +64,7 @@
 {
   Site *site = context;
 
-  return sum (site, fake_keeper_requests) >= site->wanted;
+  return sum (site, fake_keeper_requests) >= site->expected;
 }
 
 static bool
@@ -71,20 +72,21 @@
 {
   Site *site = context;
 
-  return sum (site, fake_keeper_open) == site->wanted;
+  return sum (site, fake_keeper_open) == site->expected;
 }
 
 static void
 wait_requests (Site *site, int more)
 {
-  site->wanted = sum (site, fake_keeper_requests) + more;
+  site->expected = sum (site, fake_keeper_requests) + more;
   CU_ASSERT_TRUE (suite_wait (enough_requests, site));
 }
 
 static void
 test_reads_are_bounded_and_take_turns (void)
 {
-  /* With hundreds of engines, reading all of them every second would use more network traffic for
+  /*
+   * With hundreds of engines, reading all of them every second would use more network traffic for
    * control than allowed. Checks that the reads per second are bounded, that every engine is read
    * in turn, and that connections to engines that leave the configuration are closed.
    */
@@ -110,13 +112,13 @@
       gate_server_view (site->gate.snapshots.newest->servers[i], &view);
       CU_ASSERT_EQUAL (view.reported_load, 3);
     }
-  publish (site, LEFT, 2);
-  site->wanted = LEFT;
+  publish (site, REMAINING, 2);
+  site->expected = REMAINING;
   CU_ASSERT_TRUE (suite_wait (expected_open, site));
-  wait_requests (site, 2 * LEFT);
-  CU_ASSERT_EQUAL (sum (site, fake_keeper_open), LEFT);
+  wait_requests (site, 2 * REMAINING);
+  CU_ASSERT_EQUAL (sum (site, fake_keeper_open), REMAINING);
   /* A remaining engine may now belong to another thread, which opens its own connection. */
-  CU_ASSERT_TRUE (sum (site, fake_keeper_connections) <= ENGINES + LEFT);
+  CU_ASSERT_TRUE (sum (site, fake_keeper_connections) <= ENGINES + REMAINING);
   gate_poll_stop (poll);
   gate_snapshot_put (site->gate.snapshots.newest);
   for (int i = 0; i < ENGINES; i++)
--- a/tests/test_gate_refusal.c
+++ b/tests/test_gate_refusal.c
@@ -19,7 +19,8 @@
     }
 }
 
-/* Guards against a client that is told to retry although a retry cannot succeed, and so retries for
+/*
+ * Guards against a client that is told to retry although a retry cannot succeed, and so retries for
  * ever, and against one that is refused for a temporary reason and not told to retry.
  */
 static void
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -1,4 +1,5 @@
-/** One request through the gate, from its plan to its usage record, against fake backend servers
+/**
+ * One request through the gate, from its plan to its usage record, against fake backend servers
  * with selectable faults and an in-memory platform: src/gate_run.c and what it calls.
  */
 #include "fake_engine.h"
@@ -19,7 +20,8 @@
 #define STREAMED                                                                                   \
   "{\"model\":\"draft\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}"
 
-/** A gate with a grant and configuration 1: one model, one non-idempotent class, one plain service.
+/**
+ * A gate with a grant and configuration 1: one model, one non-idempotent class, one plain service.
  */
 typedef struct
 {
@@ -220,7 +222,8 @@
   site_free (site);
 }
 
-/** If a server answers that it did not run the request, another one is tried and nothing is billed.
+/**
+ * If a server answers that it did not run the request, another one is tried and nothing is billed.
  */
 static void
 test_not_run_is_tried_elsewhere (void)
@@ -233,7 +236,8 @@
   site_free (site);
 }
 
-/* If an engine breaks off its answer to an idempotent request, the request runs again at another
+/*
+ * If an engine breaks off its answer to an idempotent request, the request runs again at another
  * server and the caller gets a complete answer. The tokens of the first attempt are free.
  */
 static void
@@ -265,7 +269,8 @@
   site_free (site);
 }
 
-/* The server of a non-idempotent request breaks the connection without an answer, so the request
+/*
+ * The server of a non-idempotent request breaks the connection without an answer, so the request
  * may have run. It must not run at a second server, and neither may the caller's re-send.
  */
 static void
@@ -315,7 +320,8 @@
   site_free (site);
 }
 
-/* The caller of a crash prompt sends it again at once. The deaths of the first two engines are
+/*
+ * The caller of a crash prompt sends it again at once. The deaths of the first two engines are
  * known before the refusal is sent, so the second request takes down none. The retry time of the
  * refusal is long enough for the death reports to reach the other VMs. Engines that only break off
  * an answer are not dead.
@@ -403,7 +409,8 @@
   site_free (site);
 }
 
-/* A version is withdrawn after a request was planned and before its last byte is sent. The engine
+/*
+ * A version is withdrawn after a request was planned and before its last byte is sent. The engine
  * gets an incomplete body, the caller is told that the request did not run, and nothing is billed.
  */
 static void
@@ -552,7 +559,8 @@
   site_free (site);
 }
 
-/* A deadline passes while the engine sends nothing. The request is refused then, not when the read
+/*
+ * A deadline passes while the engine sends nothing. The request is refused then, not when the read
  * times out seconds later, and its answer is cancelled at the engine.
  */
 static void
--- a/tests/test_gate_stream.c
+++ b/tests/test_gate_stream.c
@@ -15,7 +15,8 @@
   "\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":3}}\n\n"
 #define DONE "data: [DONE]\n\n"
 
-/** What the engine sends on each connection: first that of the request, then those of resumptions.
+/**
+ * What the engine sends on each connection: first that of the request, then those of resumptions.
  */
 typedef struct
 {
@@ -294,7 +295,8 @@
   gate_stream_free (&stream);
 }
 
-/* Guards against an answer that looks complete to the caller but lacks a chunk, contains one twice,
+/*
+ * Guards against an answer that looks complete to the caller but lacks a chunk, contains one twice,
  * or ends early, because chunks arrived twice, late or in another order, or the connection was
  * lost. Only the sequence numbers, the finish reason and the end mark show that an answer is
  * complete.
@@ -306,7 +308,8 @@
     check_case (&cases[i]);
 }
 
-/* Guards against an engine that goes on generating for a caller that has left. The stream checks
+/*
+ * Guards against an engine that goes on generating for a caller that has left. The stream checks
  * for this before each read and before each resumption.
  */
 static void
@@ -321,7 +324,8 @@
   Status st = { 0 };
   int asked = 0;
 
-  /* The caller leaves one check later in each round, until the answer is complete before it leaves.
+  /*
+   * The caller leaves one check later in each round, until the answer is complete before it leaves.
    */
   for (;; asked++)
     {
