--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -257,7 +257,8 @@
 }
 
 /* True if the next attempt needs no further retry from the budget: it is the first one that is
-   sent, or the retry granted last has not been sent yet. */
+   sent, or the retry granted last has not been sent yet, and neither the deadline nor
+   REQUEST_UNSENT_MAX forbids it. */
 static bool
 is_within_budget (const GateRequest *r, const RetryQuery *query)
 {
--- a/src/gate_servers.h
+++ b/src/gate_servers.h
@@ -39,10 +39,10 @@
 {
   pthread_mutex_t lock;
   struct cds_list_head list;
-  uint64_t node;                    /**< hash of this VM's name */
-  const char *failure_domain;       /**< of this VM */
-  Quarantine *quarantine;           /**< gets the deaths observed here; NULL: none */
-  Quarantine *observed_deaths;      /**< the same deaths, to be sent to the other VMs; NULL: none */
+  uint64_t node;               /**< hash of this VM's name */
+  const char *failure_domain;  /**< of this VM */
+  Quarantine *quarantine;      /**< deaths observed by any VM; NULL: not recorded */
+  Quarantine *observed_deaths; /**< those observed by this VM, for the others; NULL: not recorded */
   void (*on_death) (void *context); /**< called when observed_deaths has changed; NULL: none */
   void *context;
 } GateServers;
