--- a/src/gate_answer.c
+++ b/src/gate_answer.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ANSWER_DEPTH_MAX 32
+#define ANSWER_DEPTH_MAX 32 /* nesting of the JSON in one chunk */
 #define STEP             "answer"
 
 static struct json_object *
@@ -41,7 +41,7 @@
 
   if (content == NULL || json_object_get_string_len (content) == 0)
     return status_ok (st);
-  answer->pieces++;
+  answer->chunks++;
   if (!answer->keep_content)
     return status_ok (st);
   len = (size_t)json_object_get_string_len (content);
@@ -59,7 +59,7 @@
 }
 
 static StatusCode
-add_piece (GateAnswer *answer, struct json_object *root, Status *st)
+add_chunk (GateAnswer *answer, struct json_object *root, Status *st)
 {
   struct json_object *choices = member (root, "choices", json_type_array);
   struct json_object *choice;
@@ -98,13 +98,13 @@
   if (json_tokener_get_error (answer->tokener) != json_tokener_success)
     code = status_set (st, STATUS_INVALID, STEP, NULL, "a piece is no JSON object");
   else
-    code = add_piece (answer, root, st);
+    code = add_chunk (answer, root, st);
   json_object_put (root);
   return code;
 }
 
 bool
-answer_whole (const GateAnswer *answer)
+answer_is_complete (const GateAnswer *answer)
 {
   return answer->done && answer->finish_reason[0] != '\0';
 }
@@ -112,7 +112,7 @@
 int64_t
 answer_completion_tokens (const GateAnswer *answer)
 {
-  return answer->has_usage ? answer->completion_tokens : answer->pieces;
+  return answer->has_usage ? answer->completion_tokens : answer->chunks;
 }
 
 void
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -16,19 +16,19 @@
 #include <string.h>
 
 #define STEP           "attempt"
-#define ERROR_BODY_MAX 4096
-/** A refused connection comes back within a round trip; one that takes longer is an attempt. */
+#define ERROR_BODY_MAX 4096 /* bytes of an error body that are searched for "not run" */
+/** A refused connection takes one round trip. A failure that takes longer counts as an attempt. */
 #define REFUSED_WITHIN_US INT64_C (100000)
 #define PROBE_TIMEOUT_MS  200
-/** For the steward's answer, before a request that lost an answer to a death is sent again. */
-#define NEWS_WAIT_MS 100
+/** For the death reports of other VMs, before a request whose server died is sent again. */
+#define RENEWAL_WAIT_MS 100
 
-/** How the beginning of an attempt went. */
+/** Result of starting an attempt. */
 typedef enum
 {
   BEGIN_OK,
-  BEGIN_NEXT, /**< not run there: another server may be tried */
-  BEGIN_STOP  /**< r->refusal is set */
+  BEGIN_NEXT, /**< no answer from this server; another one may be tried */
+  BEGIN_STOP  /**< the request is refused; r->refusal is set */
 } BeginResult;
 
 static int
@@ -50,9 +50,9 @@
   return gate_pick (r->gate->policy, r->snapshot->servers, &query);
 }
 
-/* True if the body is {"error":{"code":C}} with a code that says that the request did not run. */
+/* True if the body is {"error":{"code":C}} and the code says that the request did not run. */
 static bool
-is_not_run (const char *body)
+body_says_not_run (const char *body)
 {
   struct json_object *root = json_tokener_parse (body);
   struct json_object *error;
@@ -71,26 +71,26 @@
   return said;
 }
 
-/* What was read stays in a->early: a plain service's answer may be something else. */
+/* The bytes read stay in a->peeked: a plain service's 503 or 409 may be its regular answer. */
 static bool
-says_not_run (GateAttempt *a)
+response_says_not_run (GateAttempt *a)
 {
   char block[ERROR_BODY_MAX];
   long n = 1;
 
   if (a->http_status != 503 && a->http_status != 409)
     return false;
-  while (a->early.len < ERROR_BODY_MAX && n > 0)
+  while (a->peeked.len < ERROR_BODY_MAX && n > 0)
     {
       n = http_exchange_read (a->exchange, block, sizeof (block), NULL);
       if (n > 0)
-        buffer_add (&a->early, block, (size_t)n);
+        buffer_add (&a->peeked, block, (size_t)n);
     }
-  return n == 0 && a->early.len > 0 && is_not_run (a->early.data);
+  return n == 0 && a->peeked.len > 0 && body_says_not_run (a->peeked.data);
 }
 
 static void
-refuse_unknown (GateRequest *r, int reason, const Status *st)
+refuse_outcome_unknown (GateRequest *r, int reason, const Status *st)
 {
   r->may_have_run = true;
   refusal_set (&r->refusal, reason, REQUEST_UNKNOWN, st->step[0] != '\0' ? st->step : STEP,
@@ -99,9 +99,9 @@
 
 /* The request may have run at this server. */
 static BeginResult
-begin_unknown (GateRequest *r, const Status *st, ServerResult result)
+begin_outcome_unknown (GateRequest *r, const Status *st, ServerResult result)
 {
-  refuse_unknown (r, REFUSAL_BACKEND_FAILED, st);
+  refuse_outcome_unknown (r, REFUSAL_BACKEND_FAILED, st);
   r->lost_answers++;
   gate_learn_error (r);
   gate_attempt_bill (r, false);
@@ -109,7 +109,7 @@
   return BEGIN_NEXT;
 }
 
-/* The request was ended by us while it waited for the head of its answer. */
+/* The gate itself ended the request while it waited for the head of the response. */
 static BeginResult
 begin_ended (GateRequest *r, int reason)
 {
@@ -140,24 +140,25 @@
                    r->may_have_run ? REQUEST_UNKNOWN : REQUEST_NOT_RUN, STEP, "%s", st->message);
       return BEGIN_STOP;
     }
-  if (code != STATUS_UNAVAILABLE && a->watched && gate_request_gone (r))
+  if (code != STATUS_UNAVAILABLE && a->watched && gate_request_caller_left (r))
     return begin_ended (r, REFUSAL_CALLER_LEFT);
-  if (code != STATUS_UNAVAILABLE && gate_request_late (r))
+  if (code != STATUS_UNAVAILABLE && gate_request_past_deadline (r))
     return begin_ended (r, REASON_DEADLINE_PAST);
   if (code != STATUS_UNAVAILABLE)
-    return begin_unknown (r, st, SERVER_FAILED);
-  gate_attempt_end (r, SERVER_UNREACHED);
+    return begin_outcome_unknown (r, st, SERVER_FAILED);
+  gate_attempt_end (r, SERVER_UNREACHABLE);
   return BEGIN_NEXT;
 }
 
-/* The head of an engine's answer. Any other than 200 is final only for this server. */
+/* Checks the status of the response. An engine's 5xx, or a body that says that the request did not
+   run, rules out this server only; any other status but 200 refuses the request. */
 static BeginResult
 check_head (GateRequest *r, GateAttempt *a)
 {
   Status st;
 
   a->http_status = http_exchange_status (a->exchange);
-  if (says_not_run (a))
+  if (response_says_not_run (a))
     {
       gate_attempt_end (r, SERVER_BUSY);
       return BEGIN_NEXT;
@@ -166,16 +167,16 @@
     return BEGIN_OK;
   status_set (&st, STATUS_UNKNOWN, STEP, a->config_server->name, "HTTP status %d", a->http_status);
   if (a->http_status >= 500)
-    return begin_unknown (r, &st, SERVER_FAILED);
-  refuse_unknown (r, REFUSAL_BACKEND_REJECTED, &st);
+    return begin_outcome_unknown (r, &st, SERVER_FAILED);
+  refuse_outcome_unknown (r, REFUSAL_BACKEND_REJECTED, &st);
   gate_attempt_bill (r, false);
   gate_attempt_end (r, SERVER_NEUTRAL);
   return BEGIN_STOP;
 }
 
-/* A claimed request is run to its end whether its caller stays or not. */
+/* Requests with a claim are not watched: they run to their end even if the caller leaves. */
 static void
-watch (GateRequest *r, GateAttempt *a)
+watch_caller (GateRequest *r, GateAttempt *a)
 {
   a->watched = a->version >= 0 && !r->claimed;
   if (!a->watched)
@@ -187,9 +188,10 @@
   gate_watch_add (&r->gate->watch, &a->watch);
 }
 
-/* A refused connection cost nothing and certainly did not run: it is no attempt. */
+/* A connection refused at once cost nothing and the request certainly did not run, so it does not
+   count as an attempt. */
 static void
-count (GateRequest *r, const GateAttempt *a, StatusCode code)
+count_attempt (GateRequest *r, const GateAttempt *a, StatusCode code)
 {
   bool quick = clock_boot_us () - a->begun_us < REFUSED_WITHIN_US;
 
@@ -219,15 +221,17 @@
   gate_stream_init (&a->stream, &gate_attempt_stream_ops, a);
   gate_server_begin (a->server, clock_boot_ms ());
   r->excluded[server] = 1;
-  watch (r, a);
+  watch_caller (r, a);
   code = gate_attempt_send (a, &st);
-  count (r, a, code);
+  count_attempt (r, a, code);
   if (code != STATUS_OK)
     return begin_failed (r, a, code, &st);
   return check_head (r, a);
 }
 
-/* No server is left to try: what the last one did, or that there was none. */
+/*
+ * No server is left to try. Keeps the refusal of the last attempt if there is one. Returns false.
+ */
 static bool
 refuse_no_server (GateRequest *r)
 {
@@ -242,27 +246,29 @@
   return false;
 }
 
-/* True if the same prompt crashed servers here or at other VMs. After a death the news is fetched:
-   the next server may be the one too many. */
+/* True if the same request has crashed servers here or at other VMs. After a death the reports of
+   the other VMs are fetched first, since this request may have crashed servers there too. */
 static bool
 is_quarantined (GateRequest *r)
 {
   if (r->server_died && !r->retry_granted)
-    gate_grant_hear (r->gate, NEWS_WAIT_MS);
+    gate_grant_renew_and_wait (r->gate, RENEWAL_WAIT_MS);
   return r->may_have_run && gate_request_quarantined (r);
 }
 
-/* What nothing was sent of since the budget was asked needs no further retry from it. */
+/* True if the next attempt needs no further retry from the budget: it is the first one that is
+   sent, or the retry granted last has not been sent yet, and neither the deadline nor
+   REQUEST_UNSENT_MAX forbids it. */
 static bool
-is_paid (const GateRequest *r, const RetryQuery *query)
+is_within_budget (const GateRequest *r, const RetryQuery *query)
 {
   bool late = query->deadline_ms != 0 && query->now_ms >= query->deadline_ms;
 
   return (r->stage_attempts == 0 || r->retry_granted) && query->server_left && !late;
 }
 
-/* True if another server may be tried after one failed; otherwise r->refusal says why not. After an
-   attempt that certainly did not run, a non-idempotent request may be sent again too. */
+/* True if another server may be tried after one failed; otherwise r->refusal says why not. A
+   request that is not idempotent may be sent again only if no attempt of it can have run. */
 static bool
 may_retry (GateRequest *r)
 {
@@ -282,7 +288,7 @@
       refusal_set (&r->refusal, REASON_QUARANTINED, REQUEST_UNKNOWN, STEP, NULL);
       return false;
     }
-  if (is_paid (r, &query))
+  if (is_within_budget (r, &query))
     return true;
   answer = retry_policy_default.decide (r->gate->retries, &query);
   if (answer.verdict == RETRY_NOW)
@@ -320,7 +326,7 @@
         case BEGIN_NEXT:
           break;
         }
-      if (!r->claimed && gate_request_gone (r))
+      if (!r->claimed && gate_request_caller_left (r))
         return refuse_no_server (r);
     }
 }
@@ -348,8 +354,8 @@
                  * config->versions[a->version].cost_per_1k / 1000.0;
 }
 
-/* An answer was broken off: one connection shows whether its server is dead, so that this and the
-   other VMs know before the request is tried elsewhere or refused. */
+/* The server broke off an answer. One connection attempt shows whether it is dead, so that this VM
+   and the others know before the request is sent elsewhere or refused. */
 static void
 confirm_death (GateRequest *r, const GateAttempt *a)
 {
@@ -369,7 +375,7 @@
   if (a == NULL)
     return;
   if (result == SERVER_NEUTRAL && a->exchange != NULL && a->http_status == 200 && a->version >= 0
-      && !gate_watch_noticed (&a->watch))
+      && !gate_watch_caller_left (&a->watch))
     {
       snprintf (r->cancel.id, sizeof (r->cancel.id), "%s", a->id);
       r->cancel.config_server = a->config_server;
@@ -381,7 +387,7 @@
   if (result == SERVER_FAILED)
     confirm_death (r, a);
   gate_stream_free (&a->stream);
-  buffer_free (&a->early);
+  buffer_free (&a->peeked);
   free (a);
   r->attempt = NULL;
 }
--- a/src/gate_deaths.h
+++ b/src/gate_deaths.h
@@ -1,6 +1,6 @@
 /**
- * News of backend servers that died: what this VM saw goes to the steward, what others saw comes
- * with the grant.
+ * Exchanges reports of dead backend servers with the steward: those observed by this VM are sent
+ * with the request for a grant; those of all VMs come back with the grant.
  */
 #ifndef GATE_DEATHS_H
 #define GATE_DEATHS_H
@@ -10,17 +10,19 @@
 
 struct Gate;
 
-/** What rpc_death entries point to. */
+/**
+ * Death reports in wire form. list points into deaths, so the struct must not be moved or copied.
+ */
 typedef struct
 {
   QuarantineDeath deaths[LOVAGE_DEATHS_MAX];
   rpc_death list[LOVAGE_DEATHS_MAX];
   u_int count;
-} DeathNews;
+} DeathReports;
 
-/** This VM's own sightings. */
-void gate_deaths_news (struct Gate *gate, DeathNews *out);
-/** Sightings of any VM. */
-void gate_deaths_take (struct Gate *gate, const rpc_death *list, size_t count);
+/** Collects the deaths that this VM has observed itself. */
+void gate_deaths_collect (struct Gate *gate, DeathReports *out);
+/** Adds the deaths observed by any VM to this gate's quarantine. */
+void gate_deaths_merge (struct Gate *gate, const rpc_death *list, size_t count);
 
 #endif
--- a/src/gate_filter.c
+++ b/src/gate_filter.c
@@ -11,37 +11,37 @@
 #include <sys/socket.h>
 
 #define STEP "request.head"
-/* Bytes that one side hasn't taken yet from which the other is no longer read: two reads' worth. */
-#define OUTPUT_MOST 32768
-/* Bytes of later requests that are kept while one is being answered. */
-#define AHEAD_MOST 32768
-/* A request that follows its predecessor's last byte at once may overtake the word that this one
- * was answered, by some microseconds. */
+/* Bytes pending for one side beyond which the other side is no longer read: two reads' worth. */
+#define OUTPUT_MAX 32768
+/* Bytes of later requests that are buffered while one is being answered. */
+#define READ_AHEAD_MAX 32768
+/* Interval at which a waiting request checks whether its predecessor has been answered. The caller
+ * can see the last byte of an answer some microseconds before the link counts it. */
 #define ANSWERED_CHECK_US 1000
 #define READ_BLOCK        4096
-/* Closing a socket with unread bytes resets the connection, and the last answer would be lost on
- * its way: what the caller still sends is read for so long. */
+/* Time for which the caller's bytes are still read and dropped after the last answer: closing a
+ * socket with unread bytes resets the connection, and the caller could lose that answer. */
 #define LINGER_S 1
 
 struct GateFilter
 {
   struct cds_list_head node;
   struct bufferevent *caller;
-  struct bufferevent *server; /* libmicrohttpd's side; NULL: closed */
+  struct bufferevent *server; /* the end towards libmicrohttpd; NULL: closed */
   struct event *timer;
   GateLink *link;
   GateFraming framing;
-  int64_t requests;  /* passed on whole */
-  bool mid_request;  /* some of the next one's bytes were passed on */
+  int64_t requests;  /* forwarded completely */
+  bool mid_request;  /* the request in progress has been forwarded in part */
   bool answer_begun; /* the server has written since the request in progress began */
-  bool lingering;    /* all is written; what the caller sends is dropped */
-  bool hurried;
+  bool lingering;    /* all output is sent; the caller's bytes are dropped */
+  bool skip_linger;  /* close without lingering: the gate stops */
 };
 
 static void caller_read (GateFilter *filter);
 
 static size_t
-waiting_to_leave (struct bufferevent *bev)
+output_pending (struct bufferevent *bev)
 {
   return evbuffer_get_length (bufferevent_get_output (bev));
 }
@@ -59,7 +59,7 @@
   free (filter);
 }
 
-/* Over TLS the end has a record of its own; without it the answer looks cut. */
+/* TLS has a close_notify record; without it the answer looks truncated to the caller. */
 static void
 end_output (struct bufferevent *caller)
 {
@@ -70,16 +70,16 @@
   shutdown (bufferevent_getfd (caller), SHUT_WR);
 }
 
-/* Call it last: it may free the filter. */
+/* May free the filter: the caller of this function must not use it afterwards. */
 static void
 linger (GateFilter *filter)
 {
   struct timeval wait = { .tv_sec = LINGER_S };
 
-  if (filter->lingering || waiting_to_leave (filter->caller) > 0)
+  if (filter->lingering || output_pending (filter->caller) > 0)
     return;
   end_output (filter->caller);
-  if (filter->hurried)
+  if (filter->skip_linger)
     {
       filter_free (filter);
       return;
@@ -89,7 +89,7 @@
   evtimer_add (filter->timer, &wait);
 }
 
-/* Call it last. */
+/* May free the filter. */
 static void
 close_server (GateFilter *filter)
 {
@@ -98,7 +98,8 @@
   linger (filter);
 }
 
-/* Call it last. */
+/* Answers a malformed request, unless an answer to an earlier one is being written, and closes the
+ * connection. May free the filter. */
 static void
 refuse (GateFilter *filter)
 {
@@ -123,10 +124,10 @@
   evtimer_add (filter->timer, &wait);
 }
 
-/* The answers that are complete are in the server's socket at the latest by now. Bytes that come
- * from it after this call belong to the next request. */
+/* Called when all earlier requests have been answered: their answers are in the server's socket by
+ * now and are forwarded. Bytes that arrive from it later belong to the next request. */
 static void
-take_answers (GateFilter *filter)
+forward_answers (GateFilter *filter)
 {
   char block[READ_BLOCK];
   ssize_t len;
@@ -137,23 +138,23 @@
   filter->answer_begun = false;
 }
 
-/* One run of bytes that lie together; false at a fault. */
+/* Forwards one contiguous run of the caller's bytes. False: the request is malformed. */
 static bool
-pass_on (GateFilter *filter)
+forward_input (GateFilter *filter)
 {
   struct evbuffer *input = bufferevent_get_input (filter->caller);
   struct evbuffer_iovec run;
-  Buffer pass = { 0 };
+  Buffer forward = { 0 };
   FramingResult result;
   size_t used = 0;
 
   evbuffer_peek (input, -1, NULL, &run, 1);
   if (!filter->mid_request)
-    take_answers (filter);
-  result = gate_framing_feed (&filter->framing, run.iov_base, run.iov_len, &used, &pass);
-  if (pass.len > 0)
-    bufferevent_write (filter->server, pass.data, pass.len);
-  buffer_free (&pass);
+    forward_answers (filter);
+  result = gate_framing_feed (&filter->framing, run.iov_base, run.iov_len, &used, &forward);
+  if (forward.len > 0)
+    bufferevent_write (filter->server, forward.data, forward.len);
+  buffer_free (&forward);
   evbuffer_drain (input, used);
   filter->mid_request = result != FRAMING_DONE;
   if (result == FRAMING_DONE)
@@ -161,8 +162,8 @@
   return result != FRAMING_FAULT;
 }
 
-/* Requests go on one at a time: with one answer outstanding at most, it is known which request a
- * refusal is for. */
+/* Forwards one request at a time. With at most one answer outstanding it is known which request a
+ * refusal belongs to. */
 static void
 caller_read (GateFilter *filter)
 {
@@ -175,12 +176,12 @@
           await_answer (filter);
           return;
         }
-      if (!pass_on (filter))
+      if (!forward_input (filter))
         {
           refuse (filter);
           return;
         }
-      if (waiting_to_leave (filter->server) > OUTPUT_MOST)
+      if (output_pending (filter->server) > OUTPUT_MAX)
         {
           bufferevent_disable (filter->caller, EV_READ);
           return;
@@ -207,8 +208,9 @@
     linger (filter);
 }
 
-/* A caller that has left, has sent its last byte, or takes no bytes any more: libmicrohttpd's side
- * sees its end in turn, and what runs for it is cancelled. */
+/* The caller has left, has shut down its sending side, or reads nothing any more. Freeing the
+ * filter closes libmicrohttpd's connection too, and the request that runs for this caller is
+ * cancelled. */
 static void
 on_caller_event (struct bufferevent *bev UNUSED, short what, void *context)
 {
@@ -223,7 +225,7 @@
 
   filter->answer_begun = true;
   bufferevent_write_buffer (filter->caller, bufferevent_get_input (bev));
-  if (waiting_to_leave (filter->caller) > OUTPUT_MOST)
+  if (output_pending (filter->caller) > OUTPUT_MAX)
     bufferevent_disable (bev, EV_READ);
 }
 
@@ -276,7 +278,7 @@
   cds_list_add_tail (&filter->node, list);
   bufferevent_setcb (caller, on_caller_read, on_caller_written, on_caller_event, filter);
   bufferevent_setcb (server, on_server_read, on_server_written, on_server_event, filter);
-  bufferevent_setwatermark (caller, EV_READ, 0, AHEAD_MOST);
+  bufferevent_setwatermark (caller, EV_READ, 0, READ_AHEAD_MAX);
   bufferevent_set_timeouts (caller, NULL, &stalled);
   bufferevent_enable (caller, EV_READ | EV_WRITE);
   bufferevent_enable (server, EV_READ | EV_WRITE);
@@ -284,13 +286,13 @@
 }
 
 void
-gate_filters_hurry (struct cds_list_head *list)
+gate_filters_skip_linger (struct cds_list_head *list)
 {
   GateFilter *filter, *next;
 
   cds_list_for_each_entry_safe (filter, next, list, node)
   {
-    filter->hurried = true;
+    filter->skip_linger = true;
     if (filter->lingering)
       filter_free (filter);
   }
--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -11,12 +11,12 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ASK_INTERVAL_MS 250
-#define ASK_TIMEOUT_MS  1000
+#define RENEW_INTERVAL_MS 250
+#define RENEW_TIMEOUT_MS  1000
 
 static void *grant_run (void *context);
-static void ask_once (Gate *gate);
-static void take_brakes (Gate *gate, const rpc_grant *grant);
+static void renew_once (Gate *gate);
+static void add_brakes (Gate *gate, const rpc_grant *grant);
 
 bool
 gate_grant_valid (Gate *gate)
@@ -32,9 +32,10 @@
   snprintf (out, size, "%s", name != NULL ? name : "");
 }
 
-/* Brakes only ever add up here; a configuration that names a later `released` frees a version. */
+/* Only adds brakes. A version is released by a configuration whose `released` is later than the
+ * brake. */
 static void
-take_brakes (Gate *gate, const rpc_grant *grant)
+add_brakes (Gate *gate, const rpc_grant *grant)
 {
   for (u_int i = 0; i < grant->brakes.brakes_len; i++)
     {
@@ -52,33 +53,34 @@
 }
 
 static void
-note_change (bool had, bool has)
+log_change (bool was_valid, bool is_valid)
 {
-  if (had == has)
+  if (was_valid == is_valid)
     return;
-  log_msg (has ? MSG_GATE_GRANT : MSG_GATE_GRANT_LOST, NULL);
+  log_msg (is_valid ? MSG_GATE_GRANT : MSG_GATE_GRANT_LOST, NULL);
 }
 
 /*
- * The grant is counted from before the ask was sent: the steward's word was true at some moment
- * after that. It counts only once the configuration that it speaks of, or a newer one, is in force
- * here, so a gate that could not read a configuration takes no new work on the old one.
+ * The grant runs from before the renewal was sent, since the steward's confirmation was true at
+ * some moment after that. It is valid only once the configuration that it names, or a newer one, is
+ * in force here, so a gate that could not read a configuration admits no requests under the old
+ * one.
  */
 static void
-take_grant (Gate *gate, const rpc_grant *grant, int64_t sent_ms)
+apply_grant (Gate *gate, const rpc_grant *grant, int64_t sent_ms)
 {
   GateGrant *own = &gate->grant;
   int64_t until_ms = 0;
 
-  /* Each gate writes less often the more there are, so that the site stays within what the table
-     service takes. */
+  /* The more gates there are, the less often each one writes, so that the site stays within the
+     rate that the table service accepts. */
   if (__atomic_exchange_n (&own->members, (int64_t)grant->members, __ATOMIC_RELAXED)
           != (int64_t)grant->members
       && grant->members > 0)
     platform_group_set_interval (gate->group, platform_group_interval (grant->members));
   __atomic_store_n (&own->rank, (int64_t)grant->rank, __ATOMIC_RELAXED);
   gate_limit_view (&gate->limit, grant->members, grant->rank);
-  gate_replicas_name (&gate->replicas, grant->peers.peers_val, grant->peers.peers_len);
+  gate_replicas_set_peers (&gate->replicas, grant->peers.peers_val, grant->peers.peers_len);
   if (grant->number > gate_config_number (gate))
     gate_config_fetch (gate, grant->number);
   gate_config_apply_brakes (gate);
@@ -90,7 +92,7 @@
 }
 
 static void
-ask_once (Gate *gate)
+renew_once (Gate *gate)
 {
   bool stopping = __atomic_load_n (&gate->stopping, __ATOMIC_ACQUIRE);
   rpc_grant_ask ask = {
@@ -100,87 +102,90 @@
     .stopping = stopping,
   };
   rpc_evidence evidence[LOVAGE_BRAKES_MAX];
-  DeathNews news;
+  DeathReports reports;
   rpc_grant grant = { 0 };
   int64_t sent_ms = clock_boot_ms ();
   Status st = { 0 };
   StatusCode code;
 
-  gate_deaths_news (gate, &news);
-  ask.deaths.deaths_val = news.list;
-  ask.deaths.deaths_len = news.count;
+  gate_deaths_collect (gate, &reports);
+  ask.deaths.deaths_val = reports.list;
+  ask.deaths.deaths_len = reports.count;
   ask.evidence.evidence_val = evidence;
   ask.evidence.evidence_len
       = (u_int)gate_evidence_take (gate->evidence, evidence, LOVAGE_BRAKES_MAX);
   code = rpc_client_call (gate->grant.steward, LOVAGE_GRANT, (xdrproc_t)xdr_rpc_grant_ask, &ask,
-                          (xdrproc_t)xdr_rpc_grant, &grant, ASK_TIMEOUT_MS, &st);
+                          (xdrproc_t)xdr_rpc_grant, &grant, RENEW_TIMEOUT_MS, &st);
 
   if (code != STATUS_OK)
     {
       counter_add (COUNTER_GATE_GRANTS_MISSED, 1);
-      /* Evidence of which it is not known whether it arrived is lost rather than counted twice. */
+      /* If it is unknown whether the evidence arrived, it is dropped rather than counted twice. */
       if (code != STATUS_UNKNOWN)
         gate_evidence_put_back (gate->evidence, evidence, ask.evidence.evidence_len);
       return;
     }
-  take_brakes (gate, &grant);
-  gate_deaths_take (gate, grant.deaths.deaths_val, grant.deaths.deaths_len);
-  take_grant (gate, &grant, sent_ms);
+  add_brakes (gate, &grant);
+  gate_deaths_merge (gate, grant.deaths.deaths_val, grant.deaths.deaths_len);
+  apply_grant (gate, &grant, sent_ms);
   xdr_free ((xdrproc_t)xdr_rpc_grant, (char *)&grant);
 }
 
 void
-gate_grant_wake (Gate *gate)
+gate_grant_renew (Gate *gate)
 {
   GateGrant *grant = &gate->grant;
 
   if (!grant->running)
     return;
   pthread_mutex_lock (&grant->lock);
-  grant->wanted++;
+  grant->requested++;
   pthread_cond_broadcast (&grant->changed);
   pthread_mutex_unlock (&grant->lock);
 }
 
 void
-gate_grant_hear (Gate *gate, int64_t most_ms)
+gate_grant_renew_and_wait (Gate *gate, int64_t max_ms)
 {
   GateGrant *grant = &gate->grant;
-  int64_t until_ms = clock_boot_ms () + most_ms;
-  uint64_t ask;
+  int64_t until_ms = clock_boot_ms () + max_ms;
+  uint64_t target;
 
   if (!grant->running)
     return;
   pthread_mutex_lock (&grant->lock);
-  ask = ++grant->wanted;
+  target = ++grant->requested;
   pthread_cond_broadcast (&grant->changed);
-  while (grant->heard < ask && !grant->stop
+  while (grant->completed < target && !grant->stop
          && wait_ms (&grant->changed, &grant->lock, until_ms - clock_boot_ms ()))
     continue;
   pthread_mutex_unlock (&grant->lock);
 }
 
-/* What was wanted before the ask that begins now; false: to be stopped. */
+/* Sets *requested to the renewals that the one that begins now satisfies. False: the thread is to
+ * end. */
 static bool
-begin_ask (GateGrant *grant, uint64_t *wanted)
+begin_renewal (GateGrant *grant, uint64_t *requested)
 {
-  bool goes_on;
+  bool keep_running;
 
   pthread_mutex_lock (&grant->lock);
-  *wanted = grant->wanted;
-  goes_on = !grant->stop;
+  *requested = grant->requested;
+  keep_running = !grant->stop;
   pthread_mutex_unlock (&grant->lock);
-  return goes_on;
+  return keep_running;
 }
 
-/* Waits until next_ms, or until an ask is wanted that the last one was not. */
+/*
+ * Marks the renewal as completed, then waits until next_ms or until another renewal is requested.
+ */
 static void
-end_ask (GateGrant *grant, uint64_t wanted, int64_t next_ms)
+finish_renewal (GateGrant *grant, uint64_t requested, int64_t next_ms)
 {
   pthread_mutex_lock (&grant->lock);
-  grant->heard = wanted;
+  grant->completed = requested;
   pthread_cond_broadcast (&grant->changed);
-  while (grant->wanted == wanted && !grant->stop
+  while (grant->requested == requested && !grant->stop
          && wait_ms (&grant->changed, &grant->lock, next_ms - clock_boot_ms ()))
     continue;
   pthread_mutex_unlock (&grant->lock);
@@ -190,21 +195,22 @@
 grant_run (void *context)
 {
   Gate *gate = context;
-  bool had = false;
-  uint64_t wanted;
+  bool was_valid = false;
+  uint64_t requested;
 
-  gate_rcu_enter ();
-  while (begin_ask (&gate->grant, &wanted))
+  gate_rcu_register ();
+  while (begin_renewal (&gate->grant, &requested))
     {
-      int64_t next_ms = clock_boot_ms () + ASK_INTERVAL_MS;
+      int64_t next_ms = clock_boot_ms () + RENEW_INTERVAL_MS;
       int64_t number = gate_config_number (gate);
-      bool has;
-      ask_once (gate);
-      has = gate_grant_valid (gate);
-      note_change (had, has);
-      had = has;
-      /* The steward calls a number in force only once its gate has said so: say it at once. */
-      end_ask (&gate->grant, wanted, gate_config_number (gate) > number ? 0 : next_ms);
+      bool is_valid;
+      renew_once (gate);
+      is_valid = gate_grant_valid (gate);
+      log_change (was_valid, is_valid);
+      was_valid = is_valid;
+      /* The steward treats a configuration as in force only once the gate has reported its
+         number, so a new number is reported at once. */
+      finish_renewal (&gate->grant, requested, gate_config_number (gate) > number ? 0 : next_ms);
     }
   return NULL;
 }
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -12,8 +12,8 @@
 #include <string.h>
 
 #define STEP              "http.start"
-#define STACK_SIZE        (256UL * 1024)
-#define CONNECTION_MEMORY (16UL * 1024) /**< beside the headers: answers' heads and chunks */
+#define STACK_SIZE        (256UL * 1024) /**< bytes, per connection's thread */
+#define CONNECTION_MEMORY (16UL * 1024)  /**< bytes in addition to the head: responses */
 #define CONNECTIONS_SPARE 64
 #define DRAIN_MAX_MS      500
 #define DRAIN_STEP_MS     10
@@ -91,8 +91,8 @@
   *socket_context = c;
 }
 
-/* The request line has come; the URI is not decoded yet, so that a plain service gets it as sent.
- */
+/* Called with the request line, before libmicrohttpd decodes the URI: a plain service gets it as
+   the caller sent it. */
 static void *
 on_uri (void *cls, const char *uri, struct MHD_Connection *connection)
 {
@@ -128,7 +128,7 @@
   return gate_respond_refusal (r);
 }
 
-/* A body without a stated length that turns out too long. */
+/* Adds a block to the body. A body without Content-Length may turn out too long here. */
 static enum MHD_Result
 on_body (GateHttp *http, GateRequest *r, const char *upload, size_t *upload_size)
 {
@@ -144,14 +144,14 @@
   gate_sweep_working (http->sweep, sweep_entry (r->connection));
   refusal_set (&r->refusal, REFUSAL_TOO_LARGE, REQUEST_NOT_RUN, "request.body",
                "expected at most %zu bytes", max);
-  gate_refused_note (r);
+  gate_refused_record (r);
   gate_raw_refuse (r->fd, &r->refusal);
   gate_raw_drain (r->fd);
   return MHD_NO;
 }
 
 static enum MHD_Result
-on_whole_request (GateHttp *http, GateRequest *r)
+on_complete_request (GateHttp *http, GateRequest *r)
 {
   enum MHD_Result queued = MHD_NO;
 
@@ -164,13 +164,13 @@
     case RUN_REFUSED:
       queued = gate_respond_refusal (r);
       break;
-    case RUN_WHOLE:
-      queued = gate_respond_whole (r);
+    case RUN_COMPLETE:
+      queued = gate_respond_complete (r);
       break;
     case RUN_STREAM:
       queued = gate_respond_stream (r);
       break;
-    case RUN_GONE:
+    case RUN_CALLER_LEFT:
       break;
     }
   gate_respond_resume_timeout (r);
@@ -196,7 +196,7 @@
     return on_head (cls, r, method);
   if (*upload_size > 0)
     return on_body (cls, r, upload, upload_size);
-  return on_whole_request (cls, r);
+  return on_complete_request (cls, r);
 }
 
 static void
@@ -257,7 +257,7 @@
   http->daemon = start_daemon (http);
   if (http->daemon != NULL)
     return gate_callers_start (http->callers, http->daemon, st);
-  status_set (st, STATUS_INTERNAL, STEP, NULL, "libmicrohttpd doesn't start");
+  status_set (st, STATUS_INTERNAL, STEP, NULL, "libmicrohttpd could not start");
   return false;
 }
 
@@ -273,14 +273,14 @@
   return NULL;
 }
 
-/* Callers that had connected when the listening socket was closed still get their refusal with its
-   time to come back, where an early stop would reset their connections. */
+/* Callers that were connected when the listening socket was closed still get a refusal with a retry
+   time; stopping at once would reset their connections. */
 static void
 drain (GateHttp *http)
 {
   int64_t until_ms = clock_boot_ms () + DRAIN_MAX_MS;
 
-  gate_callers_refuse_more (http->callers);
+  gate_callers_stop_accepting (http->callers);
   while (clock_boot_ms () < until_ms && gate_sweep_open (http->sweep) > 0)
     clock_sleep_ms (DRAIN_STEP_MS);
 }
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -1,4 +1,4 @@
-/* lovage-gate: takes callers' requests. */
+/* lovage-gate: accepts callers' requests and routes them to backend servers. */
 #include "gate.h"
 #include "gate_http.h"
 #include "gate_poll.h"
@@ -15,16 +15,16 @@
 #include <string.h>
 #include <sys/resource.h>
 
-#define MEMBERS_AT_START    9 /* until the first grant */
-#define GROUP_OPS_MAX       400
-#define TABLE_TIMEOUT_MS    1500
-#define SESSIONS_REMEMBERED 20000
-#define FILES_A_STREAM      7
-#define FILES_SPARE         256
-#define STOP_STEP_MS        20
-#define STOP_BILL_MIN_MS    2000
+#define MEMBERS_AT_START  9   /* assumed until the first grant gives the number */
+#define GROUP_OPS_MAX     400 /* operations in one transaction */
+#define TABLE_TIMEOUT_MS  1500
+#define SESSION_CACHE_MAX 20000
+#define FILES_PER_STREAM  7 /* see raise_file_limit */
+#define FILES_SPARE       256
+#define STOP_STEP_MS      20
+#define STOP_BILL_MIN_MS  2000
 
-/** Whole gate with the parts that main alone drives. */
+/** The gate and the modules that only main starts and stops. */
 typedef struct
 {
   Gate gate;
@@ -35,7 +35,8 @@
 
 const char *argp_program_version = "lovage-gate 0.1";
 
-/* The balancer is not told to send work before the teams with limits can be served. */
+/* Until this is true the readiness check fails, so that the balancer sends no requests before teams
+   with limits can be served. */
 static bool
 limits_settled (Gate *gate)
 {
@@ -73,7 +74,7 @@
   buffer_printf (out, "gate_granted %d\n", gate_grant_valid (gate) ? 1 : 0);
   buffer_printf (out, "gate_bill_backlog %zu\n", backlog.count);
   buffer_printf (out, "gate_bill_backlog_bytes %zu\n", backlog.bytes);
-  gate_refused_text (out);
+  gate_refused_metrics (out);
   gate_snapshot_put (snapshot);
 }
 
@@ -126,14 +127,14 @@
   bill.group = gate->group;
   gate->bill = bill_writer_new (&bill);
   gate->releaser = claim_releaser_new (gate->platform);
-  gate->sessions = session_named_new (gate->group, SESSIONS_REMEMBERED);
+  gate->sessions = session_named_new (gate->group, SESSION_CACHE_MAX);
   gate->sample = gate_sample_start (gate);
 }
 
 static void
-wake_grant (void *context)
+renew_grant (void *context)
 {
-  gate_grant_wake (context);
+  gate_grant_renew (context);
 }
 
 static bool
@@ -148,8 +149,8 @@
   gate->incarnation = id_random_u64 ();
   gate_servers_init (&gate->servers, settings->common.vm, settings->common.failure_domain);
   gate->servers.quarantine = quarantine_new (&quarantine_settings_default);
-  gate->servers.sightings = quarantine_new (&quarantine_settings_default);
-  gate->servers.died = wake_grant;
+  gate->servers.observed_deaths = quarantine_new (&quarantine_settings_default);
+  gate->servers.on_death = renew_grant;
   gate->servers.context = gate;
   gate_rating_init (&gate->rating);
   gate_limit_init (&gate->limit);
@@ -170,8 +171,8 @@
   return true;
 }
 
-/* New requests are refused from here on, with a word to come back; those in progress end by
-   themselves, and no connection is closed under them. */
+/* Refuses new requests, with a retry time, and waits for those in progress. Their connections stay
+   open until they have ended or the stop timeout has passed. */
 static void
 wait_for_requests (Gate *gate)
 {
@@ -190,7 +191,8 @@
     }
 }
 
-/* Records that are in no lasting place yet get what is left of the bound. */
+/* Stops all modules. Usage records that are not durable yet get the rest of the stop timeout.
+   Returns the number of records left. */
 static size_t
 stop (Main *m)
 {
@@ -216,19 +218,20 @@
   gate_replicas_clear (&gate->replicas);
   gate_evidence_free (gate->evidence);
   quarantine_free (gate->servers.quarantine);
-  quarantine_free (gate->servers.sightings);
+  quarantine_free (gate->servers.observed_deaths);
   gate_limit_clear (&gate->limit);
   estimates_free (gate->estimates);
   retry_budget_free (gate->retries);
   return left;
 }
 
-/* Each request in progress has a socket to its caller, a pair before libmicrohttpd and one to its
-   engine; a second connection, without an engine, may be waiting to be refused. */
+/* Each request in progress has a socket to its caller, a socket pair to libmicrohttpd and a socket
+   to its engine. The other three are for a second connection, without an engine, that may be
+   waiting to be refused. */
 static void
 raise_file_limit (const SettingsGate *settings)
 {
-  rlim_t wanted = (rlim_t)settings->streams_max * FILES_A_STREAM + FILES_SPARE;
+  rlim_t wanted = (rlim_t)settings->streams_max * FILES_PER_STREAM + FILES_SPARE;
   struct rlimit limit;
 
   if (getrlimit (RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= wanted)
--- a/src/gate_rating.c
+++ b/src/gate_rating.c
@@ -4,10 +4,10 @@
 #include "util_counter.h"
 
 #define RATE_TIMEOUT_MS 2000
-#define DOWN_FAILURES   2
-#define DOWN_MS         5000
-#define FIRST_MS        50
-#define SMOOTHING       0.1
+#define DOWN_FAILURES   2    /* consecutive failures after which the service counts as down */
+#define DOWN_MS         5000 /* time for which cascades are then planned without ratings */
+#define FIRST_MS        50   /* assumed time of a rating until one has been measured */
+#define SMOOTHING       0.1  /* weight of the newest rating in the moving average */
 
 void
 gate_rating_init (GateRating *rating)
@@ -38,10 +38,11 @@
   return ms;
 }
 
-/* After two failures in a row cascades are planned without ratings for a while, where each would
-   otherwise wait for its time-out; samples go on asking and find the service back. */
+/* After two consecutive failures cascades are planned without ratings for DOWN_MS, since each
+   rating would otherwise wait for its time-out. Samples are still sent and detect that the service
+   is back. */
 static void
-note (GateRating *rating, bool rated, double ms)
+record_result (GateRating *rating, bool rated, double ms)
 {
   pthread_mutex_lock (&rating->lock);
   if (rated)
@@ -69,7 +70,7 @@
                                     RATE_TIMEOUT_MS, score, &st)
                == STATUS_OK;
 
-  note (&gate->rating, rated, (double)(clock_boot_us () - begun_us) / 1000.0);
+  record_result (&gate->rating, rated, (double)(clock_boot_us () - begun_us) / 1000.0);
   counter_add (rated ? COUNTER_GATE_RATINGS : COUNTER_GATE_RATINGS_MISSED, 1);
   return rated;
 }
--- a/src/gate_refused.c
+++ b/src/gate_refused.c
@@ -8,9 +8,9 @@
 
 static int64_t counts[REFUSAL_COUNT]; /* atomic */
 static int64_t log_second;            /* atomic */
-static int64_t log_lines;             /* atomic: in that second */
+static int64_t log_lines;             /* atomic: logged in log_second */
 
-/* A flood of refusals must not become a flood of lines. */
+/* Limits the log lines per second, so that many refusals do not flood the log. */
 static bool
 may_log (void)
 {
@@ -22,7 +22,7 @@
 }
 
 void
-gate_refused_note (const GateRequest *r)
+gate_refused_record (const GateRequest *r)
 {
   char message[QUOTED_MAX];
   char asked[BILL_NAME_MAX * 2];
@@ -43,7 +43,7 @@
 }
 
 void
-gate_refused_text (Buffer *out)
+gate_refused_metrics (Buffer *out)
 {
   for (int i = REASON_NONE + 1; i < REFUSAL_COUNT; i++)
     buffer_printf (out, "gate_refused_%s %lld\n", refusal_name (i),
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -1,4 +1,4 @@
-/* The later events of a streamed answer, and what happens when its caller leaves. */
+/* Relays the events of a streamed answer after the first ones, and handles callers that leave. */
 #include "gate_bill.h"
 #include "gate_learn.h"
 #include "gate_run.h"
@@ -8,8 +8,8 @@
 static void cancel (GateRequest *r);
 static void cut (GateRequest *r, const Status *st);
 
-/* Everything but the closing events has been passed on at once; these follow the durable usage
-   record, so that an answer which the caller holds whole is always billed. */
+/* All events but the closing ones have been relayed at once. These are relayed only after the usage
+   record is durable, so that a caller never has a complete answer that is not billed. */
 static void
 finish (GateRequest *r)
 {
@@ -17,7 +17,7 @@
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
-  gate_attempt_end (r, SERVER_WELL);
+  gate_attempt_end (r, SERVER_SUCCEEDED);
   r->phase = RELAY_CLOSING;
 }
 
@@ -29,7 +29,7 @@
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_CUT);
   gate_attempt_end (r, SERVER_FAILED);
-  gate_request_refused_by_death (r);
+  gate_request_raise_retry_after (r);
   buffer_add_string (&r->out, "event: error\ndata: ");
   refusal_json (&r->refusal, &r->out);
   buffer_add_string (&r->out, "\n\n");
@@ -55,7 +55,7 @@
   r->sent = 0;
   switch (gate_attempt_next (r, &r->out, &st))
     {
-    case STREAM_PIECE:
+    case STREAM_CHUNK:
       gate_bill_keep (r);
       break;
     case STREAM_END:
@@ -64,15 +64,15 @@
     case STREAM_CUT:
       cut (r, &st);
       break;
-    case STREAM_GONE:
+    case STREAM_CALLER_LEFT:
       cancel (r);
       return false;
     }
   return true;
 }
 
-/* The caller of a claimed request has left: the engine's answer is read to its end and kept under
-   the claim, since running it again is forbidden. */
+/* The caller of a claimed request has left. The engine's answer is read to its end and stored with
+   the claim, since the request must not run a second time. */
 static void
 run_on (GateRequest *r)
 {
@@ -90,7 +90,7 @@
     return;
   if (r->billed)
     {
-      gate_attempt_end (r, SERVER_WELL);
+      gate_attempt_end (r, SERVER_SUCCEEDED);
       return;
     }
   if (r->claimed)
--- a/src/gate_request.c
+++ b/src/gate_request.c
@@ -48,13 +48,13 @@
 }
 
 bool
-gate_request_gone (const GateRequest *r)
+gate_request_caller_left (const GateRequest *r)
 {
-  return gate_watch_gone (r->fd);
+  return gate_watch_socket_closed (r->fd);
 }
 
 bool
-gate_request_late (const GateRequest *r)
+gate_request_past_deadline (const GateRequest *r)
 {
   return !r->claimed && r->deadline_ms > 0 && clock_boot_ms () >= r->deadline_ms;
 }
@@ -68,12 +68,12 @@
 }
 
 void
-gate_request_refused_by_death (GateRequest *r)
+gate_request_raise_retry_after (GateRequest *r)
 {
   int64_t *retry_after_ms = &r->refusal.retry_after_ms;
 
-  if (r->server_died && *retry_after_ms > 0 && *retry_after_ms < REQUEST_DEATH_NEWS_MS)
-    *retry_after_ms = REQUEST_DEATH_NEWS_MS;
+  if (r->server_died && *retry_after_ms > 0 && *retry_after_ms < REQUEST_DEATH_PROPAGATION_MS)
+    *retry_after_ms = REQUEST_DEATH_PROPAGATION_MS;
 }
 
 static const char *
@@ -210,7 +210,8 @@
   return true;
 }
 
-/* Who the caller is for a roll-out's buckets: what it says, or else its address. */
+/* Identifies the caller for the buckets of a roll-out: by its X-Lovage-Caller header, or else by
+   its IP address. */
 static bool
 read_caller (GateRequest *r)
 {
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -10,25 +10,25 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SERVICE_ANSWER_MAX (16UL * 1024 * 1024)
+#define SERVICE_ANSWER_MAX (16UL * 1024 * 1024) /* bytes; of collected engines' answers too */
 #define READ_SIZE          4096
 
-/** How one stage went. */
+/** Result of one stage of a plan. */
 typedef enum
 {
-  STAGE_PIECE, /**< the first events are in r->out */
-  STAGE_WHOLE, /**< the whole answer was collected */
+  STAGE_STREAMING, /**< the first events are in r->out */
+  STAGE_COMPLETE,  /**< the complete answer was collected */
   STAGE_FAILED,
-  STAGE_GONE
+  STAGE_CALLER_LEFT
 } StageResult;
 
 static StageResult run_stage (GateRequest *r, unsigned version, bool collect);
 static RunResult run_chat (GateRequest *r);
 static RunResult run_service (GateRequest *r);
 
-/* Reads an engine's answer to its first event, or to its end if it is collected. A deadline that
-   passes ends what nobody has seen yet, unless the request holds a claim: that one runs on, so that
-   a re-send finds its answer. */
+/* Reads an engine's answer up to its first event, or to its end if it is collected. If the deadline
+   passes while an answer is collected, it is cut, unless the request has a claim and so must run to
+   its end. */
 static StreamResult
 read_answer (GateRequest *r, bool collect, Status *st)
 {
@@ -38,22 +38,23 @@
   answer->keep_content = collect || r->sampled;
   answer->content_optional = !collect;
   answer->content_max = collect ? SERVICE_ANSWER_MAX : SAMPLE_TEXT_MAX;
-  while ((result = gate_attempt_next (r, &r->out, st)) == STREAM_PIECE && collect)
+  while ((result = gate_attempt_next (r, &r->out, st)) == STREAM_CHUNK && collect)
     {
       if (!r->stream)
         buffer_clear (&r->out);
-      if (gate_request_late (r))
+      if (gate_request_past_deadline (r))
         return STREAM_CUT;
     }
   return result;
 }
 
-/* The engine's answer was cut for good. True if the stage may be tried at another server: nothing
-   has reached the caller, and the request may run again. */
+/* The answer was cut and could not be resumed; the caller has received nothing of it. True if the
+   request may be tried at another server, that is, if it is idempotent and its deadline has not
+   passed. */
 static bool
 retry_after_cut (GateRequest *r, const Status *st)
 {
-  bool late = gate_request_late (r);
+  bool late = gate_request_past_deadline (r);
 
   r->may_have_run = true;
   if (!late)
@@ -83,12 +84,12 @@
       Status st = { 0 };
       switch (read_answer (r, collect, &st))
         {
-        case STREAM_PIECE:
-          return STAGE_PIECE;
+        case STREAM_CHUNK:
+          return STAGE_STREAMING;
         case STREAM_END:
-          return STAGE_WHOLE;
-        case STREAM_GONE:
-          return STAGE_GONE;
+          return STAGE_COMPLETE;
+        case STREAM_CALLER_LEFT:
+          return STAGE_CALLER_LEFT;
         case STREAM_CUT:
           if (!retry_after_cut (r, &st))
             return STAGE_FAILED;
@@ -97,10 +98,10 @@
   return STAGE_FAILED;
 }
 
-/* True if the collected answer meets the target. A rating service that can't be reached gives no
-   reason to pass an answer on: the caller gets the last stage's. */
+/* True if the collected answer meets the quality target. Without a rating it does not: the caller
+   then gets the answer of a later stage. */
 static bool
-passes (GateRequest *r)
+meets_target (GateRequest *r)
 {
   const Config *config = r->snapshot->config;
   const GateAnswer *answer = &r->attempt->stream.answer;
@@ -114,7 +115,7 @@
 }
 
 static RunResult
-answer_whole_now (GateRequest *r)
+answer_complete (GateRequest *r)
 {
   char model[BILL_NAME_MAX];
 
@@ -131,20 +132,21 @@
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
-  return RUN_WHOLE;
+  return RUN_COMPLETE;
 }
 
 static RunResult
 answer_streamed (GateRequest *r)
 {
-  gate_watch_passed_on (&r->attempt->watch);
+  gate_watch_set_relayed (&r->attempt->watch);
   r->http_status = 200;
   snprintf (r->answer_type, sizeof (r->answer_type), "text/event-stream");
   gate_bill_keep (r);
   return RUN_STREAM;
 }
 
-/* True if the next stage may still answer: nothing forbids running the request (again). */
+/* True if the next stage may run after one failed: the request has not run yet or is idempotent,
+   and neither a passed deadline nor a missing grant forbids it. */
 static bool
 next_stage_may_run (const GateRequest *r)
 {
@@ -167,17 +169,17 @@
       r->rated = rated;
       switch (run_stage (r, r->plan.versions[i], rated || !r->stream))
         {
-        case STAGE_PIECE:
+        case STAGE_STREAMING:
           return answer_streamed (r);
-        case STAGE_GONE:
-          return RUN_GONE;
-        case STAGE_WHOLE:
-          if (!rated || passes (r))
-            return answer_whole_now (r);
+        case STAGE_CALLER_LEFT:
+          return RUN_CALLER_LEFT;
+        case STAGE_COMPLETE:
+          if (!rated || meets_target (r))
+            return answer_complete (r);
           gate_learn_answer (r);
           gate_attempt_bill (r, true);
           r->previous_version = r->attempt->version;
-          gate_attempt_end (r, SERVER_WELL);
+          gate_attempt_end (r, SERVER_SUCCEEDED);
           buffer_clear (&r->out);
           counter_add (COUNTER_GATE_STAGES_FAILED, 1);
           break;
@@ -189,16 +191,16 @@
   return RUN_REFUSED;
 }
 
-/* A plain service's answer is read whole before its usage record is written. */
+/* A plain service's answer is read completely before its usage record is written. */
 static bool
 read_service (GateRequest *r, Status *st)
 {
   char data[READ_SIZE];
-  const Buffer *early = &r->attempt->early;
+  const Buffer *peeked = &r->attempt->peeked;
   long n;
 
-  if (early->len > 0)
-    buffer_add (&r->out, early->data, early->len);
+  if (peeked->len > 0)
+    buffer_add (&r->out, peeked->data, peeked->len);
   while ((n = http_exchange_read (r->attempt->exchange, data, sizeof (data), st)) > 0)
     {
       if (r->out.len + (size_t)n > SERVICE_ANSWER_MAX)
@@ -229,7 +231,7 @@
           gate_bill_keep (r);
           gate_attempt_bill (r, true);
           gate_bill_commit (r, BILL_ANSWERED);
-          return RUN_WHOLE;
+          return RUN_COMPLETE;
         }
       if (!retry_after_cut (r, &st))
         break;
@@ -247,7 +249,7 @@
     case PREPARE_REFUSED:
       break;
     case PREPARE_ANSWERED:
-      result = RUN_WHOLE;
+      result = RUN_COMPLETE;
       break;
     case PREPARE_READY:
       result = r->kind == REQUEST_CHAT ? run_chat (r) : run_service (r);
@@ -255,7 +257,7 @@
     }
   if (result == RUN_REFUSED)
     {
-      gate_request_refused_by_death (r);
+      gate_request_raise_retry_after (r);
       gate_bill_refused (r);
     }
   return result;
--- a/src/gate_servers.c
+++ b/src/gate_servers.c
@@ -8,10 +8,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between a broken answer and the refused connection that shows its server dead. */
+/* Longest time between an aborted answer and the refused connection that shows that its server
+ * died. */
 #define DEATH_WINDOW_MS   5000
-#define BUSY_PAUSE_MS     100
-#define LATENCY_SMOOTHING 0.1
+#define BUSY_PAUSE_MS     100 /* no new requests for so long after the server said that it is busy */
+#define LATENCY_SMOOTHING 0.1 /* weight of the newest value in the moving averages */
 
 static GateServer *server_find (GateServers *servers, const char *name);
 static GateServer *server_new (GateServers *servers, const char *name);
@@ -111,7 +112,7 @@
   pthread_mutex_unlock (&server->lock);
 }
 
-/* Under the lock. One that was not sent, or found no place, has no entry. */
+/* The lock must be held. A request that was not sent, or found all entries used, has none. */
 static void
 running_end (GateServer *server, uint64_t fingerprint)
 {
@@ -140,10 +141,10 @@
   pthread_mutex_unlock (&server->lock);
 }
 
-/* A refused connection opens the breaker at once: nothing listens there, and each further attempt
-   would only cost its caller time. */
+/* A refused connection opens the circuit breaker at once: nothing listens there, and further
+   attempts would only cost callers time. */
 static void
-view_unreached (ServerView *view, int64_t now_ms)
+view_unreachable (ServerView *view, int64_t now_ms)
 {
   if (view->failures < BREAKER_FAILURES - 1)
     view->failures = BREAKER_FAILURES - 1;
@@ -151,12 +152,12 @@
 }
 
 static void
-note_break (GateServer *server, uint64_t fingerprint, int64_t now_ms)
+record_abort (GateServer *server, uint64_t fingerprint, int64_t now_ms)
 {
   if (fingerprint == 0)
     return;
-  server->breaks[server->next_break] = (ServerBreak){ .fingerprint = fingerprint, .at_ms = now_ms };
-  server->next_break = (server->next_break + 1) % QUARANTINE_FLIGHT_MAX;
+  server->aborts[server->next_abort] = (ServerAbort){ .fingerprint = fingerprint, .at_ms = now_ms };
+  server->next_abort = (server->next_abort + 1) % QUARANTINE_FLIGHT_MAX;
 }
 
 static void
@@ -171,19 +172,21 @@
     death->flights[death->count++] = fingerprint;
 }
 
-/* Under the lock: a connection was refused. If answers were broken off shortly before, the server
-   has died under them, and under those whose threads have not noticed yet: told one by one they
-   would let the first look like the cause. A server that was stopped or cut off broke none off. */
+/* Called with the lock held after a connection was refused. If answers were broken off shortly
+   before, the server died while it ran them. All requests in progress there are added to the
+   report, also those whose threads have not noticed the death yet: reported one by one, the first
+   would look like the cause. A server that was stopped or became unreachable has broken off no
+   answers. */
 static bool
 find_death (GateServer *server, int64_t now_ms, QuarantineDeath *death)
 {
   *death = (QuarantineDeath){ .server = id_hash_string (server->name, 0) };
   for (unsigned i = 0; i < QUARANTINE_FLIGHT_MAX; i++)
     {
-      ServerBreak *broken = &server->breaks[i];
-      if (broken->fingerprint != 0 && now_ms - broken->at_ms <= DEATH_WINDOW_MS)
-        death_add (death, broken->fingerprint);
-      broken->fingerprint = 0;
+      ServerAbort *aborted = &server->aborts[i];
+      if (aborted->fingerprint != 0 && now_ms - aborted->at_ms <= DEATH_WINDOW_MS)
+        death_add (death, aborted->fingerprint);
+      aborted->fingerprint = 0;
     }
   if (death->count == 0)
     return false;
@@ -195,9 +198,10 @@
   return true;
 }
 
-/* Under the lock: true for the first sighting of a death; others only add to what ran there. */
+/* The lock must be held. True for the first report of a death; later ones within DEATH_WINDOW_MS
+   only add requests to it. */
 static bool
-is_first_sighting (GateServer *server, int64_t now_ms)
+is_first_report (GateServer *server, int64_t now_ms)
 {
   bool first = server->died_ms == 0 || now_ms - server->died_ms > DEATH_WINDOW_MS;
 
@@ -207,13 +211,13 @@
 }
 
 static void
-tell_death (GateServer *server, const QuarantineDeath *death, int64_t now_ms)
+report_death (GateServer *server, const QuarantineDeath *death, int64_t now_ms)
 {
   GateServers *servers = server->owner;
   bool first;
 
   pthread_mutex_lock (&server->lock);
-  first = is_first_sighting (server, now_ms);
+  first = is_first_report (server, now_ms);
   pthread_mutex_unlock (&server->lock);
   if (first)
     {
@@ -222,9 +226,9 @@
     }
   if (servers->quarantine != NULL)
     quarantine_add (servers->quarantine, death, now_ms);
-  if (servers->sightings != NULL && quarantine_add (servers->sightings, death, now_ms)
-      && servers->died != NULL)
-    servers->died (servers->context);
+  if (servers->observed_deaths != NULL && quarantine_add (servers->observed_deaths, death, now_ms)
+      && servers->on_death != NULL)
+    servers->on_death (servers->context);
 }
 
 static void
@@ -260,16 +264,16 @@
   load_history_add (&server->history, view, now_ms);
   switch (result)
     {
-    case SERVER_WELL:
+    case SERVER_SUCCEEDED:
       breaker_success (view);
       break;
-    case SERVER_UNREACHED:
-      view_unreached (view, now_ms);
+    case SERVER_UNREACHABLE:
+      view_unreachable (view, now_ms);
       died = find_death (server, now_ms, &death);
       break;
     case SERVER_FAILED:
       breaker_failure (view, now_ms, id_random_u64 ());
-      note_break (server, fingerprint, now_ms);
+      record_abort (server, fingerprint, now_ms);
       break;
     case SERVER_BUSY:
       view_busy (view, now_ms);
@@ -279,7 +283,7 @@
     }
   pthread_mutex_unlock (&server->lock);
   if (died)
-    tell_death (server, &death, now_ms);
+    report_death (server, &death, now_ms);
   INVARIANT (left >= 0, "server=\"%s\" in_flight=\"%lld\"", server->name, (long long)left);
 }
 
@@ -289,8 +293,8 @@
   pthread_mutex_lock (&server->lock);
   load_report (&server->history, &server->view, load, at_ms, now_ms);
   server->view.draining = draining;
-  /* A server that was away and reports again is tried at once. One that reports but fails its
-     attempts stays closed until the breaker's time is over. */
+  /* A server that was unreachable and reports again is tried at once. For one that reports but
+     fails its attempts the breaker stays open until its time is over. */
   if (server->report_missed)
     breaker_success (&server->view);
   server->died_ms = 0;
@@ -306,11 +310,11 @@
 
   pthread_mutex_lock (&server->lock);
   server->report_missed = true;
-  view_unreached (&server->view, now_ms);
+  view_unreachable (&server->view, now_ms);
   died = refused && find_death (server, now_ms, &death);
   pthread_mutex_unlock (&server->lock);
   if (died)
-    tell_death (server, &death, now_ms);
+    report_death (server, &death, now_ms);
 }
 
 void
--- a/src/gate_session.c
+++ b/src/gate_session.c
@@ -31,9 +31,9 @@
 }
 
 /*
- * Written before anything is sent: if the row came after the answer, a table that is away then
- * would leave a session that has started on a version which nobody remembers. A row that another
- * request of the session wrote meanwhile wins.
+ * The row is written before anything is sent. If it were written after the answer and the table
+ * service failed then, the session would have started on a version that is recorded nowhere. If
+ * another request of the session has written the row meanwhile, that row applies.
  */
 bool
 gate_session_bind (GateRequest *r, unsigned version)
--- a/src/gate_sweep.c
+++ b/src/gate_sweep.c
@@ -15,9 +15,9 @@
 
 typedef enum
 {
-  SWEEP_CONNECTED, /**< nothing of a request has come */
-  SWEEP_READING,
-  SWEEP_WORKING,
+  SWEEP_CONNECTED, /**< nothing of the first request has arrived */
+  SWEEP_READING,   /**< a request is arriving */
+  SWEEP_WORKING,   /**< a request is being answered, or the connection has been shut down */
   SWEEP_IDLE
 } SweepState;
 
@@ -61,7 +61,7 @@
 }
 
 static void
-refuse_reader (const SweepEntry *entry)
+refuse_slow_caller (const SweepEntry *entry)
 {
   Refusal refusal = { 0 };
 
@@ -89,7 +89,7 @@
       {
         if (!overdue (sweep, entry, now_ms))
           continue;
-        refuse_reader (entry);
+        refuse_slow_caller (entry);
         entry->state = SWEEP_WORKING;
       }
       pthread_mutex_unlock (&sweep->lock);
--- a/tests/fake_gate.c
+++ b/tests/fake_gate.c
@@ -85,7 +85,7 @@
 }
 
 FakeGate *
-fake_gate_new_cut (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls)
+fake_gate_new_disconnected (FakeSite *site, uint64_t incarnation, size_t spool_max, unsigned calls)
 {
   FakeGate *gate = memory_alloc (sizeof *gate);
   BillOptions options = {
@@ -100,7 +100,8 @@
   gate->link = fake_link_new (site->platform);
   fake_link_set (gate->link, calls, LINK_REFUSED);
   gate->group = platform_group_new (gate->link, 0, 64, 1000);
-  /* Faults come and go far faster than in life: each call is to meet them. */
+  /* Faults come and go much faster than in production, so the table service must never count as
+   * down. */
   platform_group_set_failure_threshold (gate->group, 0);
   options.platform = gate->link;
   options.group = gate->group;
@@ -111,7 +112,7 @@
 FakeGate *
 fake_gate_new (FakeSite *site, uint64_t incarnation, size_t spool_max)
 {
-  FakeGate *gate = fake_gate_new_cut (site, incarnation, spool_max, 0);
+  FakeGate *gate = fake_gate_new_disconnected (site, incarnation, spool_max, 0);
 
   INVARIANT (suite_wait (is_indexed, gate), "the gate's row was not written");
   return gate;
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -23,7 +23,7 @@
   int port;
   FakeAnswer answer;
   bool stopping;
-  int go;
+  int resumed;
   int connections;
   int requests;
   int left;
@@ -47,9 +47,11 @@
     }
 }
 
-/* Body bytes and whether the request is whole; false as long as its head is not. */
+/*
+ * Sets the number of body bytes and whether the request is complete; false while its head is not.
+ */
 static bool
-measure (const Buffer *in, size_t *body, bool *whole)
+parse_request (const Buffer *in, size_t *body, bool *complete)
 {
   const char *head_end = strstr (in->data, "\r\n\r\n");
   if (!head_end)
@@ -59,13 +61,13 @@
   const char *length = strcasestr (in->data, "\r\nContent-Length:");
   if (strcasestr (in->data, "\r\nTransfer-Encoding: chunked"))
     {
-      *whole = got >= strlen (CHUNKED_END) && strstr (start, CHUNKED_END);
+      *complete = got >= strlen (CHUNKED_END) && strstr (start, CHUNKED_END);
       *body = 0;
       return true;
     }
   size_t want = length && length < head_end ? strtoul (strchr (length, ':') + 1, NULL, 10) : 0;
   *body = got;
-  *whole = got >= want;
+  *complete = got >= want;
   return true;
 }
 
@@ -74,8 +76,8 @@
 read_request (FakeServer *s, int fd)
 {
   Buffer in = { 0 };
-  bool whole = false;
-  while (!whole && wait_readable (s, fd))
+  bool complete = false;
+  while (!complete && wait_readable (s, fd))
     {
       char block[4096];
       ssize_t n = read (fd, block, sizeof block);
@@ -83,24 +85,24 @@
         break;
       buffer_add (&in, block, (size_t)n);
       size_t body = 0;
-      measure (&in, &body, &whole);
+      parse_request (&in, &body, &complete);
       pthread_mutex_lock (&s->lock);
       s->body = body;
-      s->requests += whole;
+      s->requests += complete;
       pthread_cond_broadcast (&s->changed);
       pthread_mutex_unlock (&s->lock);
     }
   buffer_free (&in);
-  return whole;
+  return complete;
 }
 
 static void
-wait_go (FakeServer *s)
+wait_for_resume (FakeServer *s)
 {
   pthread_mutex_lock (&s->lock);
-  while (!s->go && !s->stopping)
+  while (!s->resumed && !s->stopping)
     pthread_cond_wait (&s->changed, &s->lock);
-  s->go = 0;
+  s->resumed = 0;
   pthread_mutex_unlock (&s->lock);
 }
 
@@ -128,13 +130,13 @@
       if (!send_all (fd, answer->text, answer->pause_at))
         return false;
       at = answer->pause_at;
-      wait_go (s);
+      wait_for_resume (s);
     }
-  if (!answer->drip_ms)
+  if (!answer->byte_delay_ms)
     return send_all (fd, answer->text + at, len - at);
   for (; at < len; at++)
     {
-      clock_sleep_ms (answer->drip_ms);
+      clock_sleep_ms (answer->byte_delay_ms);
       if (!send_all (fd, answer->text + at, 1))
         return false;
     }
@@ -153,7 +155,7 @@
     return;
   bool stayed = !answer.text || send_answer (s, fd, &answer);
   char block[64];
-  if (stayed && answer.hold && wait_readable (s, fd) && read (fd, block, sizeof block) <= 0)
+  if (stayed && answer.keep_open && wait_readable (s, fd) && read (fd, block, sizeof block) <= 0)
     stayed = false;
   pthread_mutex_lock (&s->lock);
   s->left += !stayed;
@@ -223,10 +225,10 @@
 }
 
 void
-fake_server_go (FakeServer *server)
+fake_server_resume (FakeServer *server)
 {
   pthread_mutex_lock (&server->lock);
-  server->go = 1;
+  server->resumed = 1;
   pthread_cond_broadcast (&server->changed);
   pthread_mutex_unlock (&server->lock);
 }
@@ -253,7 +255,7 @@
 }
 
 int
-fake_server_left (FakeServer *server)
+fake_server_aborted (FakeServer *server)
 {
   return read_count (server, &server->left);
 }
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -1,5 +1,5 @@
-/** Evidence for the steward, and what a gate knows of servers: src/gate_evidence.c, gate_servers.c.
- */
+/** Evidence for the steward, and the state of backend servers: src/gate_evidence.c,
+ * src/gate_servers.c. */
 #include "gate.h"
 #include "gate_deaths.h"
 #include "gate_evidence.h"
@@ -12,9 +12,9 @@
 static const EvidenceKey key = { .team = "tender", .model = "draft", .version = "v7" };
 static const EvidenceKey other = { .team = "branch", .model = "draft", .version = "v7" };
 
-/** Each report holds what came since the last one, by team, with callers told apart. */
+/** Each report covers the time since the last one, by team, and counts distinct callers. */
 static void
-test_reports (void)
+test_report_since_last (void)
 {
   GateEvidence *evidence = gate_evidence_new ();
   rpc_evidence out[4];
@@ -42,9 +42,9 @@
   gate_evidence_free (evidence);
 }
 
-/** A steward that is away for a moment: nothing is lost, and nothing sent twice. */
+/** Entries that did not reach the steward are put back: none is lost, and none is sent twice. */
 static void
-test_put_back (void)
+test_put_back_entries_are_sent_once (void)
 {
   GateEvidence *evidence = gate_evidence_new ();
   rpc_evidence out[4];
@@ -63,9 +63,9 @@
   gate_evidence_free (evidence);
 }
 
-/** More callers than are told apart: the count stays at its bound. */
+/** With more distinct callers than the table holds, the count stays at its bound. */
 static void
-test_many_callers (void)
+test_caller_count_is_bounded (void)
 {
   GateEvidence *evidence = gate_evidence_new ();
   rpc_evidence out[1];
@@ -94,11 +94,12 @@
 }
 
 /*
- * An engine's process has died; each request that is sent there loses time until its breaker opens.
- * A refused connection stops new work at once, and the first report after it is back lets it in.
+ * When an engine's process has died, each request sent there loses time until the breaker opens. A
+ * refused connection opens it at once, and the first load report after the engine's return closes
+ * it.
  */
 static void
-test_refused_connection (void)
+test_refused_connection_opens_breaker (void)
 {
   GateServers servers;
   Config config;
@@ -107,7 +108,7 @@
   ServerView view;
 
   gate_server_begin (server, 1000);
-  gate_server_end (server, SERVER_UNREACHED, 0, 1000);
+  gate_server_end (server, SERVER_UNREACHABLE, 0, 1000);
   gate_server_view (server, &view);
   CU_ASSERT (view.open_until_ms > 1000);
   CU_ASSERT_EQUAL (view.in_flight, 0);
@@ -119,8 +120,8 @@
   gate_server_put (server);
 }
 
-/** An engine that reports well but cuts its answers stays closed until the breaker's time is over.
- */
+/** For an engine that sends load reports but fails its attempts, the breaker stays open for its
+ * time. */
 static void
 test_reports_do_not_close_the_breaker (void)
 {
@@ -144,9 +145,9 @@
   gate_server_put (server);
 }
 
-/** A new configuration keeps what is known of a server of the same name. */
+/** A new configuration keeps the state of a server of the same name. */
 static void
-test_kept_by_name (void)
+test_state_kept_by_name (void)
 {
   GateServers servers;
   Config config;
@@ -178,21 +179,21 @@
   return server;
 }
 
-/** One attempt under this fingerprint that the server broke off. */
+/** One attempt with this fingerprint whose answer the server breaks off. */
 static void
-broken (GateServer *server, uint64_t fingerprint, int64_t now_ms)
+abort_answer (GateServer *server, uint64_t fingerprint, int64_t now_ms)
 {
   gate_server_begin (server, now_ms);
   gate_server_end (server, SERVER_FAILED, fingerprint, now_ms);
 }
 
 /*
- * One prompt crashes the engine that runs it, its caller sends it again, and the next engine dies.
- * After the second it is refused. An engine that broke an answer off but still takes connections
- * has not died, and neither has one that was stopped without an answer in progress.
+ * A prompt that crashes the engine that runs it is sent again by its caller and crashes the next
+ * one. After the second death it is quarantined. An engine that broke off an answer but accepts
+ * connections has not died, and neither has one that was stopped with no answer in progress.
  */
 static void
-test_deaths (void)
+test_second_death_quarantines (void)
 {
   Quarantine *quarantine = quarantine_new (&quarantine_settings_default);
   GateServers servers;
@@ -205,19 +206,19 @@
   a = named_server (&servers, &config, &entry, "a");
   b = named_server (&servers, &config, &entry, "b");
   c = named_server (&servers, &config, &entry, "c");
-  broken (a, 77, 1000);
+  abort_answer (a, 77, 1000);
   gate_server_report (a, 0, false, 1200, 1200);
-  broken (b, 77, 2000);
+  abort_answer (b, 77, 2000);
   gate_server_report_missed (b, false, 2500);
   gate_server_report_missed (c, true, 2500);
   CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
   gate_server_report_missed (b, true, 3000);
-  CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
-  broken (a, 77, 4000);
+  CU_ASSERT (!quarantine_holds (quarantine, 77, 3000));
+  abort_answer (a, 77, 4000);
   gate_server_begin (a, 4100);
-  gate_server_end (a, SERVER_UNREACHED, 88, 4100);
-  CU_ASSERT (quarantine_contains (quarantine, 77, 4200));
-  CU_ASSERT (!quarantine_contains (quarantine, 88, 4200));
+  gate_server_end (a, SERVER_UNREACHABLE, 88, 4100);
+  CU_ASSERT (quarantine_holds (quarantine, 77, 4200));
+  CU_ASSERT (!quarantine_holds (quarantine, 88, 4200));
   gate_server_put (a);
   gate_server_put (b);
   gate_server_put (c);
@@ -231,25 +232,26 @@
 }
 
 /*
- * A crash prompt and a bystander run at two engines that die one after the other. The bystander's
- * thread is the first to notice each time; taken alone it would look like the cause. All that ran
- * there is in the sighting, so neither is held, and the bystander's own end adds nothing. A request
- * that was answered before the death, or never sent, is not in it. Each sighting is told at once.
+ * A crash prompt and an innocent request run at two engines that die one after the other. The
+ * thread of the innocent request notices the death first each time; reported alone, that request
+ * would look like the cause. The death report contains all requests that ran there, so neither is
+ * quarantined, and the end of the second one adds nothing. A request that was answered before the
+ * death, or never sent, is not in the report. The callback is called once for each death.
  */
 static void
-test_death_takes_what_runs (void)
+test_death_report_has_all_running (void)
 {
   Quarantine *quarantine = quarantine_new (&quarantine_settings_default);
-  Quarantine *sightings = quarantine_new (&quarantine_settings_default);
+  Quarantine *observed = quarantine_new (&quarantine_settings_default);
   QuarantineDeath news[QUARANTINE_DEATHS_MAX];
   GateServers servers;
-  int told = 0;
+  int notified = 0;
 
   gate_servers_init (&servers, "vm-1", "oita");
   servers.quarantine = quarantine;
-  servers.sightings = sightings;
-  servers.died = count_call;
-  servers.context = &told;
+  servers.observed_deaths = observed;
+  servers.on_death = count_call;
+  servers.context = &notified;
   for (int i = 0; i < 2; i++)
     {
       ConfigServer entry;
@@ -262,63 +264,63 @@
           gate_server_running (server, fingerprint);
         }
       gate_server_begin (server, now_ms);
-      gate_server_end (server, SERVER_WELL, 3, now_ms);
+      gate_server_end (server, SERVER_SUCCEEDED, 3, now_ms);
       gate_server_end (server, SERVER_FAILED, 1, now_ms);
       gate_server_report_missed (server, true, now_ms);
-      CU_ASSERT_EQUAL (told, i + 1);
+      CU_ASSERT_EQUAL (notified, i + 1);
       gate_server_end (server, SERVER_FAILED, 2, now_ms + 5);
       gate_server_report_missed (server, true, now_ms + 5);
-      CU_ASSERT_EQUAL (told, i + 1);
-      gate_server_end (server, SERVER_UNREACHED, 4, now_ms + 6);
+      CU_ASSERT_EQUAL (notified, i + 1);
+      gate_server_end (server, SERVER_UNREACHABLE, 4, now_ms + 6);
       gate_server_put (server);
     }
-  CU_ASSERT_EQUAL (quarantine_recent_deaths (sightings, news, QUARANTINE_DEATHS_MAX, 2500), 2);
+  CU_ASSERT_EQUAL (quarantine_news (observed, news, QUARANTINE_DEATHS_MAX, 2500), 2);
   CU_ASSERT_EQUAL (news[0].count, 2);
   CU_ASSERT_EQUAL (news[1].count, 2);
   CU_ASSERT (!quarantine_contains (quarantine, 1, 2500));
   CU_ASSERT (!quarantine_contains (quarantine, 2, 2500));
   quarantine_free (quarantine);
-  quarantine_free (sightings);
+  quarantine_free (observed);
 }
 
 /*
- * A crash prompt is sent to one VM, then to another; each sees one engine die. Only together do
- * they know that one prompt did it, and both refuse it. News that comes back to its VM changes
- * nothing.
+ * A crash prompt is sent to one VM, then to another, and each observes one death. Only with the
+ * reports of both can they tell that one prompt caused the deaths, and then both quarantine it. A
+ * report that comes back to the VM that made it changes nothing.
  */
 static void
-test_deaths_of_two_vms (void)
+test_deaths_of_two_vms_merge (void)
 {
   static Gate vms[2];
   ConfigServer entry;
   Config config;
-  DeathNews news[2];
+  DeathReports news[2];
 
   for (int i = 0; i < 2; i++)
     {
       GateServer *server;
       gate_servers_init (&vms[i].servers, "vm", "oita");
       vms[i].servers.quarantine = quarantine_new (&quarantine_settings_default);
-      vms[i].servers.sightings = quarantine_new (&quarantine_settings_default);
+      vms[i].servers.observed_deaths = quarantine_new (&quarantine_settings_default);
       server = named_server (&vms[i].servers, &config, &entry, i == 0 ? "a" : "b");
-      broken (server, 77, clock_boot_ms ());
+      abort_answer (server, 77, clock_boot_ms ());
       gate_server_report_missed (server, true, clock_boot_ms ());
       gate_server_put (server);
-      gate_deaths_news (&vms[i], &news[i]);
+      gate_deaths_collect (&vms[i], &news[i]);
       CU_ASSERT_EQUAL (news[i].count, 1);
       CU_ASSERT (!quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
     }
   for (int i = 0; i < 2; i++)
     {
-      DeathNews again;
-      gate_deaths_take (&vms[i], news[i].list, news[i].count);
-      CU_ASSERT (!quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
-      gate_deaths_take (&vms[i], news[1 - i].list, news[1 - i].count);
-      CU_ASSERT (quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
-      gate_deaths_news (&vms[i], &again);
+      DeathReports again;
+      gate_deaths_merge (&vms[i], news[i].list, news[i].count);
+      CU_ASSERT (!quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
+      gate_deaths_merge (&vms[i], news[1 - i].list, news[1 - i].count);
+      CU_ASSERT (quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
+      gate_deaths_collect (&vms[i], &again);
       CU_ASSERT_EQUAL (again.count, 1);
       quarantine_free (vms[i].servers.quarantine);
-      quarantine_free (vms[i].servers.sightings);
+      quarantine_free (vms[i].servers.observed_deaths);
     }
 }
 
@@ -326,15 +328,15 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "reports", test_reports },
-    { "put-back", test_put_back },
-    { "many-callers", test_many_callers },
-    { "refused-connection", test_refused_connection },
+    { "report-since-last", test_report_since_last },
+    { "put-back-entries-are-sent-once", test_put_back_entries_are_sent_once },
+    { "caller-count-is-bounded", test_caller_count_is_bounded },
+    { "refused-connection-opens-breaker", test_refused_connection_opens_breaker },
     { "reports-do-not-close-the-breaker", test_reports_do_not_close_the_breaker },
-    { "kept-by-name", test_kept_by_name },
-    { "deaths", test_deaths },
-    { "death-takes-what-runs", test_death_takes_what_runs },
-    { "deaths-of-two-vms", test_deaths_of_two_vms },
+    { "state-kept-by-name", test_state_kept_by_name },
+    { "deaths", test_second_death_quarantines },
+    { "death-report-has-all-running", test_death_report_has_all_running },
+    { "deaths-of-two-vms-merge", test_deaths_of_two_vms_merge },
   };
 
   return suite_main (argc, argv, "gate_evidence", suite, SUITE_COUNT (suite));
