--- a/src/gate_deaths.c
+++ b/src/gate_deaths.c
@@ -6,8 +6,8 @@
 void
 gate_deaths_collect (Gate *gate, DeathReports *out)
 {
-  out->count = (u_int)quarantine_news (gate->servers.observed_deaths, out->deaths,
-                                       LOVAGE_DEATHS_MAX, clock_boot_ms ());
+  out->count = (u_int)quarantine_recent_deaths (gate->servers.observed_deaths, out->deaths,
+                                                LOVAGE_DEATHS_MAX, clock_boot_ms ());
   for (u_int i = 0; i < out->count; i++)
     {
       QuarantineDeath *death = &out->deaths[i];
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -213,12 +213,12 @@
   gate_server_report_missed (c, true, 2500);
   CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
   gate_server_report_missed (b, true, 3000);
-  CU_ASSERT (!quarantine_holds (quarantine, 77, 3000));
+  CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
   abort_answer (a, 77, 4000);
   gate_server_begin (a, 4100);
   gate_server_end (a, SERVER_UNREACHABLE, 88, 4100);
-  CU_ASSERT (quarantine_holds (quarantine, 77, 4200));
-  CU_ASSERT (!quarantine_holds (quarantine, 88, 4200));
+  CU_ASSERT (quarantine_contains (quarantine, 77, 4200));
+  CU_ASSERT (!quarantine_contains (quarantine, 88, 4200));
   gate_server_put (a);
   gate_server_put (b);
   gate_server_put (c);
@@ -274,7 +274,7 @@
       gate_server_end (server, SERVER_UNREACHABLE, 4, now_ms + 6);
       gate_server_put (server);
     }
-  CU_ASSERT_EQUAL (quarantine_news (observed, news, QUARANTINE_DEATHS_MAX, 2500), 2);
+  CU_ASSERT_EQUAL (quarantine_recent_deaths (observed, news, QUARANTINE_DEATHS_MAX, 2500), 2);
   CU_ASSERT_EQUAL (news[0].count, 2);
   CU_ASSERT_EQUAL (news[1].count, 2);
   CU_ASSERT (!quarantine_contains (quarantine, 1, 2500));
@@ -314,9 +314,9 @@
     {
       DeathReports again;
       gate_deaths_merge (&vms[i], news[i].list, news[i].count);
-      CU_ASSERT (!quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
+      CU_ASSERT (!quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
       gate_deaths_merge (&vms[i], news[1 - i].list, news[1 - i].count);
-      CU_ASSERT (quarantine_holds (vms[i].servers.quarantine, 77, clock_boot_ms ()));
+      CU_ASSERT (quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
       gate_deaths_collect (&vms[i], &again);
       CU_ASSERT_EQUAL (again.count, 1);
       quarantine_free (vms[i].servers.quarantine);
