--- a/bench/bench_cluster.c
+++ b/bench/bench_cluster.c
@@ -43,11 +43,11 @@
 {
   for (size_t i = 0; i < v->count; i++)
     {
-      cluster_state_ask (s, i + 1, b->now, b->ask);
+      cluster_state_make_ask (s, i + 1, b->now, b->ask);
       *b->answer = (ClusterHeartbeat){
         .nonce = i + 1, .incarnation = v->members[i].incarnation, .view = 1, .number = 7
       };
-      cluster_state_take_answer (s, b->answer, b->now);
+      cluster_state_handle_answer (s, b->answer, b->now);
     }
 }
 
@@ -82,7 +82,7 @@
 static void
 fill (Bench *b)
 {
-  cluster_state_take_ask (b->answerer, b->ask, b->now, b->answer);
+  cluster_state_handle_ask (b->answerer, b->ask, b->now, b->answer);
 }
 
 static void
@@ -95,7 +95,7 @@
 static void
 merge (Bench *b)
 {
-  b->sink += cluster_state_take_answer (b->asker, b->answer, b->now);
+  b->sink += cluster_state_handle_answer (b->asker, b->answer, b->now);
 }
 
 static void
@@ -142,7 +142,7 @@
   Bench b = new_bench (members);
 
   b.now += 200;
-  cluster_state_ask (b.asker, 999, b.now, b.ask);
+  cluster_state_make_ask (b.asker, 999, b.now, b.ask);
   double fill_ns = nanoseconds (&b, fill);
   double merge_ns = nanoseconds (&b, merge);
   size_t bytes = wire_bytes (b.answer);
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -76,10 +76,10 @@
 
   if (to == i)
     return;
-  cluster_state_ask (site->states[i], ++site->nonce, site->now - DELAY_MS, site->ask);
-  cluster_state_take_ask (site->states[to], site->ask, site->now, site->answer);
+  cluster_state_make_ask (site->states[i], ++site->nonce, site->now - DELAY_MS, site->ask);
+  cluster_state_handle_ask (site->states[to], site->ask, site->now, site->answer);
   cluster_heartbeat_pack (site->states[to], site->answer);
-  cluster_state_take_answer (site->states[i], site->answer, site->now);
+  cluster_state_handle_answer (site->states[i], site->answer, site->now);
   if (site->now >= WARM_UP_MS)
     site->bytes += 2 * ASK_BYTES + (int64_t)site->answer->ages_count
                    + (int64_t)(site->answer->news_count * NEWS_BYTES);
--- a/bench/steps_network.c
+++ b/bench/steps_network.c
@@ -54,11 +54,11 @@
 
   if (m->is_answer)
     {
-      cluster_state_take_answer (s, &m->heartbeat, steps_clock (site, m->to));
+      cluster_state_handle_answer (s, &m->heartbeat, steps_clock (site, m->to));
       return;
     }
   answer = memory_alloc (sizeof *answer);
-  if (cluster_state_take_ask (s, &m->heartbeat, steps_clock (site, m->to), answer))
+  if (cluster_state_handle_ask (s, &m->heartbeat, steps_clock (site, m->to), answer))
     {
       if (steps_random (site, 2) == 0)
         cluster_heartbeat_pack (s, answer);
--- a/bench/steps_steward.c
+++ b/bench/steps_steward.c
@@ -48,8 +48,8 @@
 
   if (to != slot)
     {
-      cluster_state_ask (site->vms[slot].state, steps_random (site, 0x7ffffffe) + 1,
-                         steps_clock (site, slot), h);
+      cluster_state_make_ask (site->vms[slot].state, steps_random (site, 0x7ffffffe) + 1,
+                              steps_clock (site, slot), h);
       steps_send (site, slot, to, false, h);
     }
   free (h);
--- a/src/bill.h
+++ b/src/bill.h
@@ -85,7 +85,7 @@
   int table_timeout_ms;      /**< after this the next place is tried */
   size_t in_progress_max;    /**< requests in progress at once, for which room is kept; 0: a quarter
                                   of spool_max is kept */
-  int round_ms;              /**< objects and copies leave at most this often; 0: at once */
+  int batch_interval_ms;     /**< objects and copies leave at most this often; 0: at once */
   BillReplicator replicator; /**< copy may be NULL */
 } BillOptions;
 
--- a/src/bill_fallback.c
+++ b/src/bill_fallback.c
@@ -67,7 +67,7 @@
   fallback->gate = options->gate;
   fallback->replicator = options->replicator;
   fallback->timeout_ms = options->table_timeout_ms;
-  fallback->round_ms = options->round_ms;
+  fallback->round_ms = options->batch_interval_ms;
   CDS_INIT_LIST_HEAD (&fallback->jobs);
   pthread_mutex_init (&fallback->lock, NULL);
   wait_init (&fallback->work);
--- a/src/claim.c
+++ b/src/claim.c
@@ -62,7 +62,7 @@
   /* After a lost reply the row may be ours; after a conflict it is another attempt's, or ours by
    * an earlier try whose reply was lost. Only the row tells. */
   if (code == STATUS_UNKNOWN)
-    out->unsettled = true;
+    out->outcome_unknown = true;
   return LOOK_AGAIN;
 }
 
@@ -123,8 +123,8 @@
   else if (code == STATUS_OK && op.existing != NULL)
     look = look_at (platform, op.existing, 0, text, out, st);
   else if (code == STATUS_UNKNOWN)
-    out->unsettled = true;
-  else if (!out->unsettled)
+    out->outcome_unknown = true;
+  else if (!out->outcome_unknown)
     look = finish (out, CLAIM_UNAVAILABLE);
   txn_ops_clear (&op, 1);
   return look;
@@ -178,7 +178,7 @@
   if (look == LOOK_AGAIN)
     out->result = CLAIM_UNAVAILABLE;
   if (out->result != CLAIM_UNAVAILABLE)
-    out->unsettled = false;
+    out->outcome_unknown = false;
   counter_add (result_counters[out->result], 1);
   free (text);
 }
--- a/src/claim.h
+++ b/src/claim.h
@@ -48,7 +48,7 @@
   Claim claim;
   /** With CLAIM_UNAVAILABLE: the row may exist although the request is not run. The caller is told
    *  "not run"; hand the claim to claim_releaser_add, so that its re-send can run. */
-  bool unsettled;
+  bool outcome_unknown;
   int http_status; /**< with CLAIM_ANSWERED */
   char content_type[64];
   Buffer answer; /**< with CLAIM_ANSWERED; empty when it was too long to keep */
--- a/src/cluster_accept.c
+++ b/src/cluster_accept.c
@@ -23,7 +23,7 @@
 number_of_voter (const ClusterState *s, const ClusterView *row, size_t i)
 {
   uint64_t incarnation = row->established ? row->members[i].incarnation : row->previous[i];
-  const ClusterKnown *k = cluster_state_known (s, incarnation);
+  const ClusterProgress *k = cluster_state_progress (s, incarnation);
 
   return k != NULL ? k->number : 0;
 }
--- a/src/cluster_grant.c
+++ b/src/cluster_grant.c
@@ -25,7 +25,7 @@
    that we miss may have been accepted with its word. Every other one was still without that patch
    at its as-of time. */
 static bool
-supports (const ClusterState *s, const ClusterKnown *k)
+supports (const ClusterState *s, const ClusterProgress *k)
 {
   return k != NULL && k->as_of != CLUSTER_NEVER && k->number <= cluster_state_number (s)
          && k->view <= s->view.number;
@@ -34,7 +34,7 @@
 static void
 add_vote (const ClusterState *s, uint64_t incarnation, int64_t now, int64_t *times, size_t *count)
 {
-  const ClusterKnown *k = cluster_known_find (&s->known, incarnation);
+  const ClusterProgress *k = cluster_progress_find (&s->known, incarnation);
 
   if (!supports (s, k))
     return;
--- a/src/cluster_heartbeat.c
+++ b/src/cluster_heartbeat.c
@@ -5,7 +5,7 @@
 static void
 fill_own (const ClusterState *s, ClusterHeartbeat *h)
 {
-  const ClusterKnown *own = cluster_state_own (s);
+  const ClusterProgress *own = cluster_state_own (s);
 
   h->incarnation = s->incarnation;
   h->view = own->view;
@@ -27,7 +27,7 @@
 static void
 add_news (const ClusterState *s, uint64_t incarnation, int64_t now, ClusterHeartbeat *h)
 {
-  const ClusterKnown *k = cluster_known_find (&s->known, incarnation);
+  const ClusterProgress *k = cluster_progress_find (&s->known, incarnation);
 
   if (k == NULL || incarnation == s->incarnation || h->news_count == CLUSTER_MEMBERS_MAX)
     return;
@@ -48,7 +48,7 @@
 }
 
 void
-cluster_state_ask (ClusterState *s, uint64_t nonce, int64_t now, ClusterHeartbeat *ask)
+cluster_state_make_ask (ClusterState *s, uint64_t nonce, int64_t now, ClusterHeartbeat *ask)
 {
   INVARIANT (nonce != 0, "a nonce is never 0");
   s->asks[nonce % CLUSTER_ASKS_MAX] = (ClusterAsk){ .nonce = nonce, .sent_at = now };
@@ -69,10 +69,10 @@
 }
 
 bool
-cluster_state_take_ask (ClusterState *s,
-                        const ClusterHeartbeat *ask,
-                        int64_t now,
-                        ClusterHeartbeat *answer)
+cluster_state_handle_ask (ClusterState *s,
+                          const ClusterHeartbeat *ask,
+                          int64_t now,
+                          ClusterHeartbeat *answer)
 {
   merge_bounds (s, ask);
   if (s->leaving)
@@ -125,7 +125,7 @@
 }
 
 bool
-cluster_state_take_answer (ClusterState *s, const ClusterHeartbeat *answer, int64_t now)
+cluster_state_handle_answer (ClusterState *s, const ClusterHeartbeat *answer, int64_t now)
 {
   const ClusterAsk *ask = &s->asks[answer->nonce % CLUSTER_ASKS_MAX];
   bool known = answer->nonce != 0 && ask->nonce == answer->nonce && ask->sent_at <= now;
--- a/src/cluster_lease.c
+++ b/src/cluster_lease.c
@@ -179,7 +179,7 @@
 }
 
 bool
-cluster_lease_give_back (ClusterLease *l, ClusterLeaseRow *row)
+cluster_lease_release (ClusterLease *l, ClusterLeaseRow *row)
 {
   bool held = l->held;
 
--- a/src/cluster_lease.h
+++ b/src/cluster_lease.h
@@ -93,6 +93,6 @@
 
 /** For a planned stop: no orders from now on; *row is the value that gives the lease back. False if
  *  there is nothing to give back. */
-bool cluster_lease_give_back (ClusterLease *l, ClusterLeaseRow *row);
+bool cluster_lease_release (ClusterLease *l, ClusterLeaseRow *row);
 
 #endif
--- a/src/cluster_state.c
+++ b/src/cluster_state.c
@@ -15,7 +15,7 @@
   s->grant_ms = grant_ms;
   s->table_proof = CLUSTER_NEVER;
   s->unmet.sent_at = CLUSTER_NEVER;
-  cluster_known_get (&s->known, incarnation)->as_of = CLUSTER_ALWAYS;
+  cluster_progress_get (&s->known, incarnation)->as_of = CLUSTER_ALWAYS;
   return s;
 }
 
@@ -37,10 +37,10 @@
   return s->grant_ms;
 }
 
-const ClusterKnown *
+const ClusterProgress *
 cluster_state_own (const ClusterState *s)
 {
-  return cluster_known_find (&s->known, s->incarnation);
+  return cluster_progress_find (&s->known, s->incarnation);
 }
 
 static bool
@@ -56,15 +56,15 @@
   return false;
 }
 
-static ClusterKnown *
+static ClusterProgress *
 get_known (ClusterState *s, uint64_t incarnation)
 {
-  ClusterKnown *k = cluster_known_get (&s->known, incarnation);
+  ClusterProgress *k = cluster_progress_get (&s->known, incarnation);
 
   if (k != NULL)
     return k;
-  cluster_known_prune (&s->known, is_needed, s);
-  k = cluster_known_get (&s->known, incarnation);
+  cluster_progress_prune (&s->known, is_needed, s);
+  k = cluster_progress_get (&s->known, incarnation);
   INVARIANT (k != NULL, "members and previous members fill the table");
   return k;
 }
@@ -78,19 +78,19 @@
 {
   if (number > s->wanted_number)
     s->wanted_number = number;
-  ClusterKnown *own = get_known (s, s->incarnation);
+  ClusterProgress *own = get_known (s, s->incarnation);
   if (view > own->view)
     own->view = view;
   /* What others say of us is older than what we know of ourselves. */
   if (incarnation == s->incarnation || incarnation == 0)
     return;
-  cluster_known_raise (get_known (s, incarnation), number, view, as_of);
+  cluster_progress_raise (get_known (s, incarnation), number, view, as_of);
 }
 
 bool
 cluster_state_apply (ClusterState *s, int64_t number)
 {
-  ClusterKnown *own = get_known (s, s->incarnation);
+  ClusterProgress *own = get_known (s, s->incarnation);
 
   if (number <= own->number)
     return false;
@@ -153,7 +153,7 @@
 bool
 cluster_state_adopt_view (ClusterState *s, const ClusterView *view)
 {
-  ClusterKnown *own = get_known (s, s->incarnation);
+  ClusterProgress *own = get_known (s, s->incarnation);
 
   if (view->number > own->view)
     own->view = view->number;
@@ -183,10 +183,10 @@
   return cluster_state_own (s)->view;
 }
 
-const ClusterKnown *
-cluster_state_known (const ClusterState *s, uint64_t incarnation)
+const ClusterProgress *
+cluster_state_progress (const ClusterState *s, uint64_t incarnation)
 {
-  return cluster_known_find (&s->known, incarnation);
+  return cluster_progress_find (&s->known, incarnation);
 }
 
 void
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -60,7 +60,7 @@
   int64_t number;
   int64_t view;
   int64_t as_of; /**< on our own clock, or CLUSTER_NEVER */
-} ClusterKnown;
+} ClusterProgress;
 
 typedef struct ClusterState ClusterState;
 
@@ -74,18 +74,18 @@
 
 /** Fills an ask and remembers its nonce with now as the send time. Call it directly before the
  *  send, one nonce (random, never used before) for each ask. */
-void cluster_state_ask (ClusterState *s, uint64_t nonce, int64_t now, ClusterHeartbeat *ask);
+void cluster_state_make_ask (ClusterState *s, uint64_t nonce, int64_t now, ClusterHeartbeat *ask);
 
 /** Merges what an ask tells, as lower bounds only (an ask can be arbitrarily old), and fills the
  *  answer. False once we are leaving: send no answer then. */
-bool cluster_state_take_ask (ClusterState *s,
-                             const ClusterHeartbeat *ask,
-                             int64_t now,
-                             ClusterHeartbeat *answer);
+bool cluster_state_handle_ask (ClusterState *s,
+                               const ClusterHeartbeat *ask,
+                               int64_t now,
+                               ClusterHeartbeat *answer);
 
 /** Merges an answer. Its ages count from the send time of our ask. False if the nonce is unknown or
  *  too old; the answer is then taken as lower bounds only. */
-bool cluster_state_take_answer (ClusterState *s, const ClusterHeartbeat *answer, int64_t now);
+bool cluster_state_handle_answer (ClusterState *s, const ClusterHeartbeat *answer, int64_t now);
 
 /**
  * Packs the news of an answer, just filled: of members of our view that apply the same number and
@@ -119,7 +119,7 @@
 
 /** What is known of an incarnation, our own included (as of now); NULL if nothing is. The pointer
  * is valid until the next call that changes the state. */
-const ClusterKnown *cluster_state_known (const ClusterState *s, uint64_t incarnation);
+const ClusterProgress *cluster_state_progress (const ClusterState *s, uint64_t incarnation);
 
 /** A planned stop begins: from now on no answer and no grant, so that our own removal from the
  *  view is as good as a proof of death. Call it before the removal's transaction is sent. */
--- a/src/cluster_state_private.h
+++ b/src/cluster_state_private.h
@@ -4,7 +4,7 @@
 #ifndef CLUSTER_STATE_PRIVATE_H
 #define CLUSTER_STATE_PRIVATE_H
 
-#include "cluster_known.h"
+#include "cluster_progress.h"
 #include "cluster_state.h"
 
 /** as_of of our own entry: what we know of ourselves is true at any now. */
@@ -35,11 +35,11 @@
   size_t dropped_count;
   uint64_t dropped[CLUSTER_MEMBERS_MAX]; /**< those of view.previous that are no members of it */
   ClusterAsk asks[CLUSTER_ASKS_MAX];     /**< by nonce modulo their number */
-  ClusterKnownTable known;               /**< with our own entry, whose as_of is CLUSTER_ALWAYS */
+  ClusterProgressTable known;            /**< with our own entry, whose as_of is CLUSTER_ALWAYS */
 };
 
 /** Our own entry; its number and view are ours. */
-const ClusterKnown *cluster_state_own (const ClusterState *s);
+const ClusterProgress *cluster_state_own (const ClusterState *s);
 
 /** Merges one piece of news; as_of is on our clock, or CLUSTER_NEVER. */
 void cluster_state_merge (ClusterState *s,
--- a/src/cluster_view.c
+++ b/src/cluster_view.c
@@ -105,14 +105,14 @@
 {
   if (cluster_view_find (row, incarnation) < 0)
     return true;
-  const ClusterKnown *k = cluster_state_known (s, incarnation);
+  const ClusterProgress *k = cluster_state_progress (s, incarnation);
   /* It must know this very number: one that knows only an earlier form of the pending view may
      still support a grant that counts on that form's members. */
   return k != NULL && k->view >= row->number;
 }
 
 size_t
-cluster_view_settled (const ClusterView *row, const ClusterState *s, size_t *needed)
+cluster_view_confirmed (const ClusterView *row, const ClusterState *s, size_t *needed)
 {
   size_t settled = 0;
 
@@ -133,7 +133,7 @@
 
   if (row->number == 0 || row->established || row->count == 0)
     return false;
-  if (cluster_view_settled (row, s, &needed) < needed)
+  if (cluster_view_confirmed (row, s, &needed) < needed)
     return false;
   if (!begin_change (row, head, out))
     return false;
--- a/src/cluster_view.h
+++ b/src/cluster_view.h
@@ -36,7 +36,7 @@
                           ClusterView *out);
 
 /** Members of `previous` that know the pending view or are proved dead, and how many are needed. */
-size_t cluster_view_settled (const ClusterView *row, const ClusterState *s, size_t *needed);
+size_t cluster_view_confirmed (const ClusterView *row, const ClusterState *s, size_t *needed);
 
 /** Establishes a pending view. False if it is established already, empty, or not settled yet. */
 bool cluster_view_establish (const ClusterView *row,
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -215,7 +215,7 @@
       refuse (r, REFUSAL_CLAIM_MISMATCH, "request.claim");
       break;
     case CLAIM_UNAVAILABLE:
-      if (outcome.unsettled)
+      if (outcome.outcome_unknown)
         claim_releaser_add (gate->releaser, &outcome.claim);
       refusal_set (&r->refusal, REASON_CLAIM_UNAVAILABLE, REQUEST_NOT_RUN, "request.claim",
                    "%s: %s", refusal_text (REASON_CLAIM_UNAVAILABLE), st.message);
--- a/src/steward_api_status.c
+++ b/src/steward_api_status.c
@@ -15,7 +15,7 @@
 static Json *
 member_json (const Steward *s, const ClusterMember *m, int64_t now)
 {
-  const ClusterKnown *k = cluster_state_known (s->cluster.state, m->incarnation);
+  const ClusterProgress *k = cluster_state_progress (s->cluster.state, m->incarnation);
   Json *obj = json_object_new_object ();
   char address[ADDRESS_SIZE], incarnation[24];
   int64_t age_ms;
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -158,7 +158,7 @@
   progress.members = view->count;
   for (size_t i = 0; i < view->count; i++)
     {
-      const ClusterKnown *k = cluster_state_known (state, view->members[i].incarnation);
+      const ClusterProgress *k = cluster_state_progress (state, view->members[i].incarnation);
       if (k != NULL && k->number >= number)
         progress.members_in_force++;
     }
@@ -263,7 +263,7 @@
 StewardMemberState
 steward_cluster_member (const Steward *s, const ClusterMember *m, int64_t now, int64_t *age_ms)
 {
-  const ClusterKnown *k = cluster_state_known (s->cluster.state, m->incarnation);
+  const ClusterProgress *k = cluster_state_progress (s->cluster.state, m->incarnation);
   int64_t grant_ms = s->settings.grant_ms;
 
   *age_ms = 0;
--- a/src/steward_duty.c
+++ b/src/steward_duty.c
@@ -227,7 +227,7 @@
   bool held;
 
   pthread_mutex_lock (&d->lock);
-  held = cluster_lease_give_back (&d->lease, &row);
+  held = cluster_lease_release (&d->lease, &row);
   pthread_mutex_unlock (&d->lock);
   if (!held)
     return;
--- a/src/steward_fetch.c
+++ b/src/steward_fetch.c
@@ -35,7 +35,7 @@
   /** The number wanted, or 0 if there is nothing to fetch. */
   int64_t (*wanted) (Steward *s);
   /** Whether a member is known to have it. */
-  bool (*has) (const ClusterKnown *k, int64_t wanted);
+  bool (*has) (const ClusterProgress *k, int64_t wanted);
   void (*take) (Steward *s, const rpc_document *document);
 } FetchKind;
 
@@ -48,7 +48,7 @@
 }
 
 static bool
-document_has (const ClusterKnown *k, int64_t wanted)
+document_has (const ClusterProgress *k, int64_t wanted)
 {
   return k->number >= wanted;
 }
@@ -73,7 +73,7 @@
 }
 
 static bool
-view_has (const ClusterKnown *k, int64_t wanted)
+view_has (const ClusterProgress *k, int64_t wanted)
 {
   return k->view >= wanted;
 }
@@ -112,7 +112,7 @@
   for (size_t i = 0; i < view->count; i++)
     {
       const ClusterMember *m = &view->members[i];
-      const ClusterKnown *k = cluster_state_known (s->cluster.state, m->incarnation);
+      const ClusterProgress *k = cluster_state_progress (s->cluster.state, m->incarnation);
       if (m->incarnation == s->incarnation || k == NULL || !kind->has (k, wanted))
         continue;
       found++;
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -88,7 +88,7 @@
 
   pthread_mutex_lock (&s->cluster.lock);
   registered = is_registered (s);
-  cluster_state_ask (s->cluster.state, nonce == 0 ? 1 : nonce, clock_boot_ms (), ask);
+  cluster_state_make_ask (s->cluster.state, nonce == 0 ? 1 : nonce, clock_boot_ms (), ask);
   pthread_mutex_unlock (&s->cluster.lock);
   steward_message_from (ask, &message);
   add_address (s, &message, registered && !peer->silent);
@@ -137,7 +137,7 @@
   for (size_t i = 0; i < view->count; i++)
     {
       const ClusterMember *m = &view->members[i];
-      const ClusterKnown *k = cluster_state_known (s->cluster.state, m->incarnation);
+      const ClusterProgress *k = cluster_state_progress (s->cluster.state, m->incarnation);
       Peer *peer = &(*out)[count];
       if (m->incarnation == s->incarnation || !rpc_address (m->address, m->port, &peer->address))
         continue;
@@ -354,7 +354,7 @@
     {
       pthread_mutex_lock (&s->cluster.lock);
       note_introducer (s, message);
-      answers = cluster_state_take_ask (s->cluster.state, ask, clock_boot_ms (), answer);
+      answers = cluster_state_handle_ask (s->cluster.state, ask, clock_boot_ms (), answer);
       if (answers)
         cluster_heartbeat_pack (s->cluster.state, answer);
       answers = answers && find_asker (s, message, &to);
@@ -384,7 +384,7 @@
   if (good)
     {
       pthread_mutex_lock (&s->cluster.lock);
-      (void)cluster_state_take_answer (s->cluster.state, answer, clock_boot_ms ());
+      (void)cluster_state_handle_answer (s->cluster.state, answer, clock_boot_ms ());
       steward_remote_gates_heard (&s->remote_gates, answer->incarnation, message->gates.gates_val,
                                   message->gates.gates_len, clock_boot_ms ());
       pthread_cond_broadcast (&s->cluster.changed);
--- a/tests/fake_members.h
+++ b/tests/fake_members.h
@@ -24,7 +24,7 @@
 ClusterMember fake_member (uint64_t incarnation, int slot);
 
 /** asker asks at sent_at, answerer answers at answered_at; the answer is merged at once. Returns
- *  what cluster_state_take_answer returned, or false if there was no answer. */
+ *  what cluster_state_handle_answer returned, or false if there was no answer. */
 bool
 fake_exchange (ClusterState *asker, ClusterState *answerer, int64_t sent_at, int64_t answered_at);
 
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -147,7 +147,7 @@
 
   fake_platform_fault (site.p, FAULT_DOWN, CALL_ALL, 0);
   CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
-  CU_ASSERT_FALSE (out.unsettled);
+  CU_ASSERT_FALSE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
   order_site_free (&site);
@@ -170,7 +170,7 @@
 
   fake_platform_fault (site.p, FAULT_LOSE_REPLY, CALL_ALL, 0);
   CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
-  CU_ASSERT_TRUE (out.unsettled);
+  CU_ASSERT_TRUE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
   claim_releaser_add (releaser, &out.claim);
@@ -190,7 +190,7 @@
 
   fake_platform_fault (site.p, FAULT_SLOW, CALL_ALL, 0);
   CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
-  CU_ASSERT_TRUE (out.unsettled);
+  CU_ASSERT_TRUE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (claim_release (site.p, &out.claim, NULL), STATUS_OK);
   fake_platform_late_effects (site.p);
@@ -213,7 +213,7 @@
   fake_platform_fault (site.p, FAULT_SLOW, CALL_TXN, 0);
   CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &b), CLAIM_UNAVAILABLE);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
-  CU_ASSERT_TRUE (b.unsettled);
+  CU_ASSERT_TRUE (b.outcome_unknown);
   CU_ASSERT_EQUAL (claim_release (site.p, &b.claim, NULL), STATUS_OK);
   fake_platform_late_effects (site.p);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -41,7 +41,7 @@
       w->has_running = true;
       w->runs++;
     }
-  if (result == CLAIM_UNAVAILABLE && out.unsettled && w->released_count < 64)
+  if (result == CLAIM_UNAVAILABLE && out.outcome_unknown && w->released_count < 64)
     w->released[w->released_count++] = out.claim;
   claim_outcome_clear (&out);
 }
--- a/tests/test_cluster_lease.c
+++ b/tests/test_cluster_lease.c
@@ -166,11 +166,11 @@
   memset (&table, 0, sizeof table);
   run (&a, 1000, 2000);
   run (&b, 1000, 2000);
-  CU_ASSERT_TRUE (cluster_lease_give_back (&a, &row));
+  CU_ASSERT_TRUE (cluster_lease_release (&a, &row));
   CU_ASSERT_TRUE (table_write (&row));
   CU_ASSERT_FALSE (cluster_lease_may_order (&a, 2000));
   CU_ASSERT_EQUAL (step (&a, 2100), CLUSTER_LEASE_IDLE);
-  CU_ASSERT_FALSE (cluster_lease_give_back (&b, &row));
+  CU_ASSERT_FALSE (cluster_lease_release (&b, &row));
   b = new_lease ("c");
   run (&b, 2000, 2000 + FLIGHT_MS);
   CU_ASSERT_EQUAL (cluster_lease_fence (&b, 2000 + FLIGHT_MS), 0);
--- a/tests/test_cluster_holes.c
+++ b/tests/test_cluster_safety.c
@@ -97,7 +97,7 @@
   size_t needed;
 
   /* a and b are gone, which counts; c, d, e have not heard of the view. */
-  CU_ASSERT_EQUAL (cluster_view_settled (&pending, f, &needed), 2);
+  CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 2);
   CU_ASSERT_EQUAL (needed, 3);
   CU_ASSERT_FALSE (cluster_view_establish (&pending, f, 8, &out));
   fake_exchange (c, d, 1000, 1000);
@@ -106,7 +106,7 @@
   /* d hears of it: the view can be established from here on, and d's word no longer helps c. */
   fake_exchange (d, f, 1500, 1500);
   fake_exchange (f, d, 1500, 1500);
-  CU_ASSERT_EQUAL (cluster_view_settled (&pending, f, &needed), 3);
+  CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 3);
   CU_ASSERT_TRUE (cluster_view_establish (&pending, f, 8, &out));
   CU_ASSERT_TRUE (out.established);
   CU_ASSERT_EQUAL (out.number, 3);
@@ -134,7 +134,7 @@
   told->number = 7;
   told->incarnation = A;
   told->view = 2;
-  cluster_state_take_answer (g, told, 1000);
+  cluster_state_handle_answer (g, told, 1000);
   CU_ASSERT_FALSE (cluster_view_establish (&second, g, 7, &out));
   /* The other side of it: a's word still gives c a grant under the first form, until a knows
    * better. */
@@ -301,9 +301,9 @@
   ClusterHeartbeat *ask = memory_alloc (sizeof *ask);
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
 
-  cluster_state_ask (a, 900, 1000, ask);
-  cluster_state_take_ask (b, ask, 1001, answer);
-  CU_ASSERT_TRUE (cluster_state_take_answer (a, answer, 61000));
+  cluster_state_make_ask (a, 900, 1000, ask);
+  cluster_state_handle_ask (b, ask, 1001, answer);
+  CU_ASSERT_TRUE (cluster_state_handle_answer (a, answer, 61000));
   CU_ASSERT_FALSE (has_grant (a, 61000));
   fake_exchange (a, b, 61000, 61001);
   CU_ASSERT_TRUE (has_grant (a, 61001));
@@ -328,7 +328,7 @@
   cluster_state_leave (a);
   CU_ASSERT_FALSE (fake_exchange (b, a, 1500, 1500));
   CU_ASSERT_FALSE (has_grant (a, 1500));
-  CU_ASSERT_EQUAL (cluster_state_known (b, A)->as_of, 1000);
+  CU_ASSERT_EQUAL (cluster_state_progress (b, A)->as_of, 1000);
   free_all ((ClusterState *[]){ a, b }, 2);
 }
 
@@ -348,5 +348,5 @@
 int
 main (int argc, char **argv)
 {
-  return suite_main (argc, argv, "cluster_holes", cases, SUITE_COUNT (cases));
+  return suite_main (argc, argv, "cluster_safety", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -46,7 +46,7 @@
   ClusterHeartbeat *ask = new_heartbeat (50, 2, 8, 3);
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
 
-  CU_ASSERT_TRUE (cluster_state_take_ask (s, ask, 1000, answer));
+  CU_ASSERT_TRUE (cluster_state_handle_ask (s, ask, 1000, answer));
   CU_ASSERT_EQUAL (cluster_state_wanted_number (s), 8);
   CU_ASSERT_EQUAL (cluster_state_wanted_view (s), 3);
   CU_ASSERT_EQUAL (answer->number, 7);
@@ -55,7 +55,7 @@
   CU_ASSERT_EQUAL (cluster_state_wanted_number (s), 9);
   CU_ASSERT_EQUAL (cluster_state_accepted (s), 6);
   ask->accepted = 11;
-  cluster_state_take_ask (s, ask, 1000, answer);
+  cluster_state_handle_ask (s, ask, 1000, answer);
   CU_ASSERT_EQUAL (cluster_state_wanted_number (s), 11);
   CU_ASSERT_EQUAL (cluster_state_accepted (s), 11);
   CU_ASSERT_EQUAL (cluster_state_number (s), 7);
@@ -73,9 +73,9 @@
   ClusterHeartbeat *ask = memory_alloc (sizeof *ask);
   ClusterHeartbeat *answer = new_heartbeat (77, 2, 7, 1);
 
-  cluster_state_ask (s, 77, 1000, ask);
-  CU_ASSERT_TRUE (cluster_state_take_answer (s, answer, 61000));
-  CU_ASSERT_EQUAL (cluster_state_known (s, 2)->as_of, 1000);
+  cluster_state_make_ask (s, 77, 1000, ask);
+  CU_ASSERT_TRUE (cluster_state_handle_answer (s, answer, 61000));
+  CU_ASSERT_EQUAL (cluster_state_progress (s, 2)->as_of, 1000);
   free (ask);
   free (answer);
   cluster_state_free (s);
@@ -92,13 +92,13 @@
 
   stray->news_count = 1;
   stray->news[0] = (ClusterNews){ .incarnation = 3, .number = 5, .view = 1, .age_ms = 0 };
-  CU_ASSERT_FALSE (cluster_state_take_answer (s, stray, 5000));
-  CU_ASSERT_EQUAL (cluster_state_known (s, 2)->number, 6);
-  CU_ASSERT_EQUAL (cluster_state_known (s, 2)->as_of, CLUSTER_NEVER);
-  CU_ASSERT_EQUAL (cluster_state_known (s, 3)->number, 5);
-  CU_ASSERT_EQUAL (cluster_state_known (s, 3)->as_of, CLUSTER_NEVER);
-  CU_ASSERT_TRUE (cluster_state_take_ask (s, stray, 5000, answer));
-  CU_ASSERT_EQUAL (cluster_state_known (s, 2)->as_of, CLUSTER_NEVER);
+  CU_ASSERT_FALSE (cluster_state_handle_answer (s, stray, 5000));
+  CU_ASSERT_EQUAL (cluster_state_progress (s, 2)->number, 6);
+  CU_ASSERT_EQUAL (cluster_state_progress (s, 2)->as_of, CLUSTER_NEVER);
+  CU_ASSERT_EQUAL (cluster_state_progress (s, 3)->number, 5);
+  CU_ASSERT_EQUAL (cluster_state_progress (s, 3)->as_of, CLUSTER_NEVER);
+  CU_ASSERT_TRUE (cluster_state_handle_ask (s, stray, 5000, answer));
+  CU_ASSERT_EQUAL (cluster_state_progress (s, 2)->as_of, CLUSTER_NEVER);
   free (stray);
   free (answer);
   cluster_state_free (s);
@@ -115,11 +115,11 @@
   ClusterState *c = fake_member_new (3, 7, &v);
 
   CU_ASSERT_TRUE (fake_exchange (b, c, 1000, 1400));
-  CU_ASSERT_EQUAL (cluster_state_known (b, 3)->as_of, 1000);
+  CU_ASSERT_EQUAL (cluster_state_progress (b, 3)->as_of, 1000);
   CU_ASSERT_TRUE (fake_exchange (a, b, 2000, 2900));
-  CU_ASSERT_EQUAL (cluster_state_known (a, 2)->as_of, 2000);
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 2)->as_of, 2000);
   /* At 2900 it was 1900 old; the ask was sent at 2000; 1 for parts of a millisecond, 2 of drift. */
-  CU_ASSERT_EQUAL (cluster_state_known (a, 3)->as_of, 2000 - 1901 - 2);
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 3)->as_of, 2000 - 1901 - 2);
   cluster_state_free (a);
   cluster_state_free (b);
   cluster_state_free (c);
@@ -136,8 +136,8 @@
 
   fake_exchange (b, c, 1000, 1000);
   fake_exchange (a, b, 1001 + FAKE_GRANT_MS, 1001 + FAKE_GRANT_MS);
-  CU_ASSERT_EQUAL (cluster_state_known (a, 3)->number, 6);
-  CU_ASSERT_EQUAL (cluster_state_known (a, 3)->as_of, CLUSTER_NEVER);
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 3)->number, 6);
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 3)->as_of, CLUSTER_NEVER);
   cluster_state_free (a);
   cluster_state_free (b);
   cluster_state_free (c);
@@ -146,8 +146,8 @@
 static bool
 equal_knowledge (const ClusterState *a, const ClusterState *b, uint64_t incarnation)
 {
-  const ClusterKnown *x = cluster_state_known (a, incarnation);
-  const ClusterKnown *y = cluster_state_known (b, incarnation);
+  const ClusterProgress *x = cluster_state_progress (a, incarnation);
+  const ClusterProgress *y = cluster_state_progress (b, incarnation);
 
   return x->number == y->number && x->view == y->view && x->as_of == y->as_of;
 }
@@ -175,15 +175,15 @@
                                         .number = (int64_t)gsl_rng_uniform_int (rng, 9),
                                         .view = (int64_t)gsl_rng_uniform_int (rng, 5),
                                         .age_ms = (uint32_t)gsl_rng_uniform_int (rng, 500) };
-      cluster_state_ask (a, 100 + i, (int64_t)(1000 + 10 * i), ask);
-      cluster_state_ask (b, 100 + i, (int64_t)(1000 + 10 * i), ask);
+      cluster_state_make_ask (a, 100 + i, (int64_t)(1000 + 10 * i), ask);
+      cluster_state_make_ask (b, 100 + i, (int64_t)(1000 + 10 * i), ask);
     }
   for (size_t i = 0; i < ORDER_MESSAGES; i++)
-    cluster_state_take_answer (a, sent[i], 9000);
+    cluster_state_handle_answer (a, sent[i], 9000);
   for (size_t i = 0; i < 10 * ORDER_MESSAGES; i++)
-    cluster_state_take_answer (b, sent[gsl_rng_uniform_int (rng, ORDER_MESSAGES)], 9000);
+    cluster_state_handle_answer (b, sent[gsl_rng_uniform_int (rng, ORDER_MESSAGES)], 9000);
   for (size_t i = ORDER_MESSAGES; i-- > 0;)
-    cluster_state_take_answer (b, sent[i], 9000);
+    cluster_state_handle_answer (b, sent[i], 9000);
   for (uint64_t incarnation = 2; incarnation < 6; incarnation++)
     CU_ASSERT_TRUE (equal_knowledge (a, b, incarnation));
   for (size_t i = 0; i < ORDER_MESSAGES; i++)
@@ -205,7 +205,7 @@
   h->news_count = 2;
   h->news[0] = (ClusterNews){ .incarnation = 1, .number = 9, .view = 1, .age_ms = 0 };
   h->news[1] = (ClusterNews){ .incarnation = 0, .number = 3, .view = 1, .age_ms = 0 };
-  cluster_state_take_answer (s, h, 1000);
+  cluster_state_handle_answer (s, h, 1000);
   CU_ASSERT_EQUAL (cluster_state_number (s), 7);
   free (h);
   cluster_state_free (s);
@@ -245,13 +245,13 @@
   for (uint64_t i = 2; i < STRANGERS; i++)
     {
       h->incarnation = i;
-      cluster_state_take_answer (s, h, 1000);
+      cluster_state_handle_answer (s, h, 1000);
     }
   for (uint64_t i = 2; i < STRANGERS; i++)
-    known += cluster_state_known (s, i) != NULL;
+    known += cluster_state_progress (s, i) != NULL;
   CU_ASSERT_TRUE (known < 2048);
   for (uint64_t i = 2; i <= 5; i++)
-    CU_ASSERT_EQUAL (cluster_state_known (s, i)->number, 7);
+    CU_ASSERT_EQUAL (cluster_state_progress (s, i)->number, 7);
   CU_ASSERT_EQUAL (cluster_state_number (s), 7);
   free (h);
   cluster_state_free (s);
@@ -272,19 +272,19 @@
 
   fake_exchange (b, c, 1000, 1000);
   fake_exchange (b, d, 1010, 1010);
-  cluster_state_ask (a, 5, 2000, ask);
-  cluster_state_take_ask (b, ask, 2000, answer);
+  cluster_state_make_ask (a, 5, 2000, ask);
+  cluster_state_handle_ask (b, ask, 2000, answer);
   cluster_heartbeat_pack (b, answer);
   CU_ASSERT_EQUAL (answer->ages_view, 1);
   CU_ASSERT_EQUAL (answer->ages_count, 5);
   CU_ASSERT_EQUAL (answer->ages[2], 32);
   CU_ASSERT_EQUAL (answer->ages[3], CLUSTER_AGE_SKIP);
   CU_ASSERT_EQUAL (answer->news_count, 2);
-  CU_ASSERT_TRUE (cluster_state_take_answer (a, answer, 2000));
-  CU_ASSERT_EQUAL (cluster_state_known (a, 3)->number, 7);
-  CU_ASSERT_EQUAL (cluster_state_known (a, 3)->as_of, 2000 - 32 * CLUSTER_AGE_UNIT_MS - 1 - 2);
-  CU_ASSERT_EQUAL (cluster_state_known (a, 4)->number, 6);
-  CU_ASSERT_EQUAL (cluster_state_known (a, 4)->as_of, 2000 - 990 - 1 - 1);
+  CU_ASSERT_TRUE (cluster_state_handle_answer (a, answer, 2000));
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 3)->number, 7);
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 3)->as_of, 2000 - 32 * CLUSTER_AGE_UNIT_MS - 1 - 2);
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 4)->number, 6);
+  CU_ASSERT_EQUAL (cluster_state_progress (a, 4)->as_of, 2000 - 990 - 1 - 1);
   free (ask);
   free (answer);
   cluster_state_free (a);
@@ -308,16 +308,16 @@
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
 
   fake_exchange (b, c, 1000, 1000);
-  cluster_state_ask (a, 6, 2000, ask);
-  cluster_state_take_ask (b, ask, 2000, answer);
+  cluster_state_make_ask (a, 6, 2000, ask);
+  cluster_state_handle_ask (b, ask, 2000, answer);
   /* b has heard of view 2 by the ask but has not taken it over. */
   answer->ages_view = 1;
   answer->ages_count = 5;
   answer->ages[2] = 1;
   answer->news_count = 0;
-  cluster_state_take_answer (a, answer, 2000);
-  CU_ASSERT_PTR_NULL (cluster_state_known (a, 3));
-  CU_ASSERT_PTR_NULL (cluster_state_known (a, 4));
+  cluster_state_handle_answer (a, answer, 2000);
+  CU_ASSERT_PTR_NULL (cluster_state_progress (a, 3));
+  CU_ASSERT_PTR_NULL (cluster_state_progress (a, 4));
   free (ask);
   free (answer);
   cluster_state_free (a);
--- a/tests/test_cluster_view.c
+++ b/tests/test_cluster_view.c
@@ -123,7 +123,7 @@
   CU_ASSERT_EQUAL (pending.count, 2 * NINE);
   CU_ASSERT_FALSE (cluster_view_establish (&pending, s, 7, &out));
   CU_ASSERT_TRUE (cluster_view_remove (&pending, old_members, 4, 7, &v));
-  CU_ASSERT_EQUAL (cluster_view_settled (&v, s, &needed), 4);
+  CU_ASSERT_EQUAL (cluster_view_confirmed (&v, s, &needed), 4);
   CU_ASSERT_FALSE (cluster_view_establish (&v, s, 7, &out));
   CU_ASSERT_TRUE (cluster_view_remove (&v, old_members, NINE, 7, &pending));
   CU_ASSERT_TRUE (cluster_view_establish (&pending, s, 7, &out));
