--- a/src/bill_entry.c
+++ b/src/bill_entry.c
@@ -183,7 +183,7 @@
 
 /* True for a text that is read and says whether its request was answered whole, as asked. */
 static bool
-text_says (const char *text, bool answered)
+text_is_answered (const char *text, bool answered)
 {
   BillRecord record;
 
@@ -204,8 +204,8 @@
   };
   StatusCode code;
 
-  if (insert->existing == NULL || !text_says (insert->existing, false)
-      || !text_says (entry->text, true))
+  if (insert->existing == NULL || !text_is_answered (insert->existing, false)
+      || !text_is_answered (entry->text, true))
     return status_ok (st);
   code = platform->ops->txn (platform, ops, 2, timeout_ms, st);
   txn_ops_clear (ops, 2);
@@ -279,6 +279,6 @@
     log_msg (MSG_BILL_REFUSED, "key=\"%s\" message=\"%s\"", log_quote (entry->key, key, sizeof key),
              log_quote (st != NULL ? st->message : "", message, sizeof message));
   entry->refused = true;
-  entry->try_next_ms = now_ms + BILL_REFUSED_RETRY_MS;
+  entry->retry_at_ms = now_ms + BILL_REFUSED_RETRY_MS;
   counter_add (COUNTER_BILL_REFUSED, 1);
 }
--- a/src/bill_entry.h
+++ b/src/bill_entry.h
@@ -18,7 +18,7 @@
   bool spooled;        /**< in a BillSpool */
   bool storing;        /**< on its way to the next place */
   bool refused;        /**< the table service called it malformed */
-  int64_t try_next_ms; /**< not written to the table before, on the boot clock */
+  int64_t retry_at_ms; /**< not written to the table before, on the boot clock */
   char *key;
   char *text;
   char *claim_key;  /**< NULL: no claim */
--- a/src/bill_fallback.c
+++ b/src/bill_fallback.c
@@ -12,9 +12,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bounds of one object and of one round of copies. */
-#define ROUND_ENTRIES_MAX 256
-#define ROUND_BYTES_MAX   (4U << 20)
+/* Bounds of one object and of one batch of copies. */
+#define BATCH_ENTRIES_MAX 256
+#define BATCH_BYTES_MAX   (4U << 20)
 #define DONE_KEYS_MAX     100000
 
 /* One call of bill_fallback_store, on its caller's stack. */
@@ -33,8 +33,8 @@
   uint64_t gate;
   BillReplicator replicator;
   int timeout_ms;
-  int round_ms;
-  int64_t round_next_ms; /* the next round leaves then */
+  int batch_interval_ms;
+  int64_t batch_next_ms; /* the next batch leaves then */
   pthread_mutex_t lock;
   pthread_cond_t work;
   pthread_cond_t finished;
@@ -67,7 +67,7 @@
   fallback->gate = options->gate;
   fallback->replicator = options->replicator;
   fallback->timeout_ms = options->table_timeout_ms;
-  fallback->round_ms = options->batch_interval_ms;
+  fallback->batch_interval_ms = options->batch_interval_ms;
   CDS_INIT_LIST_HEAD (&fallback->jobs);
   pthread_mutex_init (&fallback->lock, NULL);
   wait_init (&fallback->work);
@@ -144,9 +144,9 @@
   pthread_mutex_unlock (&fallback->lock);
 }
 
-/* Moves the oldest jobs, as many as a round takes, to round. With the lock held. */
+/* Moves the oldest jobs, as many as a batch takes, to batch. With the lock held. */
 static void
-round_collect (BillFallback *fallback, struct cds_list_head *round)
+batch_collect (BillFallback *fallback, struct cds_list_head *batch)
 {
   size_t entries = 0;
   size_t bytes = 0;
@@ -154,10 +154,10 @@
 
   cds_list_for_each_entry_safe (job, next, &fallback->jobs, node)
   {
-    if (entries > 0 && (entries + job->count > ROUND_ENTRIES_MAX || bytes > ROUND_BYTES_MAX))
+    if (entries > 0 && (entries + job->count > BATCH_ENTRIES_MAX || bytes > BATCH_BYTES_MAX))
       break;
     cds_list_del (&job->node);
-    cds_list_add_tail (&job->node, round);
+    cds_list_add_tail (&job->node, batch);
     entries += job->count;
     for (size_t i = 0; i < job->count; i++)
       bytes += job->entries[i]->bytes;
@@ -165,12 +165,12 @@
 }
 
 static void
-round_content (struct cds_list_head *round, Buffer *out)
+batch_content (struct cds_list_head *batch, Buffer *out)
 {
   const char *separator = "[";
   Job *job;
 
-  cds_list_for_each_entry (job, round, node) for (size_t i = 0; i < job->count; i++)
+  cds_list_for_each_entry (job, batch, node) for (size_t i = 0; i < job->count; i++)
   {
     char *text = bill_entry_json (job->entries[i]);
 
@@ -206,13 +206,13 @@
 }
 
 static bool
-round_to_object_store (BillFallback *fallback, struct cds_list_head *round)
+batch_to_object_store (BillFallback *fallback, struct cds_list_head *batch)
 {
   if (!platform_breaker_allows (&fallback->breaker, clock_boot_ms ()))
     return false;
   if (fallback->pending.len > 0 && !object_write (fallback))
     return false;
-  round_content (round, &fallback->pending);
+  batch_content (batch, &fallback->pending);
   return object_write (fallback);
 }
 
@@ -234,13 +234,13 @@
 }
 
 static size_t
-round_texts (struct cds_list_head *round, char ***out)
+batch_texts (struct cds_list_head *batch, char ***out)
 {
   char **texts = NULL;
   size_t count = 0;
   Job *job;
 
-  cds_list_for_each_entry (job, round, node)
+  cds_list_for_each_entry (job, batch, node)
   {
     texts = memory_grow (texts, count + job->count, sizeof *texts);
     for (size_t i = 0; i < job->count; i++)
@@ -251,7 +251,7 @@
 }
 
 static bool
-round_to_replicas (BillFallback *fallback, struct cds_list_head *round)
+batch_to_replicas (BillFallback *fallback, struct cds_list_head *batch)
 {
   char **texts;
   size_t count;
@@ -260,7 +260,7 @@
 
   if (fallback->replicator.copy == NULL)
     return false;
-  count = round_texts (round, &texts);
+  count = batch_texts (batch, &texts);
   for (size_t i = 0; i < count; i++)
     fits = fits && strlen (texts[i]) < LOVAGE_RECORD_MAX;
   if (fits)
@@ -273,30 +273,30 @@
 }
 
 static BillPlace
-round_store (BillFallback *fallback, struct cds_list_head *round, bool indexed)
+batch_store (BillFallback *fallback, struct cds_list_head *batch, bool indexed)
 {
-  if (indexed && round_to_object_store (fallback, round))
+  if (indexed && batch_to_object_store (fallback, batch))
     return BILL_AT_OBJECT_STORE;
-  if (round_to_replicas (fallback, round))
+  if (batch_to_replicas (fallback, batch))
     return BILL_AT_REPLICA;
   return BILL_AT_SPOOL;
 }
 
 /* Called and returns with the lock held. */
 static void
-round_run (BillFallback *fallback)
+batch_run (BillFallback *fallback)
 {
-  CDS_LIST_HEAD (round);
+  CDS_LIST_HEAD (batch);
   bool indexed = fallback->indexed;
   BillPlace place;
   Job *job, *next;
 
-  round_collect (fallback, &round);
-  fallback->round_next_ms = clock_boot_ms () + fallback->round_ms;
+  batch_collect (fallback, &batch);
+  fallback->batch_next_ms = clock_boot_ms () + fallback->batch_interval_ms;
   pthread_mutex_unlock (&fallback->lock);
-  place = round_store (fallback, &round, indexed);
+  place = batch_store (fallback, &batch, indexed);
   pthread_mutex_lock (&fallback->lock);
-  cds_list_for_each_entry_safe (job, next, &round, node)
+  cds_list_for_each_entry_safe (job, next, &batch, node)
   {
     cds_list_del (&job->node);
     job->place = place;
@@ -307,7 +307,7 @@
 
 /* Called and returns with the lock held. */
 static void
-done_tell (BillFallback *fallback)
+done_send (BillFallback *fallback)
 {
   char **keys = fallback->done_keys;
   size_t count = fallback->done_count;
@@ -339,15 +339,15 @@
   pthread_mutex_lock (&fallback->lock);
   while (!fallback->stopping || !cds_list_empty (&fallback->jobs))
     {
-      int64_t early_ms = fallback->round_next_ms - clock_boot_ms ();
+      int64_t delay_ms = fallback->batch_next_ms - clock_boot_ms ();
       bool jobs = !cds_list_empty (&fallback->jobs);
 
-      if (jobs && early_ms > 0 && !fallback->stopping)
-        wait_ms (&fallback->work, &fallback->lock, early_ms);
+      if (jobs && delay_ms > 0 && !fallback->stopping)
+        wait_ms (&fallback->work, &fallback->lock, delay_ms);
       else if (jobs)
-        round_run (fallback);
+        batch_run (fallback);
       else if (fallback->done_count > 0)
-        done_tell (fallback);
+        done_send (fallback);
       else
         pthread_cond_wait (&fallback->work, &fallback->lock);
     }
--- a/src/bill_recover.c
+++ b/src/bill_recover.c
@@ -66,7 +66,7 @@
 /* Writes the entries from first on, one transaction's worth. Two records of one key never share a
  * transaction (see platform_group.c); the second then finds the first. */
 static StatusCode
-write_some (Platform *platform,
+write_batch (Platform *platform,
             struct json_object *array,
             size_t *first,
             BillRecovery *out,
@@ -125,7 +125,7 @@
       return code;
     }
   while (code == STATUS_OK && first < json_object_array_length (array))
-    code = write_some (platform, array, &first, out, st);
+    code = write_batch (platform, array, &first, out, st);
   json_object_put (array);
   return code;
 }
--- a/src/bill_replica.c
+++ b/src/bill_replica.c
@@ -216,7 +216,7 @@
   {
     if (n == FLUSH_MAX)
       break;
-    if (copy->entry->try_next_ms > now_ms)
+    if (copy->entry->retry_at_ms > now_ms)
       continue;
     if (now_ms - copy->taken_ms >= BILL_REPLICA_HOLD_MS || !alive (context, copy->gate))
       out[n++] = bill_entry_ref (copy->entry);
--- a/src/bill_spool.c
+++ b/src/bill_spool.c
@@ -1,21 +1,21 @@
 #include "bill_spool.h"
 #include <string.h>
 
-/* Share of the spool kept free when the room of the requests in progress would leave nothing, or is
+/* Share of the spool reserved free when the room of the requests in progress would leave nothing, or is
  * not known. */
-#define KEPT_UNKNOWN(max) ((max) / 4)
-#define KEPT_MAX(max)     ((max) / 2)
+#define RESERVE_DEFAULT(max) ((max) / 4)
+#define RESERVE_MAX(max)     ((max) / 2)
 
 void
 bill_spool_init (BillSpool *spool, size_t spool_max, size_t in_progress_max)
 {
-  size_t kept = in_progress_max * BILL_RESERVE_BYTES;
+  size_t reserved = in_progress_max * BILL_RESERVE_BYTES;
 
   if (in_progress_max == 0)
-    kept = KEPT_UNKNOWN (spool_max);
-  if (kept > KEPT_MAX (spool_max))
-    kept = KEPT_MAX (spool_max);
-  *spool = (BillSpool){ .bytes_max = spool_max - kept };
+    reserved = RESERVE_DEFAULT (spool_max);
+  if (reserved > RESERVE_MAX (spool_max))
+    reserved = RESERVE_MAX (spool_max);
+  *spool = (BillSpool){ .bytes_max = spool_max - reserved };
   CDS_INIT_LIST_HEAD (&spool->entries);
 }
 
@@ -35,15 +35,15 @@
 bool
 bill_spool_add (BillSpool *spool, BillEntry *entry)
 {
-  bool whole = spool->bytes + entry->bytes <= spool->bytes_max;
+  bool fits = spool->bytes + entry->bytes <= spool->bytes_max;
 
-  if (!whole)
+  if (!fits)
     bill_entry_drop_answer (entry);
   cds_list_add_tail (&bill_entry_ref (entry)->node, &spool->entries);
   entry->spooled = true;
   spool->count++;
   spool->bytes += entry->bytes;
-  return whole;
+  return fits;
 }
 
 static bool
@@ -65,7 +65,7 @@
   {
     if (n == count)
       break;
-    if (entry->try_next_ms <= now_ms && !has_key (out, n, entry->key))
+    if (entry->retry_at_ms <= now_ms && !has_key (out, n, entry->key))
       out[n++] = entry;
   }
   return n;
--- a/src/bill_writer.c
+++ b/src/bill_writer.c
@@ -114,26 +114,26 @@
 /* Hands the entry to the writer's thread. It is in the spool before it goes to the next place, so
  * that an empty spool means that the table has all that the objects hold. */
 static void
-spool (BillWriter *writer, BillEntry *entry, StatusCode table_code, const Status *st)
+add_to_spool (BillWriter *writer, BillEntry *entry, StatusCode table_code, const Status *st)
 {
-  bool whole;
+  bool fits;
   bool first = false;
 
   pthread_mutex_lock (&writer->lock);
-  whole = bill_spool_add (&writer->spool, entry);
+  fits = bill_spool_add (&writer->spool, entry);
   entry->storing = true;
   if (bill_writer_is_outage (table_code))
     first = platform_breaker_failed (&writer->breaker, clock_boot_ms ());
   pthread_cond_signal (&writer->work);
   pthread_mutex_unlock (&writer->lock);
-  if (!whole)
+  if (!fits)
     counter_add (COUNTER_BILL_ANSWER_DROPPED, 1);
   if (first)
     log_msg (MSG_BILL_TABLE_DOWN, "code=\"%s\" step=\"%s\"", status_code_name (st->code), st->step);
 }
 
 static BillPlace
-next_place (BillWriter *writer, BillEntry *entry)
+store_in_fallback (BillWriter *writer, BillEntry *entry)
 {
   BillPlace place = bill_fallback_store (writer->fallback, &entry, 1);
 
@@ -159,8 +159,8 @@
     code = table_insert (writer, entry, &st);
   if (code != STATUS_OK)
     {
-      spool (writer, entry, code, &st);
-      place = next_place (writer, entry);
+      add_to_spool (writer, entry, code, &st);
+      place = store_in_fallback (writer, entry);
     }
   counter_add (place_counters[place], 1);
   pthread_mutex_lock (&writer->lock);
--- a/src/bill_writer_private.h
+++ b/src/bill_writer_private.h
@@ -21,15 +21,15 @@
   PlatformBreaker breaker; /* of the table */
   bool full;               /* the lack of room has been logged */
   bool stopping;
-  int64_t stop_ms;          /* with stopping: when to give up */
-  int64_t flush_next_ms;    /* earliest next transaction from the spool */
-  int64_t index_next_ms;    /* earliest next try of the gate's row */
-  int64_t unspill_next_ms;  /* earliest next try of the spilled records */
-  bool indexed;             /* the gate's row is in the table */
-  uint32_t objects_settled; /* objects of which the gate's row says that the table has them */
-  size_t spilled;           /* records that are in later objects and no longer in the spool */
-  uint32_t unspill_object;  /* the next object to read for them */
-  bool unspill_refused;     /* the table service refused one of them: all are read again */
+  int64_t stop_ms;           /* with stopping: when to give up */
+  int64_t flush_next_ms;     /* earliest next transaction from the spool */
+  int64_t index_next_ms;     /* earliest next try of the gate's row */
+  int64_t unspill_next_ms;   /* earliest next try of the spilled records */
+  bool indexed;              /* the gate's row is in the table */
+  uint32_t objects_in_table; /* objects of which the gate's row says that the table has them */
+  size_t spilled;            /* records that are in later objects and no longer in the spool */
+  uint32_t unspill_object;   /* the next object to read for them */
+  bool unspill_refused;      /* the table service refused one of them: all are read again */
   pthread_t thread;
 };
 
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -23,7 +23,7 @@
 
 /* The entry is in the table. With the lock held. */
 static void
-settle (BillWriter *writer, BillEntry *entry)
+mark_written (BillWriter *writer, BillEntry *entry)
 {
   if (entry->place == BILL_AT_REPLICA)
     bill_fallback_done (writer->fallback, entry->key);
@@ -55,7 +55,7 @@
       bill_entry_refused (entries[i], clock_boot_ms (), &st);
     else
       {
-        settle (writer, entries[i]);
+        mark_written (writer, entries[i]);
         written++;
       }
   if (written > 0 && platform_breaker_succeeded (&writer->breaker))
@@ -65,7 +65,7 @@
 /* Entries that are in this process only get another try at the next places. Called and returns with
  * the lock held. */
 static void
-store_again (BillWriter *writer)
+retry_fallback (BillWriter *writer)
 {
   BillEntry *entries[FLUSH_MAX];
   size_t count = 0;
@@ -97,7 +97,7 @@
   if (count > 0)
     flush_entries (writer, entries, count);
   if (writer->breaker.open)
-    store_again (writer);
+    retry_fallback (writer);
   writer->flush_next_ms = clock_boot_ms () + FLUSH_PAUSE_MS;
   if (writer->breaker.open && writer->breaker.try_next_ms > writer->flush_next_ms)
     writer->flush_next_ms = writer->breaker.try_next_ms;
@@ -125,7 +125,7 @@
   if (code == STATUS_OK)
     {
       writer->indexed = true;
-      writer->objects_settled = objects;
+      writer->objects_in_table = objects;
     }
   writer->index_next_ms = clock_boot_ms () + INDEX_RETRY_MS;
 }
@@ -140,8 +140,8 @@
   uint32_t next = writer->unspill_object;
   StatusCode code;
 
-  if (next < writer->objects_settled)
-    next = writer->objects_settled;
+  if (next < writer->objects_in_table)
+    next = writer->objects_in_table;
   pthread_mutex_unlock (&writer->lock);
   code = bill_recover_gate (writer->options.platform, writer->options.gate, &next, UNSPILL_MAX,
                             &recovery, NULL);
@@ -152,7 +152,7 @@
     writer->unspill_next_ms = clock_boot_ms () + INDEX_RETRY_MS;
   else if (recovery.objects < UNSPILL_MAX && writer->unspill_refused)
     {
-      writer->unspill_object = writer->objects_settled;
+      writer->unspill_object = writer->objects_in_table;
       writer->unspill_refused = false;
       writer->unspill_next_ms = clock_boot_ms () + BILL_REFUSED_RETRY_MS;
     }
@@ -170,7 +170,7 @@
     return true;
   /* A row that passed over objects whose records are not in the table would lose them, should this
    * gate die. */
-  return writer->spool.count == 0 && writer->spilled == 0 && *objects > writer->objects_settled;
+  return writer->spool.count == 0 && writer->spilled == 0 && *objects > writer->objects_in_table;
 }
 
 static bool
--- a/src/claim.c
+++ b/src/claim.c
@@ -10,7 +10,7 @@
 
 /* Bounds of the attempts to learn what became of an insert whose reply was lost. */
 #define TRIES_MAX       4
-#define SETTLE_MS       2000
+#define RESOLVE_TIMEOUT_MS       2000
 #define READ_TIMEOUT_MS 500
 
 static const CounterId result_counters[] = {
@@ -21,33 +21,33 @@
   [CLAIM_UNAVAILABLE] = COUNTER_CLAIM_UNAVAILABLE,
 };
 
-/* What one look at the row, or one write to it, has shown. */
+/* What one result at the row, or one write to it, has shown. */
 typedef enum
 {
-  LOOK_DONE,  /* out->result is set */
-  LOOK_AGAIN, /* the reply was lost: the row has to be looked at again */
-} Look;
+  TRY_DONE,  /* out->result is set */
+  TRY_AGAIN, /* the reply was lost: the row has to be looked at again */
+} TryResult;
 
-static Look
-finish (ClaimOutcome *out, ClaimResult result)
+static TryResult
+set_result (ClaimOutcome *out, ClaimResult result)
 {
   out->result = result;
-  return LOOK_DONE;
+  return TRY_DONE;
 }
 
-static Look
-give_answer (ClaimOutcome *out, ClaimRow *row)
+static TryResult
+return_stored_answer (ClaimOutcome *out, ClaimRow *row)
 {
   out->http_status = row->http_status;
   memcpy (out->content_type, row->content_type, sizeof out->content_type);
   out->answer = row->answer;
   row->answer = (Buffer){ .data = NULL };
-  return finish (out, CLAIM_ANSWERED);
+  return set_result (out, CLAIM_ANSWERED);
 }
 
 /* Takes over a row whose earlier attempt was released. The check on its version keeps this to one
  * attempt, and a late arrival of the write can't touch what came after it. */
-static Look
+static TryResult
 take_over (Platform *platform, int64_t version, const char *text, ClaimOutcome *out, Status *st)
 {
   TxnOp ops[] = {
@@ -58,16 +58,16 @@
 
   txn_ops_clear (ops, 2);
   if (code == STATUS_OK)
-    return finish (out, CLAIM_TAKEN);
+    return set_result (out, CLAIM_TAKEN);
   /* After a lost reply the row may be ours; after a conflict it is another attempt's, or ours by
    * an earlier try whose reply was lost. Only the row tells. */
   if (code == STATUS_UNKNOWN)
     out->outcome_unknown = true;
-  return LOOK_AGAIN;
+  return TRY_AGAIN;
 }
 
-static Look
-look_at (Platform *platform,
+static TryResult
+evaluate_row (Platform *platform,
          const char *value,
          int64_t version,
          const char *text,
@@ -75,34 +75,34 @@
          Status *st)
 {
   ClaimRow row;
-  Look look;
+  TryResult result;
 
   if (!claim_row_parse (value, &row))
     {
       claim_row_clear (&row);
       status_set (st, STATUS_INTERNAL, STEP, NULL, "the claim's row can't be read");
-      return finish (out, CLAIM_IN_PROGRESS);
+      return set_result (out, CLAIM_IN_PROGRESS);
     }
   if (row.state == CLAIM_STARTED && strcmp (row.nonce, out->claim.nonce) == 0)
-    look = finish (out, CLAIM_TAKEN);
+    result = set_result (out, CLAIM_TAKEN);
   else if (row.state == CLAIM_RELEASED && version > 0)
-    look = take_over (platform, version, text, out, st);
+    result = take_over (platform, version, text, out, st);
   else if (row.state == CLAIM_RELEASED)
-    look = LOOK_AGAIN;
+    result = TRY_AGAIN;
   else if (row.body_hash != out->claim.body_hash)
-    look = finish (out, CLAIM_MISMATCH);
+    result = set_result (out, CLAIM_MISMATCH);
   else if (row.state == CLAIM_SETTLED)
-    look = give_answer (out, &row);
+    result = return_stored_answer (out, &row);
   else
-    look = finish (out, CLAIM_IN_PROGRESS);
+    result = set_result (out, CLAIM_IN_PROGRESS);
   claim_row_clear (&row);
-  return look;
+  return result;
 }
 
 /* Inserts the row if it is absent. Sent again after a lost reply it is harmless, since the row's
  * nonce tells whose it is, and it also settles the reply: if the first one is still on its way, it
  * will find the row existing and change nothing. */
-static Look
+static TryResult
 try_insert (PlatformGroup *group,
             Platform *platform,
             const char *text,
@@ -116,33 +116,33 @@
     .value = text,
   };
   StatusCode code = platform_group_submit (group, &op, 1, st);
-  Look look = LOOK_AGAIN;
+  TryResult result = TRY_AGAIN;
 
   if (code == STATUS_OK && op.inserted)
-    look = finish (out, CLAIM_TAKEN);
+    result = set_result (out, CLAIM_TAKEN);
   else if (code == STATUS_OK && op.existing != NULL)
-    look = look_at (platform, op.existing, 0, text, out, st);
+    result = evaluate_row (platform, op.existing, 0, text, out, st);
   else if (code == STATUS_UNKNOWN)
     out->outcome_unknown = true;
   else if (!out->outcome_unknown)
-    look = finish (out, CLAIM_UNAVAILABLE);
+    result = set_result (out, CLAIM_UNAVAILABLE);
   txn_ops_clear (&op, 1);
-  return look;
+  return result;
 }
 
 /* Reads the row with its version. */
-static Look
+static TryResult
 try_read (Platform *platform, const char *text, ClaimOutcome *out, Status *st)
 {
   PlatformRow row = { .key = NULL };
-  Look look = LOOK_AGAIN;
+  TryResult result = TRY_AGAIN;
 
   if (platform->ops->get (platform, CLAIM_TABLE, out->claim.key, READ_TIMEOUT_MS, &row, st)
           == STATUS_OK
       && row.version > 0)
-    look = look_at (platform, row.value, row.version, text, out, st);
+    result = evaluate_row (platform, row.value, row.version, text, out, st);
   platform_row_clear (&row);
-  return look;
+  return result;
 }
 
 void
@@ -155,8 +155,8 @@
             Status *st)
 {
   Status local = { .code = STATUS_OK };
-  Look look = LOOK_AGAIN;
-  int64_t end = clock_boot_ms () + SETTLE_MS;
+  TryResult result = TRY_AGAIN;
+  int64_t end = clock_boot_ms () + RESOLVE_TIMEOUT_MS;
   char *text;
 
   if (st == NULL)
@@ -167,15 +167,15 @@
   claim_row_key (team, idempotency_key, out->claim.key);
   id_random (out->claim.nonce);
   text = claim_row_text (&out->claim, CLAIM_STARTED);
-  for (int i = 0; i < TRIES_MAX && look == LOOK_AGAIN; i++)
+  for (int i = 0; i < TRIES_MAX && result == TRY_AGAIN; i++)
     {
       if (i > 0 && clock_boot_ms () >= end)
         break;
-      look = try_insert (group, platform, text, out, st);
-      if (look == LOOK_AGAIN)
-        look = try_read (platform, text, out, st);
+      result = try_insert (group, platform, text, out, st);
+      if (result == TRY_AGAIN)
+        result = try_read (platform, text, out, st);
     }
-  if (look == LOOK_AGAIN)
+  if (result == TRY_AGAIN)
     out->result = CLAIM_UNAVAILABLE;
   if (out->result != CLAIM_UNAVAILABLE)
     out->outcome_unknown = false;
--- a/src/claim_release.c
+++ b/src/claim_release.c
@@ -21,7 +21,7 @@
 {
   struct cds_list_head node;
   Claim claim;
-} Release;
+} PendingRelease;
 
 struct ClaimReleaser
 {
@@ -125,7 +125,7 @@
 void
 claim_releaser_add (ClaimReleaser *releaser, const Claim *claim)
 {
-  Release *release;
+  PendingRelease *release;
   bool room;
 
   pthread_mutex_lock (&releaser->lock);
@@ -147,7 +147,7 @@
 static bool
 release_first (ClaimReleaser *releaser)
 {
-  Release *release = cds_list_first_entry (&releaser->list, Release, node);
+  PendingRelease *release = cds_list_first_entry (&releaser->list, PendingRelease, node);
   StatusCode code;
 
   pthread_mutex_unlock (&releaser->lock);
@@ -181,7 +181,7 @@
 size_t
 claim_releaser_free (ClaimReleaser *releaser)
 {
-  Release *release, *next;
+  PendingRelease *release, *next;
   size_t left;
 
   if (releaser == NULL)
--- a/src/claim_row.c
+++ b/src/claim_row.c
@@ -77,7 +77,7 @@
 }
 
 static char *
-row_finish (struct json_object *obj)
+row_to_text (struct json_object *obj)
 {
   char *text = memory_strdup (json_object_to_json_string_ext (obj, JSON_C_TO_STRING_PLAIN));
 
@@ -88,7 +88,7 @@
 char *
 claim_row_text (const Claim *claim, ClaimState state)
 {
-  return row_finish (row_json (claim, state));
+  return row_to_text (row_json (claim, state));
 }
 
 /* The answer is kept in base64, since it may hold bytes that JSON can't. */
@@ -115,7 +115,7 @@
   json_object_object_add (obj, "content_type", json_object_new_string (type));
   if (settlement->answer != NULL && settlement->answer_len <= CLAIM_ANSWER_MAX)
     add_answer (obj, settlement->answer, settlement->answer_len);
-  return row_finish (obj);
+  return row_to_text (obj);
 }
 
 static bool
--- a/src/cluster.h
+++ b/src/cluster.h
@@ -1,7 +1,7 @@
 /**
- * What stewards agree on: the newest configuration number, the view of members, and brakes. Pure
- * protocol state: no I/O, no clock of its own; times are milliseconds of the caller's boot-time
- * clock. See docs/design/configuration.md.
+ * Types that the cluster protocol's modules share. The stewards, one on each VM, agree on the newest
+ * configuration number, on the membership view and on brakes. The modules do no I/O and read no
+ * clock: times are milliseconds of the caller's boot-time clock. See docs/design/configuration.md.
  */
 #ifndef CLUSTER_H
 #define CLUSTER_H
@@ -14,27 +14,31 @@
 #define CLUSTER_NAME_MAX    32
 #define CLUSTER_ADDRESS_MAX 48
 
-/** A time before all others: nothing is known. */
+/** A time before all others: the event has not happened or its time is not known. */
 #define CLUSTER_NEVER INT64_MIN
 
-/** One registered VM. The slot is its address and port; another incarnation takes a slot over. */
+/**
+ * One registered steward. An incarnation is one run of the process. The slot is the address and
+ * port: a process that restarts there replaces the earlier incarnation in its slot.
+ */
 typedef struct
 {
   char vm[CLUSTER_NAME_MAX];
-  char address[CLUSTER_ADDRESS_MAX]; /**< of the steward's RPC, an IP number */
+  char address[CLUSTER_ADDRESS_MAX]; /**< IP address of the steward's RPC endpoint */
   int port;
   char failure_domain[CLUSTER_NAME_MAX];
-  uint64_t incarnation; /**< drawn at random at process start, never 0 */
+  uint64_t incarnation; /**< random, chosen at process start; never 0 */
 } ClusterMember;
 
 /**
- * The view row of the table service. A view is *established*, or *pending* until a majority of the
- * last established members (previous) are known to know it or are proved dead.
+ * The membership view, as stored in the view row of the table service. A view is *established*, or
+ * *pending* until a majority of the members of the last established view (previous) are known to
+ * have heard of it or are proved dead.
  */
 typedef struct
 {
-  int64_t number; /**< rises by one at each write of the row; 0: there is no view yet */
-  int64_t head;   /**< newest durable configuration number when this view was written */
+  int64_t number; /**< incremented by each write of the row; 0: no view yet */
+  int64_t head;   /**< newest durable configuration number at the time of the write */
   bool established;
   size_t count;
   ClusterMember members[CLUSTER_MEMBERS_MAX];
--- a/src/cluster_accept.c
+++ b/src/cluster_accept.c
@@ -11,8 +11,8 @@
   return (x < y) - (x > y);
 }
 
-/* Votes belong to incarnations: the one that replaced a member at its address may have forgotten
-   what that member said, and has no vote until a view with it is established. */
+/* Votes belong to incarnations. A process that replaced a member at its address does not know what
+   the earlier one acknowledged, so it has no vote until a view that contains it is established. */
 static size_t
 voters_of (const ClusterView *row)
 {
@@ -52,11 +52,11 @@
 cluster_accept_count (const ClusterState *s, const ClusterView *row, int64_t number, size_t *needed)
 {
   size_t count = voters_of (row);
-  size_t have = 0;
+  size_t applied = 0;
 
   for (size_t i = 0; i < count; i++)
     if (number_of_voter (s, row, i) >= number)
-      have++;
+      applied++;
   *needed = cluster_majority (count);
-  return have;
+  return applied;
 }
--- a/src/cluster_brake.c
+++ b/src/cluster_brake.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DIGEST_SEED 0x62726b65
+#define DIGEST_SEED 0x62726b65 /* "brke" in ASCII */
 
-/** One version; held while it has a brake or a release. */
+/** One version that has a brake, a release or both. */
 typedef struct
 {
   ClusterBrake brake; /**< since -1: none */
-  int64_t released;   /**< brakes with since <= released don't bind */
+  int64_t released;   /**< brakes with since <= released are not active; -1: none */
 } Entry;
 
 struct ClusterBrakes
@@ -39,7 +39,7 @@
   return order != 0 ? order : strcmp (e->brake.version, version);
 }
 
-/* Index of the first entry that is not before the version. */
+/* Index of the first entry that does not sort before (model, version). */
 static size_t
 find_index (const ClusterBrakes *b, const char *model, const char *version)
 {
@@ -96,8 +96,8 @@
          && is_terminated (k->why, sizeof k->why) && k->model[0] != '\0' && k->version[0] != '\0';
 }
 
-/* A total order of the brakes on one version, the same on every VM, so that merging them in any
-   order ends with the same one. */
+/* Total order of the brakes on one version, the same on every VM, so that merging in any order keeps
+   the same brake. */
 static int
 compare_brakes (const ClusterBrake *a, const ClusterBrake *b)
 {
@@ -163,7 +163,7 @@
 }
 
 static bool
-binds (const Entry *e)
+is_active (const Entry *e)
 {
   return e->brake.since > e->released;
 }
@@ -173,7 +173,7 @@
 {
   size_t i = find_index (b, model, version);
 
-  if (i == b->count || compare (&b->entries[i], model, version) != 0 || !binds (&b->entries[i]))
+  if (i == b->count || compare (&b->entries[i], model, version) != 0 || !is_active (&b->entries[i]))
     return NULL;
   return &b->entries[i].brake;
 }
@@ -184,7 +184,7 @@
   size_t count = 0;
 
   for (size_t i = 0; i < b->count; i++)
-    if (binds (&b->entries[i]))
+    if (is_active (&b->entries[i]))
       out[count++] = b->entries[i].brake;
   return count;
 }
@@ -197,7 +197,7 @@
   for (size_t i = 0; i < b->count; i++)
     {
       const ClusterBrake *k = &b->entries[i].brake;
-      if (!binds (&b->entries[i]))
+      if (!is_active (&b->entries[i]))
         continue;
       digest = id_hash_string (k->model, digest + DIGEST_SEED);
       digest = id_hash_string (k->version, digest);
--- a/src/cluster_grant.c
+++ b/src/cluster_grant.c
@@ -4,11 +4,11 @@
 #include "util_assert.h"
 #include <stdlib.h>
 
-/** What a majority of one set of members proves. */
+/** Result of counting the votes of one set of members. */
 typedef struct
 {
-  int64_t as_of; /**< a majority is within the bounds since then; CLUSTER_NEVER: none is */
-  size_t voters; /**< members whose word within grant_ms is within the bounds */
+  int64_t as_of; /**< newest time at which a majority supported the grant; CLUSTER_NEVER: none */
+  size_t voters; /**< members that supported it within the last grant_ms */
   size_t needed;
 } Quorum;
 
@@ -21,9 +21,9 @@
   return (x < y) - (x > y);
 }
 
-/* A member that applied more than we do, or heard of a newer view, proves nothing for us: a patch
-   that we miss may have been accepted with its word. Every other one was still without that patch
-   at its as-of time. */
+/* A member that has applied a newer number or heard of a newer view does not support our grant: its
+   vote may have been counted to accept a patch that we have not applied. Any other member had not
+   applied such a patch at its as_of time. */
 static bool
 supports (const ClusterState *s, const ClusterProgress *k)
 {
@@ -76,8 +76,9 @@
   return quorum_of (s, times, count, s->view.previous_count, now);
 }
 
-/* Under a pending view both sets can accept next: the previous members still do, and the new ones
-   do as soon as it is established, of which we may not hear. So both must be without the patch. */
+/* Under a pending view either set may accept the next number: the previous members do now, and the
+   new ones as soon as the view is established, which we may not hear of. So both majorities are
+   needed. */
 static Quorum
 quorum_of_view (const ClusterState *s, int64_t now)
 {
@@ -105,7 +106,8 @@
           grant.proof = CLUSTER_PROOF_PEERS;
         }
     }
-  /* now may have been taken before the lock that guards the state, and the read sent after it. */
+  /* The caller may have read the clock before it took the lock on the state, so that a read sent by
+     another thread in between is later than now. */
   int64_t read_at = s->table_proof < now ? s->table_proof : now;
   if (read_at != CLUSTER_NEVER && read_at + s->grant_ms >= grant.until)
     {
--- a/src/cluster_heartbeat.c
+++ b/src/cluster_heartbeat.c
@@ -42,7 +42,7 @@
 {
   for (size_t i = 0; i < s->view.count; i++)
     add_news (s, s->view.members[i].incarnation, now, h);
-  /* Members that a pending view drops still have a vote until it is established. */
+  /* Members that a pending view no longer contains still vote until it is established. */
   for (size_t i = 0; i < s->dropped_count; i++)
     add_news (s, s->dropped[i], now, h);
 }
@@ -53,8 +53,8 @@
   INVARIANT (nonce != 0, "a nonce is never 0");
   s->asks[nonce % CLUSTER_ASKS_MAX] = (ClusterAsk){ .nonce = nonce, .sent_at = now };
   ask->nonce = nonce;
-  /* An ask proves nothing about the present, since it may have been long on its way; so it carries
-     no news of others, which would only cost bytes. */
+  /* An ask may have been in transit for any time, so that it proves nothing about the present: news
+     of other members in it would only cost bytes. */
   fill_own (s, ask);
 }
 
@@ -83,10 +83,11 @@
   return true;
 }
 
-/* Hearsay was an upper bound age_ms before the answer was made, on the sender's clock; the answer
-   was made after our ask was sent. Both clocks drop parts of a millisecond, and run apart. */
+/* as_of of relayed news, on our clock. It was an upper bound age_ms before the answer was made, by
+   the sender's clock, and the answer was made after our ask was sent. Both clocks truncate to
+   milliseconds and drift apart. */
 static int64_t
-hearsay_as_of (int64_t sent_at, uint32_t age_ms)
+relayed_as_of (int64_t sent_at, uint32_t age_ms)
 {
   int64_t age = (int64_t)age_ms + 1;
   int64_t drift = (age + CLUSTER_DRIFT_PARTS - 1) / CLUSTER_DRIFT_PARTS;
@@ -102,12 +103,12 @@
       const ClusterNews *n = &h->news[i];
       int64_t as_of = CLUSTER_NEVER;
       if (sent_at != CLUSTER_NEVER && n->age_ms != CLUSTER_AGE_UNKNOWN)
-        as_of = hearsay_as_of (sent_at, n->age_ms);
+        as_of = relayed_as_of (sent_at, n->age_ms);
       cluster_state_merge (s, n->incarnation, n->number, n->view, as_of);
     }
 }
 
-/* Packed ages name members by their index in a view; without that view they mean nothing to us. */
+/* Packed ages are indexed as the members of a view; they are ignored if we have another view. */
 static void
 merge_ages (ClusterState *s, const ClusterHeartbeat *h, int64_t sent_at)
 {
@@ -119,7 +120,7 @@
         continue;
       int64_t as_of = CLUSTER_NEVER;
       if (sent_at != CLUSTER_NEVER)
-        as_of = hearsay_as_of (sent_at, (uint32_t)h->ages[i] * CLUSTER_AGE_UNIT_MS);
+        as_of = relayed_as_of (sent_at, (uint32_t)h->ages[i] * CLUSTER_AGE_UNIT_MS);
       cluster_state_merge (s, s->view.members[i].incarnation, h->number, h->view, as_of);
     }
 }
@@ -129,8 +130,8 @@
 {
   const ClusterAsk *ask = &s->asks[answer->nonce % CLUSTER_ASKS_MAX];
   bool known = answer->nonce != 0 && ask->nonce == answer->nonce && ask->sent_at <= now;
-  /* The answer was made after our ask was sent and no sooner is known: an answer that was delayed
-     for a minute must not count as fresh because it came in just now. */
+  /* The only known bound on the time of the answer is that it was made after our ask was sent. By
+     its receipt time an answer that was delayed for a minute would count as fresh. */
   int64_t sent_at = known ? ask->sent_at : CLUSTER_NEVER;
 
   merge_bounds (s, answer);
--- a/src/cluster_lease.c
+++ b/src/cluster_lease.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* What clocks of two VMs may differ by over a time, with the parts of milliseconds they drop. */
+/* How far two VMs' clocks may drift apart within ms, and 1 ms for truncation. */
 static int64_t
 drift_over (int64_t ms)
 {
@@ -18,7 +18,9 @@
                  && options->flight_ms >= 0 && 2 * options->flight_ms < options->lease_ms,
              "lease_ms=\"%lld\" renew_ms=\"%lld\" flight_ms=\"%lld\"", (long long)options->lease_ms,
              (long long)options->renew_ms, (long long)options->flight_ms);
-  *l = (ClusterLease){ .options = *options, .io_at = CLUSTER_NEVER, .held_from = CLUSTER_NEVER };
+  *l = (ClusterLease){ .options = *options,
+                       .next_io_at = CLUSTER_NEVER,
+                       .held_from = CLUSTER_NEVER };
   snprintf (l->holder, sizeof l->holder, "%s", options->holder);
   l->options.holder = NULL;
 }
@@ -29,11 +31,11 @@
   return row->version > 0 && strcmp (row->holder, l->holder) == 0;
 }
 
-/* When the row as last seen has certainly lapsed, with all orders sent under it. The write of
-   row.version was sent before we first saw it, so that the holder's lease ends before ours would
-   if it began at that sight. A row given back has lease_ms 0. */
+/* When the lease in the row last seen has certainly expired and the last order under it has arrived.
+   The holder counts from the send of the write of row.version, which was before we first saw it; so
+   counting from row_first_seen is safe. A released row has lease_ms 0. */
 static int64_t
-lapses_at (const ClusterLease *l)
+expires_at (const ClusterLease *l)
 {
   int64_t wait = l->row.lease_ms + l->options.flight_ms;
 
@@ -43,7 +45,7 @@
 }
 
 static ClusterLeaseStep
-write_row (ClusterLease *l, int64_t fence, ClusterLeaseRow *row)
+prepare_write (ClusterLease *l, int64_t fence, ClusterLeaseRow *row)
 {
   *row = (ClusterLeaseRow){ .fence = fence,
                             .lease_ms = l->options.lease_ms,
@@ -60,23 +62,23 @@
 ClusterLeaseStep
 cluster_lease_next (ClusterLease *l, int64_t now, ClusterLeaseRow *row)
 {
-  if (l->given_back || now < l->io_at)
+  if (l->released || now < l->next_io_at)
     return CLUSTER_LEASE_IDLE;
-  if (!l->row_known || l->unsettled)
+  if (!l->row_known || l->outcome_unknown)
     return CLUSTER_LEASE_READ;
   if (l->held)
-    return now >= l->held_from + l->options.renew_ms ? write_row (l, l->row.fence, row)
+    return now >= l->held_from + l->options.renew_ms ? prepare_write (l, l->row.fence, row)
                                                      : CLUSTER_LEASE_IDLE;
-  if (now >= lapses_at (l))
-    return write_row (l, l->row.fence + 1, row);
+  if (now >= expires_at (l))
+    return prepare_write (l, l->row.fence + 1, row);
   return CLUSTER_LEASE_READ;
 }
 
-/* Takes the row as read. A version that our own write expected to follow, with our name, shows that
-   this write has taken effect although its reply was lost; the lease counts from the first send of
-   such writes, because any of them may be the one. */
+/* Stores the row read. If it has our name and the version after the one that our write checked, the
+   write took effect although its reply was lost. The lease then counts from the first send of that
+   write, because any of its copies may be the one that took effect. */
 static void
-take_row (ClusterLease *l, int64_t received_at, const ClusterLeaseRow *row)
+accept_row (ClusterLease *l, int64_t received_at, const ClusterLeaseRow *row)
 {
   if (l->row_known && row->version == l->row.version)
     return;
@@ -98,20 +100,20 @@
                     int64_t received_at,
                     const ClusterLeaseRow *row)
 {
-  l->io_at = sent_at + l->options.read_ms;
-  /* Versions only rise: an answer with a lower one was overtaken by a later one. */
+  l->next_io_at = sent_at + l->options.read_ms;
+  /* Versions only rise: a reply with a lower one arrived after a newer reply. */
   if (l->row_known && row->version < l->row.version)
     return;
-  take_row (l, received_at, row);
-  l->unsettled = false;
+  accept_row (l, received_at, row);
+  l->outcome_unknown = false;
   if (l->held)
-    l->io_at = CLUSTER_NEVER;
+    l->next_io_at = CLUSTER_NEVER;
 }
 
 void
 cluster_lease_read_failed (ClusterLease *l, int64_t sent_at)
 {
-  l->io_at = sent_at + l->options.read_ms;
+  l->next_io_at = sent_at + l->options.read_ms;
 }
 
 static void
@@ -123,10 +125,10 @@
   l->row.version = version;
   l->row_known = true;
   l->row_first_seen = sent_at;
-  l->held = !l->given_back;
+  l->held = !l->released;
   l->held_from = sent_at;
   l->attempted = false;
-  l->io_at = CLUSTER_NEVER;
+  l->next_io_at = CLUSTER_NEVER;
 }
 
 void
@@ -138,28 +140,28 @@
       write_took_effect (l, sent_at, version);
       return;
     case STATUS_CONFLICT:
-      l->unsettled = true;
-      l->io_at = CLUSTER_NEVER;
+      l->outcome_unknown = true;
+      l->next_io_at = CLUSTER_NEVER;
       return;
     case STATUS_UNAVAILABLE:
     case STATUS_INVALID:
     case STATUS_DENIED:
     case STATUS_FULL:
-      l->io_at = sent_at + l->options.read_ms;
+      l->next_io_at = sent_at + l->options.read_ms;
       return;
     default:
       if (!l->attempted)
         l->attempt_sent = sent_at;
       l->attempted = true;
-      l->unsettled = true;
-      l->io_at = CLUSTER_NEVER;
+      l->outcome_unknown = true;
+      l->next_io_at = CLUSTER_NEVER;
     }
 }
 
 int64_t
 cluster_lease_left (const ClusterLease *l, int64_t now)
 {
-  if (!l->held || l->given_back)
+  if (!l->held || l->released)
     return 0;
   int64_t lease = l->options.lease_ms - drift_over (l->options.lease_ms);
   int64_t until = l->held_from + lease - l->options.flight_ms;
@@ -183,7 +185,7 @@
 {
   bool held = l->held;
 
-  l->given_back = true;
+  l->released = true;
   if (!held)
     return false;
   *row = l->row;
--- a/src/cluster_pack.c
+++ b/src/cluster_pack.c
@@ -8,8 +8,8 @@
   return units < CLUSTER_AGE_SKIP ? (uint8_t)units : CLUSTER_AGE_SKIP;
 }
 
-/* The news of the member, or NULL. News comes in the order of the view's members, so that the
-   search goes on from the last find. */
+/* Returns the news of that member or NULL. News is in the order of the view's members, so the search
+   continues after the previous match. */
 static ClusterNews *
 find_news (ClusterHeartbeat *h, uint64_t incarnation, size_t *from)
 {
@@ -22,8 +22,8 @@
   return NULL;
 }
 
-/* A packed age says that the member has applied the sender's own number and heard of its own view:
-   it may stand only for news that says exactly this. */
+/* A packed age means that the member has the number and view of the sender, so only news with exactly
+   these values can be packed. */
 static bool
 can_pack (const ClusterHeartbeat *h, const ClusterNews *n)
 {
--- a/src/cluster_progress.c
+++ b/src/cluster_progress.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Incarnations are random already; the odd factor spreads those that tests count up from 1. */
+/* Incarnations are random already; the multiplier spreads the small consecutive ones of tests. */
 static const uint64_t hash_factor = 0x9e3779b97f4a7c15U;
 
 static size_t
--- a/src/cluster_progress.h
+++ b/src/cluster_progress.h
@@ -1,7 +1,8 @@
 /**
- * What is known of each incarnation: an open-addressing table inside ClusterState. Entries are only
- * raised, and are forgotten all together with others that the view no longer needs; each piece of
- * news is sound by itself, so that forgetting loses freshness, never truth.
+ * Hash table with open addressing, inside ClusterState: what is known of each incarnation's progress.
+ * Values of an entry only rise. When the table is full the entries that the view does not need are
+ * removed. This is safe: every bound holds by itself, so a removed entry only makes what is known
+ * less recent.
  */
 #ifndef CLUSTER_PROGRESS_H
 #define CLUSTER_PROGRESS_H
@@ -9,7 +10,7 @@
 #include "cluster_state.h"
 
 #define CLUSTER_PROGRESS_SLOTS 4096 /**< a power of two */
-#define CLUSTER_PROGRESS_MAX   2048 /**< entries; more than members and previous members together */
+#define CLUSTER_PROGRESS_MAX   2048 /**< entries; more than members and previous members together, so that a prune frees some */
 
 typedef struct
 {
@@ -19,14 +20,14 @@
 
 const ClusterProgress *cluster_progress_find (const ClusterProgressTable *t, uint64_t incarnation);
 
-/** The entry of that incarnation, made with all parts at their lowest if there is none; NULL if the
- *  table is full. */
+/** Returns the entry of that incarnation. A new one has number and view 0 and as_of CLUSTER_NEVER.
+ *  NULL if the table is full. */
 ClusterProgress *cluster_progress_get (ClusterProgressTable *t, uint64_t incarnation);
 
-/** Raises each part to at least these. */
+/** Raises each value of the entry to at least the given one. */
 void cluster_progress_raise (ClusterProgress *k, int64_t number, int64_t view, int64_t as_of);
 
-/** Forgets entries that keep() denies. */
+/** Removes the entries for which keep() is false. */
 void cluster_progress_prune (ClusterProgressTable *t,
                              bool (*keep) (const void *context, uint64_t incarnation),
                              const void *context);
--- a/src/cluster_state.c
+++ b/src/cluster_state.c
@@ -14,7 +14,7 @@
   s->incarnation = incarnation;
   s->grant_ms = grant_ms;
   s->table_proof = CLUSTER_NEVER;
-  s->unmet.sent_at = CLUSTER_NEVER;
+  s->pending_read.sent_at = CLUSTER_NEVER;
   cluster_progress_get (&s->known, incarnation)->as_of = CLUSTER_ALWAYS;
   return s;
 }
@@ -57,7 +57,7 @@
 }
 
 static ClusterProgress *
-get_known (ClusterState *s, uint64_t incarnation)
+get_progress (ClusterState *s, uint64_t incarnation)
 {
   ClusterProgress *k = cluster_progress_get (&s->known, incarnation);
 
@@ -78,30 +78,30 @@
 {
   if (number > s->wanted_number)
     s->wanted_number = number;
-  ClusterProgress *own = get_known (s, s->incarnation);
+  ClusterProgress *own = get_progress (s, s->incarnation);
   if (view > own->view)
     own->view = view;
-  /* What others say of us is older than what we know of ourselves. */
+  /* What a peer reports of us is older than our own state. */
   if (incarnation == s->incarnation || incarnation == 0)
     return;
-  cluster_progress_raise (get_known (s, incarnation), number, view, as_of);
+  cluster_progress_raise (get_progress (s, incarnation), number, view, as_of);
 }
 
 bool
 cluster_state_apply (ClusterState *s, int64_t number)
 {
-  ClusterProgress *own = get_known (s, s->incarnation);
+  ClusterProgress *own = get_progress (s, s->incarnation);
 
   if (number <= own->number)
     return false;
   own->number = number;
   if (number > s->wanted_number)
     s->wanted_number = number;
-  if (s->unmet.sent_at != CLUSTER_NEVER && s->unmet.head <= number)
+  if (s->pending_read.sent_at != CLUSTER_NEVER && s->pending_read.head <= number)
     {
-      if (s->unmet.sent_at > s->table_proof)
-        s->table_proof = s->unmet.sent_at;
-      s->unmet.sent_at = CLUSTER_NEVER;
+      if (s->pending_read.sent_at > s->table_proof)
+        s->table_proof = s->pending_read.sent_at;
+      s->pending_read.sent_at = CLUSTER_NEVER;
     }
   return true;
 }
@@ -131,8 +131,8 @@
         s->table_proof = sent_at;
       return;
     }
-  if (sent_at > s->unmet.sent_at)
-    s->unmet = (ClusterTableRead){ .sent_at = sent_at, .head = head };
+  if (sent_at > s->pending_read.sent_at)
+    s->pending_read = (ClusterTableRead){ .sent_at = sent_at, .head = head };
 }
 
 int64_t
@@ -153,7 +153,7 @@
 bool
 cluster_state_adopt_view (ClusterState *s, const ClusterView *view)
 {
-  ClusterProgress *own = get_known (s, s->incarnation);
+  ClusterProgress *own = get_progress (s, s->incarnation);
 
   if (view->number > own->view)
     own->view = view->number;
@@ -161,9 +161,9 @@
     s->wanted_number = view->head;
   if (view->number <= s->view.number)
     return false;
-  /* A patch accepted before this view was written is at or below view->head. Without this check a
-     VM that missed the patch could count a majority of a smaller view whose members all missed it,
-     and go on sending work to a withdrawn version. */
+  /* A patch accepted before this view was written has a number up to view->head. Without this check a
+     VM without the patch could get a majority of a smaller view whose members all lack it, and keep
+     sending work to a withdrawn version. */
   if (view->head > own->number)
     return false;
   s->view = *view;
--- a/src/cluster_state_private.h
+++ b/src/cluster_state_private.h
@@ -1,5 +1,5 @@
 /**
- * The parts of ClusterState, for the cluster_*.c files only.
+ * Definition of ClusterState, for the cluster_*.c files only.
  */
 #ifndef CLUSTER_STATE_PRIVATE_H
 #define CLUSTER_STATE_PRIVATE_H
@@ -7,7 +7,7 @@
 #include "cluster_progress.h"
 #include "cluster_state.h"
 
-/** as_of of our own entry: what we know of ourselves is true at any now. */
+/** as_of of our own entry: our own state is current at any time. */
 #define CLUSTER_ALWAYS INT64_MAX
 
 typedef struct
@@ -29,19 +29,20 @@
   bool leaving;
   int64_t wanted_number;
   int64_t accepted;
-  int64_t table_proof;    /**< send time of the newest read that showed nothing above our number */
-  ClusterTableRead unmet; /**< newest read that showed a number above ours */
+  int64_t table_proof; /**< send time of the newest head read without a number above ours */
+  ClusterTableRead pending_read; /**< newest head read with a number above ours, not yet applied */
   ClusterView view;
   size_t dropped_count;
-  uint64_t dropped[CLUSTER_MEMBERS_MAX]; /**< those of view.previous that are no members of it */
-  ClusterAsk asks[CLUSTER_ASKS_MAX];     /**< by nonce modulo their number */
-  ClusterProgressTable known;            /**< with our own entry, whose as_of is CLUSTER_ALWAYS */
+  uint64_t dropped[CLUSTER_MEMBERS_MAX]; /**< those of view.previous that the view does not contain */
+  ClusterAsk asks[CLUSTER_ASKS_MAX];     /**< indexed by nonce modulo CLUSTER_ASKS_MAX */
+  ClusterProgressTable known;            /**< includes our own entry, whose as_of is CLUSTER_ALWAYS */
 };
 
-/** Our own entry; its number and view are ours. */
+/** Our own entry: the number that we apply and the newest view that we have heard of. */
 const ClusterProgress *cluster_state_own (const ClusterState *s);
 
-/** Merges one piece of news; as_of is on our clock, or CLUSTER_NEVER. */
+/** Merges what a message says of one incarnation; as_of is on our clock, or CLUSTER_NEVER for a lower
+ *  bound only. */
 void cluster_state_merge (ClusterState *s,
                           uint64_t incarnation,
                           int64_t number,
--- a/src/cluster_view.c
+++ b/src/cluster_view.c
@@ -25,13 +25,13 @@
   return -1;
 }
 
-/* The next write of the row, pending. The previous members stay those of the last established view
-   through any number of changes on the way, because until the change is established it is their
-   majority that accepts. */
+/* Prepares the next value of the row, as pending. `previous` stays the members of the last
+   established view through any number of further changes, because their majority accepts numbers
+   until a view is established again. */
 static bool
 begin_change (const ClusterView *row, int64_t head, ClusterView *out)
 {
-  /* Read before the view row was written: the transaction would fail on the head's version. */
+  /* The head was read before the view row was written: the transaction would fail its CHECK. */
   if (head < row->head)
     return false;
   *out = *row;
@@ -98,29 +98,29 @@
   return kept < row->count;
 }
 
-/* A previous member that is no member any more was proved dead: its slot was taken over, it left,
-   or the platform's list lost it. */
+/* A previous member that is no longer in the view was proved dead: a new process took its slot, it
+   left, or its VM is gone from the platform's list. */
 static bool
-is_settled (const ClusterView *row, const ClusterState *s, uint64_t incarnation)
+is_confirmed (const ClusterView *row, const ClusterState *s, uint64_t incarnation)
 {
   if (cluster_view_find (row, incarnation) < 0)
     return true;
   const ClusterProgress *k = cluster_state_progress (s, incarnation);
-  /* It must know this very number: one that knows only an earlier form of the pending view may
-     still support a grant that counts on that form's members. */
+  /* It must know this number itself: a member that knows only an earlier version of the pending view
+     may still support a grant that counts the members of that version. */
   return k != NULL && k->view >= row->number;
 }
 
 size_t
 cluster_view_confirmed (const ClusterView *row, const ClusterState *s, size_t *needed)
 {
-  size_t settled = 0;
+  size_t confirmed = 0;
 
   for (size_t i = 0; i < row->previous_count; i++)
-    if (is_settled (row, s, row->previous[i]))
-      settled++;
+    if (is_confirmed (row, s, row->previous[i]))
+      confirmed++;
   *needed = cluster_majority (row->previous_count);
-  return settled;
+  return confirmed;
 }
 
 bool
--- a/src/cluster_view.h
+++ b/src/cluster_view.h
@@ -1,9 +1,9 @@
 /**
- * Changes of the view row. Each function works out the row's next value from the one read; the
- * caller writes it by one transaction: CHECK of the view row's version, CHECK of the head row's
- * version (both as read), PUT of the view row. The head number given is that of the head row read;
- * one older than row->head gives false: read both again.
- * A lost reply is settled by reading the row back.
+ * Changes of the membership view. Each function computes the view row's next value from the one
+ * read. The caller writes it by one transaction: CHECK of the view row's version, CHECK of the head
+ * row's version (both as read), PUT of the view row. `head` is the number of the head row read; the
+ * functions return false if it is older than row->head, and both rows have to be read again. If the
+ * reply is lost, reading the row shows whether the write took effect.
  */
 #ifndef CLUSTER_VIEW_H
 #define CLUSTER_VIEW_H
@@ -11,7 +11,7 @@
 #include "cluster_state.h"
 #include "util_check.h"
 
-/** Members needed for a majority of count. */
+/** Number of members that make a majority of count. */
 size_t cluster_majority (size_t count);
 
 /** Index of the member of that incarnation, or -1. */
@@ -19,26 +19,28 @@
 /** Index of the member at that address and port, or -1. */
 int cluster_view_find_slot (const ClusterView *view, const char *address, int port);
 
-/** Registers self: takes over the slot of the same address and port, or adds one. row->number 0 (no
- *  row yet) gives the first view, established. False if self is registered already or there is no
- *  room. */
+/** Registers self in the slot of its address and port, replacing the incarnation there, or in a new
+ *  slot. With row->number 0 (no row yet) the result is the first view, which is established. False if
+ *  self is registered already or the view is full. */
 bool cluster_view_register (const ClusterView *row,
                             const ClusterMember *self,
                             int64_t head,
                             ClusterView *out);
 
-/** Removes members that are proved dead: those that left (cluster_state_leave) or that the
- *  platform's list has not shown for longer than its lag. False if none of them is in the view. */
+/** Removes members that are proved dead: they left (cluster_state_leave), or the platform's list of
+ *  VMs has not contained them for longer than its lag. False if none of them is in the view. */
 bool cluster_view_remove (const ClusterView *row,
                           const uint64_t *incarnations,
                           size_t count,
                           int64_t head,
                           ClusterView *out);
 
-/** Members of `previous` that know the pending view or are proved dead, and how many are needed. */
+/** Returns how many members of `previous` have heard of the pending view or are proved dead; *needed
+ *  receives how many must. */
 size_t cluster_view_confirmed (const ClusterView *row, const ClusterState *s, size_t *needed);
 
-/** Establishes a pending view. False if it is established already, empty, or not settled yet. */
+/** Establishes a pending view. False if it is established already, empty, or not yet confirmed by
+ *  enough previous members (cluster_view_confirmed). */
 bool cluster_view_establish (const ClusterView *row,
                              const ClusterState *s,
                              int64_t head,
@@ -46,7 +48,7 @@
 
 /** The row's JSON text; freed with free. */
 char *cluster_view_text (const ClusterView *view);
-/** Reads a row's text; all errors go to list. */
+/** Parses a row's text; errors are added to list. */
 bool cluster_view_parse (const char *text, ClusterView *out, CheckList *list);
 
 #endif
--- a/src/cluster_view_text.c
+++ b/src/cluster_view_text.c
@@ -9,9 +9,9 @@
 #include <string.h>
 
 #define INCARNATION_DIGITS 16
-#define PATH_SIZE          64
+#define PATH_SIZE          64 /* bytes, for "members[N]" in an error message */
 
-/** The row's members as field_read gives them. */
+/** Fields of the row's JSON object, as field_read fills them. */
 typedef struct
 {
   int64_t number;
@@ -121,14 +121,14 @@
   char path[PATH_SIZE];
 
   snprintf (path, sizeof path, "members[%zu]", index);
-  bool good
+  bool ok
       = field_read (member_specs, sizeof member_specs / sizeof *member_specs, o, &f, path, list)
         && take_member (&f, path, out, list);
   free (f.vm);
   free (f.address);
   free (f.failure_domain);
   free (f.incarnation);
-  return good;
+  return ok;
 }
 
 static bool
@@ -170,8 +170,8 @@
   return true;
 }
 
-/* A row in which these clash was not written by cluster_view.h; counting votes under it would be
-   guesswork. */
+/* An established view has no previous members and a pending one has some. Another row was not written
+   by these functions, and it is not known whose votes count under it. */
 static bool
 is_consistent (const ClusterView *v, CheckList *list)
 {
@@ -189,13 +189,13 @@
 
   if (o == NULL)
     return false;
-  bool good = field_read (view_specs, sizeof view_specs / sizeof *view_specs, o, &f, "", list);
-  if (good)
+  bool ok = field_read (view_specs, sizeof view_specs / sizeof *view_specs, o, &f, "", list);
+  if (ok)
     {
       *out = (ClusterView){ .number = f.number, .head = f.head, .established = f.established };
-      good = parse_members (f.members, out, list) && parse_previous (f.previous, out, list)
+      ok = parse_members (f.members, out, list) && parse_previous (f.previous, out, list)
              && is_consistent (out, list);
     }
   json_object_put (o);
-  return good;
+  return ok;
 }
