--- a/src/bill_entry.c
+++ b/src/bill_entry.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What the allocator adds to the texts of an entry. */
+/* Allocator overhead of one allocation. */
 #define ALLOCATION_BYTES 16
 
 typedef struct
@@ -112,7 +112,7 @@
   if (entry->claim_key == NULL)
     return 1;
   /* No check that the claim is still ours: a claim whose request ran is never released, and a
-   * check that fails would take the other records of the transaction with it. */
+   * failed check would fail the whole transaction with its other records. */
   ops[1] = (TxnOp){
     .kind = TXN_PUT,
     .table = CLAIM_TABLE,
@@ -181,7 +181,7 @@
   return entry;
 }
 
-/* True for a text that is read and says whether its request was answered whole, as asked. */
+/* True if the text is a valid record and its outcome is (answered) or is not BILL_ANSWERED. */
 static bool
 text_is_answered (const char *text, bool answered)
 {
@@ -197,7 +197,7 @@
                             int timeout_ms,
                             Status *st)
 {
-  /* The check keeps the first whole answer, should two re-sends both have been answered. */
+  /* The check keeps the first complete answer if two retries were answered. */
   TxnOp ops[] = {
     { .kind = TXN_CHECK, .table = BILL_TABLE, .key = entry->key, .version = insert->row_version },
     { .kind = TXN_PUT, .table = BILL_TABLE, .key = entry->key, .value = entry->text },
@@ -227,8 +227,8 @@
     n += bill_entry_ops (entries[i], ops + n);
   if (n > 0)
     code = platform->ops->txn (platform, ops, n, timeout_ms, st);
-  /* Each entry's first operation is its insert; one that can't be completed now fails the whole, to
-   * be written again: that is harmless for the others. */
+  /* The first operation of each entry is its insert. If one entry can't be completed now the call
+   * fails and the caller writes all of them again, which changes nothing for the others. */
   for (size_t i = 0, op = 0; code == STATUS_OK && i < count; i++)
     {
       code = bill_entry_replace_partial (platform, entries[i], &ops[op], timeout_ms, st);
@@ -263,7 +263,7 @@
       if (refused[i])
         code = STATUS_OK;
     }
-  /* The message is for the log lines of the refused. */
+  /* The caller logs this message for the refused entries. */
   if (code == STATUS_OK && st != NULL)
     *st = malformed;
   return code;
--- a/src/bill_entry.h
+++ b/src/bill_entry.h
@@ -1,5 +1,5 @@
 /**
- * A usage record on its way to the table, with the settlement of its claim.
+ * A usage record that is to be written to the table, together with the settlement of its claim.
  */
 #ifndef BILL_ENTRY_H
 #define BILL_ENTRY_H
@@ -8,33 +8,34 @@
 #include <urcu/list.h>
 
 #define BILL_TABLE     "bill"
-#define BILL_ENTRY_OPS 2 /**< most operations of one entry */
+#define BILL_ENTRY_OPS 2 /**< most table operations of one entry */
 
 typedef struct
 {
   struct cds_list_head node;
   int refs;
-  BillPlace place;     /**< best place so far */
+  BillPlace place;     /**< best place reached */
   bool spooled;        /**< in a BillSpool */
-  bool storing;        /**< on its way to the next place */
-  bool refused;        /**< the table service called it malformed */
-  int64_t retry_at_ms; /**< not written to the table before, on the boot clock */
+  bool storing;        /**< bill_commit is storing it in a fallback */
+  bool refused;        /**< the table service rejected it as malformed */
+  int64_t retry_at_ms; /**< boot clock: no write to the table before this */
   char *key;
   char *text;
   char *claim_key;  /**< NULL: no claim */
   char *claim_text; /**< with claim_key */
-  size_t bytes;     /**< of memory, for the bounds */
+  size_t bytes;     /**< memory used, for the limits */
 } BillEntry;
 
-/** Holds copies; one reference. claim may be NULL. */
+/** Copies its arguments; returns one reference. claim may be NULL. */
 BillEntry *bill_entry_new (const BillRecord *record, const ClaimSettlement *claim);
 BillEntry *bill_entry_ref (BillEntry *entry);
-/** References are counted under the caller's lock. */
+/** The reference count is protected by the caller's lock. */
 void bill_entry_unref (BillEntry *entry);
-/** Forgets the stored answer of the claim, which stays settled. */
+/** Removes the stored answer from the claim, which stays settled. */
 void bill_entry_drop_answer (BillEntry *entry);
 
-/** The operations that write the entry, which borrow its texts; returns their number. */
+/** Fills the table operations that write the entry; they point to its texts. Returns their number.
+ */
 size_t bill_entry_ops (const BillEntry *entry, TxnOp ops[BILL_ENTRY_OPS]);
 
 /** One JSON object, for the object store and for replicas; freed with free. */
@@ -43,9 +44,9 @@
 BillEntry *bill_entry_parse (const char *json);
 
 /**
- * Writes entries to the table in one transaction. An entry whose key is there already changes
- * nothing, except for this: a request that was cut short, cancelled or unknown, and that its caller
- * sent again under the same key, is billed as its whole answer instead.
+ * Writes entries to the table in one transaction. An entry whose key exists already changes
+ * nothing, with one exception: a record with outcome cut, cancelled or unknown is replaced by one
+ * with outcome answered, from a retry under the same key.
  */
 StatusCode bill_entry_write (Platform *platform,
                              BillEntry *const *entries,
@@ -53,13 +54,13 @@
                              int timeout_ms,
                              Status *st);
 
-/** Time after which the table service is asked again for a record that it refused. */
+/** Time until a record that the table service refused is tried again. */
 #define BILL_REFUSED_RETRY_MS 60000
 
 /**
- * As bill_entry_write; when the service calls the transaction malformed each entry goes alone, so
- * that one does not keep the others out. On STATUS_OK, refused[i] tells those that are not in the
- * table.
+ * Like bill_entry_write, but if the service rejects the transaction as malformed each entry is
+ * written by itself, so that one bad entry does not block the others. On STATUS_OK, refused[i] is
+ * true for those that were refused and are not in the table.
  */
 StatusCode bill_entry_write_each (Platform *platform,
                                   BillEntry *const *entries,
@@ -68,12 +69,13 @@
                                   bool *refused,
                                   Status *st);
 
-/** Logs (the first time) and counts that the table service refuses the entry, and puts off its next
- *  try. It is never dropped: the service may be misconfigured. */
+/** Counts and, the first time, logs that the table service refused the entry, and sets the time of
+ * the next try. A refused entry is never dropped, because the service may be misconfigured. */
 void bill_entry_refused (BillEntry *entry, int64_t now_ms, const Status *st);
 
-/** Second half of bill_entry_write, for an entry whose operations went through a PlatformGroup:
- *  insert is the result of the first of them. */
+/** Second step of bill_entry_write, for an entry whose operations were sent through a
+ * PlatformGroup: replaces a partial record. insert is the first of these operations, with its
+ * result. */
 StatusCode bill_entry_replace_partial (Platform *platform,
                                        const BillEntry *entry,
                                        const TxnOp *insert,
--- a/src/bill_fallback.c
+++ b/src/bill_fallback.c
@@ -12,12 +12,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bounds of one object and of one batch of copies. */
+/* Limits of one batch. */
 #define BATCH_ENTRIES_MAX 256
 #define BATCH_BYTES_MAX   (4U << 20)
-#define DONE_KEYS_MAX     100000
+#define DONE_KEYS_MAX     100000 /* queued for the replicas; further ones are dropped */
 
-/* One call of bill_fallback_store, on its caller's stack. */
+/* One call of bill_fallback_store; lives on its caller's stack. */
 typedef struct
 {
   struct cds_list_head node;
@@ -34,7 +34,7 @@
   BillReplicator replicator;
   int timeout_ms;
   int batch_interval_ms;
-  int64_t batch_next_ms; /* the next batch leaves then */
+  int64_t batch_next_ms; /* earliest time of the next batch */
   pthread_mutex_t lock;
   pthread_cond_t work;
   pthread_cond_t finished;
@@ -43,8 +43,8 @@
   bool stopping;
   char **done_keys;
   size_t done_count;
-  uint32_t objects; /* written, and the number of the next */
-  Buffer pending;   /* content of object number `objects` after a write that did not succeed */
+  uint32_t objects;        /* number written, and so the number of the next */
+  Buffer pending;          /* content of object number `objects` until its write succeeds */
   PlatformBreaker breaker; /* of the object store */
   pthread_t thread;
 };
@@ -144,7 +144,7 @@
   pthread_mutex_unlock (&fallback->lock);
 }
 
-/* Moves the oldest jobs, as many as a batch takes, to batch. With the lock held. */
+/* Moves the oldest jobs to the batch, up to its limits. Called with the lock held. */
 static void
 batch_collect (BillFallback *fallback, struct cds_list_head *batch)
 {
@@ -182,7 +182,7 @@
   buffer_add_string (out, "]");
 }
 
-/* Writes `pending` under its name. */
+/* Writes `pending` as object number `objects`. */
 static bool
 object_write (BillFallback *fallback)
 {
@@ -216,7 +216,7 @@
   return object_write (fallback);
 }
 
-/* A record that is too long for a message goes without the answer of its claim. */
+/* A record that is too long for a message is sent without the answer of its claim. */
 static char *
 replica_text (const BillEntry *entry)
 {
@@ -282,7 +282,7 @@
   return BILL_AT_SPOOL;
 }
 
-/* Called and returns with the lock held. */
+/* Stores one batch and wakes its callers. Called with the lock held, releases it during the I/O. */
 static void
 batch_run (BillFallback *fallback)
 {
@@ -305,7 +305,8 @@
   pthread_cond_broadcast (&fallback->finished);
 }
 
-/* Called and returns with the lock held. */
+/* Sends the queued done keys to the replicas. Called with the lock held, releases it during the
+ * I/O. */
 static void
 done_send (BillFallback *fallback)
 {
--- a/src/bill_fallback.h
+++ b/src/bill_fallback.h
@@ -1,11 +1,11 @@
 /**
- * Second and third place of usage records while the table is down: batches in the object store, and
- * copies on VMs of other failure domains.
+ * Fallbacks for usage records while the table is down. Batches of records are stored as objects in
+ * the object store or, if that fails, as copies on VMs in other failure domains.
  *
- * The objects of a gate are named by its incarnation and a number that rises by one from 0, without
- * a gap: a batch whose write did not succeed is written again under its own name, with the same
- * content, before the next. So whoever knows the incarnation finds them all by asking for one after
- * the other, and a write that arrives late changes nothing.
+ * The objects of a gate are named by its incarnation and consecutive numbers from 0: a batch whose
+ * write failed is written again under the same name, with the same content, before the next one. So
+ * a reader that knows the incarnation finds all of them by reading one number after the other, and
+ * a delayed write changes nothing.
  */
 #ifndef BILL_FALLBACK_H
 #define BILL_FALLBACK_H
@@ -16,18 +16,19 @@
 
 typedef struct BillFallback BillFallback;
 
-/** Rounds of writes leave at most every options->round_ms. */
+/** A batch is written at most every options->batch_interval_ms. */
 BillFallback *bill_fallback_new (const BillOptions *options);
 void bill_fallback_free (BillFallback *fallback);
 
-/** The gate's row that leads to its objects is in the table; until then they are not written. */
+/** Reports that the gate's row, by which its objects are found, is in the table. No objects are
+ * written before. */
 void bill_fallback_set_indexed (BillFallback *fallback);
 
-/** Stores the entries, waiting for their round, and returns the place they have reached:
- *  BILL_AT_SPOOL if none. */
+/** Stores the entries with the next batch, waits for the result and returns where they are stored;
+ *  BILL_AT_SPOOL if every fallback failed. */
 BillPlace bill_fallback_store (BillFallback *fallback, BillEntry *const *entries, size_t count);
 
-/** Tells the replicas, some time, that these records are in the table. Best effort. */
+/** Queues a message to the replicas that the record with this key is in the table. Best effort. */
 void bill_fallback_done (BillFallback *fallback, const char *key);
 
 /** Number of objects written so far. */
--- a/src/bill_record.c
+++ b/src/bill_record.c
@@ -16,7 +16,7 @@
 };
 #define OUTCOME_COUNT (sizeof outcome_names / sizeof outcome_names[0])
 
-/* Text members as JSON has them, before they are copied into the record's arrays. */
+/* Fields of the JSON object, before they are copied into the record. */
 typedef struct
 {
   char *key, *request, *team, *asked, *outcome;
@@ -83,7 +83,7 @@
       snprintf (out, BILL_KEY_MAX, "%.*s/r-%s", BILL_NAME_MAX - 1, team, request);
       return;
     }
-  /* The caller's key is of any length and may be private: only its hash is kept. */
+  /* The caller's key has any length and may be confidential: only its hash is stored. */
   crypto_generichash (hash, sizeof hash, (const uint8_t *)idempotency_key, strlen (idempotency_key),
                       NULL, 0);
   sodium_bin2hex (hex, sizeof hex, hash, sizeof hash);
--- a/src/bill_recover.c
+++ b/src/bill_recover.c
@@ -11,7 +11,7 @@
 
 #define TIMEOUT_MS 2000
 #define WRITE_MAX  128 /* records of one transaction */
-#define SCAN_MAX   256
+#define SCAN_MAX   256 /* rows of one page */
 
 typedef struct
 {
@@ -63,14 +63,15 @@
   return ok;
 }
 
-/* Writes the entries from first on, one transaction's worth. Two records of one key never share a
- * transaction (see platform_group.c); the second then finds the first. */
+/* Writes one transaction of entries, from *first on. Two records with one key must not be in the
+ * same transaction (see platform_group.c); in the next one the second finds the first in the table.
+ */
 static StatusCode
 write_batch (Platform *platform,
-            struct json_object *array,
-            size_t *first,
-            BillRecovery *out,
-            Status *st)
+             struct json_object *array,
+             size_t *first,
+             BillRecovery *out,
+             Status *st)
 {
   BillEntry *entries[WRITE_MAX];
   bool refused[WRITE_MAX];
@@ -130,8 +131,8 @@
   return code;
 }
 
-/* Reads object after object until one is absent, which ends the gate's objects (see
- * bill_fallback.h); *next is behind the last one whose records are in the table. */
+/* Object numbers are consecutive, so the first absent object ends the gate's objects (see
+ * bill_fallback.h). */
 StatusCode
 bill_recover_gate (Platform *platform,
                    uint64_t gate,
@@ -161,7 +162,7 @@
   return code == STATUS_NOT_FOUND ? status_ok (st) : code;
 }
 
-/* A row that has changed since it was read is left to whoever changed it. */
+/* A row that has changed since it was read is left to the steward or gate that changed it. */
 static StatusCode
 gate_row_write (Platform *platform, const PlatformRow *row, uint32_t next, int passes, Status *st)
 {
@@ -194,7 +195,7 @@
   uint32_t next;
   StatusCode code;
 
-  /* A row that can't be read must not hide the objects: they are read from the first on. */
+  /* If the row can't be parsed the objects are read from the first on. */
   if (!gate_parse (row->value, &fields))
     fields = (GateFields){ 0 };
   next = (uint32_t)fields.next;
@@ -205,13 +206,14 @@
       counter_add (COUNTER_BILL_RECOVERED, (int64_t)(out->records - records));
       log_msg (MSG_BILL_RECOVERED, "gate=\"%s\" records=\"%zu\"", row->key, out->records - records);
     }
-  /* With a record refused the row stays, so that the next pass tries all of them again. */
+  /* After a refused record the row stays as it is, so that the next pass tries all records again.
+   */
   if (code != STATUS_OK || out->refused > refused)
     return code;
   return gate_row_write (platform, row, next, next == fields.next ? (int)fields.passes + 1 : 0, st);
 }
 
-/* Handles one page of rows; *from is moved behind the last. */
+/* Handles one page of rows and moves `from` past the last one. */
 static StatusCode
 page_recover (Platform *platform,
               char from[BILL_GATE_KEY + 1],
--- a/src/bill_replica.c
+++ b/src/bill_replica.c
@@ -11,7 +11,7 @@
 #define FLUSH_MAX        128  /* records of one transaction */
 #define FLUSH_TIMEOUT_MS 2000
 #define DONE_NAME        "done"
-/* Quotes, comma and the escapes that a key may need. */
+/* Bytes for the quotes, the comma and the escapes of a key. */
 #define DONE_KEY_EXTRA 64
 
 typedef struct
@@ -131,7 +131,7 @@
   return text;
 }
 
-/* Forgets the records that the text names; false if the text is no such list. */
+/* Removes the records that the text lists as done; false if it is not such a list. */
 static bool
 done_apply (BillReplica *replica, const char *text)
 {
@@ -153,7 +153,7 @@
   return ok;
 }
 
-/* Parses the records; those that are lists of done keys are applied at once and leave NULL. */
+/* Parses the records. A list of done keys is applied at once and gives a NULL entry. */
 static bool
 records_parse (BillReplica *replica,
                const char *const *records,
@@ -201,7 +201,7 @@
   return taken;
 }
 
-/* Up to FLUSH_MAX records that the table should have, as references. */
+/* Collects references to up to FLUSH_MAX records that are due to be written to the table. */
 static size_t
 due_collect (BillReplica *replica,
              BillGateAlive alive,
--- a/src/bill_writer.c
+++ b/src/bill_writer.c
@@ -111,8 +111,9 @@
   return code;
 }
 
-/* Hands the entry to the writer's thread. It is in the spool before it goes to the next place, so
- * that an empty spool means that the table has all that the objects hold. */
+/* Adds the entry to the spool, for the writer's thread. This comes before it is stored in a
+ * fallback, so that an empty spool means that all records in the objects are in the table, except
+ * spilled ones. */
 static void
 add_to_spool (BillWriter *writer, BillEntry *entry, StatusCode table_code, const Status *st)
 {
--- a/src/bill_writer_private.h
+++ b/src/bill_writer_private.h
@@ -1,6 +1,6 @@
 /**
- * What the two halves of the writer of usage records share: bill_writer.c, called by the threads of
- * requests, and bill_writer_thread.c, which brings the spool to the table.
+ * Definition of BillWriter, shared by bill_writer.c, which request threads call, and
+ * bill_writer_thread.c, the thread that writes the spool to the table.
  */
 #ifndef BILL_WRITER_PRIVATE_H
 #define BILL_WRITER_PRIVATE_H
@@ -19,21 +19,22 @@
   pthread_cond_t work;
   BillSpool spool;
   PlatformBreaker breaker; /* of the table */
-  bool full;               /* the lack of room has been logged */
+  bool full;               /* the spool is full, which has been logged */
   bool stopping;
-  int64_t stop_ms;           /* with stopping: when to give up */
+  int64_t stop_ms;           /* with stopping: when to end with records left */
   int64_t flush_next_ms;     /* earliest next transaction from the spool */
-  int64_t index_next_ms;     /* earliest next try of the gate's row */
-  int64_t unspill_next_ms;   /* earliest next try of the spilled records */
+  int64_t index_next_ms;     /* earliest next write of the gate's row */
+  int64_t unspill_next_ms;   /* earliest next read of the spilled records */
   bool indexed;              /* the gate's row is in the table */
-  uint32_t objects_in_table; /* objects of which the gate's row says that the table has them */
-  size_t spilled;            /* records that are in later objects and no longer in the spool */
-  uint32_t unspill_object;   /* the next object to read for them */
-  bool unspill_refused;      /* the table service refused one of them: all are read again */
+  uint32_t objects_in_table; /* value in the gate's row: the objects before it are in the table */
+  size_t spilled;            /* records in later objects that are no longer in the spool */
+  uint32_t unspill_object;   /* the next object to read for the spilled records */
+  bool unspill_refused;      /* the table service refused a spilled record: all are read again */
   pthread_t thread;
 };
 
-/** True for codes that say that the table service, not the record or the queue, is at fault. */
+/** True for codes that mean that the table service is unavailable, rather than a bad record or a
+ * full queue. */
 bool bill_writer_is_outage (StatusCode code);
 /** The writer's thread; argument is the BillWriter. */
 void *bill_writer_run (void *argument);
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 
 /* Records of one transaction from the spool, and the pause after it, which leaves the table service
- * to live work. */
+ * free for current requests. */
 #define FLUSH_MAX        128
 #define FLUSH_PAUSE_MS   20
 #define FLUSH_TIMEOUT_MS 2000
 #define INDEX_RETRY_MS   1000
-/* Objects read before the thread looks at the spool again. */
+/* Objects read before the thread checks the spool again. */
 #define UNSPILL_MAX 16
 
 bool
@@ -21,7 +21,7 @@
   return code == STATUS_UNAVAILABLE || code == STATUS_UNKNOWN;
 }
 
-/* The entry is in the table. With the lock held. */
+/* Removes an entry that is in the table. Called with the lock held. */
 static void
 mark_written (BillWriter *writer, BillEntry *entry)
 {
@@ -32,8 +32,8 @@
   counter_add (COUNTER_BILL_FLUSHED, 1);
 }
 
-/* Writes entries to the table; called and returns with the lock held. Those that the service
- * refuses stay in the spool without blocking those behind them. */
+/* Writes entries to the table. Entries that the service refuses stay in the spool and do not block
+ * the others. Called with the lock held, releases it during the I/O. */
 static void
 flush_entries (BillWriter *writer, BillEntry **entries, size_t count)
 {
@@ -62,8 +62,8 @@
     log_msg (MSG_BILL_TABLE_BACK, "left=\"%zu\"", writer->spool.count);
 }
 
-/* Entries that are in this process only get another try at the next places. Called and returns with
- * the lock held. */
+/* Tries the fallbacks again for entries that are only in this process. Called with the lock held,
+ * releases it during the I/O. */
 static void
 retry_fallback (BillWriter *writer)
 {
@@ -103,8 +103,8 @@
     writer->flush_next_ms = writer->breaker.try_next_ms;
 }
 
-/* Writes the gate's row, by which others find its objects: at the start, and when the table has all
- * records of the objects so far. Called and returns with the lock held. */
+/* Writes the gate's row, by which stewards find its objects: at the start, and whenever all records
+ * of the objects so far are in the table. Called with the lock held, releases it during the I/O. */
 static void
 index_write (BillWriter *writer, uint32_t objects)
 {
@@ -130,9 +130,9 @@
   writer->index_next_ms = clock_boot_ms () + INDEX_RETRY_MS;
 }
 
-/* Brings the records that were spilled from some of the objects to the table. They are inserted if
- * absent, as are those beside them in the same objects, which the table has had from the spool.
- * Called and returns with the lock held. */
+/* Writes spilled records to the table, from up to UNSPILL_MAX objects. Other records of the same
+ * objects are in the table already, from the spool; an insert changes nothing for them. Called with
+ * the lock held, releases it during the I/O. */
 static void
 unspill (BillWriter *writer)
 {
@@ -168,8 +168,8 @@
   *objects = bill_fallback_objects (writer->fallback);
   if (!writer->indexed)
     return true;
-  /* A row that passed over objects whose records are not in the table would lose them, should this
-   * gate die. */
+  /* If the row skipped objects whose records are not in the table, these would be lost if this gate
+   * died. */
   return writer->spool.count == 0 && writer->spilled == 0 && *objects > writer->objects_in_table;
 }
 
@@ -188,7 +188,7 @@
   return writer->stopping && (settled || clock_boot_ms () >= writer->stop_ms);
 }
 
-/* When there is something to do next; the work condition wakes the thread before. */
+/* Time of the next thing to do; the `work` condition may wake the thread before. */
 static int64_t
 next_wake (const BillWriter *writer)
 {
--- a/src/claim.c
+++ b/src/claim.c
@@ -8,10 +8,10 @@
 
 #define STEP "claim.take"
 
-/* Bounds of the attempts to learn what became of an insert whose reply was lost. */
-#define TRIES_MAX       4
-#define RESOLVE_TIMEOUT_MS       2000
-#define READ_TIMEOUT_MS 500
+/* Bounds on finding out whether an insert with a lost reply took effect. */
+#define TRIES_MAX          4
+#define RESOLVE_TIMEOUT_MS 2000
+#define READ_TIMEOUT_MS    500
 
 static const CounterId result_counters[] = {
   [CLAIM_TAKEN] = COUNTER_CLAIM_TAKEN,
@@ -21,11 +21,11 @@
   [CLAIM_UNAVAILABLE] = COUNTER_CLAIM_UNAVAILABLE,
 };
 
-/* What one result at the row, or one write to it, has shown. */
+/* Result of one read or write of the row. */
 typedef enum
 {
   TRY_DONE,  /* out->result is set */
-  TRY_AGAIN, /* the reply was lost: the row has to be looked at again */
+  TRY_AGAIN, /* the row has to be read again, e.g. after a lost reply */
 } TryResult;
 
 static TryResult
@@ -45,8 +45,8 @@
   return set_result (out, CLAIM_ANSWERED);
 }
 
-/* Takes over a row whose earlier attempt was released. The check on its version keeps this to one
- * attempt, and a late arrival of the write can't touch what came after it. */
+/* Takes over a row that an earlier attempt released. The check of the row's version lets one
+ * attempt only succeed, and keeps a delayed write from overwriting a later state. */
 static TryResult
 take_over (Platform *platform, int64_t version, const char *text, ClaimOutcome *out, Status *st)
 {
@@ -59,8 +59,8 @@
   txn_ops_clear (ops, 2);
   if (code == STATUS_OK)
     return set_result (out, CLAIM_TAKEN);
-  /* After a lost reply the row may be ours; after a conflict it is another attempt's, or ours by
-   * an earlier try whose reply was lost. Only the row tells. */
+  /* After a lost reply the row may be ours. After a conflict it is another attempt's, or ours from
+   * an earlier try whose reply was lost. The row has to be read. */
   if (code == STATUS_UNKNOWN)
     out->outcome_unknown = true;
   return TRY_AGAIN;
@@ -68,11 +68,11 @@
 
 static TryResult
 evaluate_row (Platform *platform,
-         const char *value,
-         int64_t version,
-         const char *text,
-         ClaimOutcome *out,
-         Status *st)
+              const char *value,
+              int64_t version,
+              const char *text,
+              ClaimOutcome *out,
+              Status *st)
 {
   ClaimRow row;
   TryResult result;
@@ -80,7 +80,7 @@
   if (!claim_row_parse (value, &row))
     {
       claim_row_clear (&row);
-      status_set (st, STATUS_INTERNAL, STEP, NULL, "the claim's row can't be read");
+      status_set (st, STATUS_INTERNAL, STEP, NULL, "the claim's row is not valid");
       return set_result (out, CLAIM_IN_PROGRESS);
     }
   if (row.state == CLAIM_STARTED && strcmp (row.nonce, out->claim.nonce) == 0)
@@ -99,9 +99,9 @@
   return result;
 }
 
-/* Inserts the row if it is absent. Sent again after a lost reply it is harmless, since the row's
- * nonce tells whose it is, and it also settles the reply: if the first one is still on its way, it
- * will find the row existing and change nothing. */
+/* Inserts the row if it is absent. Repeating it after a lost reply is safe: the nonce in the row
+ * shows whose it is, and once a repeated insert has succeeded the delayed first one finds the row
+ * and changes nothing. */
 static TryResult
 try_insert (PlatformGroup *group,
             Platform *platform,
--- a/src/claim.h
+++ b/src/claim.h
@@ -1,6 +1,7 @@
 /**
- * Claims: a non-idempotent request runs at most once, at whichever VM its caller's re-sends arrive.
- * See docs/design/claims.md.
+ * Claims: a request that is not idempotent runs at most once, at whichever VMs the caller's retries
+ * of it arrive. Before a gate sends the request to a backend server it takes the claim, a table row
+ * with the key of the request. See docs/design/claims.md.
  */
 #ifndef CLAIM_H
 #define CLAIM_H
@@ -12,27 +13,28 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CLAIM_KEY_MAX    192
-#define CLAIM_ANSWER_MAX 65536 /**< longer answers are not stored; a re-send is told "unknown" */
+#define CLAIM_KEY_MAX 192
+#define CLAIM_ANSWER_MAX                                                                           \
+  65536 /**< bytes; a longer answer is not stored, and a retry is told "unknown" */
 
 typedef enum
 {
-  CLAIM_TAKEN,       /**< ours: the request may be sent once */
-  CLAIM_ANSWERED,    /**< it ran before; the stored answer is given */
-  CLAIM_IN_PROGRESS, /**< started by another attempt: it may have run; never run by us */
+  CLAIM_TAKEN,       /**< this attempt has the claim: the request may be sent once */
+  CLAIM_ANSWERED,    /**< the request ran before; the stored answer is returned */
+  CLAIM_IN_PROGRESS, /**< another attempt has the claim and may have run: do not run */
   CLAIM_MISMATCH,    /**< the key was used for another request body */
-  CLAIM_UNAVAILABLE  /**< no durable claim can be had now: not run */
+  CLAIM_UNAVAILABLE  /**< no claim can be made durable now: do not run */
 } ClaimResult;
 
 typedef struct
 {
-  char key[CLAIM_KEY_MAX]; /**< row key: team and the hash of the caller's key */
+  char key[CLAIM_KEY_MAX]; /**< row key: team and hash of the caller's idempotency key */
   char nonce[ID_SIZE];     /**< of this attempt */
   uint64_t body_hash;
   int64_t at_ms; /**< wall clock */
 } Claim;
 
-/** How a claim ended, written together with the usage record. */
+/** Result of a request that ran, written to its claim together with the usage record. */
 typedef struct
 {
   const Claim *claim;
@@ -46,16 +48,17 @@
 {
   ClaimResult result;
   Claim claim;
-  /** With CLAIM_UNAVAILABLE: the row may exist although the request is not run. The caller is told
-   *  "not run"; hand the claim to claim_releaser_add, so that its re-send can run. */
+  /** With CLAIM_UNAVAILABLE: the write's reply was lost, so the row may exist although the request
+   *  does not run. The caller is told "not run"; the claim has to go to claim_releaser_add, so that
+   * a retry can run. */
   bool outcome_unknown;
   int http_status; /**< with CLAIM_ANSWERED */
   char content_type[64];
-  Buffer answer; /**< with CLAIM_ANSWERED; empty when it was too long to keep */
+  Buffer answer; /**< with CLAIM_ANSWERED; empty if it was too long to store */
 } ClaimOutcome;
 
-/** Takes the claim of (team, idempotency_key) for a body of that hash; the result is in *out, with
- *  a message in *st. */
+/** Takes the claim of (team, idempotency_key) for a request body with that hash. The result is in
+ * *out, with a message in *st. */
 void claim_take (PlatformGroup *group,
                  Platform *platform,
                  const char *team,
@@ -64,22 +67,23 @@
                  ClaimOutcome *out,
                  Status *st);
 
-/** Gives a claim back after proof that the request did not run, so that a re-send may run. On
- *  failure the claim stays in progress, which is safe; claim_releaser_add tries again. */
+/** Releases a claim after proof that the request did not run, so that a retry may run. On failure
+ * the claim stays in progress, which is safe; claim_releaser_add retries the release. */
 StatusCode claim_release (Platform *platform, const Claim *claim, Status *st);
 
-/** The row's text of a settlement, freed with free. */
+/** Row text of a settled claim; freed with free. */
 char *claim_settlement_text (const ClaimSettlement *settlement);
 void claim_outcome_clear (ClaimOutcome *outcome);
 
-/** Releases claims of requests that did not run, in the background, until the table has it. */
+/** Background thread that releases claims of requests that did not run, with retries. */
 typedef struct ClaimReleaser ClaimReleaser;
 
 ClaimReleaser *claim_releaser_new (Platform *platform);
-/** Takes a claim whose request certainly did not run and never will. When its bounded list is full
- *  the claim stays in progress, which is safe. */
+/** Queues a claim whose request certainly did not run and never will. If the queue is full the
+ * claim stays in progress, which is safe. */
 void claim_releaser_add (ClaimReleaser *releaser, const Claim *claim);
-/** Tries what is left once more, each within its timeout; returns the claims not released. */
+/** Stops the thread and tries the queued claims once more, until one fails; returns the number not
+ *  released. */
 size_t claim_releaser_free (ClaimReleaser *releaser);
 
 #endif
--- a/src/claim_release.c
+++ b/src/claim_release.c
@@ -15,7 +15,7 @@
 #define TRIES_MAX    3
 #define TIMEOUT_MS   500
 #define RETRY_MS     500
-#define RELEASES_MAX 4096
+#define RELEASES_MAX 4096 /* queued */
 
 typedef struct
 {
@@ -36,10 +36,10 @@
 
 static void *releaser_thread (void *argument);
 
-/* The row is marked and not deleted: an insert of this attempt that is still on its way to the
- * table service finds the row existing, where after a deletion it would leave a claim that nobody
- * owns. The check on the version that was read with our nonce keeps it off a later attempt's row;
- * an absent row (version 0) gets the mark too. */
+/* Marks the row as released instead of deleting it: a delayed insert of this attempt then finds the
+ * row and changes nothing, while after a deletion it would create a claim that no attempt owns. The
+ * check of the version that was read with our nonce protects the row of a later attempt. An absent
+ * row (version 0) is marked too. */
 static StatusCode
 mark_released (Platform *platform, const Claim *claim, int64_t version, Status *st)
 {
@@ -55,9 +55,9 @@
   return code;
 }
 
-/* True if the row has to be marked: it holds this attempt's claim, or a write of this attempt that
- * is still on its way could make it so. Such a write is an insert (the row is absent) or a
- * take-over (the row is released by an earlier attempt); the mark makes both come too late. */
+/* True if the row has to be marked: it contains this attempt's claim, or a delayed write of this
+ * attempt could still put the claim there. Such a write is an insert (the row is absent) or a
+ * take-over (the row was released by an earlier attempt); after the mark neither has an effect. */
 static bool
 needs_mark (const PlatformRow *row, const Claim *claim)
 {
@@ -143,7 +143,8 @@
     log_msg (MSG_CLAIM_RELEASES_FULL, NULL);
 }
 
-/* Tries the oldest; called and returns with the lock held. False if the table did not take it. */
+/* Tries to release the oldest claim of the queue. Called with the lock held, releases it during the
+ * I/O. False if the release failed. */
 static bool
 release_first (ClaimReleaser *releaser)
 {
--- a/src/claim_row.c
+++ b/src/claim_row.c
@@ -91,7 +91,7 @@
   return row_to_text (row_json (claim, state));
 }
 
-/* The answer is kept in base64, since it may hold bytes that JSON can't. */
+/* The answer is stored in base64, since it may contain bytes that JSON strings can't. */
 static void
 add_answer (struct json_object *obj, const char *answer, size_t len)
 {
--- a/src/cluster.h
+++ b/src/cluster.h
@@ -1,7 +1,8 @@
 /**
- * Types that the cluster protocol's modules share. The stewards, one on each VM, agree on the newest
- * configuration number, on the membership view and on brakes. The modules do no I/O and read no
- * clock: times are milliseconds of the caller's boot-time clock. See docs/design/configuration.md.
+ * Types that the cluster protocol's modules share. The stewards, one on each VM, agree on the
+ * newest configuration number, on the membership view and on brakes. The modules do no I/O and read
+ * no clock: times are milliseconds of the caller's boot-time clock. See
+ * docs/design/configuration.md.
  */
 #ifndef CLUSTER_H
 #define CLUSTER_H
--- a/src/cluster_accept.h
+++ b/src/cluster_accept.h
@@ -9,10 +9,11 @@
 #include "cluster_state.h"
 
 /**
- * Returns the newest number that can be accepted under the view row, or 0 if none is above accepted.
- * row, head and accepted are as read from the table. The caller stores the result by one
- * transaction: CHECK of the view row's version, CHECK of the head row's version, PUT of the head row
- * with the same number and the new accepted. On a conflict it reads the rows and calls this again.
+ * Returns the newest number that can be accepted under the view row, or 0 if none is above
+ * accepted. row, head and accepted are as read from the table. The caller stores the result by one
+ * transaction: CHECK of the view row's version, CHECK of the head row's version, PUT of the head
+ * row with the same number and the new accepted. On a conflict it reads the rows and calls this
+ * again.
  */
 int64_t cluster_accept_number (const ClusterState *s,
                                const ClusterView *row,
--- a/src/cluster_brake.c
+++ b/src/cluster_brake.c
@@ -96,8 +96,8 @@
          && is_terminated (k->why, sizeof k->why) && k->model[0] != '\0' && k->version[0] != '\0';
 }
 
-/* Total order of the brakes on one version, the same on every VM, so that merging in any order keeps
-   the same brake. */
+/* Total order of the brakes on one version, the same on every VM, so that merging in any order
+   keeps the same brake. */
 static int
 compare_brakes (const ClusterBrake *a, const ClusterBrake *b)
 {
--- a/src/cluster_brake.h
+++ b/src/cluster_brake.h
@@ -5,9 +5,10 @@
  * unavailable. See docs/design/brakes.md.
  *
  * A brake records `since`, the configuration number in force where it was raised. A later
- * configuration releases it: the version's entry in the document has a number `released`, and brakes
- * with since <= released are no longer active. A brake raised again under the new configuration has
- * a greater since and is active. Of two brakes on one version the one with the greater since is kept.
+ * configuration releases it: the version's entry in the document has a number `released`, and
+ * brakes with since <= released are no longer active. A brake raised again under the new
+ * configuration has a greater since and is active. Of two brakes on one version the one with the
+ * greater since is kept.
  *
  * Not thread-safe: the caller locks.
  */
@@ -50,7 +51,8 @@
  *  never decreases. */
 void
 cluster_brakes_release (ClusterBrakes *b, const char *model, const char *version, int64_t released);
-/** Removes the versions for which exists() is false: those no longer in the applied configuration. */
+/** Removes the versions for which exists() is false: those no longer in the applied configuration.
+ */
 void cluster_brakes_prune (ClusterBrakes *b,
                            bool (*exists) (void *context, const char *model, const char *version),
                            void *context);
--- a/src/cluster_lease.c
+++ b/src/cluster_lease.c
@@ -31,9 +31,9 @@
   return row->version > 0 && strcmp (row->holder, l->holder) == 0;
 }
 
-/* When the lease in the row last seen has certainly expired and the last order under it has arrived.
-   The holder counts from the send of the write of row.version, which was before we first saw it; so
-   counting from row_first_seen is safe. A released row has lease_ms 0. */
+/* When the lease in the row last seen has certainly expired and the last order under it has
+   arrived. The holder counts from the send of the write of row.version, which was before we first
+   saw it; so counting from row_first_seen is safe. A released row has lease_ms 0. */
 static int64_t
 expires_at (const ClusterLease *l)
 {
--- a/src/cluster_lease.h
+++ b/src/cluster_lease.h
@@ -1,13 +1,13 @@
 /**
- * A lease on a duty (a task that one steward at a time performs), stored as a table row with a fencing
- * number. See docs/design/leases.md.
+ * A lease on a duty (a task that one steward at a time performs), stored as a table row with a
+ * fencing number. See docs/design/leases.md.
  *
  * The row is {"holder","fence","lease_ms"}; its version rises with each write. A renewal writes the
  * same value again. The holder counts its lease from the send time of the last write known to have
  * taken effect. A successor counts its wait from its receipt of the first read that returned the
- * row's current version, which is later than that write. So two stewards never hold the lease at the
- * same time, whatever the offset of their clocks. Each take-over increments the fence; the row is
- * never deleted.
+ * row's current version, which is later than that write. So two stewards never hold the lease at
+ * the same time, whatever the offset of their clocks. Each take-over increments the fence; the row
+ * is never deleted.
  *
  * An order is a command that the holder sends in its duty. Orders are sent with a timeout of
  * flight_ms, and only while the lease lasts at least that much longer; a successor waits lease_ms +
@@ -39,9 +39,9 @@
 {
   const char *holder; /**< our own name: the steward's incarnation, 16 hexadecimal digits */
   int64_t lease_ms;   /**< how long one renewal lasts */
-  int64_t renew_ms; /**< time from the send of one renewal to the next; under lease_ms / 2 */
-  int64_t flight_ms; /**< timeout with which orders are sent: none arrives later */
-  int64_t read_ms;   /**< interval at which a steward that is not the holder reads the row */
+  int64_t renew_ms;   /**< time from the send of one renewal to the next; under lease_ms / 2 */
+  int64_t flight_ms;  /**< timeout with which orders are sent: none arrives later */
+  int64_t read_ms;    /**< interval at which a steward that is not the holder reads the row */
 } ClusterLeaseOptions;
 
 typedef enum
@@ -83,20 +83,21 @@
 /** Reports that a read sent at sent_at failed; the next one is due after read_ms. */
 void cluster_lease_read_failed (ClusterLease *l, int64_t sent_at);
 
-/** Reports the result of the write from cluster_lease_next, sent at sent_at. With STATUS_OK, version is
- *  the row's new version; after STATUS_UNKNOWN a read shows whether the write took effect. */
+/** Reports the result of the write from cluster_lease_next, sent at sent_at. With STATUS_OK,
+ * version is the row's new version; after STATUS_UNKNOWN a read shows whether the write took
+ * effect. */
 void cluster_lease_written (ClusterLease *l, int64_t sent_at, StatusCode code, int64_t version);
 
-/** Whether an order may be sent at now: the lease lasts for at least flight_ms. To be called directly
- *  before each order. */
+/** Whether an order may be sent at now: the lease lasts for at least flight_ms. To be called
+ * directly before each order. */
 bool cluster_lease_may_order (const ClusterLease *l, int64_t now);
 /** Milliseconds for which orders may still be sent; 0 if none. */
 int64_t cluster_lease_left (const ClusterLease *l, int64_t now);
 /** Fencing number for orders sent at now; 0 if none may be sent. */
 int64_t cluster_lease_fence (const ClusterLease *l, int64_t now);
 
-/** For a planned stop: no orders may be sent from now on; *row is the value whose write releases the
- *  lease. False if we don't hold it. */
+/** For a planned stop: no orders may be sent from now on; *row is the value whose write releases
+ * the lease. False if we don't hold it. */
 bool cluster_lease_release (ClusterLease *l, ClusterLeaseRow *row);
 
 #endif
--- a/src/cluster_pack.c
+++ b/src/cluster_pack.c
@@ -8,8 +8,8 @@
   return units < CLUSTER_AGE_SKIP ? (uint8_t)units : CLUSTER_AGE_SKIP;
 }
 
-/* Returns the news of that member or NULL. News is in the order of the view's members, so the search
-   continues after the previous match. */
+/* Returns the news of that member or NULL. News is in the order of the view's members, so the
+   search continues after the previous match. */
 static ClusterNews *
 find_news (ClusterHeartbeat *h, uint64_t incarnation, size_t *from)
 {
@@ -22,8 +22,8 @@
   return NULL;
 }
 
-/* A packed age means that the member has the number and view of the sender, so only news with exactly
-   these values can be packed. */
+/* A packed age means that the member has the number and view of the sender, so only news with
+   exactly these values can be packed. */
 static bool
 can_pack (const ClusterHeartbeat *h, const ClusterNews *n)
 {
--- a/src/cluster_progress.h
+++ b/src/cluster_progress.h
@@ -1,8 +1,8 @@
 /**
- * Hash table with open addressing, inside ClusterState: what is known of each incarnation's progress.
- * Values of an entry only rise. When the table is full the entries that the view does not need are
- * removed. This is safe: every bound holds by itself, so a removed entry only makes what is known
- * less recent.
+ * Hash table with open addressing, inside ClusterState: what is known of each incarnation's
+ * progress. Values of an entry only rise. When the table is full the entries that the view does not
+ * need are removed. This is safe: every bound holds by itself, so a removed entry only makes what
+ * is known less recent.
  */
 #ifndef CLUSTER_PROGRESS_H
 #define CLUSTER_PROGRESS_H
@@ -10,7 +10,9 @@
 #include "cluster_state.h"
 
 #define CLUSTER_PROGRESS_SLOTS 4096 /**< a power of two */
-#define CLUSTER_PROGRESS_MAX   2048 /**< entries; more than members and previous members together, so that a prune frees some */
+#define CLUSTER_PROGRESS_MAX                                                                       \
+  2048 /**< entries; more than members and previous members together, so that a prune frees some   \
+        */
 
 typedef struct
 {
--- a/src/cluster_state.c
+++ b/src/cluster_state.c
@@ -161,9 +161,9 @@
     s->wanted_number = view->head;
   if (view->number <= s->view.number)
     return false;
-  /* A patch accepted before this view was written has a number up to view->head. Without this check a
-     VM without the patch could get a majority of a smaller view whose members all lack it, and keep
-     sending work to a withdrawn version. */
+  /* A patch accepted before this view was written has a number up to view->head. Without this check
+     a VM without the patch could get a majority of a smaller view whose members all lack it, and
+     keep sending work to a withdrawn version. */
   if (view->head > own->number)
     return false;
   s->view = *view;
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -79,8 +79,8 @@
  *  send, with a new random nonce for each ask. */
 void cluster_state_make_ask (ClusterState *s, uint64_t nonce, int64_t now, ClusterHeartbeat *ask);
 
-/** Merges an ask, as lower bounds only, since it can be arbitrarily old, and fills the answer. False
- *  after cluster_state_leave: no answer may be sent then. */
+/** Merges an ask, as lower bounds only, since it can be arbitrarily old, and fills the answer.
+ * False after cluster_state_leave: no answer may be sent then. */
 bool cluster_state_handle_ask (ClusterState *s,
                                const ClusterHeartbeat *ask,
                                int64_t now,
@@ -91,9 +91,9 @@
 bool cluster_state_handle_answer (ClusterState *s, const ClusterHeartbeat *answer, int64_t now);
 
 /**
- * Packs the news of an answer that was just filled. For members of our view with the same number and
- * view as ours only the age is sent, one byte each: 360 members take 360 bytes instead of 10 KB. Only
- * for a transport that carries the packed ages; without this call all news is in `news`.
+ * Packs the news of an answer that was just filled. For members of our view with the same number
+ * and view as ours only the age is sent, one byte each: 360 members take 360 bytes instead of 10
+ * KB. Only for a transport that carries the packed ages; without this call all news is in `news`.
  */
 void cluster_heartbeat_pack (const ClusterState *s, ClusterHeartbeat *h);
 
@@ -101,8 +101,8 @@
 bool cluster_state_apply (ClusterState *s, int64_t number);
 int64_t cluster_state_number (const ClusterState *s);
 
-/** Newest durable number heard of from the table or from peers. The caller fetches it if it is above
- *  cluster_state_number. */
+/** Newest durable number heard of from the table or from peers. The caller fetches it if it is
+ * above cluster_state_number. */
 int64_t cluster_state_wanted_number (const ClusterState *s);
 
 /** Merges the result of a read of the head row that was sent at sent_at. */
@@ -110,17 +110,17 @@
 int64_t cluster_state_accepted (const ClusterState *s);
 
 /** Makes view our own. It was read from the table or from a peer that has adopted it; a view whose
- *  write is not known to be committed must not be adopted. False if it is not newer than ours, or if
- *  our applied number is below view->head: the caller applies that first and tries again. Its number
- *  counts as heard of in any case. */
+ *  write is not known to be committed must not be adopted. False if it is not newer than ours, or
+ * if our applied number is below view->head: the caller applies that first and tries again. Its
+ * number counts as heard of in any case. */
 bool cluster_state_adopt_view (ClusterState *s, const ClusterView *view);
 /** The view adopted last; its number is 0 if there is none. */
 const ClusterView *cluster_state_view (const ClusterState *s);
 /** Newest view number heard of. The caller fetches it if it is above that of cluster_state_view. */
 int64_t cluster_state_wanted_view (const ClusterState *s);
 
-/** What is known of an incarnation, or of our own; NULL if nothing is. Valid until the next call that
- *  changes the state. */
+/** What is known of an incarnation, or of our own; NULL if nothing is. Valid until the next call
+ * that changes the state. */
 const ClusterProgress *cluster_state_progress (const ClusterState *s, uint64_t incarnation);
 
 /** Begins a planned stop: no answers and no grant from now on, so that our removal from the view
--- a/src/cluster_view.c
+++ b/src/cluster_view.c
@@ -106,8 +106,8 @@
   if (cluster_view_find (row, incarnation) < 0)
     return true;
   const ClusterProgress *k = cluster_state_progress (s, incarnation);
-  /* It must know this number itself: a member that knows only an earlier version of the pending view
-     may still support a grant that counts the members of that version. */
+  /* It must know this number itself: a member that knows only an earlier version of the pending
+     view may still support a grant that counts the members of that version. */
   return k != NULL && k->view >= row->number;
 }
 
--- a/src/cluster_view_text.c
+++ b/src/cluster_view_text.c
@@ -121,9 +121,8 @@
   char path[PATH_SIZE];
 
   snprintf (path, sizeof path, "members[%zu]", index);
-  bool ok
-      = field_read (member_specs, sizeof member_specs / sizeof *member_specs, o, &f, path, list)
-        && take_member (&f, path, out, list);
+  bool ok = field_read (member_specs, sizeof member_specs / sizeof *member_specs, o, &f, path, list)
+            && take_member (&f, path, out, list);
   free (f.vm);
   free (f.address);
   free (f.failure_domain);
@@ -170,8 +169,8 @@
   return true;
 }
 
-/* An established view has no previous members and a pending one has some. Another row was not written
-   by these functions, and it is not known whose votes count under it. */
+/* An established view has no previous members and a pending one has some. Another row was not
+   written by these functions, and it is not known whose votes count under it. */
 static bool
 is_consistent (const ClusterView *v, CheckList *list)
 {
@@ -194,7 +193,7 @@
     {
       *out = (ClusterView){ .number = f.number, .head = f.head, .established = f.established };
       ok = parse_members (f.members, out, list) && parse_previous (f.previous, out, list)
-             && is_consistent (out, list);
+           && is_consistent (out, list);
     }
   json_object_put (o);
   return ok;
