--- a/src/bill_spool.c
+++ b/src/bill_spool.c
@@ -1,8 +1,8 @@
 #include "bill_spool.h"
 #include <string.h>
 
-/* Share of the spool reserved free when the room of the requests in progress would leave nothing,
- * or is not known. */
+/* Bytes reserved for requests in progress: the default if their number is not known, and the limit,
+ * so that half of the spool stays usable. */
 #define RESERVE_DEFAULT(max) ((max) / 4)
 #define RESERVE_MAX(max)     ((max) / 2)
 
