--- a/mk/mutations.sh
+++ b/mk/mutations.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# mutations.sh: takes the guards of mk/mutations.txt out one by one, in a scratch copy, and runs what
-# must fail then. Prints the first failure of each; exit status 1 if a run passed without its guard.
+# mutations.sh: removes the guards listed in mk/mutations.txt one at a time, in a scratch copy, and runs
+# the programs that must then fail. Prints the first failure of each; exit status 1 if a program passes
+# without the guard.
 set -eu
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
@@ -11,7 +12,7 @@
 steps=$(ls bench/steps_*.c | sed 's,\(.*\)\.c,build/obj/\1.o,')
 bad=0
 
-# build PROGRAM: those of the cluster are linked with its modules only.
+# build PROGRAM: builds it; cluster programs are linked with the cluster modules only, which is faster.
 build () {
   case $1 in
     test_cluster_* | steps) ;;
@@ -29,7 +30,7 @@
     gcc -pthread $objects $libs -lsodium -lm -lcunit -o "build/$1" >>build.log 2>&1
 }
 
-# check NAME RUN
+# check NAME RUN: builds and runs the program of RUN, which must fail.
 check () {
   program=${2%%:*}
   if ! build "$program"; then
--- a/model/grant.pml
+++ b/model/grant.pml
@@ -1,20 +1,26 @@
 /*
- * The two proofs of a grant under late, lost and doubled messages: docs/design/configuration.md.
+ * Model of the two proofs of a grant when messages are delayed, lost or duplicated: see
+ * docs/design/configuration.md.
  *
- * MEMBERS stewards of one established view and the table service. One patch (number 1) withdraws what
- * number 0 allows. Stewards that have not applied it gather word of each other that nothing newer is
- * applied, by asks and answers, at first hand and by hearsay (src/cluster_heartbeat.c), and read the
- * head row (src/cluster_state.c). Time goes in ticks; the age of each word is counted as the source
- * does: from the asker's own send, plus the age that the teller gives. Ages of GRANT and more are
- * all the same: useless. A message waits as long as it likes, comes twice, or never; a frozen or
- * dead steward is one that does nothing.
+ * MEMBERS stewards of one established view, and the table service. One patch (number 1) withdraws what
+ * number 0 allows. Stewards that have not applied it collect evidence that nothing newer is applied,
+ * by asks and answers, directly from a member or relayed by another (src/cluster_heartbeat.c), and
+ * read the head row (src/cluster_state.c). Time advances in ticks. The age of evidence is counted as in
+ * the source: from the send of the ask, plus the age that the answer gives. All ages from GRANT on are
+ * equal: such evidence is useless. A message is delayed for any time, duplicated or lost; a frozen or
+ * dead steward is one that takes no steps.
  *
- * Promise: GRANT ticks after the acceptance no steward that still applies 0 has a grant
- * (src/cluster_grant.c). Word of number 1 supports no grant on 0, so that only word of 0 is kept.
- * Acceptance counts what stewards have truly applied, whoever knows of it.
+ * Property: GRANT ticks after the acceptance no steward that still applies 0 has a grant
+ * (src/cluster_grant.c). Evidence of number 1 supports no grant on 0, so that only evidence of 0 is
+ * stored. Acceptance counts what stewards have applied, whoever knows of it.
  *
- * Guards are taken out by -D: FROM_RECEIPT, HEARSAY_NEW, ANY_NUMBER, HALF, HEAD_FROM_RECEIPT,
- * ANY_HEAD. Each must give a counter-example.
+ * Each of these -D options removes one guard, and must give a counter-example:
+ *   FROM_RECEIPT       an answer counts from its receipt instead of the send of its ask
+ *   HEARSAY_NEW        relayed evidence counts without the age in the answer
+ *   ANY_NUMBER         a member that has applied 1 counts like one that has not
+ *   HALF               half of the members are enough
+ *   HEAD_FROM_RECEIPT  a read of the head row counts from its receipt
+ *   ANY_HEAD           a read of the head row counts whatever it returned
  */
 #ifndef MEMBERS
 #define MEMBERS 3 /* at most 5 */
@@ -23,10 +29,10 @@
 #define GRANT 2
 #endif
 #ifndef MESSAGES
-#define MESSAGES 1 /* on their way at the same time, 1 or 2 */
+#define MESSAGES 1 /* in transit at the same time, 1 or 2 */
 #endif
 
-#define TABLE MEMBERS /* as the one asked */
+#define TABLE MEMBERS /* in `asked`: the ask is a read of the head row */
 
 #ifdef HALF
 #define NEEDED (MEMBERS / 2)
@@ -34,9 +40,9 @@
 #define NEEDED (MEMBERS / 2 + 1)
 #endif
 #ifdef ANY_NUMBER
-#define SAYS_OLD(w) (1)
+#define REPORTS_OLD(w) (1)
 #else
-#define SAYS_OLD(w) (!applied[w])
+#define REPORTS_OLD(w) (!applied[w])
 #endif
 #ifdef ANY_HEAD
 #define SHOWS_OLD (1)
@@ -44,14 +50,14 @@
 #define SHOWS_OLD (!head)
 #endif
 #ifdef FROM_RECEIPT
-#define AGE_OF_WORD 0
+#define AGE_OF_ANSWER 0
 #else
-#define AGE_OF_WORD message[k].age
+#define AGE_OF_ANSWER message[k].age
 #endif
 #ifdef HEARSAY_NEW
-#define AGE_OF_HEARSAY(w) (message[k].told[w] < GRANT -> message[k].age : GRANT)
+#define AGE_OF_RELAYED(w) (message[k].sent_age[w] < GRANT -> message[k].age : GRANT)
 #else
-#define AGE_OF_HEARSAY(w) (AGE_OF_WORD + message[k].told[w])
+#define AGE_OF_RELAYED(w) (AGE_OF_ANSWER + message[k].sent_age[w])
 #endif
 #ifdef HEAD_FROM_RECEIPT
 #define AGE_OF_HEAD 0
@@ -59,27 +65,27 @@
 #define AGE_OF_HEAD message[k].age
 #endif
 
-/* A message of that age proves nothing; forgetting it keeps the number of states down. */
+/* A message of age GRANT proves nothing; discarding it reduces the number of states. */
 #if defined (FROM_RECEIPT) || defined (HEAD_FROM_RECEIPT)
-#define DROPS_OLD 0
+#define DISCARDS_OLD 0
 #else
-#define DROPS_OLD 1
+#define DISCARDS_OLD 1
 #endif
 
 #define OLDER(x) (x < GRANT -> x + 1 : GRANT)
 
 typedef Steward {
-  byte age[MEMBERS]; /* of the newest word of each that it still applied 0 */
-  byte head_age      /* of the newest read of the head row that showed 0 */
+  byte age[MEMBERS]; /* of the newest evidence that each member still applied 0 */
+  byte head_age      /* of the newest read of the head row that returned 0 */
 };
 
 typedef Message {
   byte asker;
   byte asked;
-  byte age;           /* of the ask */
+  byte age;           /* since the send of the ask */
   bit is_answered;
   bit is_used;
-  byte told[MEMBERS]; /* ages, as of the answer; that of the one asked is 0 if it applied 0 */
+  byte sent_age[MEMBERS]; /* ages in the answer; that of the asked member is 0 if it applied 0 */
 };
 
 Steward steward[MEMBERS];
@@ -102,7 +108,7 @@
   od
 }
 
-/* n = members whose word supports a grant of w on number 0 */
+/* n = members whose evidence supports a grant of w on number 0 */
 inline count_support (w)
 {
   n = 0;
@@ -128,7 +134,7 @@
   message[slot].is_used = (w != x);
   i = 0;
   do
-  :: i < MEMBERS -> message[slot].told[i] = GRANT; i++
+  :: i < MEMBERS -> message[slot].sent_age[i] = GRANT; i++
   :: else -> break
   od;
   i = 0
@@ -140,12 +146,12 @@
   message[k].is_answered = 1;
   i = 0;
   do
-  :: message[k].asked == TABLE -> message[k].told[0] = (SHOWS_OLD -> 0 : GRANT); break
+  :: message[k].asked == TABLE -> message[k].sent_age[0] = (SHOWS_OLD -> 0 : GRANT); break
   :: message[k].asked != TABLE && i < MEMBERS ->
      if
-     :: i == message[k].asked -> message[k].told[i] = (SAYS_OLD (i) -> 0 : GRANT)
+     :: i == message[k].asked -> message[k].sent_age[i] = (REPORTS_OLD (i) -> 0 : GRANT)
      :: i == message[k].asker -> skip
-     :: else -> message[k].told[i] = steward[message[k].asked].age[i]
+     :: else -> message[k].sent_age[i] = steward[message[k].asked].age[i]
      fi;
      i++
   :: else -> break
@@ -153,8 +159,8 @@
   clear ()
 }
 
-/* The least of the age known and the new one. */
-inline learn (w, x, new_age)
+/* Keeps the lower of the known age and the new one. */
+inline update_age (w, x, new_age)
 {
   if
   :: new_age < steward[w].age[x] -> steward[w].age[x] = new_age
@@ -162,25 +168,25 @@
   fi
 }
 
-inline take (slot)
+inline receive (slot)
 {
   k = slot;
   i = 0;
   do
   :: message[k].asked == TABLE ->
      if
-     :: message[k].told[0] < GRANT && AGE_OF_HEAD < steward[message[k].asker].head_age ->
+     :: message[k].sent_age[0] < GRANT && AGE_OF_HEAD < steward[message[k].asker].head_age ->
         steward[message[k].asker].head_age = AGE_OF_HEAD
      :: else -> skip
      fi;
      break
   :: message[k].asked != TABLE && i < MEMBERS ->
      if
-     :: i == message[k].asked && message[k].told[i] == 0 ->
-        learn (message[k].asker, i, AGE_OF_WORD)
+     :: i == message[k].asked && message[k].sent_age[i] == 0 ->
+        update_age (message[k].asker, i, AGE_OF_ANSWER)
      :: i != message[k].asked && i != message[k].asker ->
-        n = AGE_OF_HEARSAY (i);
-        learn (message[k].asker, i, n)
+        n = AGE_OF_RELAYED (i);
+        update_age (message[k].asker, i, n)
      :: else -> skip
      fi;
      i++
@@ -209,7 +215,7 @@
   :: k < MESSAGES ->
      message[k].age = OLDER (message[k].age);
      if
-     :: DROPS_OLD && message[k].age == GRANT -> send (0, 0, k)
+     :: DISCARDS_OLD && message[k].age == GRANT -> send (0, 0, k)
      :: else -> skip
      fi;
      k++
@@ -222,7 +228,7 @@
 #define EACH_ASKED(STEP) STEP (0) STEP (1) STEP (2) STEP (3) STEP (4)
 #define EACH_MESSAGE(STEP) STEP (0) STEP (1)
 
-/* An ask takes any place: what was there is lost. */
+/* An ask uses any message slot; a message in it is lost. */
 #define ASK(w) \
   :: w < MEMBERS -> \
      atomic { \
@@ -231,17 +237,17 @@
        :: MESSAGES > 1 -> k = 1 \
        fi; \
        if \
-       EACH_ASKED (ASK_WHOM_##w) \
+       EACH_ASKED (ASK_MEMBER_##w) \
        :: d_step { send (w, TABLE, k); clear () } \
        fi \
      }
-#define ASK_WHOM(w, x) \
+#define ASK_MEMBER(w, x) \
        :: x < MEMBERS && x != w -> d_step { send (w, x, k); clear () }
-#define ASK_WHOM_0(x) ASK_WHOM (0, x)
-#define ASK_WHOM_1(x) ASK_WHOM (1, x)
-#define ASK_WHOM_2(x) ASK_WHOM (2, x)
-#define ASK_WHOM_3(x) ASK_WHOM (3, x)
-#define ASK_WHOM_4(x) ASK_WHOM (4, x)
+#define ASK_MEMBER_0(x) ASK_MEMBER (0, x)
+#define ASK_MEMBER_1(x) ASK_MEMBER (1, x)
+#define ASK_MEMBER_2(x) ASK_MEMBER (2, x)
+#define ASK_MEMBER_3(x) ASK_MEMBER (3, x)
+#define ASK_MEMBER_4(x) ASK_MEMBER (4, x)
 
 #define APPLY(w) \
   :: w < MEMBERS && head && !applied[w] -> applied[w] = 1
@@ -258,10 +264,10 @@
   :: slot < MESSAGES && message[slot].is_used && !message[slot].is_answered -> \
      d_step { answer (slot) }
 
-/* It stays, and may come again, until an ask takes its place. */
-#define TAKE(slot) \
+/* The message stays, and may be received again, until an ask uses its slot. */
+#define RECEIVE(slot) \
   :: slot < MESSAGES && message[slot].is_answered -> \
-     d_step { take (slot) }
+     d_step { receive (slot) }
 
 active proctype site ()
 {
@@ -288,7 +294,7 @@
   EACH (APPLY)
   EACH (ASK)
   EACH_MESSAGE (ANSWER)
-  EACH_MESSAGE (TAKE)
+  EACH_MESSAGE (RECEIVE)
   :: d_step { tick () }
   :: head && !accepted ->
      d_step {
--- a/model/view.pml
+++ b/model/view.pml
@@ -1,29 +1,36 @@
 /*
- * Acceptance against changes of the member set: docs/design/configuration.md.
+ * Model of acceptance during changes of the membership: see docs/design/configuration.md.
  *
  * One patch (number 1) withdraws what number 0 allows. Incarnations apply it, hear of views, die and
  * are replaced at the same or another address; rows of the view table are written under the rules of
  * src/cluster_view.c and src/cluster_accept.c.
  *
- * The bound in time is taken out of the model. A grant by peers ends grant_ms after a time t at
- * which a majority of a view's members were within the bounds. So the promise (none outlasts the
- * acceptance by more than grant_ms) is that no such t lies after the acceptance. What an incarnation
- * has applied and heard of only rises; if it is within the bounds at any later time, it was so at
- * the acceptance. Hence the check at that moment, over every view that a steward without the patch
- * can have taken over, whatever messages were lost, late or doubled, and whatever anyone knows of
- * others: acceptance and establishing may count any incarnation's true state.
+ * The model has no time. A grant by peers ends grant_ms after a time t at which a majority of a view's
+ * members supported it (src/cluster_grant.c). So the property, that no grant outlasts the acceptance by
+ * more than grant_ms, means that no such t is after the acceptance. What an incarnation has applied and
+ * heard of only rises; if it supports a grant at any later time, it did so at the acceptance. Hence the
+ * check at that moment, over every view that a steward without the patch can have adopted. The check
+ * holds whatever messages were lost, delayed or duplicated, and whatever stewards know of each other:
+ * acceptance and establishing may count the true state of any incarnation.
  *
- * Steps that can only help the promise are left out where another run without them does the same
- * otherwise: an incarnation hears of a view only while its word can establish it, applies the patch
- * only in the moment of acceptance (if it was alive after the patch became durable), and dies only
- * in the moment in which it is replaced or removed. Hearing, applying or dying sooner would only
- * take its support from a grant.
+ * Steps that can only help the property are left out if another run without them is otherwise equal:
+ * an incarnation hears of a view only while it can help to establish it, applies the patch only at the
+ * moment of acceptance (if it was alive after the patch became durable), and dies only at the moment in
+ * which it is replaced or removed. Hearing, applying or dying earlier would only remove its support
+ * from a grant.
  *
- * With -DGO_ON the run goes on after the acceptance, and checks the views written then as well.
+ * With -DGO_ON the run continues after the acceptance, and the views written then are checked too.
  *
- * Guards are taken out by -D: NO_FLOOR, NO_SETTLING, OLD_FORM, ONE_MAJORITY, ANY_VIEW,
- * SLOT_VOTES, NEW_VOTERS, ANY_NUMBER, ALIVE_TAKEN_OVER. Each must give a counter-example
- * (NO_FLOOR with GO_ON).
+ * Each of these -D options removes one guard, and must give a counter-example (NO_FLOOR with GO_ON):
+ *   NO_FLOOR          a view is adopted by a steward that lacks the view's head number
+ *   NO_SETTLING       a view is established without confirmation by previous members
+ *   OLD_FORM          knowing an earlier version of the pending view confirms it
+ *   ONE_MAJORITY      under a pending view a majority of the new members supports a grant
+ *   ANY_VIEW          members that have heard of a newer view support a grant
+ *   SLOT_VOTES        a new incarnation votes for the one that it replaced in its slot
+ *   NEW_VOTERS        the members of a pending view accept numbers
+ *   ANY_NUMBER        members that have applied the patch support a grant
+ *   ALIVE_TAKEN_OVER  a replaced or removed incarnation stays alive
  */
 #ifndef INCARNATIONS
 #define INCARNATIONS 6 /* at most 7 */
@@ -32,7 +39,7 @@
 #define FIRST 3 /* members of the first view */
 #endif
 #ifndef VIEWS
-#define VIEWS 6 /* numbers of views, 1 to VIEWS - 1 */
+#define VIEWS 6 /* view numbers are 1 to VIEWS - 1 */
 #endif
 
 #ifdef GO_ON
@@ -60,14 +67,14 @@
 #define VOTES_FOR(i,j) ((j) == (i))
 #endif
 #ifdef OLD_FORM
-#define KNOWS_ROW(i) (heard[i] >= first_form[row])
+#define KNOWS_ROW(i) (heard[i] >= first_pending[row])
 #else
 #define KNOWS_ROW(i) (heard[i] >= row)
 #endif
 #ifdef NO_FLOOR
-#define CAN_TAKE_OVER(v) (1)
+#define CAN_ADOPT(v) (1)
 #else
-#define CAN_TAKE_OVER(v) (!head_then[v])
+#define CAN_ADOPT(v) (!head_at_write[v])
 #endif
 #ifdef ONE_MAJORITY
 #define NEEDS_BOTH(v) (0)
@@ -80,15 +87,15 @@
 #define VOTERS (established[row] -> members[row] : previous[row])
 #endif
 #ifdef NO_SETTLING
-#define IS_SETTLED(i) (1)
+#define IS_CONFIRMED(i) (1)
 #else
-#define IS_SETTLED(i) (!HAS (members[row], i) || KNOWS_ROW (i))
+#define IS_CONFIRMED(i) (!HAS (members[row], i) || KNOWS_ROW (i))
 #endif
 
 byte alive = BIT (FIRST) - 1;
 byte started = FIRST;
-byte able;        /* those that were alive after the patch became durable */
-byte applied = 0; /* chosen at the acceptance, of the able ones */
+byte may_apply;   /* those that were alive after the patch became durable */
+byte applied = 0; /* chosen at the acceptance, out of may_apply */
 byte heard[INCARNATIONS];
 byte slot[INCARNATIONS];
 
@@ -96,12 +103,12 @@
 byte row = 1;
 byte members[VIEWS];
 byte previous[VIEWS];
-byte first_form[VIEWS]; /* number of the first pending row since the last established one */
+byte first_pending[VIEWS]; /* number of the first pending row since the last established one */
 bit established[VIEWS];
-bit head_then[VIEWS];
+bit head_at_write[VIEWS];
 
 bit head = 0;
-byte accepted = 0; /* 1: yes; 2: it was tried with too few, which ends the run */
+byte accepted = 0; /* 1: yes; 2: tried without a majority, which ends the run */
 
 byte i, j, v, n, m, set, part, whole;
 
@@ -125,27 +132,27 @@
 {
   members[row + 1] = new_members;
   established[row + 1] = is_established;
-  head_then[row + 1] = head;
+  head_at_write[row + 1] = head;
   if
-  :: is_established -> previous[row + 1] = 0; first_form[row + 1] = 0
+  :: is_established -> previous[row + 1] = 0; first_pending[row + 1] = 0
   :: else ->
      if
-     :: established[row] -> previous[row + 1] = members[row]; first_form[row + 1] = row + 1
-     :: else -> previous[row + 1] = previous[row]; first_form[row + 1] = first_form[row]
+     :: established[row] -> previous[row + 1] = members[row]; first_pending[row + 1] = row + 1
+     :: else -> previous[row + 1] = previous[row]; first_pending[row + 1] = first_pending[row]
      fi
   fi;
   row++
 }
 
-/* set = incarnations that know the pending row or are proved dead */
-inline find_settled ()
+/* set = incarnations that have heard of the pending row or are proved dead */
+inline find_confirmed ()
 {
   set = 0;
   i = 0;
   do
   :: i < INCARNATIONS ->
      if
-     :: IS_SETTLED (i) -> set = set | BIT (i)
+     :: IS_CONFIRMED (i) -> set = set | BIT (i)
      :: else -> skip
      fi;
      i++
@@ -153,7 +160,7 @@
   od
 }
 
-/* set = those whose word could support a grant on number 0 under view v */
+/* set = incarnations that may support a grant on number 0 under view v */
 inline find_supporters ()
 {
   set = 0;
@@ -187,7 +194,7 @@
   do
   :: v <= row ->
      if
-     :: CAN_TAKE_OVER (v) ->
+     :: CAN_ADOPT (v) ->
         find_supporters ();
         part = set;
         whole = members[v];
@@ -212,12 +219,12 @@
   :: w < INCARNATIONS && !IS_OVER && !established[row] && HAS (alive & previous[row], w) \
      && heard[w] < row -> heard[w] = row
 
-/* A new process takes over the address of w, which is thereby proved dead. */
+/* A new process registers at the address of w, which proves w dead. */
 #define REPLACE(w) \
   :: IS_MEMBER (w) && started < INCARNATIONS -> \
      d_step { slot[started] = slot[w]; kill (w); set = members[row] & ~BIT (w); join () }
 
-/* w is lost, and the platform's list has not shown it for longer than its lag. */
+/* w is lost, and has been missing from the platform's list for longer than its lag. */
 #define REMOVE(w) \
   :: IS_MEMBER (w) -> \
      d_step { kill (w); write_row (members[row] & ~BIT (w), 0) }
@@ -228,12 +235,12 @@
 #define kill(w) alive = alive & ~BIT (w)
 #endif
 
-/* The process `started` comes up and registers beside those of `set`. */
+/* The process `started` starts and registers in addition to those of `set`. */
 inline join ()
 {
   set = set | BIT (started);
   alive = alive | BIT (started);
-  able = able | BIT (started);
+  may_apply = may_apply | BIT (started);
   started++;
   write_row (set, 0);
   clear ()
@@ -251,7 +258,7 @@
     i = 0
   }
   do
-  :: !head -> d_step { head = 1; able = alive } /* the patch becomes durable */
+  :: !head -> d_step { head = 1; may_apply = alive } /* the patch becomes durable */
   EACH (HEAR)
   EACH (REPLACE)
   EACH (REMOVE)
@@ -261,7 +268,7 @@
   /* The pending view is established. */
   :: row + 1 < VIEWS && !IS_OVER && !established[row] && members[row] != 0 ->
      d_step {
-       find_settled ();
+       find_confirmed ();
        part = set;
        whole = previous[row];
        majority ();
@@ -271,12 +278,12 @@
        fi;
        clear ()
      }
-  /* Any of those that can have applied the patch; it is accepted if they are enough. */
+  /* Any subset of may_apply has applied the patch; it is accepted if that is a majority. */
   :: head && !accepted ->
      atomic {
        accepted = 1;
        do
-       :: i < INCARNATIONS && HAS (able, i) -> applied = applied | BIT (i); i++
+       :: i < INCARNATIONS && HAS (may_apply, i) -> applied = applied | BIT (i); i++
        :: i < INCARNATIONS -> i++
        :: i == INCARNATIONS -> break
        od;
