--- a/bench/steps_fault.c
+++ b/bench/steps_fault.c
@@ -71,8 +71,8 @@
   w->delay_max = (int64_t)(steps_random (site, 3) == 0 ? steps_random (site, 3000) : 20);
   w->op_loss = steps_random (site, 3) * 100;
   w->table_up = steps_random (site, 4) != 0;
-  w->reaches_table[0] = true;
-  w->reaches_table[1] = steps_random (site, 2) == 0;
+  w->table_reachable[0] = true;
+  w->table_reachable[1] = steps_random (site, 2) == 0;
   for (unsigned i = 0; i < STEPS_SLOTS; i++)
     w->partition[i] = cut ? (unsigned)steps_random (site, 2) : 0;
 }
--- a/bench/steps_oracle.c
+++ b/bench/steps_oracle.c
@@ -43,14 +43,13 @@
   if (cluster_grant_left (&grant, now) > 0)
     check_work (site, slot, "steward grants a number replaced this many ms ago", number);
   if (number < vm->last_number)
-    violation (site, slot, "applied number decreased", number, vm->last_number);
+    violation (site, slot, "number in use went down", number, vm->last_number);
   if (accepted < vm->last_accepted)
-    violation (site, slot, "accepted number decreased", accepted, vm->last_accepted);
+    violation (site, slot, "accepted went down", accepted, vm->last_accepted);
   if (number > site->table.head)
     violation (site, slot, "applies a number that is not durable", number, site->table.head);
   if (accepted > site->table.accepted)
-    violation (site, slot, "has an accepted number that is not accepted", accepted,
-               site->table.accepted);
+    violation (site, slot, "treats as accepted what is not", accepted, site->table.accepted);
   vm->last_number = number;
   vm->last_accepted = accepted;
 }
@@ -62,21 +61,21 @@
 {
   site->counts.recoveries++;
   if (site->table.accepted != site->table.head)
-    violation (site, 0, "no faults, but not accepted: accepted, head", site->table.accepted,
+    violation (site, 0, "calm period, but not accepted: accepted, head", site->table.accepted,
                site->table.head);
   if (!site->table.view.established)
-    violation (site, 0, "no faults, but the view is pending", site->table.view.number, 0);
+    violation (site, 0, "calm period, but the view is pending", site->table.view.number, 0);
   for (unsigned i = 0; i < STEPS_SLOTS; i++)
     {
       StepsVm *vm = &site->vms[i];
       if (vm->state == NULL || cluster_state_leaving (vm->state))
         continue;
       if (cluster_state_number (vm->state) != site->table.head)
-        violation (site, i, "no faults, but behind the head", cluster_state_number (vm->state),
+        violation (site, i, "calm period, but behind", cluster_state_number (vm->state),
                    site->table.head);
       if (cluster_grant (vm->state, steps_clock (site, i)).proof == CLUSTER_PROOF_NONE)
-        violation (site, i, "no faults, but no grant", cluster_state_number (vm->state), 0);
+        violation (site, i, "calm period, but no grant", cluster_state_number (vm->state), 0);
       if (cluster_view_find (&site->table.view, cluster_state_incarnation (vm->state)) < 0)
-        violation (site, i, "no faults, but not registered", 0, 0);
+        violation (site, i, "calm period, but not registered", 0, 0);
     }
 }
