--- a/tests/fake_table.c
+++ b/tests/fake_table.c
@@ -10,7 +10,6 @@
   return order ? order : strcmp (row->key, key);
 }
 
-/* Index of the first row that is not before (table, key). */
 size_t
 fake_table_lower (const FakeTable *t, const char *table, const char *key)
 {
--- a/tests/fake_table.h
+++ b/tests/fake_table.h
@@ -1,5 +1,5 @@
 /**
- * Rows of the in-memory platform and the transactions on them. Not thread-safe.
+ * Tables of the in-memory platform of the tests: rows and transactions. Not thread-safe.
  */
 #ifndef FAKE_TABLE_H
 #define FAKE_TABLE_H
@@ -17,23 +17,23 @@
 
 typedef struct
 {
-  FakeRow *rows; /**< by table and key, rising */
+  FakeRow *rows; /**< sorted by table and key */
   size_t count;
 } FakeTable;
 
-/** Index of the first row that is not before (table, key). */
+/** Index of the first row that does not sort before (table, key). */
 size_t fake_table_lower (const FakeTable *t, const char *table, const char *key);
 /** NULL if there is none. */
 FakeRow *fake_table_find (const FakeTable *t, const char *table, const char *key);
 /** Returns the row's new version. */
 int64_t
 fake_table_put (FakeTable *t, const char *table, const char *key, const void *value, size_t len);
-/** Applies all operations and returns true, or none if a check does not hold. Checks are made on
- * the state before the transaction. */
+/** Applies all operations and returns true, or none and returns false if a check fails. Checks are
+ *  evaluated on the state before the transaction. */
 bool fake_table_apply (FakeTable *t, TxnOp *ops, size_t count);
 void fake_table_clear (FakeTable *t);
 
-/** A copy of a transaction that outlives its caller's; freed with fake_table_free_ops. */
+/** A deep copy of a transaction's operations; freed with fake_table_free_ops. */
 TxnOp *fake_table_copy_ops (const TxnOp *ops, size_t count);
 void fake_table_free_ops (TxnOp *ops, size_t count);
 
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 static void
-test_text_and_back (void)
+test_text_parses_to_the_same_record (void)
 {
   BillRecord record = fake_bill (7);
   BillRecord back;
@@ -29,7 +29,7 @@
 }
 
 static void
-test_bad_text (void)
+test_invalid_text (void)
 {
   BillRecord record;
 
@@ -39,7 +39,7 @@
 }
 
 static void
-test_keys (void)
+test_keys_are_unique_per_request (void)
 {
   char a[BILL_KEY_MAX];
   char b[BILL_KEY_MAX];
@@ -60,25 +60,26 @@
 {
   FakeSite site;
   FakeGate *gate;
-} World;
+} Fixture;
 
 static void
-world_init (World *w)
+fixture_init (Fixture *w)
 {
   w->site = fake_site_new ();
   w->gate = fake_gate_new (&w->site, 1, SPOOL_MAX);
 }
 
 static void
-world_free (World *w)
+fixture_free (Fixture *w)
 {
   CU_ASSERT_EQUAL (fake_gate_free (w->gate, 30000), 0);
   fake_site_free (&w->site);
 }
 
-/* Each place takes the record when those before it are down, and the table has it in the end. */
+/* Each place stores the record if the earlier ones are down, and the record reaches the table in
+ * the end. */
 static void
-test_places_in_order (void)
+test_fallbacks_in_order (void)
 {
   static const struct
   {
@@ -93,9 +94,9 @@
 
   for (int i = 0; i < (int)SUITE_COUNT (cases); i++)
     {
-      World w;
+      Fixture w;
 
-      world_init (&w);
+      fixture_init (&w);
       fake_link_set (w.gate->link, cases[i].down, LINK_REFUSED);
       CU_ASSERT_EQUAL (fake_gate_commit (w.gate, i), cases[i].place);
       CU_ASSERT_EQUAL (fake_site_is_billed (&w.site, i), i == 0);
@@ -103,17 +104,18 @@
       CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
       CU_ASSERT_TRUE (fake_site_is_billed (&w.site, i));
       CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), 1);
-      world_free (&w);
+      fixture_free (&w);
     }
 }
 
-/* The reply to the record's write is lost after it took effect; the write comes again. One row. */
+/* The reply to the record's write is lost after it took effect, and the write is repeated: there
+ * must be one row. */
 static void
-test_reply_lost (void)
+test_lost_reply (void)
 {
-  World w;
+  Fixture w;
 
-  world_init (&w);
+  fixture_init (&w);
   fake_link_set (w.gate->link, CALL_TXN, LINK_REPLY_LOST);
   CU_ASSERT_EQUAL (fake_gate_commit (w.gate, 1), BILL_AT_OBJECT_STORE);
   CU_ASSERT_EQUAL (fake_gate_commit (w.gate, 2), BILL_AT_OBJECT_STORE);
@@ -121,15 +123,15 @@
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   CU_ASSERT_TRUE (fake_site_is_billed (&w.site, 1) && fake_site_is_billed (&w.site, 2));
   CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), 2);
-  world_free (&w);
+  fixture_free (&w);
 }
 
-/* A claim is settled in the transaction of its bill, in whichever place that waits: a re-send never
- * gets an answer that is not billed. */
+/* A claim is settled in the transaction of its bill, also from a fallback: a re-send must never get
+ * an answer that is not billed. */
 static void
-test_claim_with_bill (void)
+test_claim_is_settled_with_its_bill (void)
 {
-  World w;
+  Fixture w;
   Claim claim = { .key = "tender-desk/k", .nonce = "n1", .body_hash = 7 };
   ClaimSettlement settlement
       = { .claim = &claim, .http_status = 200, .content_type = "text/plain", .answer = "ok" };
@@ -137,7 +139,7 @@
   PlatformRow row;
   ClaimRow parsed;
 
-  world_init (&w);
+  fixture_init (&w);
   settlement.answer_len = 2;
   fake_link_set (w.gate->link, CALL_TXN, LINK_REFUSED);
   CU_ASSERT_EQUAL (bill_commit (w.gate->writer, &record, &settlement), BILL_AT_OBJECT_STORE);
@@ -155,18 +157,18 @@
   fake_site_free (&w.site);
 }
 
-/* A request is cut, its caller sends it again under the same key, and it is answered; then a copy
- * of the cut attempt's record arrives once more. The bill is that of the answer. */
+/* A request is cut short, the caller sends it again under the same key, and it is answered. Then
+ * the record of the cut attempt is written once more. The bill must be that of the first answer. */
 static void
 test_answer_replaces_cut (void)
 {
-  World w;
+  Fixture w;
   BillRecord cut = fake_bill (1);
   BillRecord whole = fake_bill (2);
   BillRecord later = fake_bill (3);
   BillRecord found;
 
-  world_init (&w);
+  fixture_init (&w);
   cut.outcome = BILL_CUT;
   bill_key (cut.team, "order-1", NULL, cut.key);
   bill_key (cut.team, "order-1", NULL, whole.key);
@@ -180,7 +182,7 @@
   CU_ASSERT_TRUE (fake_site_bill (&w.site, cut.key, &found));
   CU_ASSERT_EQUAL (fake_bill_cost (&found), 2.25);
   CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), 1);
-  world_free (&w);
+  fixture_free (&w);
 }
 
 static bool
@@ -192,15 +194,16 @@
   return backlog.count == 1;
 }
 
-/* One record is malformed to the table service. It must not block those behind it, and it is not
- * lost: it waits, in the object store too, where a steward finds it when the service takes it. */
+/* The table service rejects one record as malformed. The record must not block the others and must
+ * not be lost: it stays in the spool and in the object store, from where a steward writes it once
+ * the service accepts it. */
 static void
-test_malformed_record (void)
+test_malformed_record_blocks_no_others (void)
 {
-  World w;
+  Fixture w;
   BillRecord bad = fake_bill (1);
 
-  world_init (&w);
+  fixture_init (&w);
   fake_link_poison (w.gate->link, bad.key);
   for (int n = 0; n < 4; n++)
     fake_gate_commit (w.gate, n);
@@ -217,14 +220,14 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "text_and_back", test_text_and_back },
-    { "bad_text", test_bad_text },
-    { "keys", test_keys },
-    { "places_in_order", test_places_in_order },
-    { "reply_lost", test_reply_lost },
-    { "claim_with_bill", test_claim_with_bill },
+    { "text_parses_to_the_same_record", test_text_parses_to_the_same_record },
+    { "invalid_text", test_invalid_text },
+    { "keys_are_unique_per_request", test_keys_are_unique_per_request },
+    { "fallbacks_in_order", test_fallbacks_in_order },
+    { "lost_reply", test_lost_reply },
+    { "claim_is_settled_with_its_bill", test_claim_is_settled_with_its_bill },
     { "answer_replaces_cut", test_answer_replaces_cut },
-    { "malformed_record", test_malformed_record },
+    { "malformed_record_blocks_no_others", test_malformed_record_blocks_no_others },
   };
 
   if (sodium_init () < 0)
--- a/tests/test_bill_kill.c
+++ b/tests/test_bill_kill.c
@@ -8,60 +8,60 @@
 #include <stdlib.h>
 
 #define SPOOL_MAX (1U << 20)
-/* Full after a burst, so that records leave for the object store. */
-#define SPOOL_SPILLING 16384
-#define RECORDS        4
-#define KILL_STEPS     12
-#define RANDOM_SEED    20261202
-#define GATES          150
-#define THREADS        4
-#define BURSTS         6
-#define BURST          4
-
-/* What the caller of one request saw. */
+/* Full after a burst, so that records are spilled to the object store. */
+#define SPOOL_MAX_SPILLING 16384
+#define RECORDS            4
+#define KILL_STEPS         12
+#define RANDOM_SEED        20261202
+#define GATES              150
+#define THREADS            4
+#define BURSTS             6
+#define BURST              4
+
+/* Result of one request, as its caller saw it. */
 typedef struct
 {
   bool answered; /* the end of its answer was sent: the gate was alive after bill_commit */
   BillPlace place;
-} Seen;
+} RequestResult;
 
 typedef struct
 {
   FakeSite site;
-  Seen *seen;
+  RequestResult *results;
   int count;
-  int lost; /* answered with the record in the gate's memory only, and not billed after its death */
-} World;
+  int lost; /* answered, with the record in the gate's memory only, and never billed */
+} Fixture;
 
 static void
-world_init (World *w, int count)
+fixture_init (Fixture *w, int count)
 {
   w->site = fake_site_new ();
-  w->seen = memory_array ((size_t)count, sizeof *w->seen);
+  w->results = memory_array ((size_t)count, sizeof *w->results);
   w->count = count;
   w->lost = 0;
 }
 
 static void
-world_free (World *w)
+fixture_free (Fixture *w)
 {
-  free (w->seen);
+  free (w->results);
   fake_site_free (&w->site);
 }
 
 static void
-request (World *w, FakeGate *gate, int n)
+request (Fixture *w, FakeGate *gate, int n)
 {
   BillRecord record = fake_bill (n);
 
-  w->seen[n].place = bill_commit (gate->writer, &record, NULL);
-  w->seen[n].answered = !fake_link_is_dead (gate->link);
+  w->results[n].place = bill_commit (gate->writer, &record, NULL);
+  w->results[n].answered = !fake_link_is_dead (gate->link);
 }
 
-/* Every request whose answer ended has one bill with its own cost, and no bill is anybody else's.
- */
+/* Every request whose answer ended must have one bill, with its own cost, and there must be no
+ * other bills. Counts the requests that lost their bill with the gate's memory. */
 static void
-check_bills (World *w)
+check_bills (Fixture *w)
 {
   double expected = 0;
   double sum = 0;
@@ -77,9 +77,9 @@
       rows += billed;
       expected += billed ? n + 0.25 : 0;
       sum += billed ? fake_bill_cost (&bill) : 0;
-      if (!billed && w->seen[n].answered && w->seen[n].place == BILL_AT_SPOOL)
+      if (!billed && w->results[n].answered && w->results[n].place == BILL_AT_SPOOL)
         w->lost++;
-      else if (!billed && w->seen[n].answered)
+      else if (!billed && w->results[n].answered)
         wrong++;
     }
   CU_ASSERT_EQUAL (wrong, 0);
@@ -87,9 +87,8 @@
   CU_ASSERT_EQUAL (rows, fake_platform_rows (w->site.platform, "bill"));
 }
 
-/* The VM dies at each of its calls to the platform or to another VM in turn, before the call's
- * effect or after it, with each set of places down. Its stewards then settle what it left, twice.
- */
+/* The VM dies at each of its calls to the platform or to another VM in turn, before or after the
+ * call takes effect, with each set of places down. Then stewards recover its records, twice. */
 static void
 test_killed_at_every_step (void)
 {
@@ -101,15 +100,15 @@
     CALL_TXN | CALL_COPY,
     CALL_TXN | CALL_OBJECT_PUT | CALL_COPY,
   };
-  int lost_beside_spool = 0;
+  int lost_elsewhere = 0;
 
   for (int step = 0; step < KILL_STEPS * 2 * (int)SUITE_COUNT (down); step++)
     {
       unsigned cut = down[step % SUITE_COUNT (down)];
-      World w;
+      Fixture w;
       FakeGate *gate;
 
-      world_init (&w, RECORDS);
+      fixture_init (&w, RECORDS);
       gate = fake_gate_new (&w.site, 1, SPOOL_MAX);
       fake_link_set (gate->link, cut, step % 3 ? LINK_REFUSED : LINK_CALL_LOST);
       fake_link_kill_at (gate->link, (size_t)step / SUITE_COUNT (down) / 2 + 1,
@@ -126,16 +125,16 @@
       fake_site_settle (&w.site, NULL);
       check_bills (&w);
       if (cut != (CALL_TXN | CALL_OBJECT_PUT | CALL_COPY))
-        lost_beside_spool += w.lost;
-      world_free (&w);
+        lost_elsewhere += w.lost;
+      fixture_free (&w);
     }
-  CU_ASSERT_EQUAL (lost_beside_spool, 0);
+  CU_ASSERT_EQUAL (lost_elsewhere, 0);
 }
 
 typedef struct
 {
   pthread_t thread;
-  World *world;
+  Fixture *world;
   FakeGate *gate;
   int first;
 } Client;
@@ -151,7 +150,7 @@
 }
 
 static void
-burst (World *w, FakeGate *gate, int first)
+burst (Fixture *w, FakeGate *gate, int first)
 {
   Client clients[THREADS];
 
@@ -179,23 +178,24 @@
                        gsl_rng_uniform_int (rng, 2) == 0);
 }
 
-/* Gate after gate under random faults, four callers at a time; some die at a random call, some are
- * stopped with a spool that is not empty, some end well. Stewards settle now and then, while the
- * next gate is at work. */
+/* One gate after the other under random faults, with four callers at a time. Some gates die at a
+ * random call, some are stopped with records in the spool, some end normally. Stewards recover
+ * records now and then, also while the next gate is running. */
 static void
 test_random_kills (void)
 {
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_mt19937);
-  World w;
+  Fixture w;
   int n = 0;
   int answered = 0;
-  int safe = 0;
+  int durable = 0;
 
   gsl_rng_set (rng, RANDOM_SEED);
-  world_init (&w, GATES * BURSTS * THREADS * BURST);
+  fixture_init (&w, GATES * BURSTS * THREADS * BURST);
   for (int g = 0; g < GATES; g++)
     {
-      FakeGate *gate = fake_gate_new (&w.site, (uint64_t)g + 1, g % 2 ? SPOOL_MAX : SPOOL_SPILLING);
+      FakeGate *gate
+          = fake_gate_new (&w.site, (uint64_t)g + 1, g % 2 ? SPOOL_MAX : SPOOL_MAX_SPILLING);
 
       for (int b = 0; b < BURSTS; b++, n += THREADS * BURST)
         {
@@ -212,13 +212,13 @@
   check_bills (&w);
   for (int i = 0; i < w.count; i++)
     {
-      answered += w.seen[i].answered;
-      safe += w.seen[i].answered && w.seen[i].place != BILL_AT_SPOOL;
+      answered += w.results[i].answered;
+      durable += w.results[i].answered && w.results[i].place != BILL_AT_SPOOL;
     }
-  CU_ASSERT_TRUE (answered > w.count / 4 && safe > w.count / 8);
+  CU_ASSERT_TRUE (answered > w.count / 4 && durable > w.count / 8);
   printf ("%d requests, %d answered, %d durable at the end, %d lost from spools ", w.count,
-          answered, safe, w.lost);
-  world_free (&w);
+          answered, durable, w.lost);
+  fixture_free (&w);
   gsl_rng_free (rng);
 }
 
--- a/tests/test_bill_outage.c
+++ b/tests/test_bill_outage.c
@@ -7,22 +7,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HOUR_MS     INT64_C (3600000)
-#define OUTAGE_MS   (8 * HOUR_MS)
-#define RUN_MS      2000 /* how long each request is in progress */
-#define SPOOL_MAX   (8U << 20)
-#define FLUSH       128
-#define FLUSH_EVERY 20
-#define PAUSE_MAX   2000 /* the breaker's longest */
-
-/* A gate on a virtual clock: the spool, the breaker and the steps of the writer's thread. */
+#define HOUR_MS        INT64_C (3600000)
+#define OUTAGE_MS      (8 * HOUR_MS)
+#define RUN_MS         2000 /* how long each request is in progress */
+#define SPOOL_MAX      (8U << 20)
+#define FLUSH          128 /* records of one transaction, as in bill_writer_thread.c */
+#define FLUSH_EVERY_MS 20
+#define PAUSE_MAX_MS   2000 /* the circuit breaker's longest */
+
+/* Simulation of a gate on a virtual clock: the spool, the circuit breaker and the writer's thread.
+ */
 typedef struct
 {
   int64_t now;
   bool table_up, objects_up;
   BillSpool spool;
   PlatformBreaker breaker;
-  int64_t ends[1000]; /* of requests in progress, a ring */
+  int64_t ends[1000]; /* of requests in progress, as a ring buffer */
   int first, in_progress, in_progress_max;
   int64_t taken, refused, billed, spilled, tries;
   size_t bytes_most;
@@ -61,7 +62,7 @@
       g->billed++;
       return;
     }
-  /* The key differs by the order, which the spool's batches need. */
+  /* Keys are unique, because a batch from the spool has no two records with the same key. */
   snprintf (record.key, sizeof record.key, "t/%lld", (long long)(g->taken - g->in_progress));
   entry = bill_entry_new (&record, NULL);
   bill_spool_add (&g->spool, entry);
@@ -83,7 +84,7 @@
   BillEntry *entries[FLUSH];
   size_t count;
 
-  if (g->spool.count == 0 || g->now % FLUSH_EVERY != 0
+  if (g->spool.count == 0 || g->now % FLUSH_EVERY_MS != 0
       || !platform_breaker_allows (&g->breaker, g->now))
     return;
   g->tries++;
@@ -99,7 +100,7 @@
   g->billed += (int64_t)count;
 }
 
-/* Runs for ms with a request each every_ms. */
+/* Runs for ms, with one request each every_ms. */
 static void
 gate_run (Gate *g, int64_t ms, int every_ms)
 {
@@ -114,7 +115,7 @@
 }
 
 static void
-check (Gate *g, int every_ms, const char *name)
+run_outage (Gate *g, int every_ms, const char *name)
 {
   int64_t tries;
 
@@ -124,7 +125,7 @@
   g->table_up = false;
   gate_run (g, OUTAGE_MS, every_ms);
   CU_ASSERT_TRUE (g->bytes_most <= SPOOL_MAX);
-  CU_ASSERT_TRUE (g->tries <= OUTAGE_MS / PAUSE_MAX + 10);
+  CU_ASSERT_TRUE (g->tries <= OUTAGE_MS / PAUSE_MAX_MS + 10);
   CU_ASSERT_EQUAL (g->taken + g->refused, (g->now + every_ms - 1) / every_ms);
   printf ("%s: taken %lld refused %lld spilled %lld most bytes %zu; ", name, (long long)g->taken,
           (long long)g->refused, (long long)g->spilled, g->bytes_most);
@@ -137,28 +138,28 @@
   bill_spool_clear (&g->spool);
 }
 
-/* The table is down for eight hours and so is every other place. Memory stays bounded, what does
- * not fit is refused at once, the table is tried every two seconds and no more, and within a minute
- * of its return every record is written. */
+/* The table and every fallback are down for eight hours. Memory must stay bounded, requests without
+ * room must be refused at once, the table must be tried at most every two seconds, and within a
+ * minute of its return all records must be written. */
 static void
-test_hours_with_every_place_down (void)
+test_long_outage_of_every_place (void)
 {
   static Gate g;
 
   gate_init (&g, 1000);
-  check (&g, 30, "all down, 33/s");
+  run_outage (&g, 30, "all down, 33/s");
   CU_ASSERT_TRUE (g.refused > 0);
 }
 
-/* With the object store up, nothing is refused. */
+/* The same with the object store up: nothing must be refused. */
 static void
-test_hours_with_object_store (void)
+test_long_outage_with_object_store (void)
 {
   static Gate g;
 
   gate_init (&g, 1000);
   g.objects_up = true;
-  check (&g, 100, "objects up, 10/s");
+  run_outage (&g, 100, "objects up, 10/s");
   CU_ASSERT_EQUAL (g.refused, 0);
   CU_ASSERT_TRUE (g.spilled > 0);
 }
@@ -167,8 +168,8 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "hours_with_every_place_down", test_hours_with_every_place_down },
-    { "hours_with_object_store", test_hours_with_object_store },
+    { "long_outage_of_every_place", test_long_outage_of_every_place },
+    { "long_outage_with_object_store", test_long_outage_with_object_store },
   };
 
   if (sodium_init () < 0)
--- a/tests/test_bill_recover.c
+++ b/tests/test_bill_recover.c
@@ -16,10 +16,10 @@
   return *(bool *)context;
 }
 
-/* The table is down, records go to the object store, and the VM dies. Later two stewards, one after
- * the other, bring them to the table: each is there once. */
+/* The table is down, records are stored in the object store, and the VM dies. Two stewards, one
+ * after the other, recover them: each record must be in the table once. */
 static void
-test_objects_of_a_dead_gate (void)
+test_objects_of_a_terminated_gate (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new (&site, 0xfedcba9876543210U, SPOOL_MAX);
@@ -58,10 +58,10 @@
   return fake_gate_commit (c->gate, c->n) == BILL_AT_OBJECT_STORE;
 }
 
-/* A write to the object store fails or its reply is lost, now and then. Were its number passed
- * over, those who look for the objects one after the other would stop before the rest. */
+/* Some writes to the object store fail or lose their reply. If such a number were skipped,
+ * recovery, which reads one number after the other, would stop there and miss the rest. */
 static void
-test_objects_have_no_gap (void)
+test_object_numbers_are_consecutive (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new (&site, 1, SPOOL_MAX);
@@ -84,10 +84,10 @@
   fake_site_free (&site);
 }
 
-/* A gate that starts while the table is down has no row that leads to its objects; they would be
- * lost with it. Its records go to replicas instead. */
+/* A gate that starts while the table is down has no row by which its objects are found, so that
+ * they would be lost if it died. Its records must be copied to replicas instead. */
 static void
-test_no_objects_without_the_row (void)
+test_no_objects_without_the_gate_row (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new_cut (&site, 1, SPOOL_MAX, CALL_TXN);
@@ -99,10 +99,11 @@
   fake_site_free (&site);
 }
 
-/* A write to the object store arrives long after its gate died. The gate's row outlives many passes
- * that find nothing, and so the late object is found; in the end the row goes. */
+/* A write to the object store takes effect long after its gate died. The gate's row must be kept
+ * for many passes without a new object, so that this object is recovered; in the end the row is
+ * deleted. */
 static void
-test_late_object (void)
+test_delayed_object_is_recovered (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new (&site, 1, SPOOL_MAX);
@@ -130,9 +131,9 @@
   fake_site_free (&site);
 }
 
-/* An object that can't be read must not hide those behind it, nor the other gates'. */
+/* An object that can't be parsed must not prevent the recovery of the next objects. */
 static void
-test_bad_object (void)
+test_invalid_object_is_skipped (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new (&site, 1, SPOOL_MAX);
@@ -150,7 +151,8 @@
   fake_site_free (&site);
 }
 
-/* The table goes down in the middle of a recovery, with a lost reply. The next pass finishes it. */
+/* Calls to the table or their replies are lost in the middle of a recovery. The next pass must
+ * complete it. */
 static void
 test_recovery_is_resumed (void)
 {
@@ -177,10 +179,10 @@
   fake_site_free (&site);
 }
 
-/* One record that a gate left is malformed to the table service, in an object and in a copy. The
- * rest is written, and the one is tried again until the service takes it. */
+/* The table service rejects one record of a terminated gate as malformed, in an object and in a
+ * copy. The others must be written, and that one tried again until the service accepts it. */
 static void
-test_malformed_record (void)
+test_malformed_record_is_retried (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new (&site, 1, SPOOL_MAX);
@@ -223,10 +225,10 @@
   return size.count == 0 && size.bytes == 0;
 }
 
-/* Table and object store are down: records are copied to another VM. When the table is back the
- * gate writes them and the other VM forgets its copies. */
+/* The table and the object store are down, so that records are copied to another VM. When the table
+ * is back the gate writes them, and the other VM must remove its copies. */
 static void
-test_replica_forgets (void)
+test_replica_removes_done_records (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new (&site, 1, SPOOL_MAX);
@@ -267,10 +269,10 @@
   return taken;
 }
 
-/* Copies of a gate that is alive stay until it says that they are done, or for the hold time: the
- * message that says so may be lost. The table being down, they stay all the same. */
+/* Copies of a running gate are kept until it reports them as done or, since this report may be
+ * lost, until the hold time is over and they are written. If that write fails they must be kept. */
 static void
-test_replica_writes_in_time (void)
+test_replica_writes_after_hold_time (void)
 {
   FakeSite site = fake_site_new ();
   bool alive = true;
@@ -292,9 +294,10 @@
   fake_site_free (&site);
 }
 
-/* A steward with no room refuses at once and keeps what it has; the same record takes room once. */
+/* A steward without room must refuse further copies at once and keep those it has; a record that is
+ * sent again must use no more room. */
 static void
-test_replica_is_bounded (void)
+test_replica_has_a_limit (void)
 {
   BillReplica *replica = bill_replica_new (100000);
   BillReplicaSize size;
@@ -321,16 +324,16 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "objects_of_a_dead_gate", test_objects_of_a_dead_gate },
-    { "objects_have_no_gap", test_objects_have_no_gap },
-    { "no_objects_without_the_row", test_no_objects_without_the_row },
-    { "late_object", test_late_object },
-    { "bad_object", test_bad_object },
+    { "objects_of_a_terminated_gate", test_objects_of_a_terminated_gate },
+    { "object_numbers_are_consecutive", test_object_numbers_are_consecutive },
+    { "no_objects_without_the_gate_row", test_no_objects_without_the_gate_row },
+    { "delayed_object_is_recovered", test_delayed_object_is_recovered },
+    { "invalid_object_is_skipped", test_invalid_object_is_skipped },
     { "recovery_is_resumed", test_recovery_is_resumed },
-    { "malformed_record", test_malformed_record },
-    { "replica_forgets", test_replica_forgets },
-    { "replica_writes_in_time", test_replica_writes_in_time },
-    { "replica_is_bounded", test_replica_is_bounded },
+    { "malformed_record_is_retried", test_malformed_record_is_retried },
+    { "replica_removes_done_records", test_replica_removes_done_records },
+    { "replica_writes_after_hold_time", test_replica_writes_after_hold_time },
+    { "replica_has_a_limit", test_replica_has_a_limit },
   };
 
   if (sodium_init () < 0)
--- a/tests/test_bill_spool.c
+++ b/tests/test_bill_spool.c
@@ -12,25 +12,25 @@
 {
   FakeSite site;
   FakeGate *gate;
-} World;
+} Fixture;
 
 static void
-world_init (World *w)
+fixture_init (Fixture *w)
 {
   w->site = fake_site_new ();
   w->gate = fake_gate_new (&w->site, 1, SPOOL_MAX);
 }
 
 static void
-world_free (World *w)
+fixture_free (Fixture *w)
 {
   CU_ASSERT_EQUAL (fake_gate_free (w->gate, 30000), 0);
   fake_site_free (&w->site);
 }
 
-/* Room for some fifty records. */
+/* Room for about fifty records. */
 #define SPILL_SPOOL_MAX 65536
-/* Longer than the writer's pause between two writes of its row. */
+/* Longer than the writer's interval between two writes of the gate's row. */
 #define INDEX_WAIT_MS 1200
 
 static bool
@@ -42,16 +42,16 @@
   return backlog.count == 0;
 }
 
-/* Every place is down. Records of requests that were taken before are all kept; new work is refused
- * at once when the room is used up, and taken again after the table is back. */
+/* Every place is down. All records of accepted requests must be kept; new work must be refused as
+ * soon as the spool is full, and accepted again after the table is back. */
 static void
-test_full_spool (void)
+test_full_spool_refuses_new_work (void)
 {
-  World w;
+  Fixture w;
   BillBacklog backlog;
   int n = 0;
 
-  world_init (&w);
+  fixture_init (&w);
   fake_link_set (w.gate->link, CALL_ALL | CALL_COPY, LINK_REFUSED);
   while (bill_has_room (w.gate->writer))
     fake_gate_commit (w.gate, n++);
@@ -65,12 +65,12 @@
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   CU_ASSERT_TRUE (bill_has_room (w.gate->writer));
   CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), (size_t)n);
-  world_free (&w);
+  fixture_free (&w);
 }
 
-/* Commits records until so many have been spilled; returns how many were committed. */
+/* Commits records until that many have been spilled; returns how many were committed. */
 static int
-commit_until_spilled (World *w, size_t spilled)
+commit_until_spilled (Fixture *w, size_t spilled)
 {
   BillBacklog backlog = { 0 };
   int wrong = 0;
@@ -91,19 +91,20 @@
 }
 
 static void
-check_all_billed (World *w, int count)
+check_all_billed (Fixture *w, int count)
 {
   CU_ASSERT_EQUAL (fake_platform_rows (w->site.platform, BILL_TABLE), (size_t)count);
   for (int n = 0; n < count; n++)
     CU_ASSERT_TRUE (fake_site_is_billed (&w->site, n));
 }
 
-/* The table is down for long while the object store is up. Records that are in an object leave the
- * memory, so that work goes on; they reach the table from there. */
+/* The table is down for long while the object store is up. Records that are in an object must be
+ * removed from memory, so that new work is accepted, and must reach the table from the object
+ * store. */
 static void
 test_long_outage_spills (void)
 {
-  World w = { .site = fake_site_new () };
+  Fixture w = { .site = fake_site_new () };
   int n;
 
   w.gate = fake_gate_new (&w.site, 1, SPILL_SPOOL_MAX);
@@ -111,15 +112,15 @@
   fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   check_all_billed (&w, n);
-  world_free (&w);
+  fixture_free (&w);
 }
 
-/* The gate dies between its spool's being empty and its spilled records' being in the table. Its
- * row must still lead to the objects that hold them. */
+/* The gate dies when its spool is empty but its spilled records are not in the table yet. Its row
+ * must still lead to the objects with these records. */
 static void
-test_killed_with_spilled (void)
+test_killed_with_spilled_records (void)
 {
-  World w = { .site = fake_site_new () };
+  Fixture w = { .site = fake_site_new () };
   int n;
 
   w.gate = fake_gate_new (&w.site, 1, SPILL_SPOOL_MAX);
@@ -135,12 +136,12 @@
   fake_site_free (&w.site);
 }
 
-/* While spilled records are read back, the table goes down again with a lost call. What was read
- * and not written has to be read once more. */
+/* While spilled records are read back the table loses calls again. Records that were read but not
+ * written must be read again. */
 static void
-test_spilled_are_read_again (void)
+test_spilled_records_are_read_again (void)
 {
-  World w = { .site = fake_site_new () };
+  Fixture w = { .site = fake_site_new () };
   int n;
 
   w.gate = fake_gate_new (&w.site, 1, SPILL_SPOOL_MAX);
@@ -154,12 +155,12 @@
   fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   check_all_billed (&w, n);
-  world_free (&w);
+  fixture_free (&w);
 }
 
-/* Only what the object store has may leave the memory, oldest first. */
+/* Only records that are in the object store may be removed from memory, oldest first. */
 static void
-test_spill_takes_only_stored (void)
+test_only_stored_records_are_spilled (void)
 {
   static const BillPlace places[] = { BILL_AT_SPOOL, BILL_AT_OBJECT_STORE, BILL_AT_REPLICA };
   BillSpool spool;
@@ -188,8 +189,8 @@
   bill_spool_clear (&spool);
 }
 
-/* Settled claims carry their answers. When the room runs out the answers go, and never the bills.
- */
+/* Settled claims contain their answers. When the room is used up answers must be dropped, and never
+ * bills. */
 static void
 test_full_spool_drops_answers (void)
 {
@@ -226,11 +227,11 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "full_spool", test_full_spool },
+    { "full_spool_refuses_new_work", test_full_spool_refuses_new_work },
     { "long_outage_spills", test_long_outage_spills },
-    { "killed_with_spilled", test_killed_with_spilled },
-    { "spilled_are_read_again", test_spilled_are_read_again },
-    { "spill_takes_only_stored", test_spill_takes_only_stored },
+    { "killed_with_spilled_records", test_killed_with_spilled_records },
+    { "spilled_records_are_read_again", test_spilled_records_are_read_again },
+    { "only_stored_records_are_spilled", test_only_stored_records_are_spilled },
     { "full_spool_drops_answers", test_full_spool_drops_answers },
   };
 
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -10,7 +10,7 @@
 
 #define THREADS 16
 
-/* Writes the settlement as the bill's transaction does. */
+/* Writes the settlement, as the transaction of the usage record does. */
 static void
 settle (const OrderSite *site, const Claim *claim, const char *answer)
 {
@@ -28,11 +28,10 @@
   free (text);
 }
 
-/* A dispatch order is sent again while the first attempt is at work, after the holder died, and
- * after it was answered. It runs once: the re-sends are told "in progress", then get the stored
- * answer. */
+/* A dispatch order is sent again while the first attempt is running and after it was answered. It
+ * must run once: the re-sends get "in progress", then the stored answer. */
 static void
-test_resend (void)
+test_resend_does_not_run_again (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome first, again;
@@ -48,9 +47,10 @@
   order_site_free (&site);
 }
 
-/* The VM that has the order is killed at its claim's write, before the effect or after it; after
- * the claim was taken and bytes may have left; and after the bill, before the answer's end. The
- * re-send at another VM runs the order only in the first case, and gets the answer in the last. */
+/* The VM that has the order is killed at the write of its claim, before or after the write takes
+ * effect; after the claim was taken and bytes may have been sent; and after the bill, before the
+ * end of the answer. A re-send at another VM may run the order only in the first case, and must get
+ * the answer in the last. */
 static void
 test_holder_killed (void)
 {
@@ -83,7 +83,7 @@
 }
 
 static void
-test_another_body (void)
+test_another_body_is_a_mismatch (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -93,9 +93,10 @@
   order_site_free (&site);
 }
 
-/* An answer over the bound is not stored, and the re-send gets none rather than a part of it. */
+/* An answer over the limit is not stored, and the re-send gets no answer rather than a part of it.
+ */
 static void
-test_answer_too_long (void)
+test_too_long_answer_is_not_stored (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome first, again;
@@ -111,10 +112,10 @@
   order_site_free (&site);
 }
 
-/* The reply to the claim's write is lost after it took effect. Without the nonce the gate would
- * take its own row for another attempt's, and the order would never run. */
+/* The reply to the claim's write is lost after the write took effect. Without the nonce the gate
+ * would treat its own row as another attempt's, and the order would never run. */
 static void
-test_reply_lost (void)
+test_lost_reply (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -126,7 +127,7 @@
 }
 
 static void
-test_call_lost (void)
+test_lost_call (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -137,10 +138,10 @@
   order_site_free (&site);
 }
 
-/* The table service is down: no durable claim, so the order is not run and the caller is told so.
- */
+/* The table service is down, so that no claim can be made durable: the order must not run, and the
+ * caller is told so. */
 static void
-test_down (void)
+test_table_down (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -159,10 +160,10 @@
   return claim_releaser_free (releaser);
 }
 
-/* The write took effect, its reply is lost and the service is then gone. The caller is told "not
- * run"; were the row left alone, each of its re-sends would be told "in progress" for ever. */
+/* The write takes effect, its reply is lost and then the service is unavailable. The caller is told
+ * "not run". Without the release each of its re-sends would get "in progress" for ever. */
 static void
-test_unsettled_is_released (void)
+test_unknown_outcome_is_released (void)
 {
   OrderSite site = order_site_new ();
   ClaimReleaser *releaser = claim_releaser_new (site.p);
@@ -180,10 +181,10 @@
   order_site_free (&site);
 }
 
-/* The write of an attempt that was told "not run" arrives at the table service after the release.
- * Were the row deleted by the release, it would leave a claim that no attempt owns. */
+/* The delayed write of an attempt that was told "not run" takes effect after the release. If the
+ * release deleted the row, the write would create a claim that no attempt owns. */
 static void
-test_late_write (void)
+test_delayed_write_after_release (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -200,10 +201,10 @@
   order_site_free (&site);
 }
 
-/* Attempt B takes over a released row, the write is late, and B is told "not run". The release of B
- * finds the row still released; it must make B's late write come to nothing. */
+/* Attempt B takes over a released row, its write is delayed, and B is told "not run". The release
+ * of B finds the row still released and must prevent B's delayed write from taking effect. */
 static void
-test_late_take_over (void)
+test_delayed_take_over_after_release (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome a, b;
@@ -228,8 +229,8 @@
   bool done;
 } Racer;
 
-/* Between the release's read and its write, attempt A's row is released by A's other try and taken
- * over by B. The release must not touch B's claim. */
+/* Between the read and the write of a release of attempt A, another release of A succeeds and B
+ * takes the row over. The first release must not change B's claim. */
 static void
 race_with_release (void *context, FakeCall call)
 {
@@ -269,8 +270,8 @@
   order_site_free (&site);
 }
 
-/* Runs another re-send's whole attempt just before the take-over's write: the second transaction,
- * after the insert that found the released row. */
+/* Runs the whole attempt of another re-send directly before the write of the take-over, which is
+ * the second transaction, after the insert that found the released row. */
 static void
 race_with_take_over (void *context, FakeCall call)
 {
@@ -282,7 +283,7 @@
 }
 
 /* Two re-sends find the order released; the second takes it over between the first one's read and
- * its write. Both running it would send two crews. */
+ * write. If both ran it, two crews would be sent. */
 static void
 test_take_over_race (void)
 {
@@ -308,7 +309,7 @@
   return NULL;
 }
 
-/* A released claim is wanted by many re-sends at once: one gets it. */
+/* Many re-sends try to take over a released claim at once: one must get it. */
 static void
 test_take_over_has_one_winner (void)
 {
@@ -338,16 +339,16 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "resend", test_resend },
+    { "resend_does_not_run_again", test_resend_does_not_run_again },
     { "holder_killed", test_holder_killed },
-    { "another_body", test_another_body },
-    { "answer_too_long", test_answer_too_long },
-    { "reply_lost", test_reply_lost },
-    { "call_lost", test_call_lost },
-    { "down", test_down },
-    { "unsettled_is_released", test_unsettled_is_released },
-    { "late_write", test_late_write },
-    { "late_take_over", test_late_take_over },
+    { "another_body_is_a_mismatch", test_another_body_is_a_mismatch },
+    { "too_long_answer_is_not_stored", test_too_long_answer_is_not_stored },
+    { "lost_reply", test_lost_reply },
+    { "lost_call", test_lost_call },
+    { "table_down", test_table_down },
+    { "unknown_outcome_is_released", test_unknown_outcome_is_released },
+    { "delayed_write_after_release", test_delayed_write_after_release },
+    { "delayed_take_over_after_release", test_delayed_take_over_after_release },
     { "release_leaves_a_later_claim", test_release_leaves_a_later_claim },
     { "take_over_race", test_take_over_race },
     { "take_over_has_one_winner", test_take_over_has_one_winner },
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -3,21 +3,22 @@
 #include <gsl/gsl_rng.h>
 #include <sodium.h>
 
-/* Random attempts on one order from several VMs, under every fault of the table service, with late
- * effects. At most one attempt runs unless proved not run; "not run" is final for its attempt. */
+/* Random attempts on one order from several VMs, under every fault of the table service and with
+ * delayed writes. A second attempt may run only after proof that the earlier one did not; an
+ * attempt that was told "not run" must never run. */
 typedef struct
 {
   OrderSite site;
   gsl_rng *rng;
-  Claim running; /* the attempt that was given the claim, if any */
+  Claim running; /* the attempt that has the claim, if any */
   bool has_running;
-  Claim released[64]; /* told "not run" with an unsettled row */
+  Claim released[64]; /* told "not run", with a row that has to be released */
   size_t released_count;
   unsigned runs, faults;
-} World;
+} Fixture;
 
 static void
-world_fault (World *w)
+fixture_fault (Fixture *w)
 {
   static const FakeFault faults[]
       = { FAULT_NONE, FAULT_NONE, FAULT_DOWN, FAULT_LOSE_REPLY, FAULT_LOSE_CALL, FAULT_SLOW };
@@ -29,7 +30,7 @@
 }
 
 static void
-world_take (World *w)
+fixture_take (Fixture *w)
 {
   ClaimOutcome out;
   ClaimResult result = order_take (&w->site, ORDER_BODY, &out);
@@ -47,7 +48,7 @@
 }
 
 static void
-world_release (World *w)
+fixture_release (Fixture *w)
 {
   if (w->released_count > 0
       && claim_release (w->site.p, &w->released[w->released_count - 1], NULL) == STATUS_OK)
@@ -56,7 +57,7 @@
 
 /* The attempt that has the claim is refused by its backend server: it did not run. */
 static void
-world_not_run (World *w)
+fixture_not_run (Fixture *w)
 {
   if (!w->has_running)
     return;
@@ -68,35 +69,35 @@
 static void
 test_random_attempts (void)
 {
-  World w = { .site = order_site_new (), .rng = gsl_rng_alloc (gsl_rng_mt19937) };
+  Fixture w = { .site = order_site_new (), .rng = gsl_rng_alloc (gsl_rng_mt19937) };
 
   gsl_rng_set (w.rng, 4711);
   for (int step = 0; step < 20000; step++)
     switch (gsl_rng_uniform_int (w.rng, 6))
       {
       case 0:
-        world_fault (&w);
+        fixture_fault (&w);
         break;
       case 1:
         fake_platform_late_effects (w.site.p);
         break;
       case 2:
-        world_release (&w);
+        fixture_release (&w);
         break;
       case 3:
-        world_not_run (&w);
+        fixture_not_run (&w);
         break;
       default:
-        world_take (&w);
+        fixture_take (&w);
         break;
       }
   CU_ASSERT_TRUE (w.runs > 100 && w.faults > 1000);
-  /* In the end the order can be run: no row is stuck. */
+  /* At the end the order can run: no row stays in progress. */
   fake_platform_fault (w.site.p, FAULT_NONE, 0, 0);
   fake_platform_late_effects (w.site.p);
-  world_not_run (&w);
+  fixture_not_run (&w);
   while (w.released_count > 0)
-    world_release (&w);
+    fixture_release (&w);
   fake_platform_late_effects (w.site.p);
   CU_ASSERT_EQUAL (order_resend (&w.site), CLAIM_TAKEN);
   gsl_rng_free (w.rng);
--- a/tests/test_cluster_brake.c
+++ b/tests/test_cluster_brake.c
@@ -1,5 +1,5 @@
 /**
- * Brakes: merging in any order, release by a later configuration, bounds.
+ * Brakes: merging in any order, release by a later configuration, limits.
  */
 #include "cluster_brake.h"
 #include "suite.h"
@@ -20,7 +20,7 @@
 }
 
 static void
-a_brake_binds_until_it_is_released (void)
+a_brake_is_active_until_released (void)
 {
   ClusterBrakes *b = cluster_brakes_new ();
   ClusterBrake early = brake ("v8", 4, "vm-1");
@@ -35,7 +35,7 @@
   CU_ASSERT_PTR_NOT_NULL (cluster_brakes_find (b, "draft", "v8"));
   cluster_brakes_release (b, "draft", "v8", 4);
   CU_ASSERT_PTR_NULL (cluster_brakes_find (b, "draft", "v8"));
-  /* A peer that has not applied the release yet sends it again. */
+  /* A peer that has not applied the release yet still sends the brake. */
   CU_ASSERT_EQUAL (cluster_brakes_add (b, &early), CLUSTER_BRAKE_RELEASED);
   CU_ASSERT_PTR_NULL (cluster_brakes_find (b, "draft", "v8"));
   CU_ASSERT_EQUAL (cluster_brakes_add (b, &late), CLUSTER_BRAKE_ADDED);
@@ -45,10 +45,10 @@
   cluster_brakes_free (b);
 }
 
-/* A release that comes before the brake it releases: a steward that applied the patch first and
-   then hears the old brake from a peer. */
+/* A steward applies the releasing patch first and then gets the released brake from a peer: it must
+   not become active. */
 static void
-a_release_can_come_first (void)
+a_release_may_arrive_before_its_brake (void)
 {
   ClusterBrakes *b = cluster_brakes_new ();
   ClusterBrake k = brake ("v8", 4, "vm-1");
@@ -59,17 +59,16 @@
   cluster_brakes_free (b);
 }
 
-#define KINDS  12
+#define BRAKES 12
 #define ROUNDS 200
 
-/* Heartbeats come late, doubled and out of order. Whatever the order, two VMs that saw the same
-   brakes hold the same set with the same digest, and a digest that differs means sets that differ.
- */
+/* Heartbeats are delayed, duplicated and reordered. Two VMs that received the same brakes in any
+   order must have equal sets with equal digests, and different sets must have different digests. */
 static void
-order_does_not_matter (void)
+merging_does_not_depend_on_order (void)
 {
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_mt19937);
-  ClusterBrake sent[KINDS];
+  ClusterBrake sent[BRAKES];
   ClusterBrake x[CLUSTER_BRAKES_MAX];
   ClusterBrake y[CLUSTER_BRAKES_MAX];
 
@@ -78,14 +77,14 @@
     {
       ClusterBrakes *a = cluster_brakes_new ();
       ClusterBrakes *b = cluster_brakes_new ();
-      for (int i = 0; i < KINDS; i++)
+      for (int i = 0; i < BRAKES; i++)
         sent[i] = brake (gsl_rng_uniform_int (rng, 2) ? "v8" : "v9",
                          (int64_t)gsl_rng_uniform_int (rng, 3),
                          gsl_rng_uniform_int (rng, 2) ? "vm-1" : "vm-2");
-      cluster_brakes_merge (a, sent, KINDS);
-      for (int i = 0; i < 3 * KINDS; i++)
-        cluster_brakes_add (b, &sent[gsl_rng_uniform_int (rng, KINDS)]);
-      for (int i = KINDS; i-- > 0;)
+      cluster_brakes_merge (a, sent, BRAKES);
+      for (int i = 0; i < 3 * BRAKES; i++)
+        cluster_brakes_add (b, &sent[gsl_rng_uniform_int (rng, BRAKES)]);
+      for (int i = BRAKES; i-- > 0;)
         cluster_brakes_add (b, &sent[i]);
       size_t count = cluster_brakes_list (a, x);
       CU_ASSERT_EQUAL (cluster_brakes_list (b, y), count);
@@ -109,7 +108,7 @@
 }
 
 static void
-the_set_is_bounded (void)
+the_set_has_a_limit (void)
 {
   ClusterBrakes *b = cluster_brakes_new ();
   ClusterBrake list[CLUSTER_BRAKES_MAX];
@@ -133,27 +132,27 @@
 }
 
 static void
-bad_brakes_are_refused (void)
+invalid_brakes_are_rejected (void)
 {
   ClusterBrakes *b = cluster_brakes_new ();
   ClusterBrake no_version = brake ("", 1, "vm-1");
   ClusterBrake negative = brake ("v8", -1, "vm-1");
-  ClusterBrake endless = brake ("v8", 1, "vm-1");
+  ClusterBrake unterminated = brake ("v8", 1, "vm-1");
 
-  memset (endless.why, 'x', sizeof endless.why);
+  memset (unterminated.why, 'x', sizeof unterminated.why);
   CU_ASSERT_EQUAL (cluster_brakes_add (b, &no_version), CLUSTER_BRAKE_INVALID);
   CU_ASSERT_EQUAL (cluster_brakes_add (b, &negative), CLUSTER_BRAKE_INVALID);
-  CU_ASSERT_EQUAL (cluster_brakes_add (b, &endless), CLUSTER_BRAKE_INVALID);
+  CU_ASSERT_EQUAL (cluster_brakes_add (b, &unterminated), CLUSTER_BRAKE_INVALID);
   CU_ASSERT_EQUAL (cluster_brakes_digest (b), 0);
   cluster_brakes_free (b);
 }
 
 static const SuiteCase cases[] = {
-  { "a_brake_binds_until_it_is_released", a_brake_binds_until_it_is_released },
-  { "a_release_can_come_first", a_release_can_come_first },
-  { "order_does_not_matter", order_does_not_matter },
-  { "the_set_is_bounded", the_set_is_bounded },
-  { "bad_brakes_are_refused", bad_brakes_are_refused },
+  { "a_brake_is_active_until_released", a_brake_is_active_until_released },
+  { "a_release_may_arrive_before_its_brake", a_release_may_arrive_before_its_brake },
+  { "merging_does_not_depend_on_order", merging_does_not_depend_on_order },
+  { "the_set_has_a_limit", the_set_has_a_limit },
+  { "invalid_brakes_are_rejected", invalid_brakes_are_rejected },
 };
 
 int
--- a/tests/test_cluster_grant.c
+++ b/tests/test_cluster_grant.c
@@ -20,7 +20,7 @@
   G,
   W,
   X,
-  W_AGAIN /**< what replaced W at its address */
+  W_RESTARTED /**< the process that replaced W at its address */
 };
 
 static bool
@@ -39,7 +39,7 @@
 }
 
 static void
-a_read_of_the_head_counts_from_its_send (void)
+a_head_read_counts_from_its_send_time (void)
 {
   ClusterState *s = fake_member_new (A, 7, NULL);
 
@@ -55,10 +55,10 @@
   cluster_state_free (s);
 }
 
-/* The head moves to 8; a read shows it, but fetching the document takes a while. Until then the
-   read proves nothing for 7; once 8 is applied it does, from its own send time. */
+/* A read returns head 8, but the document of 8 is not fetched yet. The read proves nothing for 7;
+   once 8 is applied it proves the grant for 8, from the read's send time. */
 static void
-a_read_that_shows_more_waits_for_the_number (void)
+a_head_read_of_a_newer_number_counts_once_applied (void)
 {
   ClusterState *s = fake_member_new (A, 7, NULL);
 
@@ -73,11 +73,11 @@
   cluster_state_free (s);
 }
 
-/* The thread that serves a gate looked at the clock, waited for the lock, and meanwhile another
-   thread sent a read and merged its answer: the proof is from after the look. The steward must not
-   stop. */
+/* The thread that serves a gate reads the clock and waits for the lock. Meanwhile another thread
+   sends a read and merges its result, so that the proof is later than the clock reading. This must
+   not fail the invariant and end the process. */
 static void
-a_look_may_be_older_than_the_proof (void)
+the_clock_may_be_read_before_the_proof (void)
 {
   ClusterState *s = fake_member_new (A, 7, NULL);
 
@@ -108,10 +108,10 @@
   free_all (s, 3);
 }
 
-/* Cut off from the service and from a majority, a VM can't tell a quiet night from a withdrawal
-   that was accepted without it: it must refuse. */
+/* A VM that reaches neither the table service nor a majority can't know whether a withdrawal was
+   accepted without it, so that it must have no grant. */
 static void
-a_minority_refuses (void)
+a_minority_has_no_grant (void)
 {
   static const uint64_t members[] = { A, B, C, D };
   ClusterView v = fake_view (1, 0, members, 4);
@@ -125,10 +125,10 @@
   free_all (s, 2);
 }
 
-/* Members that applied more are left out, not an obstacle: a majority of the others still proves
-   that nothing newer was accepted at the time of which they speak. */
+/* Members that have applied a newer number are not counted but don't end the grant either: a
+   majority of the others still proves that nothing newer was accepted at their as_of times. */
 static void
-one_ahead_does_not_end_the_grant (void)
+members_with_newer_numbers_do_not_end_the_grant (void)
 {
   static const uint64_t members[] = { A, B, C, D, E };
   ClusterView v = fake_view (1, 0, members, 5);
@@ -142,15 +142,15 @@
   CU_ASSERT_EQUAL (cluster_state_wanted_number (s[0]), 8);
   cluster_state_apply (s[1], 8);
   fake_exchange (s[0], s[1], 2000, 2000);
-  /* Now 8 may have been accepted, at 1000 at the earliest; no word of B at 7 is left. */
+  /* Now 8 may have been accepted, at 1000 at the earliest; B no longer supports 7. */
   CU_ASSERT_FALSE (has_grant (s[0], 2000));
   free_all (s, 5);
 }
 
-/* Nothing above the head that was read in the same breath may be accepted, and the newest number
-   that a majority has is taken even if no majority has that very one. */
+/* The accepted number is the newest one that a majority has reached or passed, even if few members
+   apply exactly that number. It must not be above the head that was read with it. */
 static void
-acceptance_takes_the_majoritys_number (void)
+acceptance_takes_the_newest_number_of_a_majority (void)
 {
   static const uint64_t members[] = { A, B, C, D, E };
   ClusterView v = fake_view (1, 0, members, 5);
@@ -168,9 +168,9 @@
   free_all (s, 3);
 }
 
-/* VMs restart while the service is away: a new process learns the number from its peers and works
-   by a majority of the members; when most members are gone, nobody works until the service is back.
- */
+/* VMs restart while the table service is unavailable. A new process gets the number from its peers
+   and a grant by a majority of the members. Once a majority has restarted nobody has a grant until
+   the service is back. */
 static void
 restarts_during_an_outage (void)
 {
@@ -178,30 +178,33 @@
   ClusterView v = fake_view (1, 0, members, 5);
   ClusterState *s[]
       = { fake_member_new (A, 7, &v), fake_member_new (B, 7, &v), fake_member_new (C, 7, &v) };
-  ClusterState *again = fake_member_new (W_AGAIN, 7, &v);
+  ClusterState *restarted = fake_member_new (W_RESTARTED, 7, &v);
 
   for (size_t i = 0; i < 3; i++)
-    fake_exchange (again, s[i], 1000, 1000);
-  CU_ASSERT_TRUE (has_grant (again, 1000));
-  /* c restarts as well: two members are left of five. */
-  fake_exchange (again, s[0], 7000, 7000);
-  fake_exchange (again, s[1], 7000, 7000);
+    fake_exchange (restarted, s[i], 1000, 1000);
+  CU_ASSERT_TRUE (has_grant (restarted, 1000));
+  /* c restarts as well: two of the five members are left. */
+  fake_exchange (restarted, s[0], 7000, 7000);
+  fake_exchange (restarted, s[1], 7000, 7000);
   fake_exchange (s[0], s[1], 7000, 7000);
-  fake_exchange (s[0], again, 7000, 7000);
-  CU_ASSERT_FALSE (has_grant (again, 7000));
+  fake_exchange (s[0], restarted, 7000, 7000);
+  CU_ASSERT_FALSE (has_grant (restarted, 7000));
   CU_ASSERT_FALSE (has_grant (s[0], 7000));
-  cluster_state_free (again);
+  cluster_state_free (restarted);
   free_all (s, 3);
 }
 
 static const SuiteCase cases[] = {
-  { "a_read_of_the_head_counts_from_its_send", a_read_of_the_head_counts_from_its_send },
-  { "a_read_that_shows_more_waits_for_the_number", a_read_that_shows_more_waits_for_the_number },
-  { "a_look_may_be_older_than_the_proof", a_look_may_be_older_than_the_proof },
+  { "a_head_read_counts_from_its_send_time", a_head_read_counts_from_its_send_time },
+  { "a_head_read_of_a_newer_number_counts_once_applied",
+    a_head_read_of_a_newer_number_counts_once_applied },
+  { "the_clock_may_be_read_before_the_proof", the_clock_may_be_read_before_the_proof },
   { "a_majority_of_peers_is_a_proof", a_majority_of_peers_is_a_proof },
-  { "a_minority_refuses", a_minority_refuses },
-  { "one_ahead_does_not_end_the_grant", one_ahead_does_not_end_the_grant },
-  { "acceptance_takes_the_majoritys_number", acceptance_takes_the_majoritys_number },
+  { "a_minority_has_no_grant", a_minority_has_no_grant },
+  { "members_with_newer_numbers_do_not_end_the_grant",
+    members_with_newer_numbers_do_not_end_the_grant },
+  { "acceptance_takes_the_newest_number_of_a_majority",
+    acceptance_takes_the_newest_number_of_a_majority },
   { "restarts_during_an_outage", restarts_during_an_outage },
 };
 
--- a/tests/test_cluster_lease.c
+++ b/tests/test_cluster_lease.c
@@ -1,5 +1,5 @@
 /**
- * Leases of duties: one holder at a time, whatever is lost, late or paused.
+ * Leases: one holder at a time, with lost replies, delayed writes and paused holders.
  */
 #include "cluster_lease.h"
 #include "suite.h"
@@ -35,25 +35,25 @@
 }
 
 static void
-write_and_tell (ClusterLease *l, const ClusterLeaseRow *row, int64_t now)
+write_and_report (ClusterLease *l, const ClusterLeaseRow *row, int64_t now)
 {
   StatusCode code = table_write (row) ? STATUS_OK : STATUS_CONFLICT;
 
   cluster_lease_written (l, now, code, table.version);
 }
 
-/** Does what the lease wants at now, without faults; returns what it was. */
+/** Does the lease's next step at now, without faults; returns which it was. */
 static ClusterLeaseStep
 step (ClusterLease *l, int64_t now)
 {
   ClusterLeaseRow row;
-  ClusterLeaseStep want = cluster_lease_next (l, now, &row);
+  ClusterLeaseStep todo = cluster_lease_next (l, now, &row);
 
-  if (want == CLUSTER_LEASE_READ)
+  if (todo == CLUSTER_LEASE_READ)
     cluster_lease_read (l, now, now, &table);
-  if (want == CLUSTER_LEASE_WRITE)
-    write_and_tell (l, &row, now);
-  return want;
+  if (todo == CLUSTER_LEASE_WRITE)
+    write_and_report (l, &row, now);
+  return todo;
 }
 
 static void
@@ -64,7 +64,7 @@
 }
 
 static void
-one_takes_it_and_renews (void)
+one_steward_takes_and_renews_the_lease (void)
 {
   ClusterLease a = new_lease ("a");
   ClusterLease b = new_lease ("b");
@@ -83,11 +83,11 @@
     }
 }
 
-/* The holder is frozen past its lease (SIGSTOP) and wakes in the middle of its work: its next order
-   must not go out, while a successor gives orders with a higher number, and only once the holder's
+/* The holder is paused beyond its lease (SIGSTOP) and resumes in the middle of its work. It must
+   send no further order. A successor sends orders with a higher fence, and only after the holder's
    last order has certainly arrived. */
 static void
-a_frozen_holder_gives_no_orders (void)
+a_paused_holder_sends_no_orders (void)
 {
   ClusterLease a = new_lease ("a");
   ClusterLease b = new_lease ("b");
@@ -111,8 +111,9 @@
   CU_ASSERT_EQUAL (table.fence, 2);
 }
 
-/* The reply to a renewal is lost after it took effect. Read back, it counts from its send, not from
-   the read-back: the successor's wait may have begun right after the write. */
+/* The reply to a renewal that took effect is lost, and the row is read. The lease must count from
+   the send of the write, not from the read: a successor's wait may have begun directly after the
+   write. */
 static void
 a_lost_reply_is_read_back (void)
 {
@@ -131,9 +132,9 @@
   CU_ASSERT_EQUAL (cluster_lease_fence (&a, 9100), 1);
 }
 
-/* A claim was sent, the reply lost, the read-back shows no effect; the claim is sent again, and
-   then the first one arrives late and takes effect, so that the second conflicts. The lease is
-   ours, and counts from the first send. */
+/* The reply to a write that takes the lease is lost and a read shows no effect. The write is sent
+   again; then the first one, delayed, takes effect and the second conflicts. We hold the lease, and
+   it must count from the first send. */
 static void
 a_late_write_counts_from_the_first_send (void)
 {
@@ -157,7 +158,7 @@
 }
 
 static void
-a_lease_given_back_is_taken_soon (void)
+a_released_lease_is_taken_after_the_order_timeout (void)
 {
   ClusterLease a = new_lease ("a");
   ClusterLease b = new_lease ("b");
@@ -178,8 +179,8 @@
   CU_ASSERT_EQUAL (cluster_lease_fence (&b, 4500), 2);
 }
 
-/* The table is away longer than the lease and nobody takes over: the row's version is the same, so
-   the first renewal that works goes on with the same number; until then there are no orders. */
+/* The table is unavailable for longer than the lease and nobody takes over. No orders may be sent
+   until a renewal succeeds; it keeps the fence, because the row's version has not changed. */
 static void
 an_outage_pauses_the_duty (void)
 {
@@ -199,53 +200,53 @@
 #define HOLDERS     4
 #define RANDOM_RUNS 300
 
-/** One write under way: it takes effect at lands_at, or never. */
+/** A write that takes effect at effect_at, if its version check still holds then. */
 typedef struct
 {
   ClusterLeaseRow row;
-  int64_t lands_at;
-} Late;
+  int64_t effect_at;
+} DelayedWrite;
 
 typedef struct
 {
   gsl_rng *rng;
   ClusterLease lease[HOLDERS];
-  int64_t skew[HOLDERS];
-  int64_t asleep_until[HOLDERS];
-  Late late[64];
-  size_t late_count;
+  int64_t clock_offset[HOLDERS];
+  int64_t paused_until[HOLDERS];
+  DelayedWrite delayed[64];
+  size_t delayed_count;
   int64_t fence;
-  int64_t order_ends; /**< arrival bound of the last order */
+  int64_t order_ends; /**< time by which the last order has arrived */
   int orders;
   int violations;
   int last_holder;
 } Race;
 
 static void
-land_late_writes (Race *r, int64_t now)
+apply_delayed_writes (Race *r, int64_t now)
 {
-  for (size_t i = 0; i < r->late_count; i++)
-    if (r->late[i].lands_at <= now)
+  for (size_t i = 0; i < r->delayed_count; i++)
+    if (r->delayed[i].effect_at <= now)
       {
-        table_write (&r->late[i].row);
-        r->late[i--] = r->late[--r->late_count];
+        table_write (&r->delayed[i].row);
+        r->delayed[i--] = r->delayed[--r->delayed_count];
       }
 }
 
 static void
 write_with_faults (Race *r, ClusterLease *l, const ClusterLeaseRow *row, int64_t local, int64_t now)
 {
-  unsigned long luck = gsl_rng_uniform_int (r->rng, 10);
+  unsigned long chance = gsl_rng_uniform_int (r->rng, 10);
 
-  if (luck < 6)
-    write_and_tell (l, row, local);
-  else if (luck < 7)
+  if (chance < 6)
+    write_and_report (l, row, local);
+  else if (chance < 7)
     cluster_lease_written (l, local, STATUS_UNAVAILABLE, 0);
   else
     {
-      if (luck < 9 && r->late_count < 64)
-        r->late[r->late_count++]
-            = (Late){ *row, now + (int64_t)gsl_rng_uniform_int (r->rng, 20000) };
+      if (chance < 9 && r->delayed_count < 64)
+        r->delayed[r->delayed_count++]
+            = (DelayedWrite){ *row, now + (int64_t)gsl_rng_uniform_int (r->rng, 20000) };
       cluster_lease_written (l, local, STATUS_UNKNOWN, 0);
     }
 }
@@ -270,28 +271,28 @@
 race_step (Race *r, int holder, int64_t now)
 {
   ClusterLease *l = &r->lease[holder];
-  int64_t local = now + r->skew[holder] + now * holder / 3000;
+  int64_t local = now + r->clock_offset[holder] + now * holder / 3000;
   ClusterLeaseRow row;
 
-  if (r->asleep_until[holder] > now)
+  if (r->paused_until[holder] > now)
     return;
   order (r, holder, local, now);
-  ClusterLeaseStep want = cluster_lease_next (l, local, &row);
-  if (want == CLUSTER_LEASE_WRITE)
+  ClusterLeaseStep todo = cluster_lease_next (l, local, &row);
+  if (todo == CLUSTER_LEASE_WRITE)
     write_with_faults (r, l, &row, local, now);
-  if (want == CLUSTER_LEASE_READ && gsl_rng_uniform_int (r->rng, 4) == 0)
+  if (todo == CLUSTER_LEASE_READ && gsl_rng_uniform_int (r->rng, 4) == 0)
     cluster_lease_read_failed (l, local);
-  else if (want == CLUSTER_LEASE_READ)
+  else if (todo == CLUSTER_LEASE_READ)
     cluster_lease_read (l, local, local, &table);
   if (gsl_rng_uniform_int (r->rng, 400) == 0)
-    r->asleep_until[holder] = now + (int64_t)gsl_rng_uniform_int (r->rng, 40000);
+    r->paused_until[holder] = now + (int64_t)gsl_rng_uniform_int (r->rng, 40000);
 }
 
-/* Four stewards race for one duty for ten minutes of virtual time, in 300 seeds: freezes, lost
-   replies, writes that take effect up to 20 s late, clocks that run apart. Orders of two holders
-   never overlap, flight included, and fences only rise. */
+/* Four stewards compete for one lease for ten minutes of virtual time, with 300 seeds: pauses, lost
+   replies, writes that take effect up to 20 s late, clocks that drift apart. Orders of two holders
+   must not overlap, their time in transit included, and fences must only rise. */
 static void
-orders_never_overlap (void)
+orders_of_two_holders_never_overlap (void)
 {
   for (unsigned long seed = 1; seed <= RANDOM_RUNS; seed++)
     {
@@ -302,11 +303,11 @@
       for (int i = 0; i < HOLDERS; i++)
         {
           r.lease[i] = new_lease (names[i]);
-          r.skew[i] = (int64_t)gsl_rng_uniform_int (r.rng, 1000000);
+          r.clock_offset[i] = (int64_t)gsl_rng_uniform_int (r.rng, 1000000);
         }
       for (int64_t now = 0; now < 600000; now += 100)
         {
-          land_late_writes (&r, now);
+          apply_delayed_writes (&r, now);
           for (int i = 0; i < HOLDERS; i++)
             race_step (&r, i, now);
         }
@@ -317,13 +318,14 @@
 }
 
 static const SuiteCase cases[] = {
-  { "one_takes_it_and_renews", one_takes_it_and_renews },
-  { "a_frozen_holder_gives_no_orders", a_frozen_holder_gives_no_orders },
+  { "one_steward_takes_and_renews_the_lease", one_steward_takes_and_renews_the_lease },
+  { "a_paused_holder_sends_no_orders", a_paused_holder_sends_no_orders },
   { "a_lost_reply_is_read_back", a_lost_reply_is_read_back },
   { "a_late_write_counts_from_the_first_send", a_late_write_counts_from_the_first_send },
-  { "a_lease_given_back_is_taken_soon", a_lease_given_back_is_taken_soon },
+  { "a_released_lease_is_taken_after_the_order_timeout",
+    a_released_lease_is_taken_after_the_order_timeout },
   { "an_outage_pauses_the_duty", an_outage_pauses_the_duty },
-  { "orders_never_overlap", orders_never_overlap },
+  { "orders_of_two_holders_never_overlap", orders_of_two_holders_never_overlap },
 };
 
 int
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -1,6 +1,7 @@
 /**
- * The promise that after a patch is accepted, and grant_ms more, no steward lets new work start on
- * what came before it: each way in which a first version of the protocol broke it.
+ * Safety of withdrawals: grant_ms after a patch is accepted no steward lets new work start on an
+ * earlier number. Each test guards against a way in which a first version of the protocol broke
+ * this.
  */
 #include "cluster_accept.h"
 #include "cluster_grant.h"
@@ -21,7 +22,7 @@
   G,
   W,
   X,
-  W_AGAIN /**< what replaced W at its address */
+  W_RESTARTED /**< the process that replaced W at its address */
 };
 
 static bool
@@ -39,9 +40,9 @@
     cluster_state_free (states[i]);
 }
 
-/* Amnesia. A guarantee is drafted on a withdrawn version because w acknowledged patch 8 and was
-   replaced; the new process at its address learned 7 from {c, d, x} and spoke for w's vote, while a
-   counted {a, w, x} and accepted 8. */
+/* Work started on a withdrawn version: w acknowledged patch 8 and was replaced. The new process at
+   its address got 7 from {c, d, x} and voted in place of w, while a counted {a, w, x} and
+   accepted 8. */
 static void
 a_replaced_member_has_no_vote (void)
 {
@@ -55,35 +56,36 @@
   size_t needed;
 
   fake_exchange (a, w, 1000, 1000);
-  ClusterState *again = fake_member_new (W_AGAIN, 7, &v);
-  fake_exchange (again, c, 1100, 1100);
-  fake_exchange (again, d, 1100, 1100);
-  CU_ASSERT_FALSE (has_grant (again, 1100));
-  fake_exchange (again, x, 1100, 1100);
-  /* Three members say so, and it needs no word of its own. */
-  CU_ASSERT_TRUE (has_grant (again, 1100));
+  ClusterState *restarted = fake_member_new (W_RESTARTED, 7, &v);
+  fake_exchange (restarted, c, 1100, 1100);
+  fake_exchange (restarted, d, 1100, 1100);
+  CU_ASSERT_FALSE (has_grant (restarted, 1100));
+  fake_exchange (restarted, x, 1100, 1100);
+  /* Three members support it; its own vote is not needed. */
+  CU_ASSERT_TRUE (has_grant (restarted, 1100));
   cluster_state_apply (x, 8);
   fake_exchange (a, x, 2000, 2000);
   CU_ASSERT_EQUAL (cluster_accept_count (a, &v, 8, &needed), 3);
   CU_ASSERT_EQUAL (cluster_accept_number (a, &v, 8, 7), 8);
-  /* Accepted at 2000. The bound ends at 2000 + grant_ms; c, d and w's successor go on asking. */
+  /* 8 is accepted at 2000; no grant on 7 may last beyond 2000 + grant_ms. c, d and the process that
+     replaced w continue to exchange heartbeats. */
   for (int64_t now = 2000; now <= 2000 + FAKE_GRANT_MS; now += 500)
     {
       fake_exchange (c, d, now, now);
-      fake_exchange (c, again, now, now);
-      fake_exchange (again, c, now, now);
-      fake_exchange (again, d, now, now);
+      fake_exchange (c, restarted, now, now);
+      fake_exchange (restarted, c, now, now);
+      fake_exchange (restarted, d, now, now);
     }
   CU_ASSERT_FALSE (has_grant (c, 2000 + FAKE_GRANT_MS));
-  CU_ASSERT_FALSE (has_grant (again, 2000 + FAKE_GRANT_MS));
-  free_all ((ClusterState *[]){ a, w, x, c, d, again }, 6);
+  CU_ASSERT_FALSE (has_grant (restarted, 2000 + FAKE_GRANT_MS));
+  free_all ((ClusterState *[]){ a, w, x, c, d, restarted }, 6);
 }
 
-/* Views that differ. {c, d, e}, a majority of the old five, sit together without the service. The
-   others are replaced and joined by more, and accept a withdrawal without them, unless a majority
-   of the old five had to know the new view first. */
+/* Stewards had different views. {c, d, e}, a majority of the old five, are partitioned off from the
+   table service. The others are replaced, more members join, and they accept a withdrawal without
+   c, d and e, unless a majority of the old five must have heard of the new view before. */
 static void
-a_view_is_established_by_the_one_before (void)
+previous_members_establish_a_view (void)
 {
   static const uint64_t old_members[] = { A, B, C, D, E };
   static const uint64_t new_members[] = { F, G, C, D, E, W, X };
@@ -96,14 +98,14 @@
   ClusterView out;
   size_t needed;
 
-  /* a and b are gone, which counts; c, d, e have not heard of the view. */
+  /* a and b are removed, which counts as confirmation; c, d, e have not heard of the view. */
   CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 2);
   CU_ASSERT_EQUAL (needed, 3);
   CU_ASSERT_FALSE (cluster_view_establish (&pending, f, 8, &out));
   fake_exchange (c, d, 1000, 1000);
   fake_exchange (c, e, 1000, 1000);
   CU_ASSERT_TRUE (has_grant (c, 1000));
-  /* d hears of it: the view can be established from here on, and d's word no longer helps c. */
+  /* d hears of it: from now on the view can be established, and d no longer supports c's grant. */
   fake_exchange (d, f, 1500, 1500);
   fake_exchange (f, d, 1500, 1500);
   CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 3);
@@ -116,28 +118,29 @@
   free_all ((ClusterState *[]){ f, c, d, e }, 4);
 }
 
-/* A pending view is amended while it waits. A member that knows only its first form may support a
-   grant that counts on that form; so it must not help to establish the second. */
+/* A pending view is changed before it is established. A member that knows only its first version
+   may support a grant that counts the members of that version, so it must not confirm the second.
+ */
 static void
-an_amended_view_must_be_known_itself (void)
+a_changed_pending_view_needs_new_confirmations (void)
 {
   static const uint64_t old_members[] = { A, B, C };
-  static const uint64_t first_form[] = { A, C, D };
-  static const uint64_t second_form[] = { A, C, D, E, F, G };
-  ClusterView first = fake_pending_view (2, 7, first_form, 3, old_members, 3);
-  ClusterView second = fake_pending_view (3, 7, second_form, 6, old_members, 3);
+  static const uint64_t first_members[] = { A, C, D };
+  static const uint64_t second_members[] = { A, C, D, E, F, G };
+  ClusterView first = fake_pending_view (2, 7, first_members, 3, old_members, 3);
+  ClusterView second = fake_pending_view (3, 7, second_members, 6, old_members, 3);
   ClusterState *g = fake_member_new (G, 7, &second);
-  ClusterHeartbeat *told = memory_alloc (sizeof *told);
+  ClusterHeartbeat *heartbeat = memory_alloc (sizeof *heartbeat);
   ClusterView out;
 
-  /* Of the three before, b is gone from both forms, which counts; a or c must know the form. */
-  told->number = 7;
-  told->incarnation = A;
-  told->view = 2;
-  cluster_state_handle_answer (g, told, 1000);
+  /* Of the three previous members b is removed in both versions, which counts; a or c must have
+     heard of the second version. */
+  heartbeat->number = 7;
+  heartbeat->incarnation = A;
+  heartbeat->view = 2;
+  cluster_state_handle_answer (g, heartbeat, 1000);
   CU_ASSERT_FALSE (cluster_view_establish (&second, g, 7, &out));
-  /* The other side of it: a's word still gives c a grant under the first form, until a knows
-   * better. */
+  /* Conversely, a supports c's grant under the first version until it has heard of the second. */
   ClusterState *c = fake_member_new (C, 7, &first);
   ClusterState *a = fake_member_new (A, 7, &first);
   fake_exchange (c, a, 1500, 1500);
@@ -147,12 +150,12 @@
   CU_ASSERT_FALSE (has_grant (c, 1700));
   fake_exchange (g, a, 1800, 1800);
   CU_ASSERT_TRUE (cluster_view_establish (&second, g, 7, &out));
-  free (told);
+  free (heartbeat);
   free_all ((ClusterState *[]){ a, c, g }, 3);
 }
 
-/* Under a pending view the members of before still accept, and the new ones will at any moment: a
-   majority of either alone proves nothing. */
+/* Under a pending view the previous members still accept numbers, and the new members may do so at
+   any time: a majority of one of the two sets alone proves nothing. */
 static void
 a_pending_view_needs_both_majorities (void)
 {
@@ -178,26 +181,26 @@
   free_all ((ClusterState *[]){ a, b, d, e }, 4);
 }
 
-/* Patch 8 is accepted by {a, b, c}; then they die for good and are taken out of the view, which
-   leaves {d, e}, both at 7. Together they are all of the new view, and would go on with a withdrawn
-   version if they could take it over without the number that was the head when it was written. */
+/* Patch 8 is accepted by {a, b, c}, which then die and are removed from the view. {d, e} are left,
+   both at 7. They are all members of the new view, and would continue with a withdrawn version if
+   they could adopt that view without the head number at the time of its write. */
 static void
-a_shrunken_view_brings_its_head (void)
+a_smaller_view_requires_its_head_number (void)
 {
   static const uint64_t members[] = { A, B, C, D, E };
   static const uint64_t dead[] = { A, B, C };
   ClusterView v = fake_view (1, 0, members, 5);
   ClusterState *d = fake_member_new (D, 7, &v);
   ClusterState *e = fake_member_new (E, 7, &v);
-  ClusterView smaller;
-  ClusterView settled;
+  ClusterView pending;
+  ClusterView established;
 
-  CU_ASSERT_TRUE (cluster_view_remove (&v, dead, 3, 8, &smaller));
-  CU_ASSERT_TRUE (cluster_view_establish (&smaller, d, 8, &settled));
-  CU_ASSERT_EQUAL (settled.count, 2);
-  CU_ASSERT_EQUAL (settled.head, 8);
-  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &settled));
-  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &settled));
+  CU_ASSERT_TRUE (cluster_view_remove (&v, dead, 3, 8, &pending));
+  CU_ASSERT_TRUE (cluster_view_establish (&pending, d, 8, &established));
+  CU_ASSERT_EQUAL (established.count, 2);
+  CU_ASSERT_EQUAL (established.head, 8);
+  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &established));
+  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &established));
   for (int64_t now = 1000; now < 3000; now += 500)
     {
       fake_exchange (d, e, now, now);
@@ -207,17 +210,17 @@
     }
   cluster_state_apply (d, 8);
   cluster_state_apply (e, 8);
-  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &settled));
-  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &settled));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &established));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &established));
   fake_exchange (d, e, 4000, 4000);
   CU_ASSERT_TRUE (has_grant (d, 4000));
   free_all ((ClusterState *[]){ d, e }, 2);
 }
 
-/* The steward that wrote patch 8 dies before it is accepted. Nobody was told yet; any other steward
-   that hears of a majority finishes it, and a second try finds nothing to do. */
+/* The steward that wrote patch 8 dies before the patch is accepted. Any other steward that knows of
+   a majority must be able to accept it; a second attempt has nothing to do. */
 static void
-any_steward_finishes_a_durable_number (void)
+any_steward_can_accept_a_durable_number (void)
 {
   static const uint64_t members[] = { A, B, C };
   ClusterView v = fake_view (1, 0, members, 3);
@@ -236,10 +239,11 @@
   free_all ((ClusterState *[]){ b, c }, 2);
 }
 
-/* A region is cut in half, four members with the service and five without. The four apply what is
-   new at once and go on by the head row, but can't accept; the five go on by their majority. */
+/* A partition separates four members with the table service from five without. The four apply new
+   numbers and get grants by the head row, but can't accept; the five get grants by their majority.
+ */
 static void
-a_region_cut_in_half (void)
+both_sides_of_a_partition_keep_the_bound (void)
 {
   static const uint64_t members[] = { 1, 2, 3, 4, 5, 6, 7, 8, 9 };
   ClusterView v = fake_view (1, 0, members, 9);
@@ -261,7 +265,8 @@
   CU_ASSERT_EQUAL (cluster_grant (s[0], 1500).proof, CLUSTER_PROOF_TABLE);
   CU_ASSERT_EQUAL (cluster_grant (s[8], 1500).proof, CLUSTER_PROOF_PEERS);
   CU_ASSERT_EQUAL (cluster_accept_number (s[0], &v, 8, 7), 0);
-  /* One of the five crosses over: the four can accept, and the other four refuse. */
+  /* One of the five joins the other side: that side can accept, and the remaining four lose their
+     grants. */
   cluster_state_apply (s[4], 8);
   fake_exchange (s[0], s[4], 2000, 2000);
   CU_ASSERT_EQUAL (cluster_accept_number (s[0], &v, 8, 7), 8);
@@ -274,8 +279,9 @@
   free_all (s, 9);
 }
 
-/* The VM is paused between the check of the grant and the send of its answer to the gate. What
-   counts is the end, a time on a clock that goes on while paused: late looks find nothing left. */
+/* The VM is paused between the check of the grant and the send of the reply to the gate. The
+   grant's end is a time on a clock that advances during the pause, so that nothing is left after
+   it. */
 static void
 a_grant_does_not_outlive_a_pause (void)
 {
@@ -289,10 +295,10 @@
   cluster_state_free (s);
 }
 
-/* A VM frozen for a minute wakes with answers in its socket that peers made before the freeze and
-   during it. They count from its own asks, all of them old. */
+/* A VM is frozen for a minute and then reads answers from its socket that peers sent before and
+   during the freeze. They must count from its own asks, which are all old. */
 static void
-a_woken_steward_has_no_grant (void)
+a_resumed_steward_has_no_grant (void)
 {
   static const uint64_t members[] = { A, B, C };
   ClusterView v = fake_view (1, 0, members, 3);
@@ -312,10 +318,11 @@
   free_all ((ClusterState *[]){ a, b }, 2);
 }
 
-/* A stopping VM takes itself out of the view, which counts like a proof of death. If it still
-   answered, its word could support a grant that the next view's acceptance doesn't know of. */
+/* A stopping VM removes itself from the view, which counts as a proof of death. If it still
+   answered, it could support a grant that acceptance under the next view does not take into
+   account. */
 static void
-a_leaving_steward_is_silent (void)
+a_leaving_steward_sends_no_answers (void)
 {
   static const uint64_t members[] = { A, B };
   ClusterView v = fake_view (1, 0, members, 2);
@@ -334,15 +341,16 @@
 
 static const SuiteCase cases[] = {
   { "a_replaced_member_has_no_vote", a_replaced_member_has_no_vote },
-  { "a_view_is_established_by_the_one_before", a_view_is_established_by_the_one_before },
-  { "an_amended_view_must_be_known_itself", an_amended_view_must_be_known_itself },
+  { "previous_members_establish_a_view", previous_members_establish_a_view },
+  { "a_changed_pending_view_needs_new_confirmations",
+    a_changed_pending_view_needs_new_confirmations },
   { "a_pending_view_needs_both_majorities", a_pending_view_needs_both_majorities },
-  { "a_shrunken_view_brings_its_head", a_shrunken_view_brings_its_head },
-  { "any_steward_finishes_a_durable_number", any_steward_finishes_a_durable_number },
-  { "a_region_cut_in_half", a_region_cut_in_half },
+  { "a_smaller_view_requires_its_head_number", a_smaller_view_requires_its_head_number },
+  { "any_steward_can_accept_a_durable_number", any_steward_can_accept_a_durable_number },
+  { "both_sides_of_a_partition_keep_the_bound", both_sides_of_a_partition_keep_the_bound },
   { "a_grant_does_not_outlive_a_pause", a_grant_does_not_outlive_a_pause },
-  { "a_woken_steward_has_no_grant", a_woken_steward_has_no_grant },
-  { "a_leaving_steward_is_silent", a_leaving_steward_is_silent },
+  { "a_resumed_steward_has_no_grant", a_resumed_steward_has_no_grant },
+  { "a_leaving_steward_sends_no_answers", a_leaving_steward_sends_no_answers },
 };
 
 int
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -1,5 +1,5 @@
 /**
- * News of members: merging, ages, and what each kind of message may prove.
+ * Progress of members: merging, ages, and what each kind of message may prove.
  */
 #include "cluster_grant.h"
 #include "cluster_state.h"
@@ -37,10 +37,10 @@
   cluster_state_free (s);
 }
 
-/* A steward that missed patch 8 hears of it from a peer's ask, from the head row, or as accepted:
-   each tells it to fetch. None of them is taken for being applied. */
+/* A steward that lacks patch 8 hears of it from a peer's ask, from the head row, or as accepted. In
+   each case it must want to fetch the patch, and must not count it as applied. */
 static void
-newer_numbers_are_wanted (void)
+newer_numbers_become_wanted (void)
 {
   ClusterState *s = fake_member_new (1, 7, NULL);
   ClusterHeartbeat *ask = new_heartbeat (50, 2, 8, 3);
@@ -64,8 +64,8 @@
   cluster_state_free (s);
 }
 
-/* A steward sends work on a withdrawn version for a minute: an answer made before the withdrawal
-   sat in a queue, and its receipt was taken for the time at which it was true. */
+/* A steward sent work to a withdrawn version for a minute: an answer made before the withdrawal was
+   delayed in a queue, and was counted from its receipt. */
 static void
 an_answer_counts_from_its_ask (void)
 {
@@ -81,33 +81,33 @@
   cluster_state_free (s);
 }
 
-/* The same with an ask, or with an answer to an ask that we never sent: neither has any time at
-   which it was certainly true, so it proves only what has been applied. */
+/* Nothing bounds the age of an ask, or of an answer to an ask that we never sent. They prove only
+   what has been applied at least. */
 static void
-messages_without_an_ask_are_lower_bounds (void)
+unsolicited_messages_are_lower_bounds (void)
 {
   ClusterState *s = fake_member_new (1, 7, NULL);
-  ClusterHeartbeat *stray = new_heartbeat (78, 2, 6, 1);
+  ClusterHeartbeat *unsolicited = new_heartbeat (78, 2, 6, 1);
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
 
-  stray->news_count = 1;
-  stray->news[0] = (ClusterNews){ .incarnation = 3, .number = 5, .view = 1, .age_ms = 0 };
-  CU_ASSERT_FALSE (cluster_state_handle_answer (s, stray, 5000));
+  unsolicited->news_count = 1;
+  unsolicited->news[0] = (ClusterNews){ .incarnation = 3, .number = 5, .view = 1, .age_ms = 0 };
+  CU_ASSERT_FALSE (cluster_state_handle_answer (s, unsolicited, 5000));
   CU_ASSERT_EQUAL (cluster_state_progress (s, 2)->number, 6);
   CU_ASSERT_EQUAL (cluster_state_progress (s, 2)->as_of, CLUSTER_NEVER);
   CU_ASSERT_EQUAL (cluster_state_progress (s, 3)->number, 5);
   CU_ASSERT_EQUAL (cluster_state_progress (s, 3)->as_of, CLUSTER_NEVER);
-  CU_ASSERT_TRUE (cluster_state_handle_ask (s, stray, 5000, answer));
+  CU_ASSERT_TRUE (cluster_state_handle_ask (s, unsolicited, 5000, answer));
   CU_ASSERT_EQUAL (cluster_state_progress (s, 2)->as_of, CLUSTER_NEVER);
-  free (stray);
+  free (unsolicited);
   free (answer);
   cluster_state_free (s);
 }
 
-/* Hearsay over two hops must never come out younger than the word itself: the ages add up, each hop
-   adds what the clocks may differ by, and the way of the messages counts against it. */
+/* News relayed over two hops must never seem more recent than it is: ages add up, and each hop adds
+   the possible clock drift and the time since the ask was sent. */
 static void
-hearsay_ages_add_up (void)
+ages_of_relayed_news_add_up (void)
 {
   ClusterView v = fake_view (1, 0, five, 5);
   ClusterState *a = fake_member_new (1, 7, &v);
@@ -118,16 +118,16 @@
   CU_ASSERT_EQUAL (cluster_state_progress (b, 3)->as_of, 1000);
   CU_ASSERT_TRUE (fake_exchange (a, b, 2000, 2900));
   CU_ASSERT_EQUAL (cluster_state_progress (a, 2)->as_of, 2000);
-  /* At 2900 it was 1900 old; the ask was sent at 2000; 1 for parts of a millisecond, 2 of drift. */
+  /* At 2900 it was 1900 ms old; the ask was sent at 2000; 1 ms for truncation, 2 ms for drift. */
   CU_ASSERT_EQUAL (cluster_state_progress (a, 3)->as_of, 2000 - 1901 - 2);
   cluster_state_free (a);
   cluster_state_free (b);
   cluster_state_free (c);
 }
 
-/* A word older than a grant lasts can support nothing; its number still counts for acceptance. */
+/* News older than grant_ms can't support a grant; its number still counts for acceptance. */
 static void
-old_hearsay_is_a_lower_bound (void)
+old_relayed_news_is_a_lower_bound (void)
 {
   ClusterView v = fake_view (1, 0, five, 5);
   ClusterState *a = fake_member_new (1, 7, &v);
@@ -144,7 +144,7 @@
 }
 
 static bool
-equal_knowledge (const ClusterState *a, const ClusterState *b, uint64_t incarnation)
+equal_progress (const ClusterState *a, const ClusterState *b, uint64_t incarnation)
 {
   const ClusterProgress *x = cluster_state_progress (a, incarnation);
   const ClusterProgress *y = cluster_state_progress (b, incarnation);
@@ -154,10 +154,10 @@
 
 #define ORDER_MESSAGES ((size_t)40)
 
-/* UDP reorders and doubles: whatever the order, two stewards that got the same answers know the
-   same, and no part of it ever went down. */
+/* UDP reorders and duplicates messages. Two stewards that got the same answers, in any order, must
+   know the same. */
 static void
-order_and_repetition_do_not_matter (void)
+merging_does_not_depend_on_order_or_duplicates (void)
 {
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_mt19937);
   ClusterState *a = fake_member_new (1, 7, NULL);
@@ -185,7 +185,7 @@
   for (size_t i = ORDER_MESSAGES; i-- > 0;)
     cluster_state_handle_answer (b, sent[i], 9000);
   for (uint64_t incarnation = 2; incarnation < 6; incarnation++)
-    CU_ASSERT_TRUE (equal_knowledge (a, b, incarnation));
+    CU_ASSERT_TRUE (equal_progress (a, b, incarnation));
   for (size_t i = 0; i < ORDER_MESSAGES; i++)
     free (sent[i]);
   free (ask);
@@ -194,10 +194,10 @@
   gsl_rng_free (rng);
 }
 
-/* What others say of ourselves is old: taking it over would let an echo of our own earlier word
-   raise a number that we never applied. */
+/* A peer's news of ourselves is older than our own state. Merging it could set our number to one
+   that we have not applied. */
 static void
-an_echo_of_ourselves_is_ignored (void)
+news_of_ourselves_is_ignored (void)
 {
   ClusterState *s = fake_member_new (1, 7, NULL);
   ClusterHeartbeat *h = new_heartbeat (9, 2, 7, 1);
@@ -212,7 +212,7 @@
 }
 
 static void
-a_view_waits_for_its_head (void)
+a_view_is_adopted_after_its_head_number (void)
 {
   ClusterView v = fake_view (4, 9, five, 5);
   ClusterState *s = fake_member_new (1, 8, NULL);
@@ -230,24 +230,24 @@
   cluster_state_free (s);
 }
 
-#define STRANGERS 5000
+#define INCARNATIONS 5000
 
-/* Years of replaced VMs in one long-lived steward: what it knows stays bounded, and members are
-   never forgotten. */
+/* A steward that runs for years sees many replaced VMs. Its memory must stay bounded, and entries
+   of members must not be removed. */
 static void
-strangers_are_forgotten_members_are_not (void)
+non_members_are_pruned_members_are_not (void)
 {
   ClusterView v = fake_view (1, 0, five, 5);
   ClusterState *s = fake_member_new (1, 7, &v);
   ClusterHeartbeat *h = new_heartbeat (9, 2, 7, 1);
   size_t known = 0;
 
-  for (uint64_t i = 2; i < STRANGERS; i++)
+  for (uint64_t i = 2; i < INCARNATIONS; i++)
     {
       h->incarnation = i;
       cluster_state_handle_answer (s, h, 1000);
     }
-  for (uint64_t i = 2; i < STRANGERS; i++)
+  for (uint64_t i = 2; i < INCARNATIONS; i++)
     known += cluster_state_progress (s, i) != NULL;
   CU_ASSERT_TRUE (known < 2048);
   for (uint64_t i = 2; i <= 5; i++)
@@ -257,10 +257,10 @@
   cluster_state_free (s);
 }
 
-/* Packed ages may make news older, by less than a unit, but never younger, and lose nothing else:
-   a member that applies another number goes unpacked. */
+/* A packed age may be higher than the exact one, by less than a unit, but never lower. Nothing else
+   may be lost: a member that applies another number is not packed. */
 static void
-packed_news_says_the_same (void)
+packed_news_is_equivalent (void)
 {
   ClusterView v = fake_view (1, 0, five, 5);
   ClusterState *a = fake_member_new (1, 7, &v);
@@ -293,10 +293,10 @@
   cluster_state_free (d);
 }
 
-/* Two stewards with different views number their members differently: ages packed under one view
-   must not be given to other members under another. */
+/* Two stewards with different views have their members at different indices: ages packed for one
+   view must not be merged for the members of another. */
 static void
-packed_news_of_another_view_is_dropped (void)
+packed_news_of_another_view_is_ignored (void)
 {
   static const uint64_t other[] = { 1, 2, 4, 3, 5 };
   ClusterView v = fake_view (1, 0, five, 5);
@@ -310,7 +310,7 @@
   fake_exchange (b, c, 1000, 1000);
   cluster_state_make_ask (a, 6, 2000, ask);
   cluster_state_handle_ask (b, ask, 2000, answer);
-  /* b has heard of view 2 by the ask but has not taken it over. */
+  /* b has heard of view 2 by the ask but has not adopted it. */
   answer->ages_view = 1;
   answer->ages_count = 5;
   answer->ages[2] = 1;
@@ -327,17 +327,18 @@
 
 static const SuiteCase cases[] = {
   { "numbers_only_rise", numbers_only_rise },
-  { "newer_numbers_are_wanted", newer_numbers_are_wanted },
+  { "newer_numbers_become_wanted", newer_numbers_become_wanted },
   { "an_answer_counts_from_its_ask", an_answer_counts_from_its_ask },
-  { "messages_without_an_ask_are_lower_bounds", messages_without_an_ask_are_lower_bounds },
-  { "hearsay_ages_add_up", hearsay_ages_add_up },
-  { "old_hearsay_is_a_lower_bound", old_hearsay_is_a_lower_bound },
-  { "order_and_repetition_do_not_matter", order_and_repetition_do_not_matter },
-  { "an_echo_of_ourselves_is_ignored", an_echo_of_ourselves_is_ignored },
-  { "a_view_waits_for_its_head", a_view_waits_for_its_head },
-  { "strangers_are_forgotten_members_are_not", strangers_are_forgotten_members_are_not },
-  { "packed_news_says_the_same", packed_news_says_the_same },
-  { "packed_news_of_another_view_is_dropped", packed_news_of_another_view_is_dropped },
+  { "unsolicited_messages_are_lower_bounds", unsolicited_messages_are_lower_bounds },
+  { "ages_of_relayed_news_add_up", ages_of_relayed_news_add_up },
+  { "old_relayed_news_is_a_lower_bound", old_relayed_news_is_a_lower_bound },
+  { "merging_does_not_depend_on_order_or_duplicates",
+    merging_does_not_depend_on_order_or_duplicates },
+  { "news_of_ourselves_is_ignored", news_of_ourselves_is_ignored },
+  { "a_view_is_adopted_after_its_head_number", a_view_is_adopted_after_its_head_number },
+  { "non_members_are_pruned_members_are_not", non_members_are_pruned_members_are_not },
+  { "packed_news_is_equivalent", packed_news_is_equivalent },
+  { "packed_news_of_another_view_is_ignored", packed_news_of_another_view_is_ignored },
 };
 
 int
--- a/tests/test_cluster_view.c
+++ b/tests/test_cluster_view.c
@@ -1,5 +1,5 @@
 /**
- * The view row: registration, removal, establishing, and its text.
+ * The view row: registration, removal, establishing, and its JSON text.
  */
 #include "cluster_accept.h"
 #include "cluster_view.h"
@@ -49,10 +49,11 @@
   CU_ASSERT_EQUAL (next.previous[0], 1);
 }
 
-/* Head and view row are read one after the other; a patch and a registration in between make the
-   head older than the view. The transaction would fail; nothing may be built on such a pair. */
+/* The head row and the view row are read one after the other; a patch and a registration in between
+   make the head older than the view. The transaction would fail, so that no change may be based on
+   them. */
 static void
-an_older_head_is_refused (void)
+a_head_older_than_the_view_is_rejected (void)
 {
   static const uint64_t members[] = { 1, 2 };
   ClusterView v = fake_view (4, 9, members, 2);
@@ -70,7 +71,7 @@
 }
 
 static void
-previous_stays_through_amendments (void)
+previous_members_stay_until_established (void)
 {
   static const uint64_t members[] = { 1, 2, 3 };
   static const uint64_t gone[] = { 2, 77 };
@@ -89,10 +90,10 @@
   CU_ASSERT_EQUAL (second.previous[1], 2);
 }
 
-/* All nine VMs restart in one night, at their old addresses. No old process is left to know the new
-   view; each take-over of an address proves one of them dead. */
+/* All nine stewards restart at their addresses. No earlier process is left to confirm the new view;
+   each replacement at an address proves one of them dead. */
 static void
-all_restarted_in_their_slots (void)
+all_members_restart_at_their_addresses (void)
 {
   static const uint64_t old_members[] = { 1, 2, 3, 4, 5, 6, 7, 8, 9 };
   ClusterView v = fake_view (1, 7, old_members, NINE);
@@ -108,10 +109,10 @@
   cluster_state_free (s);
 }
 
-/* All nine are replaced at new addresses. Until the platform's list has lost the old ones for
-   longer than its lag, they may be alive somewhere; then a majority of removals is enough. */
+/* All nine are replaced at new addresses. The old ones may be alive until they have been missing
+   from the platform's list for longer than its lag; then the removal of a majority is enough. */
 static void
-all_replaced_at_new_addresses (void)
+all_members_are_replaced_at_new_addresses (void)
 {
   static const uint64_t old_members[] = { 1, 2, 3, 4, 5, 6, 7, 8, 9 };
   ClusterView v = fake_view (1, 7, old_members, NINE);
@@ -131,9 +132,9 @@
   cluster_state_free (s);
 }
 
-/* The last VM of a site leaves; the site comes back a day later at other addresses. */
+/* The last VM of a site leaves; later the site starts again at other addresses. */
 static void
-an_emptied_view_fills_again (void)
+a_member_can_join_an_empty_view (void)
 {
   static const uint64_t members[] = { 1 };
   ClusterView v = fake_view (1, 7, members, 1);
@@ -152,7 +153,7 @@
 }
 
 static void
-a_full_view_takes_over_only (void)
+a_full_view_admits_only_replacements (void)
 {
   ClusterView *v = memory_alloc (sizeof *v);
   ClusterView *out = memory_alloc (sizeof *out);
@@ -169,9 +170,10 @@
   free (out);
 }
 
-/* While a join is pending the old members go on accepting; the one that joins has no vote yet. */
+/* While a join is pending the previous members accept numbers; the joining ones have no vote yet.
+ */
 static void
-the_old_members_accept_while_pending (void)
+previous_members_accept_while_pending (void)
 {
   static const uint64_t old_members[] = { 1, 2, 3 };
   static const uint64_t new_members[] = { 1, 2, 3, 4, 5 };
@@ -195,7 +197,7 @@
 }
 
 static void
-the_text_reads_back (void)
+the_text_parses_to_the_same_view (void)
 {
   static const uint64_t old_members[] = { 1, 2, 0xfedcba9876543210U };
   static const uint64_t new_members[] = { 1, 2, 0xfedcba9876543210U, 4 };
@@ -222,9 +224,9 @@
   "}"
 
 static void
-bad_text_is_refused (void)
+invalid_text_is_rejected (void)
 {
-  static const char *const bad[] = {
+  static const char *const invalid[] = {
     "",
     "[]",
     "{\"number\":1}",
@@ -238,10 +240,10 @@
   };
   ClusterView out;
 
-  for (size_t i = 0; i < sizeof bad / sizeof *bad; i++)
+  for (size_t i = 0; i < sizeof invalid / sizeof *invalid; i++)
     {
       CheckList list = { 0 };
-      CU_ASSERT_FALSE (cluster_view_parse (bad[i], &out, &list));
+      CU_ASSERT_FALSE (cluster_view_parse (invalid[i], &out, &list));
       CU_ASSERT_TRUE (list.count > 0);
       check_free (&list);
     }
@@ -249,15 +251,15 @@
 
 static const SuiteCase cases[] = {
   { "the_first_view_is_established", the_first_view_is_established },
-  { "an_older_head_is_refused", an_older_head_is_refused },
-  { "previous_stays_through_amendments", previous_stays_through_amendments },
-  { "all_restarted_in_their_slots", all_restarted_in_their_slots },
-  { "all_replaced_at_new_addresses", all_replaced_at_new_addresses },
-  { "an_emptied_view_fills_again", an_emptied_view_fills_again },
-  { "a_full_view_takes_over_only", a_full_view_takes_over_only },
-  { "the_old_members_accept_while_pending", the_old_members_accept_while_pending },
-  { "the_text_reads_back", the_text_reads_back },
-  { "bad_text_is_refused", bad_text_is_refused },
+  { "a_head_older_than_the_view_is_rejected", a_head_older_than_the_view_is_rejected },
+  { "previous_members_stay_until_established", previous_members_stay_until_established },
+  { "all_members_restart_at_their_addresses", all_members_restart_at_their_addresses },
+  { "all_members_are_replaced_at_new_addresses", all_members_are_replaced_at_new_addresses },
+  { "a_member_can_join_an_empty_view", a_member_can_join_an_empty_view },
+  { "a_full_view_admits_only_replacements", a_full_view_admits_only_replacements },
+  { "previous_members_accept_while_pending", previous_members_accept_while_pending },
+  { "the_text_parses_to_the_same_view", the_text_parses_to_the_same_view },
+  { "invalid_text_is_rejected", invalid_text_is_rejected },
 };
 
 int
