--- a/bench/steps_main.c
+++ b/bench/steps_main.c
@@ -21,7 +21,7 @@
       " the table service\n",
       (long long)c.restarts, (long long)c.replaced, (long long)c.left, (long long)c.freezes,
       (long long)c.condition_changes);
-  printf ("grants: %lld by the table, %lld by peers, %lld refused; %lld calm periods\n",
+  printf ("grants: %lld by the table, %lld by peers, %lld refused; %lld fault-free phases\n",
           (long long)c.grants_by_table, (long long)c.grants_by_peers, (long long)c.refusals,
           (long long)c.recoveries);
   printf ("%lld violations\n", (long long)c.violations);
--- a/tests/test_bill_kill.c
+++ b/tests/test_bill_kill.c
@@ -188,7 +188,7 @@
   Fixture w;
   int n = 0;
   int answered = 0;
-  int durable = 0;
+  int stored = 0;
 
   gsl_rng_set (rng, RANDOM_SEED);
   fixture_init (&w, GATES * BURSTS * THREADS * BURST);
@@ -213,11 +213,11 @@
   for (int i = 0; i < w.count; i++)
     {
       answered += w.results[i].answered;
-      durable += w.results[i].answered && w.results[i].place != BILL_AT_SPOOL;
+      stored += w.results[i].answered && w.results[i].place != BILL_AT_SPOOL;
     }
-  CU_ASSERT_TRUE (answered > w.count / 4 && durable > w.count / 8);
+  CU_ASSERT_TRUE (answered > w.count / 4 && stored > w.count / 8);
   printf ("%d requests, %d answered, %d durable at the end, %d lost from spools ", w.count,
-          answered, durable, w.lost);
+          answered, stored, w.lost);
   fixture_free (&w);
   gsl_rng_free (rng);
 }
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -345,7 +345,7 @@
     { "too_long_answer_is_not_stored", test_too_long_answer_is_not_stored },
     { "lost_reply", test_lost_reply },
     { "lost_call", test_lost_call },
-    { "table_down", test_table_down },
+    { "down", test_table_down },
     { "unknown_outcome_is_released", test_unknown_outcome_is_released },
     { "delayed_write_after_release", test_delayed_write_after_release },
     { "delayed_take_over_after_release", test_delayed_take_over_after_release },
--- a/tests/test_cluster_grant.c
+++ b/tests/test_cluster_grant.c
@@ -178,19 +178,19 @@
   ClusterView v = fake_view (1, 0, members, 5);
   ClusterState *s[]
       = { fake_member_new (A, 7, &v), fake_member_new (B, 7, &v), fake_member_new (C, 7, &v) };
-  ClusterState *restarted = fake_member_new (W_RESTARTED, 7, &v);
+  ClusterState *w_restarted = fake_member_new (W_RESTARTED, 7, &v);
 
   for (size_t i = 0; i < 3; i++)
-    fake_exchange (restarted, s[i], 1000, 1000);
-  CU_ASSERT_TRUE (has_grant (restarted, 1000));
+    fake_exchange (w_restarted, s[i], 1000, 1000);
+  CU_ASSERT_TRUE (has_grant (w_restarted, 1000));
   /* c restarts as well: two of the five members are left. */
-  fake_exchange (restarted, s[0], 7000, 7000);
-  fake_exchange (restarted, s[1], 7000, 7000);
+  fake_exchange (w_restarted, s[0], 7000, 7000);
+  fake_exchange (w_restarted, s[1], 7000, 7000);
   fake_exchange (s[0], s[1], 7000, 7000);
-  fake_exchange (s[0], restarted, 7000, 7000);
-  CU_ASSERT_FALSE (has_grant (restarted, 7000));
+  fake_exchange (s[0], w_restarted, 7000, 7000);
+  CU_ASSERT_FALSE (has_grant (w_restarted, 7000));
   CU_ASSERT_FALSE (has_grant (s[0], 7000));
-  cluster_state_free (restarted);
+  cluster_state_free (w_restarted);
   free_all (s, 3);
 }
 
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -56,13 +56,13 @@
   size_t needed;
 
   fake_exchange (a, w, 1000, 1000);
-  ClusterState *restarted = fake_member_new (W_RESTARTED, 7, &v);
-  fake_exchange (restarted, c, 1100, 1100);
-  fake_exchange (restarted, d, 1100, 1100);
-  CU_ASSERT_FALSE (has_grant (restarted, 1100));
-  fake_exchange (restarted, x, 1100, 1100);
+  ClusterState *w_restarted = fake_member_new (W_RESTARTED, 7, &v);
+  fake_exchange (w_restarted, c, 1100, 1100);
+  fake_exchange (w_restarted, d, 1100, 1100);
+  CU_ASSERT_FALSE (has_grant (w_restarted, 1100));
+  fake_exchange (w_restarted, x, 1100, 1100);
   /* Three members support it; its own vote is not needed. */
-  CU_ASSERT_TRUE (has_grant (restarted, 1100));
+  CU_ASSERT_TRUE (has_grant (w_restarted, 1100));
   cluster_state_apply (x, 8);
   fake_exchange (a, x, 2000, 2000);
   CU_ASSERT_EQUAL (cluster_accept_count (a, &v, 8, &needed), 3);
@@ -72,13 +72,13 @@
   for (int64_t now = 2000; now <= 2000 + FAKE_GRANT_MS; now += 500)
     {
       fake_exchange (c, d, now, now);
-      fake_exchange (c, restarted, now, now);
-      fake_exchange (restarted, c, now, now);
-      fake_exchange (restarted, d, now, now);
+      fake_exchange (c, w_restarted, now, now);
+      fake_exchange (w_restarted, c, now, now);
+      fake_exchange (w_restarted, d, now, now);
     }
   CU_ASSERT_FALSE (has_grant (c, 2000 + FAKE_GRANT_MS));
-  CU_ASSERT_FALSE (has_grant (restarted, 2000 + FAKE_GRANT_MS));
-  free_all ((ClusterState *[]){ a, w, x, c, d, restarted }, 6);
+  CU_ASSERT_FALSE (has_grant (w_restarted, 2000 + FAKE_GRANT_MS));
+  free_all ((ClusterState *[]){ a, w, x, c, d, w_restarted }, 6);
 }
 
 /* Stewards had different views. {c, d, e}, a majority of the old five, are partitioned off from the
@@ -193,14 +193,14 @@
   ClusterState *d = fake_member_new (D, 7, &v);
   ClusterState *e = fake_member_new (E, 7, &v);
   ClusterView pending;
-  ClusterView established;
+  ClusterView new_view;
 
   CU_ASSERT_TRUE (cluster_view_remove (&v, dead, 3, 8, &pending));
-  CU_ASSERT_TRUE (cluster_view_establish (&pending, d, 8, &established));
-  CU_ASSERT_EQUAL (established.count, 2);
-  CU_ASSERT_EQUAL (established.head, 8);
-  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &established));
-  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &established));
+  CU_ASSERT_TRUE (cluster_view_establish (&pending, d, 8, &new_view));
+  CU_ASSERT_EQUAL (new_view.count, 2);
+  CU_ASSERT_EQUAL (new_view.head, 8);
+  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &new_view));
+  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &new_view));
   for (int64_t now = 1000; now < 3000; now += 500)
     {
       fake_exchange (d, e, now, now);
@@ -210,8 +210,8 @@
     }
   cluster_state_apply (d, 8);
   cluster_state_apply (e, 8);
-  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &established));
-  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &established));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &new_view));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &new_view));
   fake_exchange (d, e, 4000, 4000);
   CU_ASSERT_TRUE (has_grant (d, 4000));
   free_all ((ClusterState *[]){ d, e }, 2);
--- a/tests/test_cluster_view.c
+++ b/tests/test_cluster_view.c
@@ -226,7 +226,7 @@
 static void
 invalid_text_is_rejected (void)
 {
-  static const char *const invalid[] = {
+  static const char *const bad_texts[] = {
     "",
     "[]",
     "{\"number\":1}",
@@ -240,10 +240,10 @@
   };
   ClusterView out;
 
-  for (size_t i = 0; i < sizeof invalid / sizeof *invalid; i++)
+  for (size_t i = 0; i < sizeof bad_texts / sizeof *bad_texts; i++)
     {
       CheckList list = { 0 };
-      CU_ASSERT_FALSE (cluster_view_parse (invalid[i], &out, &list));
+      CU_ASSERT_FALSE (cluster_view_parse (bad_texts[i], &out, &list));
       CU_ASSERT_TRUE (list.count > 0);
       check_free (&list);
     }
