--- a/bench/steps_fault.c
+++ b/bench/steps_fault.c
@@ -16,7 +16,7 @@
 } Fault;
 
 /** How often faults occur, and which. With all kinds at once there is seldom a majority left that
- * could make the same error; with a few kinds there is. */
+ *  could make the same error; with a few kinds there is. */
 typedef struct StepsFaultMix
 {
   unsigned long every; /**< one step in this many has a fault */
@@ -180,8 +180,8 @@
   cluster_state_leave (site->vms[slot].state);
 }
 
-/* With few members one wrong vote has more weight, so each phase begins with another number of VMs.
- */
+/* With few members one wrong vote has more weight, so each phase begins with another number of
+   VMs. */
 static void
 set_count (StepsSite *site, unsigned count)
 {
--- a/bench/steps_steward.c
+++ b/bench/steps_steward.c
@@ -97,8 +97,8 @@
   return m;
 }
 
-/* Finds the members whose VMs have been missing from the platform's list for longer than its lag.
- */
+/* Finds the members whose VMs have been missing from the platform's list for longer than its
+   lag. */
 static size_t
 find_gone (const StepsSite *site, const ClusterView *row, uint64_t *gone)
 {
--- a/src/bill.h
+++ b/src/bill.h
@@ -96,7 +96,7 @@
 
 BillWriter *bill_writer_new (const BillOptions *options);
 /** Returns when all records are in the table or timeout_ms has passed, with the number of records
- * that are not in the table. */
+ *  that are not in the table. */
 size_t bill_writer_free (BillWriter *writer, int timeout_ms);
 
 /** True if the spool has room for another request, apart from the room reserved for requests in
--- a/src/bill_entry.h
+++ b/src/bill_entry.h
@@ -34,8 +34,8 @@
 /** Removes the stored answer from the claim, which stays settled. */
 void bill_entry_drop_answer (BillEntry *entry);
 
-/** Fills the table operations that write the entry; they point to its texts. Returns their number.
- */
+/** Fills the table operations that write the entry; they point to its texts. Returns their
+ *  number. */
 size_t bill_entry_ops (const BillEntry *entry, TxnOp ops[BILL_ENTRY_OPS]);
 
 /** One JSON object, for the object store and for replicas; freed with free. */
@@ -70,12 +70,12 @@
                                   Status *st);
 
 /** Counts and, the first time, logs that the table service refused the entry, and sets the time of
- * the next try. A refused entry is never dropped, because the service may be misconfigured. */
+ *  the next try. A refused entry is never dropped, because the service may be misconfigured. */
 void bill_entry_refused (BillEntry *entry, int64_t now_ms, const Status *st);
 
 /** Second step of bill_entry_write, for an entry whose operations were sent through a
- * PlatformGroup: replaces a partial record. insert is the first of these operations, with its
- * result. */
+ *  PlatformGroup: replaces a partial record. insert is the first of these operations, with its
+ *  result. */
 StatusCode bill_entry_replace_partial (Platform *platform,
                                        const BillEntry *entry,
                                        const TxnOp *insert,
--- a/src/bill_fallback.h
+++ b/src/bill_fallback.h
@@ -21,7 +21,7 @@
 void bill_fallback_free (BillFallback *fallback);
 
 /** Reports that the gate's row, by which its objects are found, is in the table. No objects are
- * written before. */
+ *  written before. */
 void bill_fallback_set_indexed (BillFallback *fallback);
 
 /** Stores the entries with the next batch, waits for the result and returns where they are stored;
--- a/src/bill_recover.c
+++ b/src/bill_recover.c
@@ -64,8 +64,8 @@
 }
 
 /* Writes one transaction of entries, from *first on. Two records with one key must not be in the
- * same transaction (see platform_group.c); in the next one the second finds the first in the table.
- */
+ * same transaction (see platform_group.c); in the next one the second finds the first in the
+ * table. */
 static StatusCode
 write_batch (Platform *platform,
              struct json_object *array,
@@ -206,8 +206,8 @@
       counter_add (COUNTER_BILL_RECOVERED, (int64_t)(out->records - records));
       log_msg (MSG_BILL_RECOVERED, "gate=\"%s\" records=\"%zu\"", row->key, out->records - records);
     }
-  /* After a refused record the row stays as it is, so that the next pass tries all records again.
-   */
+  /* After a refused record the row stays as it is, so that the next pass tries all records
+     again. */
   if (code != STATUS_OK || out->refused > refused)
     return code;
   return gate_row_write (platform, row, next, next == fields.next ? (int)fields.passes + 1 : 0, st);
--- a/src/bill_recover.h
+++ b/src/bill_recover.h
@@ -15,8 +15,8 @@
 #define BILL_GATE_KEY   20
 
 /** Number of passes without a new object after which the row of a terminated gate is deleted.
- * Passes have to be at least 10 s apart, so that in all they last much longer than a write to the
- * object store can take. */
+ *  Passes have to be at least 10 s apart, so that in all they last much longer than a write to the
+ *  object store can take. */
 #define BILL_RECOVER_PASSES 30
 
 typedef struct
@@ -30,13 +30,13 @@
 /** Key in table bill_gate of the gate with this incarnation. */
 void bill_gate_key (uint64_t gate, char out[BILL_GATE_KEY]);
 /** Row value: the number of the first object that may have records that are not in the table, and
- * the number of passes without a new object. Freed with free. */
+ *  the number of passes without a new object. Freed with free. */
 char *bill_gate_text (uint32_t next, int passes);
 
 /** Writes the records of one gate's objects to the table, from object number *next on and for at
- * most objects_max objects. *next becomes the number after the last object that was completed. If
+ *  most objects_max objects. *next becomes the number after the last object that was completed. If
  *  out->objects rose by less than objects_max there are no more objects. Records that the table
- * service refuses are counted in out->refused and skipped. */
+ *  service refuses are counted in out->refused and skipped. */
 StatusCode bill_recover_gate (Platform *platform,
                               uint64_t gate,
                               uint32_t *next,
--- a/src/bill_replica.h
+++ b/src/bill_replica.h
@@ -27,7 +27,7 @@
 void bill_replica_free (BillReplica *replica);
 
 /** Stores all the records, or none and returns false: there is no room, or a text is not a valid
- * record. Records whose keys it has already count as stored. now_ms: boot clock. */
+ *  record. Records whose keys it has already count as stored. now_ms: boot clock. */
 bool bill_replica_take (BillReplica *replica,
                         uint64_t gate,
                         const char *const *records,
@@ -35,12 +35,12 @@
                         int64_t now_ms);
 
 /** A message for bill_replica_take that the records with these keys are in the table; freed with
- * free. *taken receives how many of the keys fitted into it. */
+ *  free. *taken receives how many of the keys fitted into it. */
 char *bill_replica_done_text (const char *const *keys, size_t count, size_t *taken);
 
 /** Writes the copies that are due, those of terminated gates or older than BILL_REPLICA_HOLD_MS, to
- * the table, in one transaction; *written receives how many. To be called again while that is not
- * 0. */
+ *  the table, in one transaction; *written receives how many. To be called again while that is not
+ *  0. */
 StatusCode bill_replica_flush (BillReplica *replica,
                                Platform *platform,
                                BillGateAlive alive,
--- a/src/bill_spool.h
+++ b/src/bill_spool.h
@@ -8,7 +8,7 @@
 #include "bill_entry.h"
 
 /** Room reserved for one request in progress: a record with the attempts of a cascade, and its
- * claim without the answer. */
+ *  claim without the answer. */
 #define BILL_RESERVE_BYTES 2048
 
 typedef struct
@@ -27,7 +27,7 @@
 
 bool bill_spool_has_room (const BillSpool *spool);
 /** Adds the entry in any case, because its request ran. If there is no room for the answer of its
- * claim the answer is dropped and false returned. Takes its own reference. */
+ *  claim the answer is dropped and false returned. Takes its own reference. */
 bool bill_spool_add (BillSpool *spool, BillEntry *entry);
 /** Collects the oldest entries that may be tried now, at most count and no two with the same key;
  *  returns their number. Adds no references. */
@@ -39,7 +39,7 @@
 /** True if more than half of the room is used and bill_spool_spill can free some of it. */
 bool bill_spool_may_spill (const BillSpool *spool);
 /** Removes the oldest entries that are in the object store until half of the room is free; returns
- * how many. The caller has to bring them to the table from the object store. */
+ *  how many. The caller has to bring them to the table from the object store. */
 size_t bill_spool_spill (BillSpool *spool);
 
 #endif
--- a/src/bill_writer_private.h
+++ b/src/bill_writer_private.h
@@ -34,7 +34,7 @@
 };
 
 /** True for codes that mean that the table service is unavailable, rather than a bad record or a
- * full queue. */
+ *  full queue. */
 bool bill_writer_is_outage (StatusCode code);
 /** The writer's thread; argument is the BillWriter. */
 void *bill_writer_run (void *argument);
--- a/src/claim.h
+++ b/src/claim.h
@@ -50,7 +50,7 @@
   Claim claim;
   /** With CLAIM_UNAVAILABLE: the write's reply was lost, so the row may exist although the request
    *  does not run. The caller is told "not run"; the claim has to go to claim_releaser_add, so that
-   * a retry can run. */
+   *  a retry can run. */
   bool outcome_unknown;
   int http_status; /**< with CLAIM_ANSWERED */
   char content_type[64];
@@ -58,7 +58,7 @@
 } ClaimOutcome;
 
 /** Takes the claim of (team, idempotency_key) for a request body with that hash. The result is in
- * *out, with a message in *st. */
+ *  *out, with a message in *st. */
 void claim_take (PlatformGroup *group,
                  Platform *platform,
                  const char *team,
@@ -68,7 +68,7 @@
                  Status *st);
 
 /** Releases a claim after proof that the request did not run, so that a retry may run. On failure
- * the claim stays in progress, which is safe; claim_releaser_add retries the release. */
+ *  the claim stays in progress, which is safe; claim_releaser_add retries the release. */
 StatusCode claim_release (Platform *platform, const Claim *claim, Status *st);
 
 /** Row text of a settled claim; freed with free. */
@@ -80,7 +80,7 @@
 
 ClaimReleaser *claim_releaser_new (Platform *platform);
 /** Queues a claim whose request certainly did not run and never will. If the queue is full the
- * claim stays in progress, which is safe. */
+ *  claim stays in progress, which is safe. */
 void claim_releaser_add (ClaimReleaser *releaser, const Claim *claim);
 /** Stops the thread and tries the queued claims once more, until one fails; returns the number not
  *  released. */
--- a/src/cluster_brake.h
+++ b/src/cluster_brake.h
@@ -51,8 +51,8 @@
  *  never decreases. */
 void
 cluster_brakes_release (ClusterBrakes *b, const char *model, const char *version, int64_t released);
-/** Removes the versions for which exists() is false: those no longer in the applied configuration.
- */
+/** Removes the versions for which exists() is false: those no longer in the applied
+ *  configuration. */
 void cluster_brakes_prune (ClusterBrakes *b,
                            bool (*exists) (void *context, const char *model, const char *version),
                            void *context);
--- a/src/cluster_grant.c
+++ b/src/cluster_grant.c
@@ -34,7 +34,7 @@
 static void
 add_vote (const ClusterState *s, uint64_t incarnation, int64_t now, int64_t *times, size_t *count)
 {
-  const ClusterProgress *k = cluster_progress_find (&s->known, incarnation);
+  const ClusterProgress *k = cluster_progress_find (&s->progress, incarnation);
 
   if (!supports (s, k))
     return;
--- a/src/cluster_heartbeat.c
+++ b/src/cluster_heartbeat.c
@@ -27,7 +27,7 @@
 static void
 add_news (const ClusterState *s, uint64_t incarnation, int64_t now, ClusterHeartbeat *h)
 {
-  const ClusterProgress *k = cluster_progress_find (&s->known, incarnation);
+  const ClusterProgress *k = cluster_progress_find (&s->progress, incarnation);
 
   if (k == NULL || incarnation == s->incarnation || h->news_count == CLUSTER_MEMBERS_MAX)
     return;
--- a/src/cluster_lease.h
+++ b/src/cluster_lease.h
@@ -84,12 +84,12 @@
 void cluster_lease_read_failed (ClusterLease *l, int64_t sent_at);
 
 /** Reports the result of the write from cluster_lease_next, sent at sent_at. With STATUS_OK,
- * version is the row's new version; after STATUS_UNKNOWN a read shows whether the write took
- * effect. */
+ *  version is the row's new version; after STATUS_UNKNOWN a read shows whether the write took
+ *  effect. */
 void cluster_lease_written (ClusterLease *l, int64_t sent_at, StatusCode code, int64_t version);
 
 /** Whether an order may be sent at now: the lease lasts for at least flight_ms. To be called
- * directly before each order. */
+ *  directly before each order. */
 bool cluster_lease_may_order (const ClusterLease *l, int64_t now);
 /** Milliseconds for which orders may still be sent; 0 if none. */
 int64_t cluster_lease_left (const ClusterLease *l, int64_t now);
@@ -97,7 +97,7 @@
 int64_t cluster_lease_fence (const ClusterLease *l, int64_t now);
 
 /** For a planned stop: no orders may be sent from now on; *row is the value whose write releases
- * the lease. False if we don't hold it. */
+ *  the lease. False if we don't hold it. */
 bool cluster_lease_release (ClusterLease *l, ClusterLeaseRow *row);
 
 #endif
--- a/src/cluster_progress.h
+++ b/src/cluster_progress.h
@@ -10,9 +10,7 @@
 #include "cluster_state.h"
 
 #define CLUSTER_PROGRESS_SLOTS 4096 /**< a power of two */
-#define CLUSTER_PROGRESS_MAX                                                                       \
-  2048 /**< entries; more than members and previous members together, so that a prune frees some   \
-        */
+#define CLUSTER_PROGRESS_MAX   2048 /**< entries; more than members and previous members together */
 
 typedef struct
 {
--- a/src/cluster_state.c
+++ b/src/cluster_state.c
@@ -15,7 +15,7 @@
   s->grant_ms = grant_ms;
   s->table_proof = CLUSTER_NEVER;
   s->pending_read.sent_at = CLUSTER_NEVER;
-  cluster_progress_get (&s->known, incarnation)->as_of = CLUSTER_ALWAYS;
+  cluster_progress_get (&s->progress, incarnation)->as_of = CLUSTER_ALWAYS;
   return s;
 }
 
@@ -40,7 +40,7 @@
 const ClusterProgress *
 cluster_state_own (const ClusterState *s)
 {
-  return cluster_progress_find (&s->known, s->incarnation);
+  return cluster_progress_find (&s->progress, s->incarnation);
 }
 
 static bool
@@ -59,12 +59,12 @@
 static ClusterProgress *
 get_progress (ClusterState *s, uint64_t incarnation)
 {
-  ClusterProgress *k = cluster_progress_get (&s->known, incarnation);
+  ClusterProgress *k = cluster_progress_get (&s->progress, incarnation);
 
   if (k != NULL)
     return k;
-  cluster_progress_prune (&s->known, is_needed, s);
-  k = cluster_progress_get (&s->known, incarnation);
+  cluster_progress_prune (&s->progress, is_needed, s);
+  k = cluster_progress_get (&s->progress, incarnation);
   INVARIANT (k != NULL, "members and previous members fill the table");
   return k;
 }
@@ -186,7 +186,7 @@
 const ClusterProgress *
 cluster_state_progress (const ClusterState *s, uint64_t incarnation)
 {
-  return cluster_progress_find (&s->known, incarnation);
+  return cluster_progress_find (&s->progress, incarnation);
 }
 
 void
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -8,6 +8,7 @@
  * - a lower bound from now on: it has applied `number` and has heard of `view`;
  * - an upper bound at the time as_of: by then it had applied no number above `number` and heard of
  *   no view newer than `view`.
+ *
  * Number and view of a running incarnation never decrease, so merging by the maximum of each of the
  * three values keeps both bounds, in any order and with duplicates.
  *
@@ -80,7 +81,7 @@
 void cluster_state_make_ask (ClusterState *s, uint64_t nonce, int64_t now, ClusterHeartbeat *ask);
 
 /** Merges an ask, as lower bounds only, since it can be arbitrarily old, and fills the answer.
- * False after cluster_state_leave: no answer may be sent then. */
+ *  False after cluster_state_leave: no answer may be sent then. */
 bool cluster_state_handle_ask (ClusterState *s,
                                const ClusterHeartbeat *ask,
                                int64_t now,
@@ -102,7 +103,7 @@
 int64_t cluster_state_number (const ClusterState *s);
 
 /** Newest durable number heard of from the table or from peers. The caller fetches it if it is
- * above cluster_state_number. */
+ *  above cluster_state_number. */
 int64_t cluster_state_wanted_number (const ClusterState *s);
 
 /** Merges the result of a read of the head row that was sent at sent_at. */
@@ -111,8 +112,8 @@
 
 /** Makes view our own. It was read from the table or from a peer that has adopted it; a view whose
  *  write is not known to be committed must not be adopted. False if it is not newer than ours, or
- * if our applied number is below view->head: the caller applies that first and tries again. Its
- * number counts as heard of in any case. */
+ *  if our applied number is below view->head: the caller applies that first and tries again. Its
+ *  number counts as heard of in any case. */
 bool cluster_state_adopt_view (ClusterState *s, const ClusterView *view);
 /** The view adopted last; its number is 0 if there is none. */
 const ClusterView *cluster_state_view (const ClusterState *s);
@@ -120,7 +121,7 @@
 int64_t cluster_state_wanted_view (const ClusterState *s);
 
 /** What is known of an incarnation, or of our own; NULL if nothing is. Valid until the next call
- * that changes the state. */
+ *  that changes the state. */
 const ClusterProgress *cluster_state_progress (const ClusterState *s, uint64_t incarnation);
 
 /** Begins a planned stop: no answers and no grant from now on, so that our removal from the view
--- a/src/cluster_state_private.h
+++ b/src/cluster_state_private.h
@@ -33,17 +33,16 @@
   ClusterTableRead pending_read; /**< newest head read with a number above ours, not yet applied */
   ClusterView view;
   size_t dropped_count;
-  uint64_t
-      dropped[CLUSTER_MEMBERS_MAX];  /**< those of view.previous that the view does not contain */
-  ClusterAsk asks[CLUSTER_ASKS_MAX]; /**< indexed by nonce modulo CLUSTER_ASKS_MAX */
-  ClusterProgressTable known;        /**< includes our own entry, whose as_of is CLUSTER_ALWAYS */
+  uint64_t dropped[CLUSTER_MEMBERS_MAX]; /**< in view.previous, but not in view.members */
+  ClusterAsk asks[CLUSTER_ASKS_MAX];     /**< indexed by nonce modulo CLUSTER_ASKS_MAX */
+  ClusterProgressTable progress; /**< includes our own entry, whose as_of is CLUSTER_ALWAYS */
 };
 
 /** Our own entry: the number that we apply and the newest view that we have heard of. */
 const ClusterProgress *cluster_state_own (const ClusterState *s);
 
 /** Merges what a message says of one incarnation; as_of is on our clock, or CLUSTER_NEVER for a
- * lower bound only. */
+ *  lower bound only. */
 void cluster_state_merge (ClusterState *s,
                           uint64_t incarnation,
                           int64_t number,
--- a/src/cluster_view.h
+++ b/src/cluster_view.h
@@ -21,7 +21,7 @@
 
 /** Registers self in the slot of its address and port, replacing the incarnation there, or in a new
  *  slot. With row->number 0 (no row yet) the result is the first view, which is established. False
- * if self is registered already or the view is full. */
+ *  if self is registered already or the view is full. */
 bool cluster_view_register (const ClusterView *row,
                             const ClusterMember *self,
                             int64_t head,
@@ -36,7 +36,7 @@
                           ClusterView *out);
 
 /** Returns how many members of `previous` have heard of the pending view or are proved dead;
- * *needed receives how many must. */
+ *  *needed receives how many must. */
 size_t cluster_view_confirmed (const ClusterView *row, const ClusterState *s, size_t *needed);
 
 /** Establishes a pending view. False if it is established already, empty, or not yet confirmed by
--- a/tests/test_bill_outage.c
+++ b/tests/test_bill_outage.c
@@ -15,8 +15,8 @@
 #define FLUSH_EVERY_MS 20
 #define PAUSE_MAX_MS   2000 /* the circuit breaker's longest */
 
-/* Simulation of a gate on a virtual clock: the spool, the circuit breaker and the writer's thread.
- */
+/* Simulation of a gate on a virtual clock: the spool, the circuit breaker and the writer's
+   thread. */
 typedef struct
 {
   int64_t now;
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -93,8 +93,8 @@
   order_site_free (&site);
 }
 
-/* An answer over the limit is not stored, and the re-send gets no answer rather than a part of it.
- */
+/* An answer over the limit is not stored, and the re-send gets no answer rather than a part of
+   it. */
 static void
 test_too_long_answer_is_not_stored (void)
 {
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -41,8 +41,8 @@
 }
 
 /* Work started on a withdrawn version: w acknowledged patch 8 and was replaced. The new process at
-   its address got 7 from {c, d, x} and voted in place of w, while a counted {a, w, x} and
-   accepted 8. */
+   its address got 7 from {c, d, x} and voted in place of w, while a counted {a, w, x} and accepted
+   8. */
 static void
 a_replaced_member_has_no_vote (void)
 {
@@ -119,8 +119,8 @@
 }
 
 /* A pending view is changed before it is established. A member that knows only its first version
-   may support a grant that counts the members of that version, so it must not confirm the second.
- */
+   may support a grant that counts the members of that version, so it must not confirm the
+   second. */
 static void
 a_changed_pending_view_needs_new_confirmations (void)
 {
@@ -240,8 +240,8 @@
 }
 
 /* A partition separates four members with the table service from five without. The four apply new
-   numbers and get grants by the head row, but can't accept; the five get grants by their majority.
- */
+   numbers and get grants by the head row, but can't accept; the five get grants by their
+   majority. */
 static void
 both_sides_of_a_partition_keep_the_bound (void)
 {
--- a/tests/test_cluster_view.c
+++ b/tests/test_cluster_view.c
@@ -170,8 +170,8 @@
   free (out);
 }
 
-/* While a join is pending the previous members accept numbers; the joining ones have no vote yet.
- */
+/* While a join is pending the previous members accept numbers; the joining ones have no vote
+   yet. */
 static void
 previous_members_accept_while_pending (void)
 {
