--- a/bench/steps.h
+++ b/bench/steps.h
@@ -63,11 +63,10 @@
   int64_t answered_at;  /**< true time at which the reply arrives */
   bool lost;            /**< never takes effect */
   bool answer_lost;
-  bool arrived;
+  bool arrived; /**< its time of effect has passed, also if lost */
   bool committed;
   int64_t number; /**< to ACCEPT, or the result of SUBMIT */
-  StepsRows
-      rows; /**< the versions that it checks, the view that it writes, or the result of a read */
+  StepsRows rows; /**< versions checked and view written, or the result of a read */
 } StepsOp;
 
 typedef struct
--- a/bench/steps_fault.c
+++ b/bench/steps_fault.c
@@ -11,7 +11,7 @@
   FAULT_START_VM,
   FAULT_LEAVE,
   FAULT_CONDITIONS,
-  FAULT_SPLIT,
+  FAULT_PARTITION,
   FAULT_COUNT
 } Fault;
 
@@ -30,7 +30,7 @@
 static void start_vm (StepsSite *site, unsigned slot);
 static void leave (StepsSite *site, unsigned slot);
 static void change_conditions (StepsSite *site, unsigned slot);
-static void split (StepsSite *site, unsigned slot);
+static void partition_majority (StepsSite *site, unsigned slot);
 
 static void (*const faults[FAULT_COUNT]) (StepsSite *site, unsigned slot) = {
   [FAULT_FREEZE] = freeze,
@@ -40,7 +40,7 @@
   [FAULT_START_VM] = start_vm,
   [FAULT_LEAVE] = leave,
   [FAULT_CONDITIONS] = change_conditions,
-  [FAULT_SPLIT] = split,
+  [FAULT_PARTITION] = partition_majority,
 };
 
 static const StepsFaultMix fault_mixes[] = {
@@ -51,10 +51,9 @@
   { 500, { 1, 0, 1, 0, 0, 0, 1 } },    /* pauses and restarts while the conditions change */
   { 300, { 0, 0, 1, 0, 7, 0, 1, 0 } }, /* mostly joins */
   { 200, { 0, 0, 2, 0, 6, 0, 0, 1 } }, /* joins and restarts while a majority is partitioned off */
-  { 200,
-    { 0, 0, 3, 2, 5, 1, 0, 1 } }, /* all membership changes while a majority is partitioned off */
-  { 60, { 0, 0, 3, 2, 5, 0, 0, 1 } }, /* the same without leaving, more frequent */
-  { 300, { 0, 0, 2, 4, 2, 1, 1 } },   /* mostly lost VMs */
+  { 200, { 0, 0, 3, 2, 5, 1, 0, 1 } }, /* membership changes while a majority is partitioned off */
+  { 60, { 0, 0, 3, 2, 5, 0, 0, 1 } },  /* the same without leaving, more frequent */
+  { 300, { 0, 0, 2, 4, 2, 1, 1 } },    /* mostly lost VMs */
 };
 
 /* Sets random conditions of the network and the table service. */
@@ -87,7 +86,7 @@
 /* The case for which the rules of views exist: a majority of the members is partitioned off from
    the table service, while the others reach it and new members join them. */
 static void
-split (StepsSite *site, unsigned slot)
+partition_majority (StepsSite *site, unsigned slot)
 {
   StepsConditions *w = &site->conditions;
   const ClusterView *row = &site->table.view;
@@ -183,7 +182,7 @@
 /* With few members one wrong vote has more weight, so each phase begins with another number of
    VMs. */
 static void
-set_count (StepsSite *site, unsigned count)
+set_vm_count (StepsSite *site, unsigned count)
 {
   unsigned up = 0;
 
@@ -221,7 +220,7 @@
       else if (vm->up && vm->state == NULL)
         steps_steward_start (site, i);
     }
-  set_count (site, 3 + (unsigned)steps_random (site, 6));
+  set_vm_count (site, 3 + (unsigned)steps_random (site, 6));
 }
 
 void
--- a/bench/steps_steward.c
+++ b/bench/steps_steward.c
@@ -100,7 +100,7 @@
 /* Finds the members whose VMs have been missing from the platform's list for longer than its
    lag. */
 static size_t
-find_gone (const StepsSite *site, const ClusterView *row, uint64_t *gone)
+find_lost_members (const StepsSite *site, const ClusterView *row, uint64_t *lost)
 {
   size_t count = 0;
 
@@ -108,7 +108,7 @@
     {
       const StepsVm *vm = &site->vms[row->members[i].port - STEPS_PORT];
       if (!vm->up && vm->lost_at + STEPS_LIST_LAG_MS < site->now)
-        gone[count++] = row->members[i].incarnation;
+        lost[count++] = row->members[i].incarnation;
     }
   return count;
 }
@@ -120,7 +120,7 @@
   const StepsVm *vm = &site->vms[slot];
   const ClusterView *row = &vm->rows.view;
   ClusterMember self = member_of (site, slot);
-  uint64_t gone[CLUSTER_MEMBERS_MAX];
+  uint64_t lost[CLUSTER_MEMBERS_MAX];
 
   if (cluster_state_leaving (vm->state))
     return cluster_view_remove (row, &self.incarnation, 1, vm->rows.head, out);
@@ -128,8 +128,8 @@
     return true;
   if (cluster_view_establish (row, vm->state, vm->rows.head, out))
     return true;
-  size_t count = find_gone (site, row, gone);
-  return count > 0 && cluster_view_remove (row, gone, count, vm->rows.head, out);
+  size_t count = find_lost_members (site, row, lost);
+  return count > 0 && cluster_view_remove (row, lost, count, vm->rows.head, out);
 }
 
 static void
--- a/src/bill_spool.c
+++ b/src/bill_spool.c
@@ -83,7 +83,7 @@
 }
 
 void
-bill_spool_reached (BillSpool *spool, BillEntry *entry, BillPlace place)
+bill_spool_update_place (BillSpool *spool, BillEntry *entry, BillPlace place)
 {
   if (place >= entry->place)
     return;
--- a/src/bill_spool.h
+++ b/src/bill_spool.h
@@ -34,7 +34,7 @@
 size_t bill_spool_oldest (BillSpool *spool, int64_t now_ms, BillEntry **out, size_t count);
 void bill_spool_remove (BillSpool *spool, BillEntry *entry);
 /** Records that the entry, which may have left the spool, is stored at this place too. */
-void bill_spool_reached (BillSpool *spool, BillEntry *entry, BillPlace place);
+void bill_spool_update_place (BillSpool *spool, BillEntry *entry, BillPlace place);
 
 /** True if more than half of the room is used and bill_spool_spill can free some of it. */
 bool bill_spool_may_spill (const BillSpool *spool);
--- a/src/bill_writer.c
+++ b/src/bill_writer.c
@@ -140,7 +140,7 @@
 
   pthread_mutex_lock (&writer->lock);
   entry->storing = false;
-  bill_spool_reached (&writer->spool, entry, place);
+  bill_spool_update_place (&writer->spool, entry, place);
   place = entry->place;
   if (bill_spool_may_spill (&writer->spool))
     pthread_cond_signal (&writer->work);
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -27,7 +27,7 @@
 {
   if (entry->place == BILL_AT_REPLICA)
     bill_fallback_done (writer->fallback, entry->key);
-  bill_spool_reached (&writer->spool, entry, BILL_AT_TABLE);
+  bill_spool_update_place (&writer->spool, entry, BILL_AT_TABLE);
   bill_spool_remove (&writer->spool, entry);
   counter_add (COUNTER_BILL_FLUSHED, 1);
 }
@@ -85,7 +85,7 @@
   place = bill_fallback_store (writer->fallback, entries, count);
   pthread_mutex_lock (&writer->lock);
   for (size_t i = 0; i < count; i++)
-    bill_spool_reached (&writer->spool, entries[i], place);
+    bill_spool_update_place (&writer->spool, entries[i], place);
 }
 
 static void
@@ -183,9 +183,9 @@
 static bool
 is_finished (const BillWriter *writer)
 {
-  bool settled = writer->spool.count == 0 && writer->spilled == 0;
+  bool all_written = writer->spool.count == 0 && writer->spilled == 0;
 
-  return writer->stopping && (settled || clock_boot_ms () >= writer->stop_ms);
+  return writer->stopping && (all_written || clock_boot_ms () >= writer->stop_ms);
 }
 
 /* Time of the next thing to do; the `work` condition may wake the thread before. */
--- a/src/cluster_heartbeat.c
+++ b/src/cluster_heartbeat.c
@@ -130,8 +130,8 @@
 {
   const ClusterAsk *ask = &s->asks[answer->nonce % CLUSTER_ASKS_MAX];
   bool known = answer->nonce != 0 && ask->nonce == answer->nonce && ask->sent_at <= now;
-  /* The only known bound on the time of the answer is that it was made after our ask was sent. By
-     its receipt time an answer that was delayed for a minute would count as fresh. */
+  /* The only known bound on the time of the answer is that it was made after our ask was sent. If
+     it counted from its receipt, an answer that was delayed for a minute would seem recent. */
   int64_t sent_at = known ? ask->sent_at : CLUSTER_NEVER;
 
   merge_bounds (s, answer);
--- a/tests/test_bill_outage.c
+++ b/tests/test_bill_outage.c
@@ -67,7 +67,7 @@
   entry = bill_entry_new (&record, NULL);
   bill_spool_add (&g->spool, entry);
   if (g->objects_up)
-    bill_spool_reached (&g->spool, entry, BILL_AT_OBJECT_STORE);
+    bill_spool_update_place (&g->spool, entry, BILL_AT_OBJECT_STORE);
   bill_entry_unref (entry);
   /* With the breaker open the table was not tried. */
   if (!g->breaker.open)
--- a/tests/test_bill_spool.c
+++ b/tests/test_bill_spool.c
@@ -176,7 +176,7 @@
       BillEntry *entry = bill_entry_new (&record, NULL);
 
       bill_spool_add (&spool, entry);
-      bill_spool_reached (&spool, entry, places[added % 3]);
+      bill_spool_update_place (&spool, entry, places[added % 3]);
       bill_entry_unref (entry);
     }
   spilled = bill_spool_spill (&spool);
