--- a/src/bill.h
+++ b/src/bill.h
@@ -19,7 +19,7 @@
 
 typedef enum
 {
-  BILL_ANSWERED,  /**< the caller received the whole answer, or could have */
+  BILL_ANSWERED,  /**< the caller received the complete answer, or could have */
   BILL_CANCELLED, /**< the caller disconnected; billed for the tokens generated until then */
   BILL_CUT,       /**< the backend server's answer ended early and could not be resumed */
   BILL_UNKNOWN    /**< may have run; replaced if a retry is answered */
--- a/src/claim.c
+++ b/src/claim.c
@@ -45,8 +45,8 @@
   return set_result (out, CLAIM_ANSWERED);
 }
 
-/* Takes over a row that an earlier attempt released. The check of the row's version lets only
- * one attempt succeed, and keeps a delayed write from overwriting a later state. */
+/* Takes over a row that an earlier attempt released. The check of the row's version lets only one
+ * attempt succeed, and keeps a delayed write from overwriting a later state. */
 static TryResult
 take_over (Platform *platform, int64_t version, const char *text, ClaimOutcome *out, Status *st)
 {
--- a/src/claim.h
+++ b/src/claim.h
@@ -13,9 +13,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CLAIM_KEY_MAX 192
-#define CLAIM_ANSWER_MAX                                                                           \
-  65536 /**< bytes; a longer answer is not stored, and a retry is told "unknown" */
+#define CLAIM_KEY_MAX    192
+#define CLAIM_ANSWER_MAX 65536 /**< bytes; a longer answer is not stored, a retry gets "unknown"   \
+                                */
 
 typedef enum
 {
@@ -40,7 +40,7 @@
   const Claim *claim;
   int http_status;
   const char *content_type;
-  const char *answer; /**< whole answer as sent to the caller; NULL: not stored */
+  const char *answer; /**< complete answer as sent to the caller; NULL: not stored */
   size_t answer_len;
 } ClaimSettlement;
 
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -126,7 +126,7 @@
   fixture_free (&w);
 }
 
-/* A claim is settled in the transaction of its bill, also from a fallback: a re-send must never get
+/* A claim is settled in the transaction of its bill, also from a fallback: a retry must never get
  * an answer that is not billed. */
 static void
 test_claim_is_settled_with_its_bill (void)
@@ -164,18 +164,18 @@
 {
   Fixture w;
   BillRecord cut = fake_bill (1);
-  BillRecord whole = fake_bill (2);
+  BillRecord complete = fake_bill (2);
   BillRecord later = fake_bill (3);
   BillRecord found;
 
   fixture_init (&w);
   cut.outcome = BILL_CUT;
   bill_key (cut.team, "order-1", NULL, cut.key);
-  bill_key (cut.team, "order-1", NULL, whole.key);
+  bill_key (cut.team, "order-1", NULL, complete.key);
   bill_key (cut.team, "order-1", NULL, later.key);
   bill_commit (w.gate->writer, &cut, NULL);
   CU_ASSERT_TRUE (fake_site_bill (&w.site, cut.key, &found) && found.outcome == BILL_CUT);
-  bill_commit (w.gate->writer, &whole, NULL);
+  bill_commit (w.gate->writer, &complete, NULL);
   bill_commit (w.gate->writer, &cut, NULL);
   bill_commit (w.gate->writer, &later, NULL);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
--- a/tests/test_bill_spool.c
+++ b/tests/test_bill_spool.c
@@ -199,7 +199,7 @@
   Claim claim = { .key = "t/k", .nonce = "n" };
   ClaimSettlement settlement
       = { .claim = &claim, .http_status = 200, .answer = answer, .answer_len = sizeof answer };
-  size_t whole = 0;
+  size_t complete = 0;
   size_t dropped = 0;
 
   memset (answer, 'x', sizeof answer);
@@ -211,14 +211,14 @@
       BillEntry *entry = bill_entry_new (&record, &settlement);
 
       if (bill_spool_add (&spool, entry))
-        whole++;
+        complete++;
       else
         dropped++;
       CU_ASSERT_TRUE (spool.bytes <= spool.bytes_max);
       bill_entry_unref (entry);
     }
-  CU_ASSERT_TRUE (whole > 100 && dropped > 0);
-  CU_ASSERT_EQUAL (spool.count, whole + dropped);
+  CU_ASSERT_TRUE (complete > 100 && dropped > 0);
+  CU_ASSERT_EQUAL (spool.count, complete + dropped);
   bill_spool_clear (&spool);
   CU_ASSERT_EQUAL (spool.bytes, 0);
 }
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -29,9 +29,9 @@
 }
 
 /* A dispatch order is sent again while the first attempt is running and after it was answered. It
- * must run once: the re-sends get "in progress", then the stored answer. */
+ * must run once: the retries get "in progress", then the stored answer. */
 static void
-test_resend_does_not_run_again (void)
+test_retry_does_not_run_again (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome first, again;
@@ -49,7 +49,7 @@
 
 /* The VM that has the order is killed at the write of its claim, before or after the write takes
  * effect; after the claim was taken and bytes may have been sent; and after the bill, before the
- * end of the answer. A re-send at another VM may run the order only in the first case, and must get
+ * end of the answer. A retry at another VM may run the order only in the first case, and must get
  * the answer in the last. */
 static void
 test_holder_killed (void)
@@ -93,8 +93,7 @@
   order_site_free (&site);
 }
 
-/* An answer over the limit is not stored, and the re-send gets no answer rather than a part of
-   it. */
+/* An answer over the limit is not stored, and the retry gets no answer rather than a part of it. */
 static void
 test_too_long_answer_is_not_stored (void)
 {
@@ -161,7 +160,7 @@
 }
 
 /* The write takes effect, its reply is lost and then the service is unavailable. The caller is told
- * "not run". Without the release each of its re-sends would get "in progress" for ever. */
+ * "not run". Without the release each of its retries would get "in progress" for ever. */
 static void
 test_unknown_outcome_is_released (void)
 {
@@ -270,8 +269,8 @@
   order_site_free (&site);
 }
 
-/* Runs the whole attempt of another re-send directly before the write of the take-over, which is
- * the second transaction, after the insert that found the released row. */
+/* Runs the whole attempt of another retry directly before the write of the take-over, which is the
+ * second transaction, after the insert that found the released row. */
 static void
 race_with_take_over (void *context, FakeCall call)
 {
@@ -282,7 +281,7 @@
   racer->done = order_resend (racer->site) == CLAIM_TAKEN;
 }
 
-/* Two re-sends find the order released; the second takes it over between the first one's read and
+/* Two retries find the order released; the second takes it over between the first one's read and
  * write. If both ran it, two crews would be sent. */
 static void
 test_take_over_race (void)
@@ -309,7 +308,7 @@
   return NULL;
 }
 
-/* Many re-sends try to take over a released claim at once: one must get it. */
+/* Many retries try to take over a released claim at once: one must get it. */
 static void
 test_take_over_has_one_winner (void)
 {
@@ -339,7 +338,7 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "resend_does_not_run_again", test_resend_does_not_run_again },
+    { "retry_does_not_run_again", test_retry_does_not_run_again },
     { "holder_killed", test_holder_killed },
     { "another_body_is_a_mismatch", test_another_body_is_a_mismatch },
     { "too_long_answer_is_not_stored", test_too_long_answer_is_not_stored },
