--- a/src/claim.h
+++ b/src/claim.h
@@ -14,8 +14,7 @@
 #include <stdint.h>
 
 #define CLAIM_KEY_MAX    192
-#define CLAIM_ANSWER_MAX 65536 /**< bytes; a longer answer is not stored, a retry gets "unknown"   \
-                                */
+#define CLAIM_ANSWER_MAX 65536 /**< bytes; longer ones are not stored, a retry gets "unknown" */
 
 typedef enum
 {
