--- a/src/bill_writer.c
+++ b/src/bill_writer.c
@@ -111,35 +111,36 @@
   return code;
 }
 
-/* Hands the entry to the writer's thread. It is in the spool before it goes to the next place, so
- * that an empty spool means that the table has all that the objects hold. */
+/* Adds the entry to the spool, for the writer's thread. This comes before it is stored in a
+ * fallback, so that an empty spool means that all records in the objects are in the table, except
+ * spilled ones. */
 static void
-spool (BillWriter *writer, BillEntry *entry, StatusCode table_code, const Status *st)
+add_to_spool (BillWriter *writer, BillEntry *entry, StatusCode table_code, const Status *st)
 {
-  bool whole;
+  bool fits;
   bool first = false;
 
   pthread_mutex_lock (&writer->lock);
-  whole = bill_spool_add (&writer->spool, entry);
+  fits = bill_spool_add (&writer->spool, entry);
   entry->storing = true;
   if (bill_writer_is_outage (table_code))
     first = platform_breaker_failed (&writer->breaker, clock_boot_ms ());
   pthread_cond_signal (&writer->work);
   pthread_mutex_unlock (&writer->lock);
-  if (!whole)
+  if (!fits)
     counter_add (COUNTER_BILL_ANSWER_DROPPED, 1);
   if (first)
     log_msg (MSG_BILL_TABLE_DOWN, "code=\"%s\" step=\"%s\"", status_code_name (st->code), st->step);
 }
 
 static BillPlace
-next_place (BillWriter *writer, BillEntry *entry)
+store_in_fallback (BillWriter *writer, BillEntry *entry)
 {
   BillPlace place = bill_fallback_store (writer->fallback, &entry, 1);
 
   pthread_mutex_lock (&writer->lock);
   entry->storing = false;
-  bill_spool_reached (&writer->spool, entry, place);
+  bill_spool_update_place (&writer->spool, entry, place);
   place = entry->place;
   if (bill_spool_may_spill (&writer->spool))
     pthread_cond_signal (&writer->work);
@@ -159,8 +160,8 @@
     code = table_insert (writer, entry, &st);
   if (code != STATUS_OK)
     {
-      spool (writer, entry, code, &st);
-      place = next_place (writer, entry);
+      add_to_spool (writer, entry, code, &st);
+      place = store_in_fallback (writer, entry);
     }
   counter_add (place_counters[place], 1);
   pthread_mutex_lock (&writer->lock);
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -7,12 +7,12 @@
 #include <stdlib.h>
 
 /* Records of one transaction from the spool, and the pause after it, which leaves the table service
- * to live work. */
+ * free for current requests. */
 #define FLUSH_MAX        128
 #define FLUSH_PAUSE_MS   20
 #define FLUSH_TIMEOUT_MS 2000
 #define INDEX_RETRY_MS   1000
-/* Objects read before the thread looks at the spool again. */
+/* Objects read before the thread checks the spool again. */
 #define UNSPILL_MAX 16
 
 bool
@@ -21,19 +21,19 @@
   return code == STATUS_UNAVAILABLE || code == STATUS_UNKNOWN;
 }
 
-/* The entry is in the table. With the lock held. */
+/* Removes an entry that is in the table. Called with the lock held. */
 static void
-settle (BillWriter *writer, BillEntry *entry)
+mark_written (BillWriter *writer, BillEntry *entry)
 {
   if (entry->place == BILL_AT_REPLICA)
     bill_fallback_done (writer->fallback, entry->key);
-  bill_spool_reached (&writer->spool, entry, BILL_AT_TABLE);
+  bill_spool_update_place (&writer->spool, entry, BILL_AT_TABLE);
   bill_spool_remove (&writer->spool, entry);
   counter_add (COUNTER_BILL_FLUSHED, 1);
 }
 
-/* Writes entries to the table; called and returns with the lock held. Those that the service
- * refuses stay in the spool without blocking those behind them. */
+/* Writes entries to the table. Entries that the service refuses stay in the spool and do not block
+ * the others. Called with the lock held, releases it during the I/O. */
 static void
 flush_entries (BillWriter *writer, BillEntry **entries, size_t count)
 {
@@ -55,17 +55,17 @@
       bill_entry_refused (entries[i], clock_boot_ms (), &st);
     else
       {
-        settle (writer, entries[i]);
+        mark_written (writer, entries[i]);
         written++;
       }
   if (written > 0 && platform_breaker_succeeded (&writer->breaker))
     log_msg (MSG_BILL_TABLE_BACK, "left=\"%zu\"", writer->spool.count);
 }
 
-/* Entries that are in this process only get another try at the next places. Called and returns with
- * the lock held. */
+/* Tries the fallbacks again for entries that are only in this process. Called with the lock held,
+ * releases it during the I/O. */
 static void
-store_again (BillWriter *writer)
+retry_fallback (BillWriter *writer)
 {
   BillEntry *entries[FLUSH_MAX];
   size_t count = 0;
@@ -85,7 +85,7 @@
   place = bill_fallback_store (writer->fallback, entries, count);
   pthread_mutex_lock (&writer->lock);
   for (size_t i = 0; i < count; i++)
-    bill_spool_reached (&writer->spool, entries[i], place);
+    bill_spool_update_place (&writer->spool, entries[i], place);
 }
 
 static void
@@ -97,14 +97,14 @@
   if (count > 0)
     flush_entries (writer, entries, count);
   if (writer->breaker.open)
-    store_again (writer);
+    retry_fallback (writer);
   writer->flush_next_ms = clock_boot_ms () + FLUSH_PAUSE_MS;
   if (writer->breaker.open && writer->breaker.try_next_ms > writer->flush_next_ms)
     writer->flush_next_ms = writer->breaker.try_next_ms;
 }
 
-/* Writes the gate's row, by which others find its objects: at the start, and when the table has all
- * records of the objects so far. Called and returns with the lock held. */
+/* Writes the gate's row, by which stewards find its objects: at the start, and whenever all records
+ * of the objects so far are in the table. Called with the lock held, releases it during the I/O. */
 static void
 index_write (BillWriter *writer, uint32_t objects)
 {
@@ -125,14 +125,14 @@
   if (code == STATUS_OK)
     {
       writer->indexed = true;
-      writer->objects_settled = objects;
+      writer->objects_in_table = objects;
     }
   writer->index_next_ms = clock_boot_ms () + INDEX_RETRY_MS;
 }
 
-/* Brings the records that were spilled from some of the objects to the table. They are inserted if
- * absent, as are those beside them in the same objects, which the table has had from the spool.
- * Called and returns with the lock held. */
+/* Writes spilled records to the table, from up to UNSPILL_MAX objects. Other records of the same
+ * objects are in the table already, from the spool; an insert changes nothing for them. Called with
+ * the lock held, releases it during the I/O. */
 static void
 unspill (BillWriter *writer)
 {
@@ -140,8 +140,8 @@
   uint32_t next = writer->unspill_object;
   StatusCode code;
 
-  if (next < writer->objects_settled)
-    next = writer->objects_settled;
+  if (next < writer->objects_in_table)
+    next = writer->objects_in_table;
   pthread_mutex_unlock (&writer->lock);
   code = bill_recover_gate (writer->options.platform, writer->options.gate, &next, UNSPILL_MAX,
                             &recovery, NULL);
@@ -152,7 +152,7 @@
     writer->unspill_next_ms = clock_boot_ms () + INDEX_RETRY_MS;
   else if (recovery.objects < UNSPILL_MAX && writer->unspill_refused)
     {
-      writer->unspill_object = writer->objects_settled;
+      writer->unspill_object = writer->objects_in_table;
       writer->unspill_refused = false;
       writer->unspill_next_ms = clock_boot_ms () + BILL_REFUSED_RETRY_MS;
     }
@@ -168,9 +168,9 @@
   *objects = bill_fallback_objects (writer->fallback);
   if (!writer->indexed)
     return true;
-  /* A row that passed over objects whose records are not in the table would lose them, should this
-   * gate die. */
-  return writer->spool.count == 0 && writer->spilled == 0 && *objects > writer->objects_settled;
+  /* If the row skipped objects whose records are not in the table, these would be lost if this gate
+   * died. */
+  return writer->spool.count == 0 && writer->spilled == 0 && *objects > writer->objects_in_table;
 }
 
 static bool
@@ -183,12 +183,12 @@
 static bool
 is_finished (const BillWriter *writer)
 {
-  bool settled = writer->spool.count == 0 && writer->spilled == 0;
+  bool all_written = writer->spool.count == 0 && writer->spilled == 0;
 
-  return writer->stopping && (settled || clock_boot_ms () >= writer->stop_ms);
+  return writer->stopping && (all_written || clock_boot_ms () >= writer->stop_ms);
 }
 
-/* When there is something to do next; the work condition wakes the thread before. */
+/* Time of the next thing to do; the `work` condition may wake the thread before. */
 static int64_t
 next_wake (const BillWriter *writer)
 {
