--- a/src/claim.c
+++ b/src/claim.c
@@ -80,7 +80,7 @@
   if (!claim_row_parse (value, &row))
     {
       claim_row_clear (&row);
-      status_set (st, STATUS_INTERNAL, STEP, NULL, "the claim's row was read but is not valid");
+      status_set (st, STATUS_INTERNAL, STEP, NULL, "the claim's row can't be read");
       return set_result (out, CLAIM_IN_PROGRESS);
     }
   if (row.state == CLAIM_STARTED && strcmp (row.nonce, out->claim.nonce) == 0)
