--- a/src/front_others.c
+++ b/src/front_peer_load.c
@@ -1,4 +1,4 @@
-#include "front_others.h"
+#include "front_peer_load.h"
 #include <math.h>
 
 /* Milliseconds; no server has more in front of it, as callers leave and requests time out. Bounds
--- a/src/front_others.h
+++ b/src/front_peer_load.h
@@ -4,8 +4,8 @@
  * nothing has to be taken back, and what a lost message or a dead front leaves wrong is soon gone.
  * A front of many sees a small part of what its servers get; this tells it the rest. No I/O.
  */
-#ifndef FRONT_OTHERS_H
-#define FRONT_OTHERS_H
+#ifndef FRONT_PEER_LOAD_H
+#define FRONT_PEER_LOAD_H
 
 #include <stdint.h>
 
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -68,7 +68,7 @@
 /* The attempt's server has ended, or its connection has; the request may be freed. */
 void request_cut (FrontRequest *request);
 
-/* front_request_again.c; after each of them the request may be freed. */
+/* front_request_retry.c; after each of them the request may be freed. */
 /* An attempt failed. Sends the request again if that is allowed, or gives it up. */
 void request_again (FrontRequest *request, const char *reason, bool may_have_run);
 /* The server could not be reached. */
--- a/src/front_server.h
+++ b/src/front_server.h
@@ -7,7 +7,7 @@
 
 #include "front_cold.h"
 #include "front_health.h"
-#include "front_others.h"
+#include "front_peer_load.h"
 #include "front_prompts.h"
 #include "front_server_entry.h"
 #include <netinet/in.h>
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -1,5 +1,5 @@
 /** How news spreads among many fronts: src/front_peers_tell.c, front_peers_rank.c,
- * front_rollouts_judge.c, without a network. */
+ * front_rollouts_verdict.c, without a network. */
 #include "front_peers_private.h"
 #include "suite.h"
 #include "util_id.h"
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -1,4 +1,4 @@
-/** Reading that other fronts tell of: src/front_others.c, front_work_message.c, front_pick.c. */
+/** Reading that other fronts tell of: src/front_peer_load.c, front_work_message.c, front_pick.c. */
 #include "front_counter.h"
 #include "front_peers_private.h"
 #include "front_pick.h"
