--- a/bench/front_play.c
+++ b/bench/front_play.c
@@ -159,7 +159,7 @@
     .read_time = { .ms_per_token = model_sizes[model].pace / READ_A_MS },
     .objective_ms = call->class->objective_ms,
     .is_model = true,
-    .home_tokens = call->call.parts[0].tokens,
+    .affinity_tokens = call->call.parts[0].tokens,
     .reuse_window_ms = REUSE_WINDOW_MS,
   };
 }
@@ -170,7 +170,7 @@
   play->price += model_sizes[call->model].price * (double)read * READ_PRICE / 1000;
   play->tokens += call->call.prompt_tokens;
   play->reread += read - call->call.parts[1].tokens > 0 ? read - call->call.parts[1].tokens : 0;
-  play->far += !pick->server->is_near;
+  play->far += !pick->server->is_same_domain;
   call->predicted_ms = pick->predicted_ms + FIRST_TOKEN_MS;
   call->pending_ms = pick->prompt_ms;
   pick->server->pending_ms += pick->prompt_ms;
--- a/src/front_attempt.c
+++ b/src/front_attempt.c
@@ -6,7 +6,7 @@
 
 /* Milliseconds without an acknowledgement after which a connection is taken for dead. A cut path
  * shows only so; servers in reach acknowledge within a few milliseconds. */
-#define SILENT_MS 2000
+#define UNACKED_TIMEOUT_MS 2000
 
 struct FrontAttempt
 {
@@ -16,7 +16,7 @@
   const Buffer *body;
   HttpReply reply;
   bool sent;
-  const AttemptOwner *owner;
+  const AttemptCallbacks *callbacks;
   void *user;
 };
 
@@ -37,9 +37,9 @@
 
   front_socket_read (bev, &attempt->reply);
   if (attempt->reply.broken)
-    attempt->owner->cut (attempt->user);
+    attempt->callbacks->cut (attempt->user);
   else if (attempt->reply.status)
-    attempt->owner->progress (attempt->user);
+    attempt->callbacks->progress (attempt->user);
 }
 
 static void
@@ -50,16 +50,16 @@
   if (what & BEV_EVENT_CONNECTED)
     {
       send_request (attempt);
-      attempt->owner->sent (attempt->user);
+      attempt->callbacks->sent (attempt->user);
       return;
     }
   /* Only an orderly close ends an answer that has no length; a reset cuts it. */
   if (what & BEV_EVENT_EOF)
     http_reply_end (&attempt->reply);
   if (attempt->reply.complete)
-    attempt->owner->progress (attempt->user);
+    attempt->callbacks->progress (attempt->user);
   else
-    attempt->owner->cut (attempt->user);
+    attempt->callbacks->cut (attempt->user);
 }
 
 FrontAttempt *
@@ -67,10 +67,11 @@
                      FrontServer *server,
                      Buffer *head,
                      const Buffer *body,
-                     const AttemptOwner *owner,
+                     const AttemptCallbacks *callbacks,
                      void *user)
 {
-  struct bufferevent *bev = front_socket_connect (front->base, &server->address, SILENT_MS);
+  struct bufferevent *bev
+      = front_socket_connect (front->base, &server->address, UNACKED_TIMEOUT_MS);
   FrontAttempt *attempt;
 
   if (!bev)
@@ -81,7 +82,7 @@
   attempt->head = *head;
   *head = (Buffer){ 0 };
   attempt->body = body;
-  attempt->owner = owner;
+  attempt->callbacks = callbacks;
   attempt->user = user;
   http_reply_init (&attempt->reply);
   front_server_ref (server);
--- a/src/front_attempt.h
+++ b/src/front_attempt.h
@@ -12,7 +12,7 @@
 
 /** Milliseconds for a connection. A server in reach opens one within about 5; one lost packet costs
  * it a second, after which another server is the better choice. */
-#define FRONT_CONNECT_MS 350
+#define FRONT_CONNECT_TIMEOUT_MS 350
 
 /** Called from the event loop; each may free the attempt, and nothing is called after that. */
 typedef struct
@@ -23,7 +23,7 @@
   void (*progress) (void *user);
   /** The connection ended before the answer was whole, or what came is no answer. */
   void (*cut) (void *user);
-} AttemptOwner;
+} AttemptCallbacks;
 
 /** Takes head's bytes; body is borrowed until the attempt is freed. NULL if no connection can be
  *  begun. */
@@ -31,7 +31,7 @@
                                    FrontServer *server,
                                    Buffer *head,
                                    const Buffer *body,
-                                   const AttemptOwner *owner,
+                                   const AttemptCallbacks *callbacks,
                                    void *user);
 /** Ends the connection at once; a server stops work on a request whose connection is gone. */
 void front_attempt_free (FrontAttempt *attempt);
--- a/src/front_budget.c
+++ b/src/front_budget.c
@@ -10,7 +10,7 @@
 /* Parts of the share that each use may take. The rest of what a cascade leaves is for requests that
  * would end without an answer: taken by cascades alone, the budget was empty when a server fell
  * silent, and whole streams were cut off. */
-static const double use_parts[] = {
+static const double use_shares[] = {
   [BUDGET_RETRY] = 1.0,
   [BUDGET_CASCADE] = 0.8,
 };
@@ -19,20 +19,20 @@
  * that start at once, and know of no others yet, stay within the bound together; a tenth is left
  * for those that are restarted within a window. With a fixed part 300 fronts with 5 requests each
  * in a window were allowed half as much again as the bound. */
-#define EXTRA_PART_MOST 0.06
-#define EXTRA_USED      0.9
+#define EXTRA_SHARE_MAX 0.06
+#define EXTRA_USABLE    0.9
 
 /* Milliseconds that a refused caller is told to stay away. A crashed server's work has found its
  * way elsewhere after the first; callers wait about the second for a third of their time. */
-#define COME_BACK_MS      250
-#define COME_BACK_MOST_MS 1500
-#define FIRSTS_LEAST      10 /* a few refusals at first are no overload */
+#define RETRY_AFTER_MIN_MS 250
+#define RETRY_AFTER_MAX_MS 1500
+#define REQUESTS_MIN       10 /* a few refusals at first are no overload */
 
 typedef struct
 {
   int64_t slice; /* number of the slice since the clock began */
-  unsigned firsts;
-  unsigned again;
+  unsigned requests;
+  unsigned retries;
   unsigned refused;
 } Slice;
 
@@ -64,7 +64,7 @@
 void
 front_budget_set_fronts (FrontBudget *budget, unsigned fronts)
 {
-  budget->extra = budget->settings.extra * fmin (EXTRA_PART_MOST, EXTRA_USED / fronts);
+  budget->extra = budget->settings.extra * fmin (EXTRA_SHARE_MAX, EXTRA_USABLE / fronts);
 }
 
 void
@@ -126,17 +126,17 @@
 
       if (slice->slice <= number - SLICES)
         continue;
-      sum.firsts += slice->firsts;
-      sum.again += slice->again;
+      sum.requests += slice->requests;
+      sum.retries += slice->retries;
       sum.refused += slice->refused;
     }
   return sum;
 }
 
 void
-front_budget_first (FrontBudget *budget, const char *service, int64_t now_ms)
+front_budget_count_request (FrontBudget *budget, const char *service, int64_t now_ms)
 {
-  slice_now (budget, entry_of (budget, service), now_ms)->firsts++;
+  slice_now (budget, entry_of (budget, service), now_ms)->requests++;
 }
 
 bool
@@ -144,16 +144,16 @@
 {
   Entry *entry = entry_of (budget, service);
   Slice sum = window_sum (budget, entry, now_ms);
-  double allowed = sum.firsts * budget->settings.share + budget->extra;
+  double allowed = sum.requests * budget->settings.share + budget->extra;
 
-  if (sum.again + 1 > allowed * use_parts[use])
+  if (sum.retries + 1 > allowed * use_shares[use])
     return false;
-  slice_now (budget, entry, now_ms)->again++;
+  slice_now (budget, entry, now_ms)->retries++;
   return true;
 }
 
 int64_t
-front_budget_refused (FrontBudget *budget, const char *service, int64_t now_ms)
+front_budget_count_refusal (FrontBudget *budget, const char *service, int64_t now_ms)
 {
   Entry *entry = entry_of (budget, service);
   Slice sum;
@@ -161,6 +161,7 @@
 
   slice_now (budget, entry, now_ms)->refused++;
   sum = window_sum (budget, entry, now_ms);
-  all = sum.firsts > sum.refused + FIRSTS_LEAST ? sum.firsts : sum.refused + FIRSTS_LEAST;
-  return COME_BACK_MS + (int64_t)(sum.refused / all * (COME_BACK_MOST_MS - COME_BACK_MS));
+  all = sum.requests > sum.refused + REQUESTS_MIN ? sum.requests : sum.refused + REQUESTS_MIN;
+  return RETRY_AFTER_MIN_MS
+         + (int64_t)(sum.refused / all * (RETRY_AFTER_MAX_MS - RETRY_AFTER_MIN_MS));
 }
--- a/src/front_budget.h
+++ b/src/front_budget.h
@@ -31,12 +31,12 @@
 /** How many fronts are known to live, this one included; 1 at first. */
 void front_budget_set_fronts (FrontBudget *budget, unsigned fronts);
 /** A request for the service has come. */
-void front_budget_first (FrontBudget *budget, const char *service, int64_t now_ms);
+void front_budget_count_request (FrontBudget *budget, const char *service, int64_t now_ms);
 /** Takes one more send; false if there is none left for this use. */
 bool front_budget_take (FrontBudget *budget, const char *service, BudgetUse use, int64_t now_ms);
 /** Milliseconds after which a caller that is refused may come back: the longer, the more of the
  *  service's requests were refused lately, so that those who come back are not the next overload.
  */
-int64_t front_budget_refused (FrontBudget *budget, const char *service, int64_t now_ms);
+int64_t front_budget_count_refusal (FrontBudget *budget, const char *service, int64_t now_ms);
 
 #endif
--- a/src/front_call.h
+++ b/src/front_call.h
@@ -39,7 +39,7 @@
   int64_t deadline_ms;   /**< time left */
   int64_t priority;      /**< 0 is the most urgent */
   int64_t after_event;   /**< -1: none */
-} CallOrder;
+} CallHeaders;
 
 /** What a backend server's answer says of itself besides its bytes. */
 typedef struct
@@ -50,6 +50,6 @@
   bool is_encoded;   /**< the body is not the server's own bytes */
   int confidence;    /**< of the model in its answer, 0 to 100; -1: not said */
   Span request_id;   /**< which request is answered */
-} ReplyFacts;
+} ReplyInfo;
 
 #endif
--- a/src/front_cold.c
+++ b/src/front_cold.c
@@ -5,24 +5,24 @@
 
 /* Parts of a server's bound. The rest is for fronts that know of too few others, and for requests
  * that a front sends late as its VM stood still. */
-#define NEAR_PART 0.75
-#define FAR_PART  0.125
+#define OWN_DOMAIN_SHARE   0.75
+#define OTHER_DOMAIN_SHARE 0.125
 /* What is left when each front has its whole number of slots is divided by a hash: a front owns one
  * more slot or doesn't. Nobody has to know who the others are, but the number of owners varies. */
-#define OWNERS_PART 0.45
-#define HASH_BITS   53
+#define EXTRA_SLOT_SHARE 0.45
+#define HASH_BITS        53
 /* Milliseconds in which a request holds its slot: a second from the moment at which it reaches the
  * server, and before that as long as this may take. */
-#define SLOT_MS (1000 + FRONT_CONNECT_MS)
+#define SLOT_HOLD_MS (1000 + FRONT_CONNECT_TIMEOUT_MS)
 
 /* Fronts of a large site, and of one of its failure domains. */
-#define LARGE_FRONTS     360
-#define LARGE_NEIGHBOURS 75
+#define LARGE_SITE_FRONTS   360
+#define LARGE_DOMAIN_FRONTS 75
 /* Registered fronts of a failure domain from which there may be others beside them, and how many
  * there are at least taken to be: a front that has not heard of half of them takes no larger part.
  */
-#define REGISTERED_FULL 5
-#define MANY_NEIGHBOURS 20
+#define REGISTERED_FULL   5
+#define DOMAIN_FRONTS_MIN 20
 
 static unsigned
 at_least (unsigned count, unsigned least)
@@ -31,16 +31,16 @@
 }
 
 void
-cold_rule_count (ColdRule *rule, const ColdView *view)
+cold_rule_set_fronts (ColdRule *rule, const ColdView *view)
 {
-  rule->neighbours = view->neighbours;
+  rule->domain_fronts = view->domain_fronts;
   rule->fronts = view->fronts;
   if (view->registered >= REGISTERED_FULL)
-    rule->neighbours = at_least (rule->neighbours, MANY_NEIGHBOURS);
+    rule->domain_fronts = at_least (rule->domain_fronts, DOMAIN_FRONTS_MIN);
   if (!view->is_new)
     return;
-  rule->neighbours = at_least (rule->neighbours, LARGE_NEIGHBOURS);
-  rule->fronts = at_least (rule->fronts, LARGE_FRONTS);
+  rule->domain_fronts = at_least (rule->domain_fronts, LARGE_DOMAIN_FRONTS);
+  rule->fronts = at_least (rule->fronts, LARGE_SITE_FRONTS);
 }
 
 /* 0 to 1, the same whenever it is asked. */
@@ -52,12 +52,13 @@
 }
 
 unsigned
-cold_slots (const ColdRule *rule, uint64_t server, bool is_near)
+cold_slots (const ColdRule *rule, uint64_t server, bool is_same_domain)
 {
-  unsigned fronts = is_near ? rule->neighbours : rule->fronts;
-  double part = rule->most_per_s * (is_near ? NEAR_PART : FAR_PART) / fmax (fronts, 1);
-  double whole = floor (part);
-  bool owns_one_more = ownership (rule, server) < (part - whole) * OWNERS_PART;
+  unsigned fronts = is_same_domain ? rule->domain_fronts : rule->fronts;
+  double share = rule->max_per_s * (is_same_domain ? OWN_DOMAIN_SHARE : OTHER_DOMAIN_SHARE)
+                 / fmax (fronts, 1);
+  double whole = floor (share);
+  bool owns_one_more = ownership (rule, server) < (share - whole) * EXTRA_SLOT_SHARE;
 
   return (unsigned)fmin (whole + owns_one_more, COLD_SLOTS_MAX);
 }
@@ -72,7 +73,7 @@
     return INT64_MAX;
   for (unsigned i = 0; i < COLD_SLOTS_MAX; i++)
     {
-      int64_t left_ms = sends->sent_ms[i] + SLOT_MS - now_ms;
+      int64_t left_ms = sends->sent_ms[i] + SLOT_HOLD_MS - now_ms;
 
       if (sends->sent_ms[i] == 0 || left_ms <= 0)
         continue;
@@ -99,7 +100,7 @@
     {
       if (sends->sent_ms[i] != sent_ms)
         continue;
-      sends->sent_ms[i] = now_ms - FRONT_CONNECT_MS;
+      sends->sent_ms[i] = now_ms - FRONT_CONNECT_TIMEOUT_MS;
       return;
     }
 }
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -285,7 +285,7 @@
   if (conn->closing)
     conn_free (conn);
   else if (conn->request)
-    front_request_caller_reads (conn->request);
+    front_request_drained (conn->request);
 }
 
 static void
--- a/src/front_deaths.c
+++ b/src/front_deaths.c
@@ -109,7 +109,7 @@
 }
 
 void
-front_deaths_cut (Front *front, FrontServer *server, uint64_t fingerprint)
+front_deaths_check (Front *front, FrontServer *server, uint64_t fingerprint)
 {
   Probe *probe = probe_find (server);
 
--- a/src/front_deaths.h
+++ b/src/front_deaths.h
@@ -8,6 +8,6 @@
 #include "front.h"
 
 /** A connection on which the server was running this request was cut. */
-void front_deaths_cut (Front *front, FrontServer *server, uint64_t fingerprint);
+void front_deaths_check (Front *front, FrontServer *server, uint64_t fingerprint);
 
 #endif
--- a/src/front_evidence.c
+++ b/src/front_evidence.c
@@ -3,19 +3,19 @@
 /* An answer is slow if it begins later than this many times its prediction and this much on top:
  * a version that is several times slower shows at once, a queue in front of both versions counts
  * against both. */
-#define SLOW_TIMES   4.0
-#define SLOW_MORE_MS 200.0
+#define SLOW_FACTOR    4.0
+#define SLOW_MARGIN_MS 200.0
 
 /* Bad answers below which nothing is concluded. A bad version may have given 50 before it has to be
  * stopped; six at a tenth of the traffic come within two seconds of its turning bad. */
-#define FAILED_LEAST 6
-#define SLOW_LEAST   8
-#define DOUBT_LEAST  2 /* of either kind, if in doubt */
+#define FAILED_MIN 6
+#define SLOW_MIN   8
+#define DOUBT_MIN  2 /* of either kind, if in doubt */
 /* How much worse than the old version: its share, this many times, and this much on top. Servers
  * that fail for other reasons (crashed, overloaded) do so under both versions. */
-#define WORSE_TIMES 3.0
-#define FAILED_MORE 0.06
-#define SLOW_MORE   0.25
+#define WORSE_FACTOR  3.0
+#define FAILED_MARGIN 0.06
+#define SLOW_MARGIN   0.25
 
 void
 front_evidence_add (FrontEvidence *evidence,
@@ -29,26 +29,26 @@
 
   count->answers++;
   count->failed += failed;
-  count->slow += !failed && first_ms > SLOW_TIMES * predicted_ms + SLOW_MORE_MS;
+  count->slow += !failed && first_ms > SLOW_FACTOR * predicted_ms + SLOW_MARGIN_MS;
 }
 
 static void
-raise_to (uint32_t *into, uint32_t value)
+merge_max (uint32_t *into, uint32_t value)
 {
   if (value > *into)
     *into = value;
 }
 
 void
-front_evidence_raise (FrontEvidence *into, const FrontEvidence *news)
+front_evidence_merge (FrontEvidence *into, const FrontEvidence *other)
 {
   for (unsigned side = 0; side < EVIDENCE_SIDES; side++)
     {
       for (unsigned i = 0; i < EVIDENCE_ROUTES; i++)
         {
-          raise_to (&into->counts[side][i].answers, news->counts[side][i].answers);
-          raise_to (&into->counts[side][i].failed, news->counts[side][i].failed);
-          raise_to (&into->counts[side][i].slow, news->counts[side][i].slow);
+          merge_max (&into->counts[side][i].answers, other->counts[side][i].answers);
+          merge_max (&into->counts[side][i].failed, other->counts[side][i].failed);
+          merge_max (&into->counts[side][i].slow, other->counts[side][i].slow);
         }
     }
 }
@@ -78,36 +78,41 @@
 }
 
 static bool
-count_is_bad (const EvidenceCount *fresh, const EvidenceCount *old, EvidenceBar bar)
+count_is_bad (const EvidenceCount *new_count,
+              const EvidenceCount *old_count,
+              EvidenceThreshold threshold)
 {
-  uint32_t failed_least = bar == EVIDENCE_DOUBT ? DOUBT_LEAST : FAILED_LEAST;
-  uint32_t slow_least = bar == EVIDENCE_DOUBT ? DOUBT_LEAST : SLOW_LEAST;
-  double failed_bound = share (old->failed, old->answers) * WORSE_TIMES + FAILED_MORE;
-  double slow_bound = share (old->slow, old->answers) * WORSE_TIMES + SLOW_MORE;
-
-  if (fresh->failed >= failed_least && share (fresh->failed, fresh->answers) > failed_bound)
+  uint32_t failed_min = threshold == EVIDENCE_DOUBT ? DOUBT_MIN : FAILED_MIN;
+  uint32_t slow_min = threshold == EVIDENCE_DOUBT ? DOUBT_MIN : SLOW_MIN;
+  double failed_bound
+      = share (old_count->failed, old_count->answers) * WORSE_FACTOR + FAILED_MARGIN;
+  double slow_bound = share (old_count->slow, old_count->answers) * WORSE_FACTOR + SLOW_MARGIN;
+
+  if (new_count->failed >= failed_min
+      && share (new_count->failed, new_count->answers) > failed_bound)
     return true;
-  return fresh->slow >= slow_least && share (fresh->slow, fresh->answers) > slow_bound;
+  return new_count->slow >= slow_min && share (new_count->slow, new_count->answers) > slow_bound;
 }
 
 bool
-front_evidence_is_bad (const FrontEvidence *evidence, EvidenceBar bar)
+front_evidence_is_bad (const FrontEvidence *evidence, EvidenceThreshold threshold)
 {
   EvidenceCount all[EVIDENCE_SIDES] = { 0 };
 
   for (unsigned i = 0; i < EVIDENCE_ROUTES; i++)
     {
-      const EvidenceCount *fresh = &evidence->counts[EVIDENCE_NEW][i];
-      const EvidenceCount *old = &evidence->counts[EVIDENCE_OLD][i];
+      const EvidenceCount *new_count = &evidence->counts[EVIDENCE_NEW][i];
+      const EvidenceCount *old_count = &evidence->counts[EVIDENCE_OLD][i];
 
-      if (count_is_bad (fresh, old, bar))
+      if (count_is_bad (new_count, old_count, threshold))
         return true;
-      count_sum (&all[EVIDENCE_NEW], fresh);
-      count_sum (&all[EVIDENCE_OLD], old);
+      count_sum (&all[EVIDENCE_NEW], new_count);
+      count_sum (&all[EVIDENCE_OLD], old_count);
     }
-  if (bar == EVIDENCE_DOUBT && all[EVIDENCE_NEW].answers == 1 && all[EVIDENCE_NEW].failed == 1)
+  if (threshold == EVIDENCE_DOUBT && all[EVIDENCE_NEW].answers == 1
+      && all[EVIDENCE_NEW].failed == 1)
     return true;
-  return count_is_bad (&all[EVIDENCE_NEW], &all[EVIDENCE_OLD], bar);
+  return count_is_bad (&all[EVIDENCE_NEW], &all[EVIDENCE_OLD], threshold);
 }
 
 uint32_t
--- a/src/front_evidence.h
+++ b/src/front_evidence.h
@@ -37,7 +37,7 @@
                          double first_ms,
                          double predicted_ms);
 /** Raises the counts of into to at least those of news. */
-void front_evidence_raise (FrontEvidence *into, const FrontEvidence *news);
+void front_evidence_merge (FrontEvidence *into, const FrontEvidence *other);
 /** Adds the counts of another node. */
 void front_evidence_sum (FrontEvidence *into, const FrontEvidence *other);
 /** How sure a verdict has to be. */
@@ -46,10 +46,10 @@
   EVIDENCE_CERTAIN, /**< beyond chance: while the roll-out can still bring more answers */
   EVIDENCE_DOUBT,   /**< two bad answers are enough, or one if it is the only one: before the
                        old version is given up for good */
-} EvidenceBar;
+} EvidenceThreshold;
 
 /** True if the new version is worse than the old one, on all routes or on one. */
-bool front_evidence_is_bad (const FrontEvidence *evidence, EvidenceBar bar);
+bool front_evidence_is_bad (const FrontEvidence *evidence, EvidenceThreshold threshold);
 uint32_t front_evidence_answers (const FrontEvidence *evidence, EvidenceSide side);
 
 #endif
--- a/src/front_health.h
+++ b/src/front_health.h
@@ -14,7 +14,7 @@
   double failures;        /**< failed requests lately, fading */
   double answers;         /**< answered ones, fading likewise */
   double lag_ms;          /**< how much later than predicted answers begin, smoothed */
-  int64_t faded_ms;       /**< when the sums were last faded */
+  int64_t decayed_ms;     /**< when the sums were last faded */
   int64_t avoid_until_ms; /**< gets no work before, if there is another */
   unsigned unreachable;   /**< connections in a row that could not be opened */
 } FrontHealth;
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -86,7 +86,7 @@
   int64_t now_ms = clock_boot_ms ();
 
   front_open (&self->front, now_ms);
-  front_servers_sweep (self->front.servers, now_ms);
+  front_servers_expire (self->front.servers, now_ms);
   front_conn_sweep (&self->front, now_ms);
   front_store_tick (self->front.store, now_ms);
   front_peers_tick (self->front.peers, now_ms);
--- a/src/front_peer_load.h
+++ b/src/front_peer_load.h
@@ -14,12 +14,12 @@
   double read_ms; /**< reading that waits, as of at_ms */
   double running; /**< requests that run, each counted by its model's share; the same */
   int64_t at_ms;
-} FrontOthers;
+} FrontPeerLoad;
 
 /** Somebody sends the server work; a figure that is no number or below zero adds nothing. */
-void front_others_add (FrontOthers *others, double read_ms, double running, int64_t now_ms);
+void front_peer_load_add (FrontPeerLoad *load, double read_ms, double running, int64_t now_ms);
 /** Milliseconds of reading that are still to be done. */
-double front_others_read_ms (const FrontOthers *others, int64_t now_ms);
-double front_others_running (const FrontOthers *others, int64_t now_ms);
+double front_peer_load_read_ms (const FrontPeerLoad *load, int64_t now_ms);
+double front_peer_load_running (const FrontPeerLoad *load, int64_t now_ms);
 
 #endif
--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -25,7 +25,7 @@
 void
 front_peers_count (const FrontPeers *peers, int64_t now_ms, ColdView *view)
 {
-  *view = (ColdView){ .neighbours = 1, .registered = peers->is_registered, .fronts = 1 };
+  *view = (ColdView){ .domain_fronts = 1, .registered = peers->is_registered, .fronts = 1 };
   view->is_new
       = now_ms - peers->started_ms < FRONT_SETTLED_MS || front_peers_alive (peers, now_ms) == 1;
   for (unsigned i = 0; i < peers->count; i++)
@@ -35,7 +35,7 @@
       bool near = peer->domain == peers->own_domain;
 
       view->registered += near && peer->is_registered;
-      view->neighbours += near && (heard || peer->is_registered);
+      view->domain_fronts += near && (heard || peer->is_registered);
       view->fronts += heard || peer->is_registered;
     }
 }
--- a/src/front_peers_take.c
+++ b/src/front_peers_take.c
@@ -25,10 +25,10 @@
 {
   Front *front = peers->front;
   FrontRollout *rollout = rollout_find (front, told->service);
-  RolloutNews news = {
+  RolloutUpdate news = {
     .is_bad = told->is_bad != 0,
     .old_busy_ms = told->old_busy_age_ms == PEER_NEVER ? 0 : now_ms - told->old_busy_age_ms,
-    .neighbour = message->domain == peers->own_domain ? message->incarnation : 0,
+    .peer = message->domain == peers->own_domain ? message->incarnation : 0,
     .evidence = told->evidence,
     .domain_count = told->domain_count,
     .domains = told->domains,
@@ -37,7 +37,7 @@
   /* News of another order than ours says nothing of this one. */
   if (!rollout || !rollout->ordered || rollout->order.row_version != told->order)
     return;
-  front_rollout_news (rollout, &news);
+  front_rollout_merge (rollout, &news);
   for (uint32_t i = 0; i < told->session_count; i++)
     front_rollouts_hold_session (front->rollouts, rollout, &told->sessions[i], now_ms);
 }
--- a/src/front_peers_tell.c
+++ b/src/front_peers_tell.c
@@ -75,7 +75,7 @@
 {
   unsigned others = 0;
 
-  front_rollout_sum (rollout);
+  front_rollout_sum_domain (rollout);
   for (unsigned i = 0; i < rollout->domain_count; i++)
     {
       const RolloutDomain *domain
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -76,15 +76,16 @@
   unsigned told;
   size_t len;
 
-  server->untold_ms += read_ms;
-  server->untold_share += share;
-  if (server->untold_ms < TELL_LEAST_MS || !may_send (peers, now_ms))
+  server->unreported_ms += read_ms;
+  server->unreported_share += share;
+  if (server->unreported_ms < TELL_LEAST_MS || !may_send (peers, now_ms))
     return;
-  message.notes[0] = (WorkNote){ .server = server->hash,
-                                 .read_ms = (uint32_t)lround (server->untold_ms),
-                                 .running = (uint32_t)lround (server->untold_share * SHARE_UNITS) };
-  server->untold_ms = 0;
-  server->untold_share = 0;
+  message.notes[0]
+      = (WorkNote){ .server = server->hash,
+                    .read_ms = (uint32_t)lround (server->unreported_ms),
+                    .running = (uint32_t)lround (server->unreported_share * SHARE_UNITS) };
+  server->unreported_ms = 0;
+  server->unreported_share = 0;
   len = work_message_encode (&message, data, sizeof data);
   told = tell_those (peers, data, len, true, TELL_MOST, now_ms);
   told += tell_those (peers, data, len, false, TELL_MOST - told, now_ms);
@@ -101,7 +102,7 @@
   {
     if (server->hash != note->server)
       continue;
-    front_others_add (&server->others, note->read_ms, note->running / SHARE_UNITS, now_ms);
+    front_peer_load_add (&server->peer_load, note->read_ms, note->running / SHARE_UNITS, now_ms);
     return;
   }
 }
--- a/src/front_pick.c
+++ b/src/front_pick.c
@@ -6,9 +6,9 @@
 /* What a server in another failure domain has to be faster by, as a part of what the caller is
  * ready to wait: bytes between domains have a price, and a caller who waits two seconds gains
  * nothing by 40 ms. */
-#define FAR_PART 0.02
+#define CROSS_DOMAIN_SHARE 0.02
 /* Milliseconds, at least: twice the way there and back (about 3 ms), the rest for the bytes. */
-#define FAR_MS 10.0
+#define CROSS_DOMAIN_MIN_MS 10.0
 /* What each request of a middle-sized model that runs there adds to the time of an event of all
  * others; one of the largest adds ten times as much as one of the smallest, and is counted so. */
 #define MODEL_RUNNING_MS 1.5
@@ -22,7 +22,7 @@
  * their evacuation was taken back. */
 #define RETURN_MARGIN_MS 500
 /* Tokens of shared prompt from which fronts agree on a server for it: 500 are 4 ms of reading. */
-#define HOME_LEAST_TOKENS 500
+#define AFFINITY_MIN_TOKENS 500
 
 bool
 front_pick_was_tried (const PickQuery *query, const FrontServer *server)
@@ -36,7 +36,7 @@
 }
 
 static bool
-is_asked_for (const PickQuery *query, const FrontServer *server)
+matches_query (const PickQuery *query, const FrontServer *server)
 {
   return strcmp (server->entry.service, query->service) == 0
          && (!query->version || strcmp (server->entry.version, query->version) == 0);
@@ -54,34 +54,35 @@
  * hash: each sees only its own requests, so without this a prompt that all of them get is read by
  * every server. NULL: the prompt is too short to matter, or too rare to be kept. */
 static const FrontServer *
-home_of (FrontServers *servers, const PickQuery *query, int64_t now_ms)
+affinity_server (FrontServers *servers, const PickQuery *query, int64_t now_ms)
 {
   const FrontCall *call = query->call;
-  const FrontServer *home = NULL;
+  const FrontServer *preferred = NULL;
   FrontServer *server;
   uint64_t best = 0, prompt;
 
-  if (!query->is_model || call->part_count < 2 || query->home_tokens < HOME_LEAST_TOKENS)
+  if (!query->is_model || call->part_count < 2 || query->affinity_tokens < AFFINITY_MIN_TOKENS)
     return NULL;
   prompt = call->parts[call->part_count - 2].id ^ query->model;
   cds_list_for_each_entry (server, front_servers_list (servers), node)
   {
     uint64_t hash = id_hash (&server->hash, sizeof server->hash, prompt);
 
-    if (!server->is_near || !is_asked_for (query, server)
-        || front_server_state (server, now_ms) >= FRONT_SERVER_AVOIDED || (home && hash <= best))
+    if (!server->is_same_domain || !matches_query (query, server)
+        || front_server_state (server, now_ms) >= FRONT_SERVER_AVOIDED
+        || (preferred && hash <= best))
       continue;
-    home = server;
+    preferred = server;
     best = hash;
   }
-  return home;
+  return preferred;
 }
 
 /* Tokens that the server has to read. */
 static int64_t
 prompt_tokens (const PickQuery *query,
                const FrontServer *server,
-               const FrontServer *home,
+               const FrontServer *preferred,
                int64_t now_ms)
 {
   int64_t cached;
@@ -90,18 +91,18 @@
     return 0;
   cached = front_prompts_cached (&server->prompts, query->call, query->model, now_ms,
                                  query->reuse_window_ms);
-  if (server == home && cached < query->home_tokens)
-    cached = query->home_tokens;
+  if (server == preferred && cached < query->affinity_tokens)
+    cached = query->affinity_tokens;
   return query->call->prompt_tokens > cached ? query->call->prompt_tokens - cached : 0;
 }
 
 static double
 prompt_ms (const PickQuery *query,
            const FrontServer *server,
-           const FrontServer *home,
+           const FrontServer *preferred,
            int64_t now_ms)
 {
-  return read_time_ms (&query->read_time, prompt_tokens (query, server, home, now_ms),
+  return read_time_ms (&query->read_time, prompt_tokens (query, server, preferred, now_ms),
                        query->call->prompt_tokens);
 }
 
@@ -112,21 +113,24 @@
   unsigned queued = server->running >= slots ? server->running - slots + 1 : 0;
 
   if (query->is_model)
-    return server->pending_ms + front_others_read_ms (&server->others, now_ms)
-           + (server->running_share + front_others_running (&server->others, now_ms))
+    return server->pending_ms + front_peer_load_read_ms (&server->peer_load, now_ms)
+           + (server->running_share + front_peer_load_running (&server->peer_load, now_ms))
                  * MODEL_RUNNING_MS
            + queued * SERVICE_QUEUED_MS;
   return (double)server->running / slots * SERVICE_RUNNING_MS + queued * SERVICE_QUEUED_MS;
 }
 
 static double
-cost_ms (const PickQuery *query, const FrontServer *server, const FrontServer *home, int64_t now_ms)
+cost_ms (const PickQuery *query,
+         const FrontServer *server,
+         const FrontServer *preferred,
+         int64_t now_ms)
 {
-  double cost = queue_ms (query, server, now_ms) + prompt_ms (query, server, home, now_ms)
+  double cost = queue_ms (query, server, now_ms) + prompt_ms (query, server, preferred, now_ms)
                 + front_health_penalty_ms (&server->health, now_ms);
 
-  if (!server->is_near)
-    cost += fmax (FAR_MS, FAR_PART * (double)query->objective_ms);
+  if (!server->is_same_domain)
+    cost += fmax (CROSS_DOMAIN_MIN_MS, CROSS_DOMAIN_SHARE * (double)query->objective_ms);
   if (server->cold_until_ms > now_ms)
     cost += COLD_MS;
   return cost;
@@ -144,17 +148,17 @@
 
 /* 0: it may get the request as far as its bound is concerned. */
 static int64_t
-bound_wait_ms (const PickQuery *query, const FrontServer *server, int64_t now_ms)
+cold_bound_wait_ms (const PickQuery *query, const FrontServer *server, int64_t now_ms)
 {
-  if (query->cold.most_per_s <= 0 || !is_cold (query, server, now_ms))
+  if (query->cold.max_per_s <= 0 || !is_cold (query, server, now_ms))
     return 0;
   return cold_wait_ms (&server->cold_sends,
-                       cold_slots (&query->cold, server->hash, server->is_near), now_ms);
+                       cold_slots (&query->cold, server->hash, server->is_same_domain), now_ms);
 }
 
 /* True if it may get nothing at present, which the answer then tells. */
 static bool
-is_left_out (PickAnswer *answer, const PickQuery *query, const FrontServer *server, int64_t now_ms)
+is_excluded (PickAnswer *answer, const PickQuery *query, const FrontServer *server, int64_t now_ms)
 {
   FrontServerState state = front_server_state (server, now_ms);
   int64_t wait_ms;
@@ -164,7 +168,7 @@
       answer->evacuated |= state == FRONT_SERVER_EVACUATED;
       return true;
     }
-  wait_ms = bound_wait_ms (query, server, now_ms);
+  wait_ms = cold_bound_wait_ms (query, server, now_ms);
   if (wait_ms == 0)
     return false;
   if (wait_ms > query->cold.start_ms)
@@ -177,7 +181,7 @@
 PickAnswer
 front_pick (FrontServers *servers, const PickQuery *query, int64_t now_ms)
 {
-  const FrontServer *home = home_of (servers, query, now_ms);
+  const FrontServer *preferred = affinity_server (servers, query, now_ms);
   PickAnswer best = { 0 };
   double best_cost = 0;
   FrontServer *server;
@@ -187,12 +191,12 @@
     bool avoided = front_server_state (server, now_ms) >= FRONT_SERVER_AVOIDED;
     double cost;
 
-    if (!is_asked_for (query, server) || front_pick_was_tried (query, server)
-        || is_left_out (&best, query, server, now_ms))
+    if (!matches_query (query, server) || front_pick_was_tried (query, server)
+        || is_excluded (&best, query, server, now_ms))
       continue;
     if (best.server && avoided && !best.avoided)
       continue;
-    cost = cost_ms (query, server, home, now_ms);
+    cost = cost_ms (query, server, preferred, now_ms);
     if (best.server && avoided == best.avoided && cost >= best_cost)
       continue;
     best.server = server;
@@ -201,8 +205,8 @@
   }
   if (best.server)
     {
-      best.prompt_ms = prompt_ms (query, best.server, home, now_ms);
-      best.prompt_tokens = prompt_tokens (query, best.server, home, now_ms);
+      best.prompt_ms = prompt_ms (query, best.server, preferred, now_ms);
+      best.prompt_tokens = prompt_tokens (query, best.server, preferred, now_ms);
       best.predicted_ms = best.prompt_ms + queue_ms (query, best.server, now_ms);
     }
   return best;
--- a/src/front_pick.h
+++ b/src/front_pick.h
@@ -17,16 +17,16 @@
   const char *service;
   const char *version; /**< NULL: any */
   const FrontCall *call;
-  uint64_t model;       /**< hash of the model's name */
-  double running_share; /**< what one request of the model adds to the time of a token of all
-                           others, that of a middle-sized model being 1 */
-  ReadTime read_time;   /**< of a prompt with that model */
-  int64_t objective_ms; /**< what the caller is ready to wait for the answer's begin */
-  unsigned slots;       /**< of one server; 0: what its entry says */
-  bool is_model;        /**< a model engine, not a plain service */
-  ColdRule cold;        /**< of the service */
-  int64_t home_tokens; /**< of the prompt's shared parts, those that are asked for so often that all
-                            fronts of the failure domain agree on a server that keeps them */
+  uint64_t model;          /**< hash of the model's name */
+  double running_share;    /**< what one request of the model adds to the time of a token of all
+                              others, that of a middle-sized model being 1 */
+  ReadTime read_time;      /**< of a prompt with that model */
+  int64_t objective_ms;    /**< what the caller is ready to wait for the answer's begin */
+  unsigned slots;          /**< of one server; 0: what its entry says */
+  bool is_model;           /**< a model engine, not a plain service */
+  ColdRule cold;           /**< of the service */
+  int64_t affinity_tokens; /**< of the prompt's shared parts, those that are asked for so often that
+                            all fronts of the failure domain agree on a server that keeps them */
   int64_t reuse_window_ms; /**< how long a server's cache is relied on */
   unsigned tried_count;
   uint64_t tried[PICK_TRIED_MAX]; /**< hashes of servers that this request was sent to */
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -15,20 +15,20 @@
 #define STATUS_TIMEOUT      504
 
 /* Milliseconds that a caller is told to stay away. */
-#define COME_BACK_STARTING_MS 400 /* a process learns the configuration within this time */
-#define COME_BACK_QUARANTINED_MS                                                                   \
+#define RETRY_AFTER_STARTING_MS 400 /* a process learns the configuration within this time */
+#define RETRY_AFTER_QUARANTINED_MS                                                                 \
   3000 /* the request crashes servers; it will not do better soon                                  \
         */
 
 /* Milliseconds after the stop was asked for from which streams are no longer taken: by then the
  * balancer sends callers elsewhere, and those who come all the same are told so at once, since an
  * answer that takes longer than the process lives would be cut off. */
-#define STOP_TAKES_MS 2600
+#define STOP_ACCEPTS_STREAMS_MS 2600
 /* Milliseconds before the process is killed by which everything else that is taken must have its
  * final answer, if only that of its time-out. */
-#define STOP_SPARE_MS     1500
-#define MS_PER_S          1000
-#define COME_BACK_STOP_MS 50 /* another front takes the request right away */
+#define STOP_MARGIN_MS          1500
+#define MS_PER_S                1000
+#define RETRY_AFTER_STOPPING_MS 50 /* another front takes the request right away */
 
 FrontRequest *
 front_request_new (Front *front, FrontConn *conn)
@@ -98,7 +98,7 @@
 request_give_up (FrontRequest *request, const char *reason, int64_t wait_ms)
 {
   int64_t now_ms = clock_boot_ms ();
-  int64_t again_ms;
+  int64_t backoff_ms;
   bool late = now_ms >= request->end_ms;
 
   if (request->head_sent)
@@ -114,8 +114,9 @@
     request_refuse (request, late ? STATUS_TIMEOUT : STATUS_BAD_GATEWAY, reason, 0);
   else
     {
-      again_ms = front_budget_refused (request->front->budget, request->service, now_ms);
-      request_refuse (request, STATUS_UNAVAILABLE, reason, wait_ms > again_ms ? wait_ms : again_ms);
+      backoff_ms = front_budget_count_refusal (request->front->budget, request->service, now_ms);
+      request_refuse (request, STATUS_UNAVAILABLE, reason,
+                      wait_ms > backoff_ms ? wait_ms : backoff_ms);
     }
 }
 
@@ -162,9 +163,9 @@
 {
   const HttpIntake *intake = front_conn_intake (request->conn);
   const char *team = request->team ? request->team->name : "";
-  uint64_t print = quarantine_fingerprint (team, intake->body.data, intake->body.len);
+  uint64_t hash = quarantine_fingerprint (team, intake->body.data, intake->body.len);
 
-  return id_hash (intake->target.text, intake->target.len, print) | 1;
+  return id_hash (intake->target.text, intake->target.len, hash) | 1;
 }
 
 /* Whether the answer may be cut off by the end of a planned stop. Where all fronts of a failure
@@ -175,9 +176,9 @@
 {
   const Front *front = request->front;
   int64_t passed_ms = request->arrived_ms - front->stop_ms;
-  int64_t most_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_SPARE_MS;
+  int64_t most_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_MARGIN_MS;
 
-  if (front->stop_ms == 0 || passed_ms <= STOP_TAKES_MS)
+  if (front->stop_ms == 0 || passed_ms <= STOP_ACCEPTS_STREAMS_MS)
     return false;
   return request->route->kind == ROUTE_STREAM || passed_ms + request->route->timeout_ms > most_ms;
 }
@@ -191,7 +192,7 @@
 
   if (!config || !front->servers_known)
     {
-      request_refuse (request, STATUS_UNAVAILABLE, "no_configuration", COME_BACK_STARTING_MS);
+      request_refuse (request, STATUS_UNAVAILABLE, "no_configuration", RETRY_AFTER_STARTING_MS);
       return false;
     }
   request->config = front_config_ref (config);
@@ -209,13 +210,13 @@
     }
   if (may_outlive_stop (request))
     {
-      request_refuse (request, STATUS_UNAVAILABLE, "stopping", COME_BACK_STOP_MS);
+      request_refuse (request, STATUS_UNAVAILABLE, "stopping", RETRY_AFTER_STOPPING_MS);
       return false;
     }
   request->fingerprint = fingerprint_of (request);
   if (!quarantine_holds (front->quarantine, request->fingerprint, request->arrived_ms))
     return true;
-  request_refuse (request, STATUS_UNAVAILABLE, "quarantined", COME_BACK_QUARANTINED_MS);
+  request_refuse (request, STATUS_UNAVAILABLE, "quarantined", RETRY_AFTER_QUARANTINED_MS);
   return false;
 }
 
@@ -236,14 +237,14 @@
   if (route->model_count > 0 && span_is (request->call.model, "*"))
     request->model = 0;
   request->events.last_id = request->call.after_event;
-  front_budget_first (request->front->budget, request->service, request->arrived_ms);
+  front_budget_count_request (request->front->budget, request->service, request->arrived_ms);
   request_send (request);
 }
 
 /* A server that fell silent and started again closes none of its old connections where a cut path
  * keeps its resets from us; without this a stream on one waits for two allowed pauses. */
 void
-front_requests_restarted (Front *front)
+front_requests_cut_restarted (Front *front)
 {
   FrontRequest *request, *next;
 
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -62,7 +62,7 @@
 void request_drop_attempt (FrontRequest *request);
 /* What is predicted if a larger model is asked now. */
 CascadeForecast request_forecast (const FrontRequest *request, uint32_t model);
-void request_arm (FrontRequest *request);
+void request_arm_timer (FrontRequest *request);
 /* The attempt's answer has begun so long after the sending. */
 void request_learn_speed (FrontRequest *request, double first_ms, int64_t now_ms);
 /* The attempt's server has ended, or its connection has; the request may be freed. */
@@ -70,7 +70,7 @@
 
 /* front_request_retry.c; after each of them the request may be freed. */
 /* An attempt failed. Sends the request again if that is allowed, or gives it up. */
-void request_again (FrontRequest *request, const char *reason, bool may_have_run);
+void request_retry (FrontRequest *request, const char *reason, bool may_have_run);
 /* The server could not be reached. */
 void request_unreached (FrontRequest *request, const char *reason);
 /* The server has said nothing for longer than it should. */
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -34,17 +34,17 @@
 }
 
 static ReplyKind
-reply_kind (const FrontRequest *request, const HttpReply *reply, const ReplyFacts *facts)
+reply_kind (const FrontRequest *request, const HttpReply *reply, const ReplyInfo *info)
 {
-  if (facts->request_id.text && !span_equal (facts->request_id, request->call.id))
+  if (info->request_id.text && !span_equal (info->request_id, request->call.id))
     return REPLY_GARBLED;
-  if (reply->status == STATUS_MISDIRECTED && facts->other_server)
+  if (reply->status == STATUS_MISDIRECTED && info->other_server)
     return REPLY_OTHER_SERVER;
-  if (facts->not_executed)
+  if (info->not_executed)
     return REPLY_NOT_RUN;
   if (is_success (reply->status))
     {
-      if (!facts->is_signed || facts->is_encoded)
+      if (!info->is_signed || info->is_encoded)
         return REPLY_GARBLED;
       return request->route->kind == ROUTE_STREAM ? REPLY_STREAM : REPLY_WHOLE;
     }
@@ -54,35 +54,35 @@
 }
 
 void
-request_add_evidence (FrontRequest *request, bool failed, int64_t now_ms)
+request_add_evidence (FrontRequest *request, bool handle_server_failure, int64_t now_ms)
 {
   FrontRollout *rollout = front_rollouts_get (request->front->rollouts, request->service);
-  bool fresh = strcmp (request->version, rollout->order.target) == 0;
+  bool is_target = strcmp (request->version, rollout->order.target) == 0;
 
   if (front_rollout_is_running (rollout))
-    front_evidence_add (&rollout->evidence, fresh ? EVIDENCE_NEW : EVIDENCE_OLD,
-                        request->route->hash, failed, (double)(now_ms - request->sent_ms),
-                        request->predicted_ms);
+    front_evidence_add (&rollout->evidence, is_target ? EVIDENCE_NEW : EVIDENCE_OLD,
+                        request->route->hash, handle_server_failure,
+                        (double)(now_ms - request->sent_ms), request->predicted_ms);
 }
 
 /* Counts the answer for its server and, during a roll-out, for its version. */
 static void
-account_first (FrontRequest *request, bool failed)
+record_answer_start (FrontRequest *request, bool handle_server_failure)
 {
   int64_t now_ms = clock_boot_ms ();
   double first_ms = (double)(now_ms - request->sent_ms);
 
   request->server->pending_ms -= request->pending_ms;
   request->pending_ms = 0;
-  if (failed)
+  if (handle_server_failure)
     front_health_failed (&request->server->health, now_ms);
   else
     front_health_answered (&request->server->health, now_ms, first_ms, request->predicted_ms);
-  if (!failed && request->route->kind == ROUTE_STREAM)
+  if (!handle_server_failure && request->route->kind == ROUTE_STREAM)
     request_learn_speed (request, first_ms, now_ms);
-  if (!failed && request->model != NO_MODEL)
+  if (!handle_server_failure && request->model != NO_MODEL)
     front_lag_add (&request->front->lag, first_ms - request->predicted_ms, now_ms);
-  request_add_evidence (request, failed, now_ms);
+  request_add_evidence (request, handle_server_failure, now_ms);
 }
 
 static uint32_t
@@ -100,11 +100,11 @@
 }
 
 static CascadeStep
-cascade_step (FrontRequest *request, const ReplyFacts *facts)
+cascade_step (FrontRequest *request, const ReplyInfo *info)
 {
   int64_t now_ms = clock_boot_ms ();
   CascadeCase c = {
-    .confidence = facts->confidence,
+    .confidence = info->confidence,
     .has_middle = request->route->model_count >= MODELS_WITH_MIDDLE,
     .priority = request->route->priority,
     .passed_ms = now_ms - request->arrived_ms,
@@ -124,9 +124,9 @@
 /* Drops the answer for a larger model's; false if that isn't wanted, or the budget doesn't allow
  * it. */
 static bool
-cascade (FrontRequest *request, const ReplyFacts *facts)
+try_larger_model (FrontRequest *request, const ReplyInfo *info)
 {
-  CascadeStep step = cascade_step (request, facts);
+  CascadeStep step = cascade_step (request, info);
   uint32_t model = step_model (request, step);
   FrontLine *line;
   bool allowed;
@@ -139,7 +139,7 @@
   line = front_log_begin (FRONT_EVENT_CASCADE);
   front_log_span (line, "request", request->call.id);
   front_log_text (line, "model", request->route->models[request->model]);
-  front_log_number (line, "confidence", facts->confidence);
+  front_log_number (line, "confidence", info->confidence);
   front_log_text (line, "next", request->route->models[model]);
   front_log_text (line, "verdict", allowed ? "larger" : "no_budget");
   front_log_end (line);
@@ -177,7 +177,7 @@
 }
 
 static void
-first_byte (FrontRequest *request)
+record_first_byte (FrontRequest *request)
 {
   if (request->first_ms >= 0)
     return;
@@ -186,13 +186,13 @@
 }
 
 static void
-answer_whole (FrontRequest *request)
+send_complete_answer (FrontRequest *request)
 {
   HttpReply *reply = front_attempt_reply (request->attempt);
   FrontConn *conn = request->conn;
   Buffer head = { 0 }, body = reply->body;
 
-  first_byte (request);
+  record_first_byte (request);
   log_answered (request, reply->status);
   wire_reply_encode (&head, reply);
   reply->body = (Buffer){ 0 };
@@ -224,7 +224,7 @@
 }
 
 static void
-event_passed (FrontRequest *request)
+record_relayed_event (FrontRequest *request)
 {
   int64_t now_ms = clock_boot_ms ();
 
@@ -248,13 +248,13 @@
     {
       if (!request->head_sent)
         stream_head (request);
-      first_byte (request);
-      event_passed (request);
+      record_first_byte (request);
+      record_relayed_event (request);
       front_conn_stream_data (request->conn, out.data, out.len);
     }
   buffer_free (&out);
   if (cut_off)
-    request_again (request, "stream_spoiled", true);
+    request_retry (request, "stream_spoiled", true);
   else if (reply->complete)
     {
       if (!request->head_sent)
@@ -265,12 +265,12 @@
     {
       if (front_conn_is_full (request->conn))
         front_attempt_pause (request->attempt, true);
-      request_arm (request);
+      request_arm_timer (request);
     }
 }
 
 void
-front_request_caller_reads (FrontRequest *request)
+front_request_drained (FrontRequest *request)
 {
   if (request->attempt && request->relaying)
     front_attempt_pause (request->attempt, false);
@@ -278,7 +278,7 @@
 
 /* A server's own failure is the caller's answer, unless another server may be asked. */
 static void
-failed (FrontRequest *request, const ReplyFacts *facts)
+handle_server_failure (FrontRequest *request, const ReplyInfo *info)
 {
   HttpReply *reply = front_attempt_reply (request->attempt);
   bool may_repeat = front_route_is_idempotent (request->route)
@@ -286,56 +286,56 @@
   /* These two statuses promise that nothing ran, which the server doesn't vouch for here. */
   bool promises = reply->status == STATUS_TOO_MANY || reply->status == STATUS_UNAVAILABLE;
 
-  if (may_repeat || promises || request->head_sent || !facts->is_signed)
-    request_again (request, "server_error", true);
+  if (may_repeat || promises || request->head_sent || !info->is_signed)
+    request_retry (request, "server_error", true);
   else
-    answer_whole (request);
+    send_complete_answer (request);
 }
 
 /* The first look at an answer whose head is whole. */
 static void
-answer_begins (FrontRequest *request)
+handle_reply_head (FrontRequest *request)
 {
   HttpReply *reply = front_attempt_reply (request->attempt);
   int64_t now_ms = clock_boot_ms ();
-  ReplyFacts facts;
+  ReplyInfo info;
   ReplyKind kind;
 
-  wire_reply_decode (reply, request->server->entry.id, &facts);
-  kind = reply_kind (request, reply, &facts);
+  wire_reply_decode (reply, request->server->entry.id, &info);
+  kind = reply_kind (request, reply, &info);
   switch (kind)
     {
     case REPLY_OTHER_SERVER:
       front_server_lost_address (request->server);
-      request_again (request, "other_server", false);
+      request_retry (request, "other_server", false);
       return;
     case REPLY_NOT_RUN:
       front_health_full (&request->server->health, now_ms);
-      request_again (request, "server_full", false);
+      request_retry (request, "server_full", false);
       return;
     case REPLY_GARBLED:
       front_health_failed (&request->server->health, now_ms);
-      request_again (request, "answer_garbled", true);
+      request_retry (request, "answer_garbled", true);
       return;
     case REPLY_FAILED:
       if (!reply->complete)
         return;
-      account_first (request, true);
-      failed (request, &facts);
+      record_answer_start (request, true);
+      handle_server_failure (request, &info);
       return;
     case REPLY_STREAM:
-      account_first (request, false);
-      if (cascade (request, &facts))
+      record_answer_start (request, false);
+      if (try_larger_model (request, &info))
         return;
       request->relaying = true;
       stream_progress (request);
       return;
     case REPLY_WHOLE:
       if (!request->relaying)
-        account_first (request, false);
+        record_answer_start (request, false);
       request->relaying = true;
       if (reply->complete)
-        answer_whole (request);
+        send_complete_answer (request);
       return;
     }
 }
@@ -346,9 +346,9 @@
   HttpReply *reply = front_attempt_reply (request->attempt);
 
   if (!request->relaying)
-    answer_begins (request);
+    handle_reply_head (request);
   else if (request->route->kind == ROUTE_STREAM && is_success (reply->status))
     stream_progress (request);
   else if (reply->complete)
-    answer_whole (request);
+    send_complete_answer (request);
 }
--- a/src/front_request_retry.c
+++ b/src/front_request_retry.c
@@ -6,52 +6,52 @@
 
 /* Servers that one request may fail to reach without using up its attempts. With a third of all
  * gone, and three attempts by the route, one of 2,187 requests (3 to the 7th) reaches none. */
-#define UNREACHED_MOST 4
+#define UNREACHED_MAX 4
 
 typedef enum
 {
-  AGAIN_NOW,
-  AGAIN_MAY_HAVE_RUN, /* and may run only once */
-  AGAIN_ATTEMPTS,
-  AGAIN_DEADLINE,
-  AGAIN_NO_BUDGET,
-  AGAIN_UNSENT, /* now, as nothing was sent */
-} AgainVerdict;
+  RETRY_NOW,
+  RETRY_MAY_HAVE_RUN, /* and may run only once */
+  RETRY_ATTEMPTS,
+  RETRY_DEADLINE,
+  RETRY_NO_BUDGET,
+  RETRY_UNSENT, /* now, as nothing was sent */
+} RetryVerdict;
 
-static const char *const again_names[] = {
-  [AGAIN_NOW] = "now",
-  [AGAIN_MAY_HAVE_RUN] = "may_have_run",
-  [AGAIN_ATTEMPTS] = "attempts",
-  [AGAIN_DEADLINE] = "deadline",
-  [AGAIN_NO_BUDGET] = "no_budget",
-  [AGAIN_UNSENT] = "unsent",
+static const char *const verdict_names[] = {
+  [RETRY_NOW] = "now",
+  [RETRY_MAY_HAVE_RUN] = "may_have_run",
+  [RETRY_ATTEMPTS] = "attempts",
+  [RETRY_DEADLINE] = "deadline",
+  [RETRY_NO_BUDGET] = "no_budget",
+  [RETRY_UNSENT] = "unsent",
 };
 
 /* Whether another attempt may be made; if so, it is taken from the budget. */
-static AgainVerdict
-may_go_on (FrontRequest *request, bool may_have_run)
+static RetryVerdict
+retry_verdict (FrontRequest *request, bool may_have_run)
 {
   int64_t now_ms = clock_boot_ms ();
 
   if (may_have_run && !front_route_is_idempotent (request->route))
-    return AGAIN_MAY_HAVE_RUN;
+    return RETRY_MAY_HAVE_RUN;
   if (request->attempts >= request->route->attempts_max)
-    return AGAIN_ATTEMPTS;
+    return RETRY_ATTEMPTS;
   if (now_ms >= request->end_ms)
-    return AGAIN_DEADLINE;
+    return RETRY_DEADLINE;
   if (!front_budget_take (request->front->budget, request->service, BUDGET_RETRY, now_ms))
-    return AGAIN_NO_BUDGET;
-  return AGAIN_NOW;
+    return RETRY_NO_BUDGET;
+  return RETRY_NOW;
 }
 
 static void
-log_again (const FrontRequest *request, const char *reason, AgainVerdict verdict)
+log_retry (const FrontRequest *request, const char *reason, RetryVerdict verdict)
 {
   FrontLine *line = front_log_begin (request->head_sent ? FRONT_EVENT_RESUME : FRONT_EVENT_RETRY);
 
   front_log_span (line, "request", request->call.id);
   front_log_text (line, "reason", reason);
-  front_log_text (line, "verdict", again_names[verdict]);
+  front_log_text (line, "verdict", verdict_names[verdict]);
   front_log_text (line, "server", request->server ? request->server->entry.id : NULL);
   front_log_number (line, "attempt", request->attempts);
   front_log_number (line, "may_have_run", request->may_have_run);
@@ -60,7 +60,7 @@
 }
 
 static void
-go_on (FrontRequest *request)
+send_again (FrontRequest *request)
 {
   front_counter_add (request->head_sent ? FRONT_COUNTER_RESUMES : FRONT_COUNTER_RETRIES);
   request_drop_attempt (request);
@@ -68,15 +68,15 @@
 }
 
 void
-request_again (FrontRequest *request, const char *reason, bool may_have_run)
+request_retry (FrontRequest *request, const char *reason, bool may_have_run)
 {
-  AgainVerdict verdict;
+  RetryVerdict verdict;
 
   request->may_have_run |= may_have_run;
-  verdict = may_go_on (request, request->may_have_run);
-  log_again (request, reason, verdict);
-  if (verdict == AGAIN_NOW)
-    go_on (request);
+  verdict = retry_verdict (request, request->may_have_run);
+  log_retry (request, reason, verdict);
+  if (verdict == RETRY_NOW)
+    send_again (request);
   else
     {
       request_drop_attempt (request);
@@ -93,15 +93,15 @@
   int64_t now_ms = clock_boot_ms ();
 
   front_health_unreachable (&request->server->health, now_ms);
-  if (request->unreached == UNREACHED_MOST || now_ms >= request->end_ms)
+  if (request->unreached == UNREACHED_MAX || now_ms >= request->end_ms)
     {
-      request_again (request, reason, false);
+      request_retry (request, reason, false);
       return;
     }
   request->unreached++;
   request->attempts--;
-  log_again (request, reason, AGAIN_UNSENT);
-  go_on (request);
+  log_retry (request, reason, RETRY_UNSENT);
+  send_again (request);
 }
 
 /* The server is silent. Unlike a cut connection that is no reason to end the answer: the attempt is
@@ -110,22 +110,22 @@
 request_silent (FrontRequest *request)
 {
   const char *reason = request->relaying ? "stream_silent" : "answer_late";
-  AgainVerdict verdict = may_go_on (request, true);
+  RetryVerdict verdict = retry_verdict (request, true);
   int64_t now_ms = clock_boot_ms ();
 
-  log_again (request, reason, verdict);
+  log_retry (request, reason, verdict);
   /* Counted before the attempt is left: a version that is slow throughout would otherwise have no
    * answers at all to be judged by. */
   if (!request->relaying)
     request_add_evidence (request, false, now_ms);
-  if (verdict != AGAIN_NOW)
+  if (verdict != RETRY_NOW)
     {
       request->event_ms = now_ms;
       request->sent_ms = now_ms;
-      request_arm (request);
+      request_arm_timer (request);
       return;
     }
   front_health_failed (&request->server->health, now_ms);
   request->may_have_run = true;
-  go_on (request);
+  send_again (request);
 }
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -16,9 +16,9 @@
 #define SILENCE_PAUSES 2
 /* An idempotent request is sent elsewhere when its answer has not begun in this part of its
  * objective, or this many times the predicted time if that is more. */
-#define FIRST_BYTE_SHARE 0.6
-#define FIRST_BYTE_TIMES 4.0
-#define MS_PER_S         1000
+#define FIRST_BYTE_SHARE  0.6
+#define FIRST_BYTE_FACTOR 4.0
+#define MS_PER_S          1000
 /* From a plain service's acceptance to its answer: its slow answers of 60 ms are no silence, which
  * is four times this. */
 #define PLAIN_FIRST_MS 60.0
@@ -28,7 +28,7 @@
 static void on_cut (void *user);
 static void on_timer (evutil_socket_t fd, short what, void *user);
 
-static const AttemptOwner attempt_owner = {
+static const AttemptCallbacks attempt_callbacks = {
   .sent = on_sent,
   .progress = on_progress,
   .cut = on_cut,
@@ -67,11 +67,11 @@
   if (!service || service->cold_per_s <= 0)
     return rule;
   rule = (ColdRule){
-    .most_per_s = service->cold_per_s * settings->cold_overage + settings->cold_slack,
+    .max_per_s = service->cold_per_s * settings->cold_overage + settings->cold_slack,
     .start_ms = service->cold_start_ms,
     .self = front->vm_hash,
   };
-  cold_rule_count (&rule, &front->fronts);
+  cold_rule_set_fronts (&rule, &front->fronts);
   return rule;
 }
 
@@ -79,10 +79,10 @@
  * it was asked within so many windows is asked for once in a window by all together, and so stays
  * cached. */
 static int64_t
-home_tokens (const FrontRequest *request, uint64_t model)
+affinity_tokens (const FrontRequest *request, uint64_t model)
 {
   const Front *front = request->front;
-  double window_ms = front->settings.reuse_window_s * MS_PER_S * front->fronts.neighbours;
+  double window_ms = front->settings.reuse_window_s * MS_PER_S * front->fronts.domain_fronts;
 
   return front_prompts_cached (&front->asked, &request->call, model, clock_boot_ms (),
                                (int64_t)window_ms);
@@ -105,7 +105,7 @@
     .objective_ms = request->route->objective_ms,
     .slots = service ? service->slots : 0,
     .is_model = service && service->kv_tokens > 0,
-    .home_tokens = home_tokens (request, hash),
+    .affinity_tokens = affinity_tokens (request, hash),
     .reuse_window_ms = (int64_t)(request->front->settings.reuse_window_s * MS_PER_S),
     .tried_count = request->tried_count,
     .cold = cold_rule (request->front, service),
@@ -156,7 +156,10 @@
 /* Remembers the attempt for what later choices need: the load that it adds, the prompt that the
  * server will have read. */
 static void
-account_sent (FrontRequest *request, const PickQuery *query, const PickAnswer *pick, int64_t now_ms)
+record_attempt (FrontRequest *request,
+                const PickQuery *query,
+                const PickAnswer *pick,
+                int64_t now_ms)
 {
   if (request->tried_count < PICK_TRIED_MAX)
     request->tried[request->tried_count++] = pick->server->hash;
@@ -187,7 +190,7 @@
 static bool
 attempt_begin (FrontRequest *request, const PickAnswer *pick, int64_t left_ms)
 {
-  CallOrder order = {
+  CallHeaders headers = {
     .server_id = pick->server->entry.id,
     .team = request->team ? request->team->name : NULL,
     .model = model_name (request, request->model),
@@ -198,9 +201,9 @@
   HttpIntake *intake = front_conn_intake (request->conn);
   Buffer head = { 0 };
 
-  wire_call_encode (&head, intake, &order);
+  wire_call_encode (&head, intake, &headers);
   request->attempt = front_attempt_start (request->front, pick->server, &head, &intake->body,
-                                          &attempt_owner, request);
+                                          &attempt_callbacks, request);
   buffer_free (&head);
   return request->attempt != NULL;
 }
@@ -234,15 +237,15 @@
       return;
     }
   version_set (request, version, now_ms);
-  account_sent (request, &query, &pick, now_ms);
+  record_attempt (request, &query, &pick, now_ms);
   if (!attempt_begin (request, &pick, request->end_ms - now_ms))
     {
-      request_again (request, "no_descriptor", false);
+      request_retry (request, "no_descriptor", false);
       return;
     }
   front_counter_add (FRONT_COUNTER_ATTEMPTS);
   log_sent (request, &pick);
-  request_arm (request);
+  request_arm_timer (request);
 }
 
 CascadeForecast
@@ -266,7 +269,7 @@
     .tokens = request->prompt_tokens,
     .prompt_tokens = request->call.prompt_tokens,
     .read_ms = first_ms - (request->predicted_ms - request->prompt_ms),
-    .else_ms = first_ms - request->predicted_ms + front_speeds_first_ms (speeds),
+    .overhead_ms = first_ms - request->predicted_ms + front_speeds_first_ms (speeds),
   };
 
   if (request->call.prompt_tokens > 0)
@@ -302,12 +305,12 @@
 {
   const FrontRoute *route = request->route;
   double first_ms = fmax ((double)route->objective_ms * FIRST_BYTE_SHARE,
-                          request->predicted_ms * FIRST_BYTE_TIMES);
+                          request->predicted_ms * FIRST_BYTE_FACTOR);
 
   if (!request->attempt)
     return INT64_MAX;
   if (!front_attempt_is_sent (request->attempt))
-    return request->sent_ms + FRONT_CONNECT_MS;
+    return request->sent_ms + FRONT_CONNECT_TIMEOUT_MS;
   /* What may run only once is not sent again, so there is nothing to win by giving it up. */
   if (!front_route_is_idempotent (route) || request->attempts >= route->attempts_max)
     return INT64_MAX;
@@ -318,7 +321,7 @@
 }
 
 void
-request_arm (FrontRequest *request)
+request_arm_timer (FrontRequest *request)
 {
   int64_t due_ms = silence_due_ms (request);
   int64_t wait_ms = (due_ms < request->end_ms ? due_ms : request->end_ms) - clock_boot_ms ();
@@ -346,7 +349,7 @@
       request_give_up (request, "timeout", 0);
     }
   else if (now_ms < silence_due_ms (request))
-    request_arm (request);
+    request_arm_timer (request);
   else if (!sent)
     request_unreached (request, "connect_timeout");
   else
@@ -359,7 +362,7 @@
   FrontRequest *request = user;
 
   cold_connected (&request->server->cold_sends, request->sent_ms, clock_boot_ms ());
-  request_arm (request);
+  request_arm_timer (request);
 }
 
 static void
@@ -385,6 +388,6 @@
       return;
     }
   front_health_failed (&request->server->health, now_ms);
-  front_deaths_cut (request->front, request->server, request->fingerprint);
-  request_again (request, request->relaying ? "stream_cut" : "answer_cut", true);
+  front_deaths_check (request->front, request->server, request->fingerprint);
+  request_retry (request, request->relaying ? "stream_cut" : "answer_cut", true);
 }
--- a/src/front_rollouts.c
+++ b/src/front_rollouts.c
@@ -31,12 +31,12 @@
 
 /* The second half: all sessions have moved after this part of the whole time, which leaves the rest
  * for the answers in progress on the old version to end. */
-#define HALF         0.5
-#define ALL_MOVED_AT 0.72
+#define SECOND_HALF_AT 0.5
+#define ALL_MOVED_AT   0.72
 /* Milliseconds. Sessions may move to the new version in the second half only; nodes don't begin it
  * at the same moment, as the order reaches them at different times. */
-#define HALF_MARGIN_MS 400
-#define SHARE_STEPS    10000
+#define SECOND_HALF_MARGIN_MS 400
+#define SHARE_STEPS           10000
 
 struct FrontRollouts
 {
@@ -90,7 +90,7 @@
 }
 
 static unsigned
-servers_of (FrontServers *servers, const char *service, const char *but_version)
+servers_of (FrontServers *servers, const char *service, const char *except_version)
 {
   FrontServer *server;
   unsigned count = 0;
@@ -98,7 +98,7 @@
   cds_list_for_each_entry (server, front_servers_list (servers), node)
   {
     count += server->listed && strcmp (server->entry.service, service) == 0
-             && strcmp (server->entry.version, but_version) != 0;
+             && strcmp (server->entry.version, except_version) != 0;
   }
   return count;
 }
@@ -123,7 +123,7 @@
   rollout->is_bad = false;
   rollout->has_verdict = false;
   rollout->old_busy_ms = 0;
-  rollout->neighbour_count = 0;
+  rollout->peer_count = 0;
   rollout->domain_count = 0;
   memset (&rollout->evidence, 0, sizeof rollout->evidence);
   if (strcmp (rollout->base, order->target) == 0)
@@ -146,7 +146,7 @@
                        int64_t row_version,
                        int64_t started_ms)
 {
-  bool news;
+  bool changed;
 
   if (!rollout->ordered || row_version <= rollout->order.row_version
       || row_version <= rollout->status_version || strcmp (rollout->order.target, target) != 0)
@@ -157,11 +157,11 @@
     rollout->started_ms = started_ms;
   if (rollout->state != FRONT_ROLLOUT_RUNNING)
     return false; /* an end is final; a late "running" doesn't take it back */
-  news = state != rollout->state;
+  changed = state != rollout->state;
   rollout->state = state;
   if (state == FRONT_ROLLOUT_COMPLETED)
     snprintf (rollout->base, sizeof rollout->base, "%s", target);
-  return news;
+  return changed;
 }
 
 bool
@@ -170,7 +170,7 @@
   return rollout->ordered && rollout->state == FRONT_ROLLOUT_RUNNING;
 }
 
-#define VERSIONS_MOST 8 /* of one service at a time; one that is left out is in the minority */
+#define VERSIONS_MAX 8 /* of one service at a time; one that is left out is in the minority */
 
 typedef struct
 {
@@ -179,13 +179,13 @@
 } VersionCount;
 
 static void
-version_count (VersionCount counts[VERSIONS_MOST], const char *version)
+version_count (VersionCount counts[VERSIONS_MAX], const char *version)
 {
   unsigned i = 0;
 
-  while (i < VERSIONS_MOST && counts[i].version && strcmp (counts[i].version, version) != 0)
+  while (i < VERSIONS_MAX && counts[i].version && strcmp (counts[i].version, version) != 0)
     i++;
-  if (i == VERSIONS_MOST)
+  if (i == VERSIONS_MAX)
     return;
   counts[i].version = version;
   counts[i].count++;
@@ -205,9 +205,9 @@
  * those of the version before may drain for many seconds after the last roll-out, and a front that
  * starts among them would send its requests to a version that is about to be gone. */
 static void
-base_find (FrontRollout *rollout, FrontServers *servers)
+find_base (FrontRollout *rollout, FrontServers *servers)
 {
-  VersionCount counts[2][VERSIONS_MOST] = { 0 };
+  VersionCount counts[2][VERSIONS_MAX] = { 0 };
   FrontServer *server;
   unsigned most = 0;
 
@@ -216,11 +216,11 @@
     if (is_candidate (rollout, server))
       version_count (counts[server->leaving], server->entry.version);
   }
-  for (unsigned i = 0; i < 2 * VERSIONS_MOST; i++)
+  for (unsigned i = 0; i < 2 * VERSIONS_MAX; i++)
     {
-      const VersionCount *count = &counts[i / VERSIONS_MOST][i % VERSIONS_MOST];
+      const VersionCount *count = &counts[i / VERSIONS_MAX][i % VERSIONS_MAX];
 
-      if (i == VERSIONS_MOST && most > 0)
+      if (i == VERSIONS_MAX && most > 0)
         return;
       if (count->count <= most)
         continue;
@@ -243,7 +243,7 @@
   cds_list_for_each_entry (rollout, &rollouts->list, node)
   {
     if (rollout->base[0] == '\0')
-      base_find (rollout, servers);
+      find_base (rollout, servers);
   }
 }
 
@@ -258,7 +258,7 @@
 }
 
 static double
-first_share (const FrontRollout *rollout)
+first_stage_share (const FrontRollout *rollout)
 {
   return first_stage (rollout)->share;
 }
@@ -267,17 +267,17 @@
 front_rollout_share (const FrontRollout *rollout, int64_t now_ms)
 {
   double duration = (double)rollout->order.duration_ms;
-  double passed = (double)(now_ms - rollout->started_ms - HALF_MARGIN_MS) / duration;
+  double passed = (double)(now_ms - rollout->started_ms - SECOND_HALF_MARGIN_MS) / duration;
   double moved;
 
   if (!rollout->ordered || rollout->is_bad || rollout->state == FRONT_ROLLOUT_ROLLED_BACK)
     return 0;
   if (rollout->state == FRONT_ROLLOUT_COMPLETED)
     return 1;
-  if (passed < HALF)
-    return first_share (rollout);
-  moved = (passed - HALF) / (ALL_MOVED_AT - HALF);
-  return moved >= 1 ? 1 : first_share (rollout) + (1 - first_share (rollout)) * moved;
+  if (passed < SECOND_HALF_AT)
+    return first_stage_share (rollout);
+  moved = (passed - SECOND_HALF_AT) / (ALL_MOVED_AT - SECOND_HALF_AT);
+  return moved >= 1 ? 1 : first_stage_share (rollout) + (1 - first_stage_share (rollout)) * moved;
 }
 
 static bool
@@ -305,11 +305,15 @@
 }
 
 static const char *
-choose_running (FrontRollouts *rollouts, FrontRollout *rollout, uint64_t session, int64_t now_ms)
+choose_during_rollout (FrontRollouts *rollouts,
+                       FrontRollout *rollout,
+                       uint64_t session,
+                       int64_t now_ms)
 {
   uint64_t runs_on = front_sessions_version (rollouts->sessions, session, now_ms);
-  bool first_half = now_ms - rollout->started_ms
-                    < (int64_t)(HALF * (double)rollout->order.duration_ms) + HALF_MARGIN_MS;
+  bool first_half
+      = now_ms - rollout->started_ms
+        < (int64_t)(SECOND_HALF_AT * (double)rollout->order.duration_ms) + SECOND_HALF_MARGIN_MS;
   int64_t hold_ms = first_stage (rollout)->hold_ms;
 
   if (rollout->is_bad)
@@ -334,12 +338,12 @@
 
   if (!base_serves && (rollout->base[0] == '\0' || !front_rollout_is_running (rollout)))
     {
-      base_find (rollout, servers);
+      find_base (rollout, servers);
       base_serves = has_servers (servers, service, rollout->base);
     }
   if (!front_rollout_is_running (rollout))
     return rollout->base;
-  version = choose_running (rollouts, rollout, session, now_ms);
+  version = choose_during_rollout (rollouts, rollout, session, now_ms);
   if (version == rollout->base)
     return base_serves || rollout->is_bad ? rollout->base : rollout->order.target;
   return has_servers (servers, service, version) ? version : rollout->base;
@@ -347,28 +351,29 @@
 
 /* Sessions that would begin on the new version in the first half. */
 static bool
-is_in_first_share (const void *context, uint64_t session)
+is_in_first_stage_share (const void *context, uint64_t session)
 {
-  return (double)(session % SHARE_STEPS) < first_share (context) * SHARE_STEPS;
+  return (double)(session % SHARE_STEPS) < first_stage_share (context) * SHARE_STEPS;
 }
 
 unsigned
 front_rollouts_held_sessions (const FrontRollouts *rollouts,
                               FrontRollout *rollout,
-                              SessionNews *out,
+                              SessionUpdate *out,
                               unsigned max,
                               int64_t now_ms)
 {
   return front_sessions_list (rollouts->sessions, span_hash (span_of (rollout->base)),
-                              is_in_first_share, rollout, &rollout->held_cursor, out, max, now_ms);
+                              is_in_first_stage_share, rollout, &rollout->held_cursor, out, max,
+                              now_ms);
 }
 
 void
 front_rollouts_hold_session (FrontRollouts *rollouts,
                              const FrontRollout *rollout,
-                             const SessionNews *news,
+                             const SessionUpdate *update,
                              int64_t now_ms)
 {
-  front_sessions_heard (rollouts->sessions, news->session, span_hash (span_of (rollout->base)),
-                        news->age_ms, now_ms);
+  front_sessions_learn (rollouts->sessions, update->session, span_hash (span_of (rollout->base)),
+                        update->age_ms, now_ms);
 }
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -14,15 +14,15 @@
 
 /** Incarnations of nodes of the own failure domain whose evidence is kept for one roll-out: the
  * target has 120 nodes a domain at most, half of which may be restarted meanwhile. */
-#define ROLLOUT_NEIGHBOURS_MAX 192
-#define ROLLOUT_DOMAINS_MAX    16
+#define ROLLOUT_PEERS_MAX   192
+#define ROLLOUT_DOMAINS_MAX 16
 
 /** A process of our failure domain and what it has counted itself. */
 typedef struct
 {
   uint64_t incarnation;
   FrontEvidence evidence;
-} RolloutNeighbour;
+} RolloutPeer;
 
 /** Evidence of a whole failure domain: the most that any node has summed up for it. */
 typedef struct
@@ -37,11 +37,11 @@
   bool is_bad;            /**< it has found the new version bad, or was told so */
   int64_t old_busy_ms;    /**< when a request on the old version was last known to run anywhere, on
                              our clock; 0: never */
-  uint64_t neighbour;     /**< its incarnation if it is of our failure domain; 0: it is not */
+  uint64_t peer;          /**< its incarnation if it is of our failure domain; 0: it is not */
   FrontEvidence evidence; /**< its own; read of neighbours only */
   uint32_t domain_count;
   const RolloutDomain *domains;
-} RolloutNews;
+} RolloutUpdate;
 
 /** One service's versions. */
 typedef struct
@@ -65,8 +65,8 @@
   unsigned held_cursor;   /**< where the next list of held sessions begins */
   int64_t old_busy_ms;    /**< when a request on the old version was last known to run anywhere */
   FrontEvidence evidence; /**< our own */
-  unsigned neighbour_count;
-  RolloutNeighbour neighbours[ROLLOUT_NEIGHBOURS_MAX];
+  unsigned peer_count;
+  RolloutPeer peers[ROLLOUT_PEERS_MAX];
   unsigned domain_count;
   RolloutDomain domains[ROLLOUT_DOMAINS_MAX];
 } FrontRollout;
@@ -110,20 +110,20 @@
  *  nodes must know of them, as a session may come to any node. */
 unsigned front_rollouts_held_sessions (const FrontRollouts *rollouts,
                                        FrontRollout *rollout,
-                                       SessionNews *out,
+                                       SessionUpdate *out,
                                        unsigned max,
                                        int64_t now_ms);
 /** Another node holds this session on the old version. */
 void front_rollouts_hold_session (FrontRollouts *rollouts,
                                   const FrontRollout *rollout,
-                                  const SessionNews *news,
+                                  const SessionUpdate *update,
                                   int64_t now_ms);
 /** News of another node about this order. */
-void front_rollout_news (FrontRollout *rollout, const RolloutNews *news);
+void front_rollout_merge (FrontRollout *rollout, const RolloutUpdate *update);
 /** Sums up our failure domain's evidence as far as it is known here. */
-void front_rollout_sum (FrontRollout *rollout);
+void front_rollout_sum_domain (FrontRollout *rollout);
 /** Judges a running roll-out by all evidence and updates is_bad and verdict. A bad version gets no
  *  more work from here at once, whether or not the store can be told. */
-void front_rollout_judge (FrontRollout *rollout, int64_t now_ms);
+void front_rollout_update_verdict (FrontRollout *rollout, int64_t now_ms);
 
 #endif
--- a/src/front_rollouts_verdict.c
+++ b/src/front_rollouts_verdict.c
@@ -10,32 +10,32 @@
 
 /* Milliseconds. The last moment to report success: the write needs to be accepted before the time
  * is over. */
-#define LATEST_MS 2000
+#define DEADLINE_MARGIN_MS 2000
 /* Requests on the old version that were last heard of so long ago have ended, or their node is dead
  * or cut off and holds nothing up. Word of one that runs is at most four rounds of messages old. */
-#define OLD_IDLE_MS   1600
-#define ANSWERS_LEAST 20 /* of the new version, without which its success is not reported early */
+#define OLD_IDLE_MS 1600
+#define ANSWERS_MIN 20 /* of the new version, without which its success is not reported early */
 
-static RolloutNeighbour *
-neighbour_get (FrontRollout *rollout, uint64_t incarnation)
+static RolloutPeer *
+peer_get (FrontRollout *rollout, uint64_t incarnation)
 {
-  RolloutNeighbour *neighbour;
+  RolloutPeer *peer;
 
-  for (unsigned i = 0; i < rollout->neighbour_count; i++)
+  for (unsigned i = 0; i < rollout->peer_count; i++)
     {
-      if (rollout->neighbours[i].incarnation == incarnation)
-        return &rollout->neighbours[i];
+      if (rollout->peers[i].incarnation == incarnation)
+        return &rollout->peers[i];
     }
-  if (rollout->neighbour_count == ROLLOUT_NEIGHBOURS_MAX)
+  if (rollout->peer_count == ROLLOUT_PEERS_MAX)
     return NULL;
-  neighbour = &rollout->neighbours[rollout->neighbour_count++];
-  memset (neighbour, 0, sizeof *neighbour);
-  neighbour->incarnation = incarnation;
-  return neighbour;
+  peer = &rollout->peers[rollout->peer_count++];
+  memset (peer, 0, sizeof *peer);
+  peer->incarnation = incarnation;
+  return peer;
 }
 
 static void
-domain_raise (FrontRollout *rollout, uint32_t domain, const FrontEvidence *evidence)
+domain_merge (FrontRollout *rollout, uint32_t domain, const FrontEvidence *evidence)
 {
   unsigned i = 0;
 
@@ -45,31 +45,31 @@
     return;
   if (i == rollout->domain_count)
     rollout->domains[rollout->domain_count++] = (RolloutDomain){ .domain = domain };
-  front_evidence_raise (&rollout->domains[i].evidence, evidence);
+  front_evidence_merge (&rollout->domains[i].evidence, evidence);
 }
 
 void
-front_rollout_news (FrontRollout *rollout, const RolloutNews *news)
+front_rollout_merge (FrontRollout *rollout, const RolloutUpdate *update)
 {
-  RolloutNeighbour *neighbour = news->neighbour ? neighbour_get (rollout, news->neighbour) : NULL;
+  RolloutPeer *peer = update->peer ? peer_get (rollout, update->peer) : NULL;
 
-  rollout->is_bad |= news->is_bad;
-  if (news->old_busy_ms > rollout->old_busy_ms)
-    rollout->old_busy_ms = news->old_busy_ms;
-  if (neighbour)
-    front_evidence_raise (&neighbour->evidence, &news->evidence);
-  for (uint32_t i = 0; i < news->domain_count; i++)
-    domain_raise (rollout, news->domains[i].domain, &news->domains[i].evidence);
+  rollout->is_bad |= update->is_bad;
+  if (update->old_busy_ms > rollout->old_busy_ms)
+    rollout->old_busy_ms = update->old_busy_ms;
+  if (peer)
+    front_evidence_merge (&peer->evidence, &update->evidence);
+  for (uint32_t i = 0; i < update->domain_count; i++)
+    domain_merge (rollout, update->domains[i].domain, &update->domains[i].evidence);
 }
 
 void
-front_rollout_sum (FrontRollout *rollout)
+front_rollout_sum_domain (FrontRollout *rollout)
 {
   FrontEvidence sum = rollout->evidence;
 
-  for (unsigned i = 0; i < rollout->neighbour_count; i++)
-    front_evidence_sum (&sum, &rollout->neighbours[i].evidence);
-  domain_raise (rollout, rollout->own_domain, &sum);
+  for (unsigned i = 0; i < rollout->peer_count; i++)
+    front_evidence_sum (&sum, &rollout->peers[i].evidence);
+  domain_merge (rollout, rollout->own_domain, &sum);
 }
 
 static bool
@@ -77,10 +77,10 @@
 {
   int64_t left_ms = rollout->order.duration_ms - (now_ms - rollout->started_ms);
 
-  if (left_ms <= LATEST_MS)
+  if (left_ms <= DEADLINE_MARGIN_MS)
     return answers > 0;
   return front_rollout_share (rollout, now_ms) >= 1 && now_ms - rollout->old_busy_ms >= OLD_IDLE_MS
-         && answers >= ANSWERS_LEAST;
+         && answers >= ANSWERS_MIN;
 }
 
 static void
@@ -94,14 +94,14 @@
 }
 
 void
-front_rollout_judge (FrontRollout *rollout, int64_t now_ms)
+front_rollout_update_verdict (FrontRollout *rollout, int64_t now_ms)
 {
   FrontEvidence all = { 0 };
   bool done;
 
   if (!front_rollout_is_running (rollout))
     return;
-  front_rollout_sum (rollout);
+  front_rollout_sum_domain (rollout);
   for (unsigned i = 0; i < rollout->domain_count; i++)
     front_evidence_sum (&all, &rollout->domains[i].evidence);
   done = is_done (rollout, front_evidence_answers (&all, EVIDENCE_NEW), now_ms);
--- a/src/front_server.h
+++ b/src/front_server.h
@@ -34,13 +34,13 @@
   struct cds_list_head bucket; /**< by hash of the id */
   ServerEntry entry;
   struct sockaddr_in address;
-  uint64_t hash;    /**< of the id and the start, the same on every VM */
-  bool is_near;     /**< in our own failure domain */
-  bool leaving;     /**< draining, or its address belongs to another server: no new work */
-  bool evacuated;   /**< its failure domain is to get no work for now */
-  bool listed;      /**< false: freed as soon as nothing refers to it */
-  bool restarted;   /**< a later start of the same id is known: what ran here is lost */
-  bool unconfirmed; /**< gone from the list while the store could not be trusted */
+  uint64_t hash;       /**< of the id and the start, the same on every VM */
+  bool is_same_domain; /**< in our own failure domain */
+  bool leaving;        /**< draining, or its address belongs to another server: no new work */
+  bool evacuated;      /**< its failure domain is to get no work for now */
+  bool listed;         /**< false: freed as soon as nothing refers to it */
+  bool restarted;      /**< a later start of the same id is known: what ran here is lost */
+  bool unconfirmed;    /**< gone from the list while the store could not be trusted */
   int64_t unconfirmed_until_ms; /**< gone unless it is back by then */
   int64_t cold_until_ms;
   int64_t returned_ms; /**< when an evacuation of its failure domain was taken back; 0: never */
@@ -49,9 +49,9 @@
   unsigned running;     /**< our requests there */
   double pending_ms;    /**< prompts that we sent and whose answer has not begun: predicted work */
   double running_share; /**< of them, those of model engines, each counted by its model's share */
-  FrontOthers others;   /**< what other fronts sent there */
-  double untold_ms;     /**< reading that we sent there and others don't know of yet */
-  double untold_share;  /**< requests, likewise */
+  FrontPeerLoad peer_load; /**< what other fronts sent there */
+  double unreported_ms;    /**< reading that we sent there and others don't know of yet */
+  double unreported_share; /**< requests, likewise */
   FrontHealth health;
   FrontPrompts prompts;
 } FrontServer;
--- a/src/front_servers.c
+++ b/src/front_servers.c
@@ -78,7 +78,7 @@
 
   server->address = *address;
   server->hash = id_hash_string (entry->id, (uint64_t)entry->born_ms);
-  server->is_near = strcmp (entry->failure_domain, servers->failure_domain) == 0;
+  server->is_same_domain = strcmp (entry->failure_domain, servers->failure_domain) == 0;
   server->listed = true;
   cds_list_add_tail (&server->node, &servers->list);
   cds_list_add (&server->bucket, bucket_of (servers, entry->id));
@@ -167,7 +167,7 @@
 }
 
 void
-front_servers_sweep (FrontServers *servers, int64_t now_ms)
+front_servers_expire (FrontServers *servers, int64_t now_ms)
 {
   FrontServer *server, *next;
 
--- a/src/front_servers.h
+++ b/src/front_servers.h
@@ -24,7 +24,7 @@
 bool
 front_servers_evacuate (FrontServers *servers, const char *domain, bool ordered, int64_t now_ms);
 /** Removes what is still missing at the end of its grace. */
-void front_servers_sweep (FrontServers *servers, int64_t now_ms);
+void front_servers_expire (FrontServers *servers, int64_t now_ms);
 /** NULL if there is none. */
 FrontServer *front_servers_find (FrontServers *servers, const char *id);
 /** The list of FrontServer by node; entries with listed false are on their way out. */
--- a/src/front_sessions.c
+++ b/src/front_sessions.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 
 #define SLOTS      4096 /* a power of two; some hundred sessions are open at a node at a time */
-#define NEIGHBOURS 8
+#define PROBES_MAX 8
 /* A request that never reported its end (its process would have to lose it) doesn't hold a session
  * for longer; above any time-out of a route. */
-#define OPEN_MOST_MS 60000
+#define OPEN_MAX_MS 60000
 
 typedef struct
 {
@@ -40,7 +40,7 @@
 static bool
 is_active (const FrontSessions *sessions, const Session *slot, int64_t now_ms)
 {
-  int64_t bound = slot->open ? OPEN_MOST_MS : sessions->idle_ms;
+  int64_t bound = slot->open ? OPEN_MAX_MS : sessions->idle_ms;
 
   return slot->session != 0 && now_ms - slot->used_ms <= bound;
 }
@@ -54,7 +54,7 @@
 static Session *
 find (FrontSessions *sessions, uint64_t session)
 {
-  for (unsigned i = 0; i < NEIGHBOURS; i++)
+  for (unsigned i = 0; i < PROBES_MAX; i++)
     {
       Session *slot = &sessions->slots[slot_at (session, i)];
 
@@ -65,14 +65,14 @@
 }
 
 static Session *
-find_or_take (FrontSessions *sessions, uint64_t session)
+find_or_insert (FrontSessions *sessions, uint64_t session)
 {
   Session *slot = find (sessions, session);
   Session *oldest = &sessions->slots[slot_at (session, 0)];
 
   if (slot)
     return slot;
-  for (unsigned i = 1; i < NEIGHBOURS; i++)
+  for (unsigned i = 1; i < PROBES_MAX; i++)
     {
       slot = &sessions->slots[slot_at (session, i)];
       if (slot->used_ms < oldest->used_ms)
@@ -93,7 +93,7 @@
 void
 front_sessions_begin (FrontSessions *sessions, uint64_t session, uint64_t version, int64_t now_ms)
 {
-  Session *slot = find_or_take (sessions, session);
+  Session *slot = find_or_insert (sessions, session);
 
   slot->version = version;
   slot->used_ms = now_ms;
@@ -117,7 +117,7 @@
  * time after that, though the request ended seconds later, and its next one moved to the new
  * version. */
 void
-front_sessions_heard (FrontSessions *sessions,
+front_sessions_learn (FrontSessions *sessions,
                       uint64_t session,
                       uint64_t version,
                       int64_t age_ms,
@@ -128,7 +128,7 @@
 
   if ((known != 0 && known != version) || age_ms > sessions->idle_ms)
     return;
-  slot = find_or_take (sessions, session);
+  slot = find_or_insert (sessions, session);
   if (known != 0 && slot->used_ms > now_ms - age_ms)
     return;
   slot->version = version;
@@ -141,7 +141,7 @@
                      bool (*filter) (const void *context, uint64_t session),
                      const void *context,
                      unsigned *cursor,
-                     SessionNews *out,
+                     SessionUpdate *out,
                      unsigned max,
                      int64_t now_ms)
 {
--- a/src/front_sessions.h
+++ b/src/front_sessions.h
@@ -19,7 +19,7 @@
 void
 front_sessions_begin (FrontSessions *sessions, uint64_t session, uint64_t version, int64_t now_ms);
 /** Another node had a request of the session on this version, age_ms ago. */
-void front_sessions_heard (FrontSessions *sessions,
+void front_sessions_learn (FrontSessions *sessions,
                            uint64_t session,
                            uint64_t version,
                            int64_t age_ms,
@@ -29,7 +29,7 @@
 {
   uint64_t session;
   uint32_t age_ms; /**< since its last request; 0: one is in progress */
-} SessionNews;
+} SessionUpdate;
 
 /** Lists the active sessions on the version that the filter takes, from where the cursor was left;
  *  returns their number. */
@@ -38,7 +38,7 @@
                               bool (*filter) (const void *context, uint64_t session),
                               const void *context,
                               unsigned *cursor,
-                              SessionNews *out,
+                              SessionUpdate *out,
                               unsigned max,
                               int64_t now_ms);
 void front_sessions_end (FrontSessions *sessions, uint64_t session, int64_t now_ms);
--- a/src/front_speeds.c
+++ b/src/front_speeds.c
@@ -5,30 +5,30 @@
 /* What is taken before any answer has told. Engines of two kinds read 92 and 140 tokens in a
  * millisecond with their middle-sized model; the smallest and the largest are faster and slower by
  * about these factors. A token takes twice as long with 24,000 to 31,000 tokens before it. */
-#define PRIOR_TOKENS_A_MS 110.0
-#define PRIOR_PAIR_SHARE  3.5e-5 /* of a token's time, for each token before it */
-#define SMALLEST_FACTOR   0.3
-#define LARGEST_FACTOR    3.0
-#define FIRST_MS_PRIOR    60.0 /* of both kinds of engines: 53 and 60 */
+#define PRIOR_TOKENS_PER_MS 110.0
+#define PRIOR_PAIR_FACTOR   3.5e-5 /* of a token's time, for each token before it */
+#define SMALLEST_FACTOR     0.3
+#define LARGEST_FACTOR      3.0
+#define FIRST_MS_PRIOR      60.0 /* of both kinds of engines: 53 and 60 */
 
 /* How far one answer moves what is known: a step of 10%, split by the part of the answers that are
  * to be below it. No single answer counts for more. Queues that nobody told of make answers late,
  * and caches that others filled make few of them early, so the part is under a half. */
-#define STEP         0.1
-#define PART_BELOW   0.4
-#define FACTOR_LEAST 0.05
-#define FACTOR_MOST  20.0
+#define STEP            0.1
+#define TARGET_QUANTILE 0.4
+#define FACTOR_MIN      0.05
+#define FACTOR_MAX      20.0
 /* Milliseconds; shorter reading is lost among the steps of other requests. Where all prompts are as
  * short the prior stays. */
-#define READ_LEAST_MS 10.0
+#define READ_MIN_MS 10.0
 /* The same for the time to the first event, of which half of the answers are to be below. */
-#define FIRST_STEP     0.05
-#define FIRST_LEAST_MS 1.0
-#define FIRST_MOST_MS  2000.0
+#define FIRST_STEP   0.05
+#define FIRST_MIN_MS 1.0
+#define FIRST_MAX_MS 2000.0
 
 /* Milliseconds, more than any caller waits. A caller that says its prompt has a quintillion tokens
  * would make a server's pending work so large that all else is lost beside it in rounding. */
-#define READ_MOST_MS 60000.0
+#define READ_MAX_MS 60000.0
 
 double
 read_time_ms (const ReadTime *time, int64_t tokens, int64_t prompt_tokens)
@@ -36,7 +36,7 @@
   double n = (double)tokens;
   double before = (double)prompt_tokens - n / 2; /* a token of the prompt, on average */
 
-  return fmin (n * time->ms_per_token + n * before * time->ms_per_pair, READ_MOST_MS);
+  return fmin (n * time->ms_per_token + n * before * time->ms_per_pair, READ_MAX_MS);
 }
 
 ReadTime
@@ -47,14 +47,14 @@
 
   if (models > 1)
     factor = SMALLEST_FACTOR * pow (LARGEST_FACTOR / SMALLEST_FACTOR, (double)rank / (models - 1));
-  ms = factor / PRIOR_TOKENS_A_MS;
-  return (ReadTime){ .ms_per_token = ms, .ms_per_pair = ms * PRIOR_PAIR_SHARE };
+  ms = factor / PRIOR_TOKENS_PER_MS;
+  return (ReadTime){ .ms_per_token = ms, .ms_per_pair = ms * PRIOR_PAIR_FACTOR };
 }
 
 static const ModelSpeed *
 speed_find (const FrontSpeeds *speeds, uint64_t model)
 {
-  for (unsigned i = 0; i < SPEEDS_MODELS; i++)
+  for (unsigned i = 0; i < SPEEDS_MODELS_MAX; i++)
     {
       if (speeds->models[i].model == model)
         return &speeds->models[i];
@@ -68,7 +68,7 @@
 {
   ModelSpeed *oldest = &speeds->models[0];
 
-  for (unsigned i = 0; i < SPEEDS_MODELS; i++)
+  for (unsigned i = 0; i < SPEEDS_MODELS_MAX; i++)
     {
       ModelSpeed *speed = &speeds->models[i];
 
@@ -99,7 +99,7 @@
 double
 front_speeds_share (const ReadTime *time)
 {
-  return time->ms_per_token * PRIOR_TOKENS_A_MS;
+  return time->ms_per_token * PRIOR_TOKENS_PER_MS;
 }
 
 double
@@ -109,18 +109,18 @@
 }
 
 static double
-within (double value, double least, double most)
+clamp (double value, double min, double max)
 {
-  return fmin (fmax (value, least), most);
+  return fmin (fmax (value, min), max);
 }
 
 static void
-first_add (FrontSpeeds *speeds, double else_ms)
+learn_first_ms (FrontSpeeds *speeds, double overhead_ms)
 {
   double known = front_speeds_first_ms (speeds);
-  double step = else_ms > known ? FIRST_STEP : -FIRST_STEP;
+  double step = overhead_ms > known ? FIRST_STEP : -FIRST_STEP;
 
-  speeds->first_ms = within (known * (1 + step), FIRST_LEAST_MS, FIRST_MOST_MS);
+  speeds->first_ms = clamp (known * (1 + step), FIRST_MIN_MS, FIRST_MAX_MS);
 }
 
 void
@@ -130,16 +130,16 @@
   ReadTime known;
   double expected_ms, step;
 
-  if (!isfinite (sample->read_ms) || !isfinite (sample->else_ms) || sample->tokens < 0
+  if (!isfinite (sample->read_ms) || !isfinite (sample->overhead_ms) || sample->tokens < 0
       || sample->prompt_tokens < sample->tokens)
     return;
-  first_add (speeds, sample->else_ms);
+  learn_first_ms (speeds, sample->overhead_ms);
   speed = speed_get (speeds, sample->model);
   speed->used_ms = now_ms;
   known = scaled (&sample->prior, speed->factor);
   expected_ms = read_time_ms (&known, sample->tokens, sample->prompt_tokens);
-  if (expected_ms < READ_LEAST_MS)
+  if (expected_ms < READ_MIN_MS)
     return;
-  step = sample->read_ms > expected_ms ? STEP * PART_BELOW : -STEP * (1 - PART_BELOW);
-  speed->factor = within (speed->factor * (1 + step), FACTOR_LEAST, FACTOR_MOST);
+  step = sample->read_ms > expected_ms ? STEP * TARGET_QUANTILE : -STEP * (1 - TARGET_QUANTILE);
+  speed->factor = clamp (speed->factor * (1 + step), FACTOR_MIN, FACTOR_MAX);
 }
--- a/src/front_speeds.h
+++ b/src/front_speeds.h
@@ -8,7 +8,7 @@
 
 #include <stdint.h>
 
-#define SPEEDS_MODELS 64 /**< models and versions remembered; the target has 27 in use */
+#define SPEEDS_MODELS_MAX 64 /**< models and versions remembered; the target has 27 in use */
 
 /** Time to read a prompt with one model. */
 typedef struct
@@ -26,8 +26,8 @@
   int64_t prompt_tokens; /**< these and the cached ones before them */
   double read_ms;        /**< that reading took: from the sending to the first event, less what was
                             predicted for all else */
-  double else_ms;        /**< from the sending to the first event, less what was predicted for
-                            reading and for what was queued */
+  double overhead_ms;    /**< from the sending to the first event, less what was predicted for
+                        reading and for what was queued */
 } SpeedSample;
 
 /** What is known of one model. */
@@ -40,7 +40,7 @@
 
 typedef struct
 {
-  ModelSpeed models[SPEEDS_MODELS];
+  ModelSpeed models[SPEEDS_MODELS_MAX];
   double first_ms; /**< from an idle engine's acceptance to its first event; 0: not known yet */
 } FrontSpeeds;
 
--- a/src/front_store_apply.c
+++ b/src/front_store_apply.c
@@ -147,7 +147,7 @@
   else if (changed)
     {
       log_server (row->key, entry.draining ? "draining" : "ready", &entry, row->version);
-      front_requests_restarted (front);
+      front_requests_cut_restarted (front);
     }
 }
 
--- a/tests/test_front_budget.c
+++ b/tests/test_front_budget.c
@@ -28,13 +28,13 @@
 /* Story: half of all answers are sent to a larger model, in clumps. An engine falls silent, and the
    streams on it find no budget left to go on elsewhere: whole answers are cut off. */
 static void
-test_cascades_leave_room (void)
+test_cascades_leave_budget_for_retries (void)
 {
   FrontBudget *budget = budget_new ();
   unsigned cascades, retries;
 
   for (unsigned i = 0; i < 100; i++)
-    front_budget_first (budget, "s", 1000);
+    front_budget_count_request (budget, "s", 1000);
   cascades = take_all (budget, BUDGET_CASCADE, 1000);
   retries = take_all (budget, BUDGET_RETRY, 1000);
   CU_ASSERT (cascades >= 70);
@@ -44,7 +44,7 @@
 }
 
 static void
-test_services_apart (void)
+test_services_have_separate_budgets (void)
 {
   FrontBudget *budget = budget_new ();
 
@@ -55,7 +55,7 @@
 }
 
 static void
-test_window_passes (void)
+test_budget_refills_after_window (void)
 {
   FrontBudget *budget = budget_new ();
   unsigned first = take_all (budget, BUDGET_RETRY, 1000);
@@ -69,7 +69,7 @@
 typedef struct
 {
   int64_t at_ms;
-  bool again;
+  bool retry;
 } Send;
 
 #define SENDS_MAX 60000
@@ -79,24 +79,24 @@
 /* In each window that ends with a send, those sent again stay within the bound. A window's requests
  * may be those of the window before it, as an answer to a request may fail much later. */
 static bool
-windows_hold (unsigned count)
+limit_holds_in_all_windows (unsigned count)
 {
-  unsigned start = 0, earlier = 0, firsts = 0, again = 0, firsts_before = 0;
+  unsigned start = 0, earlier = 0, requests = 0, retry = 0, requests_before = 0;
 
   for (unsigned i = 0; i < count; i++)
     {
-      firsts += !sends[i].again;
-      again += sends[i].again;
+      requests += !sends[i].retry;
+      retry += sends[i].retry;
       for (; sends[start].at_ms <= sends[i].at_ms - WINDOW_MS; start++)
         {
-          firsts -= !sends[start].again;
-          again -= sends[start].again;
-          firsts_before += !sends[start].again;
+          requests -= !sends[start].retry;
+          retry -= sends[start].retry;
+          requests_before += !sends[start].retry;
         }
       for (; earlier < start && sends[earlier].at_ms <= sends[i].at_ms - INT64_C (2) * WINDOW_MS;
            earlier++)
-        firsts_before -= !sends[earlier].again;
-      if (again > SHARE * (firsts > firsts_before ? firsts : firsts_before) + EXTRA)
+        requests_before -= !sends[earlier].retry;
+      if (retry > SHARE * (requests > requests_before ? requests : requests_before) + EXTRA)
         return false;
     }
   return true;
@@ -107,7 +107,7 @@
    retries alone keep the engines down. Load: 160 requests a second over six fronts, each asking for
    two more sends, a front restarted every two seconds. */
 static void
-test_bound_over_fronts (void)
+test_limit_holds_while_fronts_restart (void)
 {
   FrontBudget *fronts[FRONTS];
   unsigned count = 0;
@@ -122,12 +122,12 @@
 
       state = id_hash (&now_ms, sizeof now_ms, state);
       front = (unsigned)(state % FRONTS);
-      front_budget_first (fronts[front], "s", now_ms);
+      front_budget_count_request (fronts[front], "s", now_ms);
       sends[count++] = (Send){ .at_ms = now_ms };
       for (unsigned attempt = 1; attempt < 3; attempt++)
         {
           if (front_budget_take (fronts[front], "s", BUDGET_RETRY, now_ms))
-            sends[count++] = (Send){ .at_ms = now_ms, .again = true };
+            sends[count++] = (Send){ .at_ms = now_ms, .retry = true };
         }
       if (now_ms % 2000 < 6)
         {
@@ -137,7 +137,7 @@
         }
     }
   CU_ASSERT (count > 10000);
-  CU_ASSERT (windows_hold (count));
+  CU_ASSERT (limit_holds_in_all_windows (count));
   for (unsigned i = 0; i < FRONTS; i++)
     front_budget_free (fronts[i]);
 }
@@ -146,7 +146,7 @@
    for it in a window. What each front may send besides must not add up to more than the site may.
  */
 static void
-test_bound_over_many_fronts (void)
+test_limit_holds_over_many_fronts (void)
 {
   unsigned count = 0;
 
@@ -156,7 +156,7 @@
 
       front_budget_set_fronts (front, 300);
       for (unsigned j = 0; j < 5; j++)
-        front_budget_first (front, "s", 1000);
+        front_budget_count_request (front, "s", 1000);
       count += take_all (front, BUDGET_RETRY, 1000);
       front_budget_free (front);
     }
@@ -165,28 +165,28 @@
 }
 
 static void
-test_come_back_grows (void)
+test_retry_after_grows_with_refusals (void)
 {
   FrontBudget *budget = budget_new ();
   int64_t first, last = 0;
 
   for (unsigned i = 0; i < 100; i++)
-    front_budget_first (budget, "s", 1000);
-  first = front_budget_refused (budget, "s", 1000);
+    front_budget_count_request (budget, "s", 1000);
+  first = front_budget_count_refusal (budget, "s", 1000);
   for (unsigned i = 0; i < 100; i++)
-    last = front_budget_refused (budget, "s", 1000);
+    last = front_budget_count_refusal (budget, "s", 1000);
   CU_ASSERT (first >= 200 && first < 400);
   CU_ASSERT (last > 1000 && last <= 1500);
   front_budget_free (budget);
 }
 
 static const SuiteCase cases[] = {
-  { "cascades_leave_room", test_cascades_leave_room },
-  { "services_apart", test_services_apart },
-  { "window_passes", test_window_passes },
-  { "bound_over_fronts", test_bound_over_fronts },
-  { "bound_over_many_fronts", test_bound_over_many_fronts },
-  { "come_back_grows", test_come_back_grows },
+  { "cascades_leave_budget_for_retries", test_cascades_leave_budget_for_retries },
+  { "services_have_separate_budgets", test_services_have_separate_budgets },
+  { "budget_refills_after_window", test_budget_refills_after_window },
+  { "limit_holds_while_fronts_restart", test_limit_holds_while_fronts_restart },
+  { "limit_holds_over_many_fronts", test_limit_holds_over_many_fronts },
+  { "retry_after_grows_with_refusals", test_retry_after_grows_with_refusals },
 };
 
 int
--- a/tests/test_front_cascade.c
+++ b/tests/test_front_cascade.c
@@ -2,8 +2,8 @@
 #include "front_cascade.h"
 #include "suite.h"
 
-#define URGENT 0
-#define LEAST  2
+#define URGENT       0
+#define LEAST_URGENT 2
 
 /* Answers begin as predicted but for this. */
 static double lag_ms;
@@ -13,20 +13,20 @@
 typedef struct
 {
   double larger_ms;
-} Wait;
+} Forecasts;
 
 static CascadeForecast
 forecast (void *user, CascadeStep step)
 {
-  const Wait *wait = user;
+  const Forecasts *forecasts = user;
 
-  return (CascadeForecast){ .first_ms = wait->larger_ms, .reading_ms = reading_ms[step] };
+  return (CascadeForecast){ .first_ms = forecasts->larger_ms, .reading_ms = reading_ms[step] };
 }
 
 static CascadeStep
 step_of (int confidence, int64_t priority, double larger_ms, int64_t passed_ms)
 {
-  Wait wait = { .larger_ms = larger_ms };
+  Forecasts forecasts = { .larger_ms = larger_ms };
   CascadeCase c = {
     .confidence = confidence,
     .has_middle = has_middle,
@@ -35,46 +35,46 @@
     .passed_ms = passed_ms,
     .objective_ms = 1500,
     .forecast = forecast,
-    .user = &wait,
+    .user = &forecasts,
   };
 
   return front_cascade_step (&c);
 }
 
 static bool
-wants (int confidence, int64_t priority, double larger_ms, int64_t passed_ms)
+escalates (int confidence, int64_t priority, double larger_ms, int64_t passed_ms)
 {
   return step_of (confidence, priority, larger_ms, passed_ms) == CASCADE_LARGEST;
 }
 
 static void
-test_by_confidence (void)
+test_low_confidence_escalates (void)
 {
-  CU_ASSERT (wants (20, URGENT, 50, 100));
-  CU_ASSERT (!wants (90, URGENT, 50, 100));
-  CU_ASSERT (!wants (-1, URGENT, 50, 100)); /* an engine that doesn't say it */
+  CU_ASSERT (escalates (20, URGENT, 50, 100));
+  CU_ASSERT (!escalates (90, URGENT, 50, 100));
+  CU_ASSERT (!escalates (-1, URGENT, 50, 100)); /* an engine that doesn't say it */
 }
 
 /* The least urgent kinds of request are many and small; the largest model's price is more than what
    its better answer is worth there, but for the worst answers. */
 static void
-test_least_urgent (void)
+test_least_urgent_escalates_less (void)
 {
-  CU_ASSERT (wants (45, URGENT, 50, 100));
-  CU_ASSERT (!wants (45, LEAST, 50, 100));
-  CU_ASSERT (wants (20, LEAST, 50, 100));
+  CU_ASSERT (escalates (45, URGENT, 50, 100));
+  CU_ASSERT (!escalates (45, LEAST_URGENT, 50, 100));
+  CU_ASSERT (escalates (20, LEAST_URGENT, 50, 100));
 }
 
 /* Load pattern: a burst of 1.7 times the usual, or a sixth of the engines lost. The largest model's
    queue grows first; sending it more makes all of its streams late. Half of the objective taken by
    its wait lowers the bar by 40 of 100, so that only answers that are nearly surely poor go on. */
 static void
-test_burst (void)
+test_queue_of_larger_model_lowers_threshold (void)
 {
-  CU_ASSERT (wants (20, URGENT, 500, 100));
-  CU_ASSERT (!wants (20, URGENT, 750, 100));
-  CU_ASSERT (wants (10, URGENT, 750, 100));
-  CU_ASSERT (!wants (0, URGENT, 1100, 100));
+  CU_ASSERT (escalates (20, URGENT, 500, 100));
+  CU_ASSERT (!escalates (20, URGENT, 750, 100));
+  CU_ASSERT (escalates (10, URGENT, 750, 100));
+  CU_ASSERT (!escalates (0, URGENT, 1100, 100));
 }
 
 /* Load pattern: a burst of four times the usual over 68 fronts, each of which sees too little of it
@@ -83,40 +83,40 @@
    of what could be earned in that day, less the price of models, 0.53 without it and 0.74 with it.
  */
 static void
-test_burst_of_all_fronts (void)
+test_lag_lowers_threshold (void)
 {
   lag_ms = 0;
-  CU_ASSERT (wants (45, URGENT, 50, 100));
+  CU_ASSERT (escalates (45, URGENT, 50, 100));
   lag_ms = 150;
-  CU_ASSERT (!wants (45, URGENT, 50, 100));
-  CU_ASSERT (wants (10, URGENT, 50, 100));
+  CU_ASSERT (!escalates (45, URGENT, 50, 100));
+  CU_ASSERT (escalates (10, URGENT, 50, 100));
   lag_ms = 375;
-  CU_ASSERT (!wants (0, URGENT, 50, 100));
+  CU_ASSERT (!escalates (0, URGENT, 50, 100));
   lag_ms = 0;
 }
 
 /* Load pattern: long prompts behind others, so that the smallest model's answer itself comes late.
    A second reading would miss the objective; a late answer earns less than a doubtful one. */
 static void
-test_late_answer (void)
+test_no_escalation_when_late (void)
 {
-  CU_ASSERT (wants (20, URGENT, 50, 899));
-  CU_ASSERT (!wants (20, URGENT, 50, 900));
+  CU_ASSERT (escalates (20, URGENT, 50, 899));
+  CU_ASSERT (!escalates (20, URGENT, 50, 900));
 }
 
 /* Three models: what the smallest is fairly sure of goes to the middle one, at half of the price
    and of the reading that holds up all streams; what is too hard for both, to the largest at once.
  */
 static void
-test_middle_model (void)
+test_middle_model_by_confidence (void)
 {
   has_middle = true;
   CU_ASSERT_EQUAL (step_of (90, URGENT, 50, 100), CASCADE_KEEP);
   CU_ASSERT_EQUAL (step_of (60, URGENT, 50, 100), CASCADE_MIDDLE);
   CU_ASSERT_EQUAL (step_of (45, URGENT, 50, 100), CASCADE_MIDDLE);
   CU_ASSERT_EQUAL (step_of (39, URGENT, 50, 100), CASCADE_LARGEST);
-  CU_ASSERT_EQUAL (step_of (60, LEAST, 50, 100), CASCADE_KEEP);
-  CU_ASSERT_EQUAL (step_of (45, LEAST, 50, 100), CASCADE_MIDDLE);
+  CU_ASSERT_EQUAL (step_of (60, LEAST_URGENT, 50, 100), CASCADE_KEEP);
+  CU_ASSERT_EQUAL (step_of (45, LEAST_URGENT, 50, 100), CASCADE_MIDDLE);
   CU_ASSERT_EQUAL (step_of (45, URGENT, 700, 100), CASCADE_KEEP);
   CU_ASSERT_EQUAL (step_of (-1, URGENT, 50, 100), CASCADE_KEEP);
   has_middle = false;
@@ -125,7 +125,7 @@
 /* Load pattern: long drafts beside many short streams. A prompt that the largest model reads for
    seconds stops all streams of its server for as long; the middle one reads it if that may help. */
 static void
-test_long_drafts_beside_short_streams (void)
+test_long_prompts_avoid_larger_models (void)
 {
   reading_ms[CASCADE_LARGEST] = 1300;
   reading_ms[CASCADE_MIDDLE] = 500;
@@ -141,13 +141,13 @@
 }
 
 static const SuiteCase cases[] = {
-  { "by_confidence", test_by_confidence },
-  { "least_urgent", test_least_urgent },
-  { "burst", test_burst },
-  { "burst_of_all_fronts", test_burst_of_all_fronts },
-  { "late_answer", test_late_answer },
-  { "middle_model", test_middle_model },
-  { "long_drafts_beside_short_streams", test_long_drafts_beside_short_streams },
+  { "low_confidence_escalates", test_low_confidence_escalates },
+  { "least_urgent_escalates_less", test_least_urgent_escalates_less },
+  { "queue_of_larger_model_lowers_threshold", test_queue_of_larger_model_lowers_threshold },
+  { "lag_lowers_threshold", test_lag_lowers_threshold },
+  { "no_escalation_when_late", test_no_escalation_when_late },
+  { "middle_model_by_confidence", test_middle_model_by_confidence },
+  { "long_prompts_avoid_larger_models", test_long_prompts_avoid_larger_models },
 };
 
 int
--- a/tests/test_front_cold.c
+++ b/tests/test_front_cold.c
@@ -6,19 +6,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW        100000
-#define SECOND_MS  1000
-#define PLAY_MS    3000 /* as long as a server stays cold */
-#define SERVERS    20
-#define FRONTS_MAX 400
-#define MOST       32.0 /* 18 a second, by half more, and 5 */
+#define NOW          100000
+#define SECOND_MS    1000
+#define SIMULATED_MS 3000 /* as long as a server stays cold */
+#define SERVERS      20
+#define FRONTS_MAX   400
+#define RATE_MAX     32.0 /* 18 a second, by half more, and 5 */
 
 /** A site, and what its fronts know of each other. */
 typedef struct
 {
   const char *name;
-  unsigned neighbours; /**< in the server's failure domain */
-  unsigned others;
+  unsigned domain_fronts; /**< in the server's failure domain */
+  unsigned other_fronts;
   ColdView view;
 } Site;
 
@@ -37,31 +37,31 @@
 static ColdRule
 rule_of (const Site *site, unsigned front)
 {
-  ColdRule rule = { .most_per_s = MOST, .start_ms = 3000 };
+  ColdRule rule = { .max_per_s = RATE_MAX, .start_ms = 3000 };
 
   rule.self = id_hash (&front, sizeof front, 7);
-  cold_rule_count (&rule, &site->view);
+  cold_rule_set_fronts (&rule, &site->view);
   return rule;
 }
 
 /* Most arrivals in any second of a play in which each front sends as soon as it may. */
 static unsigned
-play_greedy (const Site *site, uint64_t server, unsigned *total)
+simulate_greedy_fronts (const Site *site, uint64_t server, unsigned *total)
 {
-  static unsigned arrivals[PLAY_MS];
+  static unsigned arrivals[SIMULATED_MS];
   static ColdSends sends[FRONTS_MAX];
-  unsigned fronts = site->neighbours + site->others;
+  unsigned fronts = site->domain_fronts + site->other_fronts;
   unsigned in_second = 0, most = 0;
 
   memset (arrivals, 0, sizeof arrivals);
   memset (sends, 0, sizeof sends);
   *total = 0;
-  for (unsigned ms = 0; ms < PLAY_MS; ms++)
+  for (unsigned ms = 0; ms < SIMULATED_MS; ms++)
     {
       for (unsigned front = 0; front < fronts; front++)
         {
           ColdRule rule = rule_of (site, front);
-          unsigned slots = cold_slots (&rule, server, front < site->neighbours);
+          unsigned slots = cold_slots (&rule, server, front < site->domain_fronts);
 
           if (cold_wait_ms (&sends[front], slots, NOW + ms) != 0)
             continue;
@@ -83,7 +83,7 @@
    all that it may, and they crash again; also where fronts have just started, hear nobody or
    disagree. */
 static void
-test_bound_is_kept_by_all_fronts (void)
+test_rate_limit_holds_over_all_fronts (void)
 {
   for (size_t i = 0; i < SUITE_COUNT (sites); i++)
     {
@@ -91,14 +91,14 @@
 
       for (uint64_t server = 1; server <= SERVERS; server++)
         {
-          unsigned found = play_greedy (&sites[i], server, &total);
+          unsigned found = simulate_greedy_fronts (&sites[i], server, &total);
 
           most = found > most ? found : most;
           all += total;
         }
       printf ("%s: at most %u in a second, %.1f on average\n", sites[i].name, most,
-              (double)all / SERVERS / PLAY_MS * SECOND_MS);
-      CU_ASSERT (most <= (unsigned)MOST);
+              (double)all / SERVERS / SIMULATED_MS * SECOND_MS);
+      CU_ASSERT (most <= (unsigned)RATE_MAX);
       CU_ASSERT (all > 0);
     }
 }
@@ -112,21 +112,21 @@
 
   for (uint64_t server = 1; server <= SERVERS; server++)
     {
-      play_greedy (&sites[1], server, &total);
+      simulate_greedy_fronts (&sites[1], server, &total);
       all += total;
     }
-  CU_ASSERT ((double)all / SERVERS / PLAY_MS * SECOND_MS > MOST / 2);
+  CU_ASSERT ((double)all / SERVERS / SIMULATED_MS * SECOND_MS > RATE_MAX / 2);
 }
 
 /* Failure: a connection that takes long brings two requests of one slot into one second. */
 static void
-test_slot_counts_from_the_connection (void)
+test_slot_time_starts_at_connection (void)
 {
   ColdSends sends = { 0 };
 
   CU_ASSERT_EQUAL (cold_wait_ms (&sends, 1, NOW), 0);
   cold_sent (&sends, NOW);
-  CU_ASSERT_EQUAL (cold_wait_ms (&sends, 1, NOW), SECOND_MS + FRONT_CONNECT_MS);
+  CU_ASSERT_EQUAL (cold_wait_ms (&sends, 1, NOW), SECOND_MS + FRONT_CONNECT_TIMEOUT_MS);
   CU_ASSERT_EQUAL (cold_wait_ms (&sends, 2, NOW), 0);
   cold_connected (&sends, NOW, NOW + 300);
   CU_ASSERT_EQUAL (cold_wait_ms (&sends, 1, NOW + 300), SECOND_MS);
@@ -135,20 +135,20 @@
 }
 
 static void
-test_no_slot (void)
+test_zero_slots_allow_no_request (void)
 {
   ColdSends sends = { 0 };
-  ColdRule rule = { .most_per_s = 0.5, .neighbours = 400, .fronts = 1000000 };
+  ColdRule rule = { .max_per_s = 0.5, .domain_fronts = 400, .fronts = 1000000 };
 
   CU_ASSERT_EQUAL (cold_wait_ms (&sends, 0, NOW), INT64_MAX);
   CU_ASSERT_EQUAL (cold_slots (&rule, 3, false), 0);
-  rule = (ColdRule){ .most_per_s = 1e6, .neighbours = 0, .fronts = 0 };
+  rule = (ColdRule){ .max_per_s = 1e6, .domain_fronts = 0, .fronts = 0 };
   CU_ASSERT_EQUAL (cold_slots (&rule, 3, true), COLD_SLOTS_MAX);
 }
 
 /* More sends than slots are remembered: only the last ones count. */
 static void
-test_many_sends (void)
+test_send_history_keeps_latest (void)
 {
   ColdSends sends = { 0 };
 
@@ -159,11 +159,11 @@
 }
 
 static const SuiteCase cases[] = {
-  { "bound_is_kept_by_all_fronts", test_bound_is_kept_by_all_fronts },
+  { "rate_limit_holds_over_all_fronts", test_rate_limit_holds_over_all_fronts },
   { "cold_servers_are_used", test_cold_servers_are_used },
-  { "slot_counts_from_the_connection", test_slot_counts_from_the_connection },
-  { "no_slot", test_no_slot },
-  { "many_sends", test_many_sends },
+  { "slot_time_starts_at_connection", test_slot_time_starts_at_connection },
+  { "zero_slots_allow_no_request", test_zero_slots_allow_no_request },
+  { "send_history_keeps_latest", test_send_history_keeps_latest },
 };
 
 int
--- a/tests/test_front_lag.c
+++ b/tests/test_front_lag.c
@@ -9,7 +9,7 @@
    Over all of them it knows two fifths of it after these 15 answers, and believes it no more 4 s
    later. */
 static void
-test_burst (void)
+test_burst_is_detected_and_forgotten (void)
 {
   FrontLag lag = { 0 };
 
@@ -22,7 +22,7 @@
 
 /* One slow engine of twenty doesn't change what is sent to the others. */
 static void
-test_one_slow_engine (void)
+test_one_slow_engine_changes_little (void)
 {
   FrontLag lag = { 0 };
 
@@ -32,8 +32,8 @@
 }
 
 static const SuiteCase cases[] = {
-  { "burst", test_burst },
-  { "one_slow_engine", test_one_slow_engine },
+  { "burst_is_detected_and_forgotten", test_burst_is_detected_and_forgotten },
+  { "one_slow_engine_changes_little", test_one_slow_engine_changes_little },
 };
 
 int
--- a/tests/test_front_peer_message.c
+++ b/tests/test_front_peer_message.c
@@ -20,7 +20,7 @@
   message.rollouts[0].domains[1].evidence.counts[EVIDENCE_NEW][7]
       = (EvidenceCount){ .answers = 5, .slow = 2 };
   message.rollouts[0].session_count = 2;
-  message.rollouts[0].sessions[1] = (SessionNews){ .session = 5, .age_ms = 6 };
+  message.rollouts[0].sessions[1] = (SessionUpdate){ .session = 5, .age_ms = 6 };
   message.death_count = 1;
   message.deaths[0].count = 3;
   message.deaths[0].flights[2] = 8;
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -111,7 +111,7 @@
 deliver_sessions (Net *net, unsigned from, unsigned to, int64_t now_ms)
 {
   Node *sender = &net->nodes[from], *receiver = &net->nodes[to];
-  SessionNews news[PEER_SESSIONS_MAX];
+  SessionUpdate news[PEER_SESSIONS_MAX];
   unsigned count = front_rollouts_held_sessions (sender->rollouts, sender->rollout, news,
                                                  peers_sessions_most (&sender->peers), now_ms);
 
@@ -125,17 +125,17 @@
 {
   FrontRollout *rollout = net->nodes[from].rollout;
   PeerRollout told = { 0 };
-  RolloutNews news = {
+  RolloutUpdate news = {
     .is_bad = rollout->is_bad,
     .old_busy_ms = rollout->old_busy_ms,
-    .neighbour = domain_of (net, from) == domain_of (net, to) ? from + 1 : 0,
+    .peer = domain_of (net, from) == domain_of (net, to) ? from + 1 : 0,
     .evidence = rollout->evidence,
   };
 
   peers_domains_fill (&net->nodes[from].peers, rollout, &told);
   news.domain_count = told.domain_count;
   news.domains = told.domains;
-  front_rollout_news (net->nodes[to].rollout, &news);
+  front_rollout_merge (net->nodes[to].rollout, &news);
   if (net->nodes[from].sessions)
     deliver_sessions (net, from, to, now_ms);
 }
@@ -315,7 +315,7 @@
     }
   for (unsigned i = 0; i < count; i++)
     {
-      SessionNews news = { .session = session_of (i) };
+      SessionUpdate news = { .session = session_of (i) };
       Node *node = &net->nodes[i * 7 % HOLDING_FRONTS];
 
       front_rollouts_hold_session (node->rollouts, node->rollout, &news, NOW);
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -32,7 +32,7 @@
 }
 
 static void
-begin (void)
+setup (void)
 {
   if (servers)
     front_servers_free (servers);
@@ -65,11 +65,11 @@
 }
 
 static void
-test_near_first (void)
+test_prefers_same_domain (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   call.part_count = 0; /* no shared prompt that would draw the request anywhere */
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
   add ("far", "there", "v1");
@@ -90,7 +90,7 @@
   PickQuery query = query_of ("v1");
   unsigned most = 0;
 
-  begin ();
+  setup ();
   for (unsigned i = 0; i < 4; i++)
     add (&"aaaa"[i], "here", "v1");
   for (unsigned i = 0; i < 16; i++)
@@ -115,11 +115,11 @@
 }
 
 static void
-test_cached_prompt (void)
+test_prefers_cached_prompt (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("near", "here", "v1");
   add ("far", "there", "v1");
   front_prompts_sent (&front_servers_find (servers, "far")->prompts, &call, 1, NOW);
@@ -143,14 +143,14 @@
   const char *ids[] = { "a", "bb", "ccc", "dddd", "eeeee" };
   unsigned agreed = 0, most = 0, load[6] = { 0 };
 
-  query.home_tokens = 5000;
+  query.affinity_tokens = 5000;
   for (unsigned contract = 0; contract < 100; contract++)
     {
       char first[SERVER_TEXT_MAX] = "";
 
       for (unsigned front = 0; front < 3; front++)
         {
-          begin ();
+          setup ();
           for (unsigned i = 0; i < 5; i++)
             add (ids[(i + front) % 5], "here", "v1");
           call.parts[0].id = 1000 + contract;
@@ -173,18 +173,18 @@
    keeps one until the next request. Taken to be kept at its home, each prompt would be read there
    behind others, on servers that all fronts choose, and predicted too fast by its 4,870 tokens. */
 static void
-test_rare_prompts_have_no_home (void)
+test_rare_prompts_have_no_affinity (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   add ("bb", "here", "v1");
-  query.home_tokens = 5000;
+  query.affinity_tokens = 5000;
   front_servers_find (servers, picked (&query, NOW))->pending_ms = 20;
   CU_ASSERT (front_pick (servers, &query, NOW).server->pending_ms > 1);
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 2000);
-  query.home_tokens = 0;
+  query.affinity_tokens = 0;
   CU_ASSERT (front_pick (servers, &query, NOW).server->pending_ms < 1);
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 7000);
 }
@@ -192,11 +192,11 @@
 /* What callers ask for tells how often a shared part is wanted; the last part is one caller's own.
  */
 static void
-test_asked_prompts (void)
+test_requested_prompts_expire (void)
 {
   FrontPrompts asked = { 0 };
 
-  begin ();
+  setup ();
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW, 6000), 0);
   front_prompts_asked (&asked, &call, 1, NOW);
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW + 6000, 6000), 5000);
@@ -210,12 +210,12 @@
 /* Story: an engine's health page is good while it fails two of five requests. Its fast failures
    make it look idle, so it draws ever more of the work. */
 static void
-test_failing_server (void)
+test_avoids_failing_server (void)
 {
   PickQuery query = query_of ("v1");
   FrontHealth *health;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   add ("bb", "here", "v1");
   health = &front_servers_find (servers, "a")->health;
@@ -235,13 +235,13 @@
    by the next request, so it stays near: bytes between failure domains are dear. A near server that
    has turned slow, with answers late by two seconds, is left. */
 static void
-test_late_by_others_or_slow (void)
+test_tolerates_short_lag_not_slow_server (void)
 {
   PickQuery query = query_of ("v1");
   FrontHealth *health;
 
-  begin ();
-  query.home_tokens = 5000;
+  setup ();
+  query.affinity_tokens = 5000;
   add ("a", "here", "v1");
   add ("bb", "there", "v1");
   health = &front_servers_find (servers, "a")->health;
@@ -259,7 +259,7 @@
    a part of 0.02 of the 2,000 and 3,000 ms that the users' callers of model engines are ready to
    wait; those of plain services, 150 ms, gain by a server that is 15 ms faster. */
 static void
-test_far_only_if_the_caller_gains (void)
+test_crosses_domains_only_for_gain (void)
 {
   static const struct
   {
@@ -275,7 +275,7 @@
     {
       PickQuery query = query_of ("v1");
 
-      begin ();
+      setup ();
       call.part_count = 0;
       query.objective_ms = loads[i].objective_ms;
       add ("far", "there", "v1");
@@ -286,12 +286,12 @@
 }
 
 static void
-test_unreachable_server (void)
+test_unreachable_server_backs_off (void)
 {
   PickQuery query = query_of ("v1");
   FrontHealth *health;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   health = &front_servers_find (servers, "a")->health;
   front_health_unreachable (health, NOW);
@@ -306,11 +306,11 @@
 }
 
 static void
-test_versions_and_tried (void)
+test_filters_by_version_and_tried (void)
 {
   PickQuery query = query_of ("v2");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
   add ("bb", "there", "v2");
@@ -328,7 +328,7 @@
   ServerEntry entry = entry_of ("a", "here", "v1");
   bool changed;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   entry.draining = true;
   front_servers_set (servers, &entry, NOW, &changed);
@@ -341,19 +341,19 @@
 /* Story: the store is away for seconds, entries of living engines lapse and are back within two
    seconds of its return. Taken as gone at once, a whole service has no engine left. */
 static void
-test_lapsed_entries (void)
+test_lapsed_entries_have_grace (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   front_servers_remove (servers, "a", NOW, 2200);
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "a");
   add ("bb", "there", "v1");
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "bb");
-  front_servers_sweep (servers, NOW + 2199);
+  front_servers_expire (servers, NOW + 2199);
   CU_ASSERT_PTR_NOT_NULL (front_servers_find (servers, "a"));
-  front_servers_sweep (servers, NOW + 2200);
+  front_servers_expire (servers, NOW + 2200);
   CU_ASSERT_PTR_NULL (front_servers_find (servers, "a"));
   front_servers_remove (servers, "bb", NOW, 0);
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "none");
@@ -362,11 +362,11 @@
 /* Failure: a failure domain is evacuated in a burst, and its idle servers draw all requests since
    those of the other one are loaded, full or failing; or the home of a hot prompt stays there. */
 static void
-test_domain_evacuated_in_a_burst (void)
+test_evacuated_domain_gets_nothing (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   add ("bb", "here", "v1");
   add ("ccc", "there", "v1");
@@ -392,53 +392,54 @@
 }
 
 #define DOMAIN_FRONTS 17
-#define DOMAIN_COLD   15
-#define PLAYED_MS     3000
+#define COLD_SERVERS  15
+#define SIMULATED_MS  3000
 #define SECOND_MS     1000
 
 /* One front's own view of a failure domain that has come back cold, beside one that is warm. */
 static FrontServers *
-view_of_cold_domain (void)
+servers_with_cold_domain (void)
 {
-  FrontServers *view = front_servers_new ("here");
+  FrontServers *servers_seen = front_servers_new ("here");
   bool changed;
 
-  for (unsigned i = 0; i < 2 * DOMAIN_COLD; i++)
+  for (unsigned i = 0; i < 2 * COLD_SERVERS; i++)
     {
       char id[SERVER_TEXT_MAX];
       ServerEntry entry;
 
-      snprintf (id, sizeof id, "%c%02u", i < DOMAIN_COLD ? 'c' : 'w', i);
-      entry = entry_of (id, i < DOMAIN_COLD ? "here" : "there", "v1");
-      entry.cold_ms = i < DOMAIN_COLD ? PLAYED_MS : 0;
-      front_servers_set (view, &entry, NOW, &changed);
+      snprintf (id, sizeof id, "%c%02u", i < COLD_SERVERS ? 'c' : 'w', i);
+      entry = entry_of (id, i < COLD_SERVERS ? "here" : "there", "v1");
+      entry.cold_ms = i < COLD_SERVERS ? SIMULATED_MS : 0;
+      front_servers_set (servers_seen, &entry, NOW, &changed);
     }
-  return view;
+  return servers_seen;
 }
 
 /* Failure: a domain comes back cold beside a hot prompt and a burst. Its idle servers, and the home
    of the prompt first, draw all requests of all fronts at once, and crash again. */
 static void
-test_domain_back_cold_beside_a_hot_prompt (void)
+test_cold_domain_rate_is_limited (void)
 {
   static FrontServers *views[DOMAIN_FRONTS];
-  static unsigned arrivals[2 * DOMAIN_COLD][PLAYED_MS];
+  static unsigned arrivals[2 * COLD_SERVERS][SIMULATED_MS];
   PickQuery query = query_of ("v1");
   unsigned cold = 0, refused = 0;
 
-  begin ();
-  query.home_tokens = 5000;
+  setup ();
+  query.affinity_tokens = 5000;
   for (unsigned i = 0; i < DOMAIN_FRONTS; i++)
-    views[i] = view_of_cold_domain ();
-  for (unsigned ms = 0; ms < PLAYED_MS; ms++)
+    views[i] = servers_with_cold_domain ();
+  for (unsigned ms = 0; ms < SIMULATED_MS; ms++)
     {
       unsigned front = ms % DOMAIN_FRONTS; /* 1,000 requests a second */
       PickAnswer answer;
       unsigned number;
 
-      query.cold = (ColdRule){ .most_per_s = 32, .start_ms = PLAYED_MS };
+      query.cold = (ColdRule){ .max_per_s = 32, .start_ms = SIMULATED_MS };
       query.cold.self = front + 1;
-      cold_rule_count (&query.cold, &(ColdView){ .neighbours = DOMAIN_FRONTS, .fronts = 66 });
+      cold_rule_set_fronts (&query.cold,
+                            &(ColdView){ .domain_fronts = DOMAIN_FRONTS, .fronts = 66 });
       answer = front_pick (views[front], &query, NOW + ms);
       refused += answer.server == NULL;
       if (!answer.server)
@@ -446,33 +447,33 @@
       number = (unsigned)strtoul (answer.server->entry.id + 1, NULL, 10);
       cold_sent (&answer.server->cold_sends, NOW + ms);
       cold_connected (&answer.server->cold_sends, NOW + ms, NOW + ms);
-      answer.server->pending_ms += number < DOMAIN_COLD ? 0 : answer.prompt_ms;
+      answer.server->pending_ms += number < COLD_SERVERS ? 0 : answer.prompt_ms;
       arrivals[number][ms]++;
-      cold += number < DOMAIN_COLD;
+      cold += number < COLD_SERVERS;
     }
-  for (unsigned i = 0; i < DOMAIN_COLD; i++)
+  for (unsigned i = 0; i < COLD_SERVERS; i++)
     {
       unsigned in_second = 0;
 
-      for (unsigned ms = 0; ms < PLAYED_MS; ms++)
+      for (unsigned ms = 0; ms < SIMULATED_MS; ms++)
         {
           in_second += arrivals[i][ms];
           in_second -= ms >= SECOND_MS ? arrivals[i][ms - SECOND_MS] : 0;
           CU_ASSERT (in_second <= 32);
         }
     }
-  CU_ASSERT (cold > PLAYED_MS / 10); /* it takes over a part of its work meanwhile */
+  CU_ASSERT (cold > SIMULATED_MS / 10); /* it takes over a part of its work meanwhile */
   CU_ASSERT_EQUAL (refused, 0);
   for (unsigned i = 0; i < DOMAIN_FRONTS; i++)
     front_servers_free (views[i]);
 }
 
 static void
-test_removed_while_used (void)
+test_removed_server_lives_while_referenced (void)
 {
   FrontServer *server;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   server = front_servers_find (servers, "a");
   front_server_ref (server);
@@ -485,22 +486,22 @@
 }
 
 static const SuiteCase cases[] = {
-  { "near_first", test_near_first },
+  { "prefers_same_domain", test_prefers_same_domain },
   { "spreads_long_prompts", test_spreads_long_prompts },
-  { "cached_prompt", test_cached_prompt },
+  { "prefers_cached_prompt", test_prefers_cached_prompt },
   { "fronts_agree_on_shared_prompts", test_fronts_agree_on_shared_prompts },
-  { "rare_prompts_have_no_home", test_rare_prompts_have_no_home },
-  { "asked_prompts", test_asked_prompts },
-  { "failing_server", test_failing_server },
-  { "late_by_others_or_slow", test_late_by_others_or_slow },
-  { "far_only_if_the_caller_gains", test_far_only_if_the_caller_gains },
-  { "unreachable_server", test_unreachable_server },
-  { "versions_and_tried", test_versions_and_tried },
+  { "rare_prompts_have_no_affinity", test_rare_prompts_have_no_affinity },
+  { "requested_prompts_expire", test_requested_prompts_expire },
+  { "avoids_failing_server", test_avoids_failing_server },
+  { "tolerates_short_lag_not_slow_server", test_tolerates_short_lag_not_slow_server },
+  { "crosses_domains_only_for_gain", test_crosses_domains_only_for_gain },
+  { "unreachable_server_backs_off", test_unreachable_server_backs_off },
+  { "filters_by_version_and_tried", test_filters_by_version_and_tried },
   { "draining_is_final", test_draining_is_final },
-  { "lapsed_entries", test_lapsed_entries },
-  { "domain_evacuated_in_a_burst", test_domain_evacuated_in_a_burst },
-  { "domain_back_cold_beside_a_hot_prompt", test_domain_back_cold_beside_a_hot_prompt },
-  { "removed_while_used", test_removed_while_used },
+  { "lapsed_entries_have_grace", test_lapsed_entries_have_grace },
+  { "evacuated_domain_gets_nothing", test_evacuated_domain_gets_nothing },
+  { "cold_domain_rate_is_limited", test_cold_domain_rate_is_limited },
+  { "removed_server_lives_while_referenced", test_removed_server_lives_while_referenced },
 };
 
 int
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -4,12 +4,12 @@
 #include "util_span.h"
 #include <string.h>
 
-#define NOW          100000
-#define DURATION     24000
-#define SESSION_MS   6000
-#define FAR_IN_SHARE 5 /* a session hash below the first share */
-#define OWN_DOMAIN   1
-#define FAR_DOMAIN   2
+#define NOW              100000
+#define DURATION         24000
+#define SESSION_MS       6000
+#define SESSION_IN_SHARE 5 /* a session hash below the first share */
+#define OWN_DOMAIN       1
+#define OTHER_DOMAIN     2
 
 static FrontServers *servers;
 static FrontSessions *sessions;
@@ -30,7 +30,7 @@
 }
 
 static void
-begin (void)
+setup (void)
 {
   if (servers)
     {
@@ -64,7 +64,7 @@
 }
 
 static void
-uses (uint64_t session, const char *version, int64_t now_ms)
+run_request (uint64_t session, const char *version, int64_t now_ms)
 {
   front_sessions_begin (sessions, session, span_hash (span_of (version)), now_ms);
   front_sessions_end (sessions, session, now_ms);
@@ -72,9 +72,9 @@
 
 /* Story: engines of a new version register before the operator has asked for it. */
 static void
-test_no_order_no_new_version (void)
+test_version_unused_without_order (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   add ("d", "v2");
   add ("e", "v2");
@@ -88,7 +88,7 @@
   unsigned count[3] = { 0 };
   static const int64_t at_ms[3] = { 2000, 11000, 20000 };
 
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
   for (unsigned i = 0; i < 3; i++)
@@ -104,65 +104,65 @@
 /* Story: a clinic's conversation runs on the old version when the roll-out begins, and its next
    request comes to another front. It must stay where it is for the first half, at each front. */
 static void
-test_sessions_stay (void)
+test_sessions_stay_on_old_version (void)
 {
-  SessionNews news[4];
+  SessionUpdate update[4];
   unsigned count;
 
-  begin ();
+  setup ();
   add ("c", "v2");
-  uses (FAR_IN_SHARE, "v1", NOW - 1000);
-  uses (9999, "v1", NOW - 1000); /* begins on the old version anyway: no news */
+  run_request (SESSION_IN_SHARE, "v1", NOW - 1000);
+  run_request (9999, "v1", NOW - 1000); /* begins on the old version anyway: no news */
   order (10, NOW);
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, NOW + 2000), "v1");
-  count = front_rollouts_held_sessions (rollouts, rollout, news, 4, NOW + 100);
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
+  count = front_rollouts_held_sessions (rollouts, rollout, update, 4, NOW + 100);
   CU_ASSERT_EQUAL (count, 1);
-  CU_ASSERT_EQUAL (news[0].session, FAR_IN_SHARE);
-  CU_ASSERT_EQUAL (news[0].age_ms, 1100);
+  CU_ASSERT_EQUAL (update[0].session, SESSION_IN_SHARE);
+  CU_ASSERT_EQUAL (update[0].age_ms, 1100);
 
-  begin (); /* another front, which has not seen the session */
+  setup (); /* another front, which has not seen the session */
   add ("c", "v2");
   order (10, NOW);
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, NOW + 100), "v1");
-  front_rollouts_hold_session (rollouts, rollout, &news[0], NOW + 150);
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, NOW + 2000), "v1");
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, NOW + 7000), "v2");
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 100), "v1");
+  front_rollouts_hold_session (rollouts, rollout, &update[0], NOW + 150);
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 7000), "v2");
 }
 
 /* Story: another front tells of a session while its stream runs on the old version, and again after
    the stream has ended, five seconds later. The session lasts from that end: its next request,
    three seconds after it, stays on the old version. Counted from the first word, it moved. */
 static void
-test_session_lasts_from_its_end (void)
+test_session_expires_after_last_end (void)
 {
-  SessionNews running = { .session = FAR_IN_SHARE }, ended = { .session = FAR_IN_SHARE };
+  SessionUpdate running = { .session = SESSION_IN_SHARE }, ended = { .session = SESSION_IN_SHARE };
   int64_t end_ms = NOW + SESSION_MS - 1000;
 
-  begin ();
+  setup ();
   add ("c", "v2");
   order (100, NOW);
   front_rollouts_hold_session (rollouts, rollout, &running, NOW + 100);
   front_rollouts_hold_session (rollouts, rollout, &ended, end_ms);
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, end_ms + SESSION_MS - 1000), "v1");
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, end_ms + SESSION_MS - 1000), "v1");
   /* Older news, late, doesn't take that back. */
   ended.age_ms = SESSION_MS - 500;
   front_rollouts_hold_session (rollouts, rollout, &ended, end_ms + 100);
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, end_ms + SESSION_MS - 1000), "v1");
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, end_ms + SESSION_MS + 1000), "v2");
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, end_ms + SESSION_MS - 1000), "v1");
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, end_ms + SESSION_MS + 1000), "v2");
 }
 
 static void
 test_sessions_never_go_back (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
-  uses (9999, "v2", NOW + 17000);
+  run_request (9999, "v2", NOW + 17000);
   CU_ASSERT_STRING_EQUAL (chosen (9999, NOW + 17500), "v2");
 }
 
 static void
-fail_some (FrontEvidence *evidence, unsigned route, unsigned bad, unsigned good, bool slow)
+add_answers (FrontEvidence *evidence, unsigned route, unsigned bad, unsigned good, bool slow)
 {
   for (unsigned i = 0; i < bad; i++)
     front_evidence_add (evidence, EVIDENCE_NEW, route, !slow, slow ? 900 : 50, 60);
@@ -175,24 +175,24 @@
 /* Story: a version fails a third of the requests of one route only; over all routes its failures
    drown. And one that is slow but never fails. */
 static void
-test_bad_versions (void)
+test_detects_bad_versions (void)
 {
   FrontEvidence evidence = { 0 };
 
-  fail_some (&evidence, 1, 2, 30, false);
+  add_answers (&evidence, 1, 2, 30, false);
   CU_ASSERT (!front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
-  fail_some (&evidence, 0, 0, 400, false);
-  fail_some (&evidence, 1, 10, 10, false);
+  add_answers (&evidence, 0, 0, 400, false);
+  add_answers (&evidence, 1, 10, 10, false);
   CU_ASSERT (front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
   memset (&evidence, 0, sizeof evidence);
-  fail_some (&evidence, 2, 10, 10, true);
+  add_answers (&evidence, 2, 10, 10, true);
   CU_ASSERT (front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
 }
 
 /* Failure: of a version that fails everything only one answer is known when its time is over, as
    the rest hangs behind a dead path, and it is completed. */
 static void
-test_only_answer_failed (void)
+test_only_answer_failed_is_bad (void)
 {
   FrontEvidence evidence = { 0 };
 
@@ -209,7 +209,7 @@
 
 /* Story: engines crash during a good roll-out, and requests of both versions fail alike. */
 static void
-test_good_version_in_trouble (void)
+test_failures_of_both_versions_are_not_blamed (void)
 {
   FrontEvidence evidence = { 0 };
 
@@ -224,56 +224,56 @@
 /* Story: each of six fronts sees two failures of a bad version; none can tell it from chance alone.
    Together they stop it, everywhere and at once, though the store can't be told. */
 static void
-test_evidence_of_all (void)
+test_evidence_of_all_peers_counts (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
   for (unsigned i = 0; i < 6; i++)
     {
-      RolloutNews news = { .neighbour = i + 1 };
+      RolloutUpdate update = { .peer = i + 1 };
 
-      fail_some (&news.evidence, 0, 2, 3, false);
-      front_rollout_news (rollout, &news);
-      front_rollout_news (rollout, &news); /* the same news twice counts once */
+      add_answers (&update.evidence, 0, 2, 3, false);
+      front_rollout_merge (rollout, &update);
+      front_rollout_merge (rollout, &update); /* the same news twice counts once */
     }
-  CU_ASSERT_EQUAL (rollout->neighbour_count, 6);
-  front_rollout_judge (rollout, NOW + 2000);
+  CU_ASSERT_EQUAL (rollout->peer_count, 6);
+  front_rollout_update_verdict (rollout, NOW + 2000);
   CU_ASSERT (rollout->is_bad);
   CU_ASSERT (rollout->has_verdict);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_ROLLED_BACK);
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, NOW + 2000), "v1");
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
 }
 
 /* Story: a bad version fails requests at hundreds of fronts of three failure domains, each of which
    sees too few of them. The sums of the domains, told on from front to front in any order, stop it
    all the same, and nothing is counted twice. */
 static void
-test_evidence_of_domains (void)
+test_evidence_of_all_domains_counts (void)
 {
-  RolloutDomain domains[2] = { { .domain = FAR_DOMAIN }, { .domain = FAR_DOMAIN + 1 } };
-  RolloutNews news = { .domain_count = 2, .domains = domains };
-  RolloutNews older = { .domain_count = 1, .domains = domains };
+  RolloutDomain domains[2] = { { .domain = OTHER_DOMAIN }, { .domain = OTHER_DOMAIN + 1 } };
+  RolloutUpdate update = { .domain_count = 2, .domains = domains };
+  RolloutUpdate older_update = { .domain_count = 1, .domains = domains };
 
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
-  fail_some (&domains[0].evidence, 0, 2, 20, false);
-  front_rollout_news (rollout, &older);
-  front_rollout_judge (rollout, NOW + 1000);
+  add_answers (&domains[0].evidence, 0, 2, 20, false);
+  front_rollout_merge (rollout, &older_update);
+  front_rollout_update_verdict (rollout, NOW + 1000);
   CU_ASSERT (!rollout->is_bad);
   domains[0].evidence = (FrontEvidence){ 0 };
-  fail_some (&domains[0].evidence, 0, 4, 40, false);
-  front_rollout_news (rollout, &news);
+  add_answers (&domains[0].evidence, 0, 4, 40, false);
+  front_rollout_merge (rollout, &update);
   domains[0].evidence = (FrontEvidence){ 0 };
-  front_rollout_news (rollout, &news); /* late: it knew less */
-  front_rollout_judge (rollout, NOW + 1200);
+  front_rollout_merge (rollout, &update); /* late: it knew less */
+  front_rollout_update_verdict (rollout, NOW + 1200);
   CU_ASSERT_EQUAL (rollout->domain_count, 3);
   CU_ASSERT_EQUAL (front_evidence_answers (&rollout->domains[0].evidence, EVIDENCE_NEW), 44);
   CU_ASSERT (!rollout->is_bad);
-  fail_some (&domains[1].evidence, 0, 12, 0, false);
-  front_rollout_news (rollout, &news);
-  front_rollout_judge (rollout, NOW + 1400);
+  add_answers (&domains[1].evidence, 0, 12, 0, false);
+  front_rollout_merge (rollout, &update);
+  front_rollout_update_verdict (rollout, NOW + 1400);
   CU_ASSERT (rollout->is_bad);
 }
 
@@ -281,48 +281,48 @@
 static void
 test_sum_of_own_domain (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
-  fail_some (&rollout->evidence, 0, 1, 9, false);
+  add_answers (&rollout->evidence, 0, 1, 9, false);
   for (unsigned i = 0; i < 200; i++)
     {
-      RolloutNews news = { .neighbour = i + 1 };
+      RolloutUpdate update = { .peer = i + 1 };
 
-      fail_some (&news.evidence, 0, 0, 2, false);
-      front_rollout_news (rollout, &news);
+      add_answers (&update.evidence, 0, 0, 2, false);
+      front_rollout_merge (rollout, &update);
     }
-  front_rollout_sum (rollout);
-  front_rollout_sum (rollout);
-  CU_ASSERT_EQUAL (rollout->neighbour_count, ROLLOUT_NEIGHBOURS_MAX);
+  front_rollout_sum_domain (rollout);
+  front_rollout_sum_domain (rollout);
+  CU_ASSERT_EQUAL (rollout->peer_count, ROLLOUT_PEERS_MAX);
   CU_ASSERT_EQUAL (rollout->domain_count, 1);
   CU_ASSERT_EQUAL (rollout->domains[0].domain, OWN_DOMAIN);
   CU_ASSERT_EQUAL (front_evidence_answers (&rollout->domains[0].evidence, EVIDENCE_NEW),
-                   10 + 2 * ROLLOUT_NEIGHBOURS_MAX);
+                   10 + 2 * ROLLOUT_PEERS_MAX);
 }
 
 static void
-test_done_when_old_is_idle (void)
+test_completes_when_old_version_is_idle (void)
 {
-  RolloutNews news = { .old_busy_ms = NOW + 17900 };
+  RolloutUpdate update = { .old_busy_ms = NOW + 17900 };
 
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
-  fail_some (&rollout->evidence, 0, 0, 100, false);
-  front_rollout_judge (rollout, NOW + 1000);
+  add_answers (&rollout->evidence, 0, 0, 100, false);
+  front_rollout_update_verdict (rollout, NOW + 1000);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_RUNNING);
   CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, 0) == false);
-  front_rollout_judge (rollout, NOW + 17000);
+  front_rollout_update_verdict (rollout, NOW + 17000);
   CU_ASSERT (!rollout->has_verdict);
-  front_rollout_news (rollout, &news);
-  front_rollout_judge (rollout, NOW + 18100);
+  front_rollout_merge (rollout, &update);
+  front_rollout_update_verdict (rollout, NOW + 18100);
   CU_ASSERT (!rollout->has_verdict);
-  news.old_busy_ms = NOW + 17000; /* older word doesn't undo it */
-  front_rollout_news (rollout, &news);
-  front_rollout_judge (rollout, NOW + 19400);
+  update.old_busy_ms = NOW + 17000; /* older word doesn't undo it */
+  front_rollout_merge (rollout, &update);
+  front_rollout_update_verdict (rollout, NOW + 19400);
   CU_ASSERT (!rollout->has_verdict);
-  front_rollout_judge (rollout, NOW + 19500);
+  front_rollout_update_verdict (rollout, NOW + 19500);
   CU_ASSERT (rollout->has_verdict);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
   CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_COMPLETED, 12, 0));
@@ -334,23 +334,23 @@
    time the version was reported completed, which stops the servers of the old one (soak, seed
    2007). */
 static void
-test_few_answers_at_the_end (void)
+test_doubtful_version_is_not_completed (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
-  fail_some (&rollout->evidence, 0, 2, 1, false);
-  front_rollout_judge (rollout, NOW + 10000);
+  add_answers (&rollout->evidence, 0, 2, 1, false);
+  front_rollout_update_verdict (rollout, NOW + 10000);
   CU_ASSERT (!rollout->is_bad);
-  front_rollout_judge (rollout, NOW + DURATION - 1000);
+  front_rollout_update_verdict (rollout, NOW + DURATION - 1000);
   CU_ASSERT (rollout->is_bad);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_ROLLED_BACK);
 
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
-  fail_some (&rollout->evidence, 0, 1, 30, false);
-  front_rollout_judge (rollout, NOW + DURATION - 1000);
+  add_answers (&rollout->evidence, 0, 1, 30, false);
+  front_rollout_update_verdict (rollout, NOW + DURATION - 1000);
   CU_ASSERT (!rollout->is_bad);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
 }
@@ -358,25 +358,25 @@
 /* Story: a peer was killed with requests on the old version; its last word must not hold up the
    roll-out beyond its time. */
 static void
-test_silent_peer (void)
+test_dead_peer_does_not_block_completion (void)
 {
-  RolloutNews news = { .old_busy_ms = NOW + 17000 };
+  RolloutUpdate update = { .old_busy_ms = NOW + 17000 };
 
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
-  fail_some (&rollout->evidence, 0, 0, 100, false);
-  front_rollout_news (rollout, &news);
-  front_rollout_judge (rollout, NOW + 19000);
+  add_answers (&rollout->evidence, 0, 0, 100, false);
+  front_rollout_merge (rollout, &update);
+  front_rollout_update_verdict (rollout, NOW + 19000);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
 }
 
 /* Story: an order for a version that was rolled back earlier is given again; the old status, which
    names the same version, must not end it. */
 static void
-test_status_of_earlier_order (void)
+test_ignores_status_of_earlier_order (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
   CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
@@ -388,9 +388,9 @@
 }
 
 static void
-test_end_is_final (void)
+test_final_state_does_not_change (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW);
   CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
@@ -401,9 +401,9 @@
 /* Story: all processes are killed in the second half; the new ones know from the status when the
    roll-out began, and don't begin it anew. */
 static void
-test_restart_knows_the_start (void)
+test_restart_takes_start_from_status (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   order (10, NOW + 15000);
   front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, NOW);
@@ -412,11 +412,11 @@
 
 /* Story: all engines of the new version crash; requests go on with the old one. */
 static void
-test_no_server_of_new_version (void)
+test_uses_old_version_without_new_servers (void)
 {
-  begin ();
+  setup ();
   order (10, NOW);
-  CU_ASSERT_STRING_EQUAL (chosen (FAR_IN_SHARE, NOW + 20000), "v1");
+  CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 20000), "v1");
 }
 
 static void
@@ -434,9 +434,9 @@
    them than of the one in use. It took theirs for the version in use, and when they were gone it
    refused all requests for lack of a server (soak, seeds 2 and 1002). */
 static void
-test_restart_among_draining_servers (void)
+test_base_ignores_draining_servers (void)
 {
-  begin ();
+  setup ();
   add ("e", "v1");
   add ("c", "v2");
   add ("d", "v2");
@@ -452,9 +452,9 @@
 
 /* Story: the same front, where the old servers had not yet said that they drain. */
 static void
-test_version_in_use_is_gone (void)
+test_base_follows_remaining_servers (void)
 {
-  begin ();
+  setup ();
   add ("c", "v2");
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v1");
   front_servers_remove (servers, "a", NOW, 0);
@@ -468,26 +468,26 @@
 }
 
 static const SuiteCase cases[] = {
-  { "no_order_no_new_version", test_no_order_no_new_version },
+  { "version_unused_without_order", test_version_unused_without_order },
   { "share_grows", test_share_grows },
-  { "sessions_stay", test_sessions_stay },
-  { "session_lasts_from_its_end", test_session_lasts_from_its_end },
+  { "sessions_stay_on_old_version", test_sessions_stay_on_old_version },
+  { "session_expires_after_last_end", test_session_expires_after_last_end },
   { "sessions_never_go_back", test_sessions_never_go_back },
-  { "bad_versions", test_bad_versions },
-  { "only_answer_failed", test_only_answer_failed },
-  { "good_version_in_trouble", test_good_version_in_trouble },
-  { "evidence_of_all", test_evidence_of_all },
-  { "evidence_of_domains", test_evidence_of_domains },
+  { "detects_bad_versions", test_detects_bad_versions },
+  { "only_answer_failed_is_bad", test_only_answer_failed_is_bad },
+  { "failures_of_both_versions_are_not_blamed", test_failures_of_both_versions_are_not_blamed },
+  { "evidence_of_all_peers_counts", test_evidence_of_all_peers_counts },
+  { "evidence_of_all_domains_counts", test_evidence_of_all_domains_counts },
   { "sum_of_own_domain", test_sum_of_own_domain },
-  { "done_when_old_is_idle", test_done_when_old_is_idle },
-  { "few_answers_at_the_end", test_few_answers_at_the_end },
-  { "silent_peer", test_silent_peer },
-  { "status_of_earlier_order", test_status_of_earlier_order },
-  { "end_is_final", test_end_is_final },
-  { "restart_knows_the_start", test_restart_knows_the_start },
-  { "restart_among_draining_servers", test_restart_among_draining_servers },
-  { "version_in_use_is_gone", test_version_in_use_is_gone },
-  { "no_server_of_new_version", test_no_server_of_new_version },
+  { "completes_when_old_version_is_idle", test_completes_when_old_version_is_idle },
+  { "doubtful_version_is_not_completed", test_doubtful_version_is_not_completed },
+  { "dead_peer_does_not_block_completion", test_dead_peer_does_not_block_completion },
+  { "ignores_status_of_earlier_order", test_ignores_status_of_earlier_order },
+  { "final_state_does_not_change", test_final_state_does_not_change },
+  { "restart_takes_start_from_status", test_restart_takes_start_from_status },
+  { "base_ignores_draining_servers", test_base_ignores_draining_servers },
+  { "base_follows_remaining_servers", test_base_follows_remaining_servers },
+  { "uses_old_version_without_new_servers", test_uses_old_version_without_new_servers },
 };
 
 int
--- a/tests/test_front_server.c
+++ b/tests/test_front_server.c
@@ -38,12 +38,12 @@
 /** One life of a server, by which each transition is passed. */
 typedef struct
 {
-  const char *story;
+  const char *name;
   unsigned count;
   Step steps[STEPS_MAX];
-} Life;
+} Scenario;
 
-static const Life lives[] = {
+static const Scenario scenarios[] = {
   { "drains and is removed",
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
@@ -149,7 +149,11 @@
 }
 
 static void
-list (FrontServers *servers, const char *id, bool draining, int64_t cold_ms, int64_t now_ms)
+register_server (FrontServers *servers,
+                 const char *id,
+                 bool draining,
+                 int64_t cold_ms,
+                 int64_t now_ms)
 {
   ServerEntry entry = entry_of (id);
   bool changed;
@@ -160,14 +164,14 @@
 }
 
 static void
-happen (FrontServers *servers, FrontServer *server, Event event, int64_t now_ms)
+apply_event (FrontServers *servers, FrontServer *server, Event event, int64_t now_ms)
 {
   switch (event)
     {
     case LISTED:
     case LISTED_COLD:
     case DRAINS:
-      list (servers, "a", event == DRAINS, event == LISTED_COLD ? 1000 : 0, now_ms);
+      register_server (servers, "a", event == DRAINS, event == LISTED_COLD ? 1000 : 0, now_ms);
       break;
     case REMOVED:
     case LAPSED:
@@ -195,21 +199,21 @@
     case NOTHING:
       break;
     }
-  front_servers_sweep (servers, now_ms);
+  front_servers_expire (servers, now_ms);
 }
 
 static void
-live (const Life *life)
+run_scenario (const Scenario *scenario)
 {
   FrontServers *servers = front_servers_new ("here");
   FrontServer *server = NULL;
 
-  for (unsigned i = 0; i < life->count; i++)
+  for (unsigned i = 0; i < scenario->count; i++)
     {
-      const Step *step = &life->steps[i];
+      const Step *step = &scenario->steps[i];
       FrontServerState state;
 
-      happen (servers, server, step->event, NOW + step->at_ms);
+      apply_event (servers, server, step->event, NOW + step->at_ms);
       if (!server)
         server = front_servers_find (servers, "a");
       if (!server)
@@ -221,8 +225,8 @@
         front_server_ref (server); /* an attempt holds it to the end */
       state = front_server_state (server, NOW + step->at_ms);
       if (state != step->state)
-        printf ("%s, step %u: %s in place of %s\n", life->story, i, front_server_state_name (state),
-                front_server_state_name (step->state));
+        printf ("%s, step %u: %s in place of %s\n", scenario->name, i,
+                front_server_state_name (state), front_server_state_name (step->state));
       CU_ASSERT_EQUAL (state, step->state);
     }
   front_server_unref (server);
@@ -230,22 +234,22 @@
 }
 
 static void
-test_lives (void)
+test_state_transitions (void)
 {
-  for (size_t i = 0; i < SUITE_COUNT (lives); i++)
-    live (&lives[i]);
+  for (size_t i = 0; i < SUITE_COUNT (scenarios); i++)
+    run_scenario (&scenarios[i]);
 }
 
 /* Each state is reached in some life, and has a name of its own. */
 static void
-test_all_states (void)
+test_every_state_is_reached_and_named (void)
 {
   bool seen[FRONT_SERVER_STATES] = { 0 };
 
-  for (size_t i = 0; i < SUITE_COUNT (lives); i++)
+  for (size_t i = 0; i < SUITE_COUNT (scenarios); i++)
     {
-      for (unsigned j = 0; j < lives[i].count; j++)
-        seen[lives[i].steps[j].state] = true;
+      for (unsigned j = 0; j < scenarios[i].count; j++)
+        seen[scenarios[i].steps[j].state] = true;
     }
   for (unsigned i = 0; i < FRONT_SERVER_STATES; i++)
     {
@@ -264,10 +268,10 @@
   bool removed;
 } Report;
 
-#define BORN 1796000000000
+#define FIRST_START_MS 1796000000000
 
 static bool
-tell (FrontServers *servers, const Report *report, int64_t now_ms)
+apply_report (FrontServers *servers, const Report *report, int64_t now_ms)
 {
   ServerEntry entry = entry_of ("a");
   bool changed;
@@ -279,7 +283,8 @@
     }
   entry.born_ms = report->born_ms;
   entry.draining = report->draining;
-  snprintf (entry.address, sizeof entry.address, "10.0.0.%d:80", (int)(report->born_ms - BORN));
+  snprintf (entry.address, sizeof entry.address, "10.0.0.%d:80",
+            (int)(report->born_ms - FIRST_START_MS));
   CU_ASSERT (front_servers_set (servers, &entry, now_ms, &changed));
   return changed;
 }
@@ -288,22 +293,23 @@
  * and started again under its id; the front went on with the address, the health and the prompt
  * cache of the start before, or kept it away from all work, as a server that drains stays away. */
 static void
-test_later_start (void)
+test_later_start_replaces_earlier (void)
 {
-  static const Report first = { BORN + 1, false, false }, drains = { BORN + 1, true, false },
-                      second = { BORN + 2, false, false };
+  static const Report first = { FIRST_START_MS + 1, false, false },
+                      drains = { FIRST_START_MS + 1, true, false },
+                      second = { FIRST_START_MS + 2, false, false };
   FrontCall sent = { .part_count = 2, .parts = { { .id = 5, .tokens = 700 }, { .id = 6 } } };
   FrontServers *servers = front_servers_new ("here");
   FrontServer *before, *after;
 
-  tell (servers, &first, NOW);
+  apply_report (servers, &first, NOW);
   before = front_servers_find (servers, "a");
   front_server_ref (before);
   front_health_unreachable (&before->health, NOW);
   before->pending_ms = 700;
   front_prompts_sent (&before->prompts, &sent, 1, NOW);
-  tell (servers, &drains, NOW);
-  CU_ASSERT (tell (servers, &second, NOW));
+  apply_report (servers, &drains, NOW);
+  CU_ASSERT (apply_report (servers, &second, NOW));
   after = front_servers_find (servers, "a");
   CU_ASSERT_PTR_NOT_EQUAL (after, before);
   CU_ASSERT (before->restarted);
@@ -316,8 +322,8 @@
   CU_ASSERT_EQUAL (front_servers_count (servers), 1);
 
   /* Late reports of the first start say nothing of the second. */
-  CU_ASSERT_FALSE (tell (servers, &drains, NOW));
-  CU_ASSERT_FALSE (tell (servers, &first, NOW));
+  CU_ASSERT_FALSE (apply_report (servers, &drains, NOW));
+  CU_ASSERT_FALSE (apply_report (servers, &first, NOW));
   CU_ASSERT_PTR_EQUAL (front_servers_find (servers, "a"), after);
   CU_ASSERT_EQUAL (front_server_state (after, NOW), FRONT_SERVER_READY);
   front_server_unref (before);
@@ -326,24 +332,25 @@
 
 /* A report that was on its way while its server drained and left comes after the removal. */
 static void
-test_report_after_the_end (void)
+test_late_report_does_not_revive (void)
 {
-  static const Report ready = { BORN + 1, false, false }, drains = { BORN + 1, true, false },
-                      gone = { .removed = true }, again = { BORN + 2, false, false };
+  static const Report ready = { FIRST_START_MS + 1, false, false },
+                      drains = { FIRST_START_MS + 1, true, false }, gone = { .removed = true },
+                      again = { FIRST_START_MS + 2, false, false };
   FrontServers *servers = front_servers_new ("here");
 
-  tell (servers, &ready, NOW);
-  tell (servers, &gone, NOW);
-  tell (servers, &ready, NOW); /* its entry had lapsed, and is back */
+  apply_report (servers, &ready, NOW);
+  apply_report (servers, &gone, NOW);
+  apply_report (servers, &ready, NOW); /* its entry had lapsed, and is back */
   CU_ASSERT_PTR_NOT_NULL (front_servers_find (servers, "a"));
-  tell (servers, &drains, NOW);
-  tell (servers, &gone, NOW);
-  tell (servers, &ready, NOW);
+  apply_report (servers, &drains, NOW);
+  apply_report (servers, &gone, NOW);
+  apply_report (servers, &ready, NOW);
   CU_ASSERT_PTR_NULL (front_servers_find (servers, "a"));
-  tell (servers, &again, NOW);
+  apply_report (servers, &again, NOW);
   CU_ASSERT_PTR_NOT_NULL (front_servers_find (servers, "a"));
-  tell (servers, &gone, NOW);
-  tell (servers, &drains, NOW);
+  apply_report (servers, &gone, NOW);
+  apply_report (servers, &drains, NOW);
   CU_ASSERT_PTR_NULL (front_servers_find (servers, "a"));
   front_servers_free (servers);
 }
@@ -371,10 +378,11 @@
       for (unsigned i = 0; i < REPORTS; i++)
         {
           int start = 1 + rand_r (&seed) % STARTS;
-          Report report = { BORN + start, rand_r (&seed) % 4 == 0, rand_r (&seed) % 8 == 0 };
+          Report report
+              = { FIRST_START_MS + start, rand_r (&seed) % 4 == 0, rand_r (&seed) % 8 == 0 };
           const FrontServer *server;
 
-          tell (servers, &report, NOW + i);
+          apply_report (servers, &report, NOW + i);
           if (!report.removed && start >= newest)
             {
               newest = start;
@@ -383,7 +391,7 @@
           server = front_servers_find (servers, "a");
           if (!server)
             continue;
-          CU_ASSERT_EQUAL (server->entry.born_ms, BORN + newest);
+          CU_ASSERT_EQUAL (server->entry.born_ms, FIRST_START_MS + newest);
           CU_ASSERT_EQUAL (ntohl (server->address.sin_addr.s_addr) & 0xff, newest);
           CU_ASSERT_EQUAL (front_server_state (server, NOW + i) == FRONT_SERVER_LEAVING,
                            drained[newest]);
@@ -393,11 +401,11 @@
 }
 
 static const SuiteCase cases[] = {
-  { "later_start", test_later_start },
-  { "report_after_the_end", test_report_after_the_end },
+  { "later_start_replaces_earlier", test_later_start_replaces_earlier },
+  { "late_report_does_not_revive", test_late_report_does_not_revive },
   { "reports_in_any_order", test_reports_in_any_order },
-  { "lives", test_lives },
-  { "all_states", test_all_states },
+  { "state_transitions", test_state_transitions },
+  { "every_state_is_reached_and_named", test_every_state_is_reached_and_named },
 };
 
 int
--- a/tests/test_front_speeds.c
+++ b/tests/test_front_speeds.c
@@ -4,13 +4,13 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define MODEL 7
+#define MODEL_HASH 7
 
 /* Milliseconds that an engine takes for a prompt that no cache holds. */
 static double
-engine_ms (double tokens_a_ms, double pair_share, double tokens)
+engine_ms (double tokens_per_ms, double pair_share, double tokens)
 {
-  return tokens / tokens_a_ms * (1 + pair_share * tokens / 2);
+  return tokens / tokens_per_ms * (1 + pair_share * tokens / 2);
 }
 
 static double
@@ -22,19 +22,23 @@
 /* Answers of an engine of that speed; of late in 100, another front's prompt of 200 ms was read
  * first. */
 static void
-play (FrontSpeeds *speeds, double tokens_a_ms, unsigned answers, unsigned late, unsigned *seed)
+simulate_answers (FrontSpeeds *speeds,
+                  double tokens_per_ms,
+                  unsigned answers,
+                  unsigned late,
+                  unsigned *seed)
 {
   for (unsigned i = 0; i < answers; i++)
     {
       int64_t tokens = 1000 + (int64_t)(uniform (seed) * 15000);
       double wait_ms = uniform (seed) * 100 < late ? 200 * uniform (seed) : 0;
       SpeedSample sample = {
-        .model = MODEL,
+        .model = MODEL_HASH,
         .prior = front_speeds_prior (1, 3),
         .tokens = tokens,
         .prompt_tokens = tokens,
-        .read_ms = engine_ms (tokens_a_ms, 3.5e-5, (double)tokens) + wait_ms,
-        .else_ms = 50 + wait_ms,
+        .read_ms = engine_ms (tokens_per_ms, 3.5e-5, (double)tokens) + wait_ms,
+        .overhead_ms = 50 + wait_ms,
       };
 
       front_speeds_add (speeds, &sample, i);
@@ -45,7 +49,7 @@
 learned_ms (const FrontSpeeds *speeds, int64_t tokens)
 {
   ReadTime prior = front_speeds_prior (1, 3);
-  ReadTime time = front_speeds_of (speeds, MODEL, &prior);
+  ReadTime time = front_speeds_of (speeds, MODEL_HASH, &prior);
 
   return read_time_ms (&time, tokens, tokens);
 }
@@ -54,17 +58,17 @@
  * seconds of a front of nine, predictions are within a third. A fixed figure would be wrong by 3.6
  * times at the ends, and with it the price of a larger model's answer. */
 static void
-test_learns_the_engine (void)
+test_learns_read_speed (void)
 {
-  static const double speeds_a_ms[] = { 30, 92, 400 };
+  static const double tokens_per_ms[] = { 30, 92, 400 };
   unsigned seed = 1;
 
-  for (size_t i = 0; i < SUITE_COUNT (speeds_a_ms); i++)
+  for (size_t i = 0; i < SUITE_COUNT (tokens_per_ms); i++)
     {
       FrontSpeeds speeds = { 0 };
-      double right = engine_ms (speeds_a_ms[i], 3.5e-5, 8000);
+      double right = engine_ms (tokens_per_ms[i], 3.5e-5, 8000);
 
-      play (&speeds, speeds_a_ms[i], 60, 30, &seed);
+      simulate_answers (&speeds, tokens_per_ms[i], 60, 30, &seed);
       CU_ASSERT (learned_ms (&speeds, 8000) > right / 1.34);
       CU_ASSERT (learned_ms (&speeds, 8000) < right * 1.34);
     }
@@ -73,24 +77,24 @@
 /* Engines turn four times as slow, as with a failing cooler: half of the way is known after 40
  * answers, and it is forgotten again when they are mended. */
 static void
-test_follows_a_change (void)
+test_adapts_to_speed_change (void)
 {
   FrontSpeeds speeds = { 0 };
   unsigned seed = 2;
   double usual;
 
-  play (&speeds, 110, 100, 20, &seed);
+  simulate_answers (&speeds, 110, 100, 20, &seed);
   usual = learned_ms (&speeds, 8000);
-  play (&speeds, 110 / 4.0, 40, 20, &seed);
+  simulate_answers (&speeds, 110 / 4.0, 40, 20, &seed);
   CU_ASSERT (learned_ms (&speeds, 8000) > 2 * usual);
-  play (&speeds, 110, 60, 20, &seed);
+  simulate_answers (&speeds, 110, 60, 20, &seed);
   CU_ASSERT (learned_ms (&speeds, 8000) < 1.4 * usual);
 }
 
 /* A server that hangs for a minute, a clock that went wrong, a prompt whose cached part is longer
  * than the prompt: one such answer moves the prediction by a tenth at most, or not at all. */
 static void
-test_one_answer_changes_little (void)
+test_outlier_has_bounded_effect (void)
 {
   static const double odd_ms[] = { 60000, 1e300, -500, 0, INFINITY, -INFINITY, NAN };
 
@@ -98,12 +102,12 @@
     {
       FrontSpeeds speeds = { 0 };
       SpeedSample sample = {
-        .model = MODEL,
+        .model = MODEL_HASH,
         .prior = front_speeds_prior (1, 3),
         .tokens = 8000,
         .prompt_tokens = 8000,
         .read_ms = odd_ms[i],
-        .else_ms = odd_ms[i],
+        .overhead_ms = odd_ms[i],
       };
       double before = learned_ms (&speeds, 8000);
 
@@ -114,19 +118,19 @@
 }
 
 static void
-test_impossible_prompts (void)
+test_ignores_impossible_prompts (void)
 {
   static const int64_t prompts[][2] = { { -5, 100 }, { 200, 100 }, { INT64_MAX, 0 } };
 
   for (size_t i = 0; i < SUITE_COUNT (prompts); i++)
     {
       FrontSpeeds speeds = { 0 };
-      SpeedSample sample = { .model = MODEL,
+      SpeedSample sample = { .model = MODEL_HASH,
                              .prior = front_speeds_prior (0, 1),
                              .tokens = prompts[i][0],
                              .prompt_tokens = prompts[i][1],
                              .read_ms = 1000,
-                             .else_ms = 1000 };
+                             .overhead_ms = 1000 };
 
       front_speeds_add (&speeds, &sample, 1);
       CU_ASSERT_EQUAL (speeds.first_ms, 0);
@@ -136,22 +140,22 @@
 
 /* More models than there is room for: the one not met for longest is forgotten. */
 static void
-test_room (void)
+test_evicts_least_recently_seen_model (void)
 {
   FrontSpeeds speeds = { 0 };
 
-  for (uint64_t i = 0; i <= SPEEDS_MODELS; i++)
+  for (uint64_t i = 0; i <= SPEEDS_MODELS_MAX; i++)
     {
       SpeedSample sample = { .model = 100 + i,
                              .prior = front_speeds_prior (0, 1),
                              .tokens = 8000,
                              .prompt_tokens = 8000,
                              .read_ms = 1e6,
-                             .else_ms = 60 };
+                             .overhead_ms = 60 };
 
       front_speeds_add (&speeds, &sample, (int64_t)i + 1);
     }
-  for (uint64_t i = 0; i <= SPEEDS_MODELS; i++)
+  for (uint64_t i = 0; i <= SPEEDS_MODELS_MAX; i++)
     {
       ReadTime prior = front_speeds_prior (0, 1);
       ReadTime time = front_speeds_of (&speeds, 100 + i, &prior);
@@ -162,7 +166,7 @@
 
 /* The prior rises with a model's rank, and a long prompt takes more than in proportion. */
 static void
-test_prior (void)
+test_prior_by_rank_and_length (void)
 {
   ReadTime small = front_speeds_prior (0, 3), middle = front_speeds_prior (1, 3),
            large = front_speeds_prior (2, 3), only = front_speeds_prior (0, 1);
@@ -177,12 +181,12 @@
 }
 
 static const SuiteCase cases[] = {
-  { "learns_the_engine", test_learns_the_engine },
-  { "follows_a_change", test_follows_a_change },
-  { "one_answer_changes_little", test_one_answer_changes_little },
-  { "impossible_prompts", test_impossible_prompts },
-  { "room", test_room },
-  { "prior", test_prior },
+  { "learns_read_speed", test_learns_read_speed },
+  { "adapts_to_speed_change", test_adapts_to_speed_change },
+  { "outlier_has_bounded_effect", test_outlier_has_bounded_effect },
+  { "ignores_impossible_prompts", test_ignores_impossible_prompts },
+  { "evicts_least_recently_seen_model", test_evicts_least_recently_seen_model },
+  { "prior_by_rank_and_length", test_prior_by_rank_and_length },
 };
 
 int
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -158,7 +158,7 @@
   HttpIntake intake;
   FrontCall call;
   Buffer out = { 0 };
-  CallOrder order = {
+  CallHeaders order = {
     .server_id = "i-1",
     .team = "t1",
     .model = span_of ("small"),
@@ -202,7 +202,7 @@
                              "Lovagehub-Server-Signature: x.y\r\nLovagehub-Confidence: 41\r\n"
                              "Connection: close\r\nContent-Length: 2\r\nX-Own: 1\r\n\r\nab";
   HttpReply reply;
-  ReplyFacts facts;
+  ReplyInfo facts;
   Buffer out = { 0 };
 
   http_reply_init (&reply);
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -12,50 +12,50 @@
 #define NOW 100000
 
 static void
-test_reading_drains (void)
+test_pending_reading_drains (void)
 {
-  FrontOthers others = { 0 };
-
-  CU_ASSERT_EQUAL (front_others_read_ms (&others, NOW), 0);
-  front_others_add (&others, 300, 0, NOW);
-  front_others_add (&others, 200, 0, NOW + 100);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_read_ms (&others, NOW + 100), 400, 1e-9);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_read_ms (&others, NOW + 450), 50, 1e-9);
-  CU_ASSERT_EQUAL (front_others_read_ms (&others, NOW + 1000), 0);
-  front_others_add (&others, 10, 0, NOW + 1000);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_read_ms (&others, NOW + 1000), 10, 1e-9);
+  FrontPeerLoad peer_load = { 0 };
+
+  CU_ASSERT_EQUAL (front_peer_load_read_ms (&peer_load, NOW), 0);
+  front_peer_load_add (&peer_load, 300, 0, NOW);
+  front_peer_load_add (&peer_load, 200, 0, NOW + 100);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 100), 400, 1e-9);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 450), 50, 1e-9);
+  CU_ASSERT_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 1000), 0);
+  front_peer_load_add (&peer_load, 10, 0, NOW + 1000);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 1000), 10, 1e-9);
 }
 
 /* A front that died told of its requests and never of their end. */
 static void
-test_running_fades (void)
+test_running_requests_decay (void)
 {
-  FrontOthers others = { 0 };
+  FrontPeerLoad peer_load = { 0 };
 
-  front_others_add (&others, 0, 8, NOW);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_running (&others, NOW), 8, 1e-9);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_running (&others, NOW + 2000), 4, 1e-9);
-  CU_ASSERT (front_others_running (&others, NOW + 20000) < 0.01);
+  front_peer_load_add (&peer_load, 0, 8, NOW);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_running (&peer_load, NOW), 8, 1e-9);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_running (&peer_load, NOW + 2000), 4, 1e-9);
+  CU_ASSERT (front_peer_load_running (&peer_load, NOW + 20000) < 0.01);
 }
 
 /* Nonsense adds nothing, and a huge figure no more than any server can have in front of it. */
 static void
-test_bounds (void)
+test_invalid_load_is_clamped (void)
 {
   static const double odd[] = { -1, 0, NAN, -INFINITY };
-  FrontOthers others = { 0 };
+  FrontPeerLoad peer_load = { 0 };
 
   for (size_t i = 0; i < SUITE_COUNT (odd); i++)
-    front_others_add (&others, odd[i], odd[i], NOW);
-  CU_ASSERT_EQUAL (front_others_read_ms (&others, NOW), 0);
-  CU_ASSERT_EQUAL (front_others_running (&others, NOW), 0);
-  front_others_add (&others, 4e9, 4e9, NOW);
-  CU_ASSERT (front_others_read_ms (&others, NOW) <= 10000);
-  CU_ASSERT (front_others_running (&others, NOW) <= 1000);
+    front_peer_load_add (&peer_load, odd[i], odd[i], NOW);
+  CU_ASSERT_EQUAL (front_peer_load_read_ms (&peer_load, NOW), 0);
+  CU_ASSERT_EQUAL (front_peer_load_running (&peer_load, NOW), 0);
+  front_peer_load_add (&peer_load, 4e9, 4e9, NOW);
+  CU_ASSERT (front_peer_load_read_ms (&peer_load, NOW) <= 10000);
+  CU_ASSERT (front_peer_load_running (&peer_load, NOW) <= 1000);
 }
 
 static void
-test_message (void)
+test_message_round_trip (void)
 {
   WorkMessage message
       = { .incarnation = 5, .count = 2, .notes = { { 11, 250, 300 }, { 12, 30, 5 } } };
@@ -83,7 +83,7 @@
  * front takes the next server; once the first prompt is read, the best one again. A front that is
  * cut off from this news decides as it would alone. */
 static void
-test_two_long_prompts (void)
+test_second_long_prompt_goes_elsewhere (void)
 {
   FrontServers *servers = front_servers_new ("here");
   static const char *const ids[] = { "near", "beside" };
@@ -109,7 +109,7 @@
     }
   first = front_pick (servers, &query, NOW).server;
   CU_ASSERT_STRING_EQUAL (first->entry.id, "near");
-  front_others_add (&first->others, 600, 0, NOW);
+  front_peer_load_add (&first->peer_load, 600, 0, NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW + 50).server->entry.id, "beside");
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW + 595).server->entry.id, "near");
   front_servers_free (servers);
@@ -119,7 +119,7 @@
  * at the server that we like best, none at the next one. Without the share of the model ten streams
  * of the smallest would weigh the same. */
 static void
-test_streams_of_the_largest_model (void)
+test_running_requests_weighted_by_model (void)
 {
   FrontServers *servers = front_servers_new ("here");
   ReadTime small = front_speeds_prior (0, 3), large = front_speeds_prior (2, 3);
@@ -138,9 +138,9 @@
       CU_ASSERT (front_servers_set (servers, &entry, NOW, &changed));
     }
   near = front_servers_find (servers, "s0");
-  front_others_add (&near->others, 0, 10 * front_speeds_share (&small), NOW);
+  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_share (&small), NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW).server->entry.id, "s0");
-  front_others_add (&near->others, 0, 10 * front_speeds_share (&large), NOW);
+  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_share (&large), NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW).server->entry.id, "s1");
   front_servers_free (servers);
 }
@@ -166,13 +166,13 @@
  * for ten seconds to 24 servers. Bytes for notes stay at 8,000 a second, and what couldn't be told
  * at once is told later: at each server but for its last second all reading was told. */
 static void
-test_bytes_are_bounded (void)
+test_message_rate_is_bounded (void)
 {
   enum
   {
     SERVERS = 24,
     SECONDS = 10,
-    REQUESTS_A_S = 28,
+    REQUESTS_PER_S = 28,
     READ_MS = 60,
     MESSAGE_BYTES = 60,
   };
@@ -181,7 +181,7 @@
   FrontPeers *peers = memory_alloc (sizeof *peers);
   FrontServer *servers = memory_alloc (SERVERS * sizeof *servers);
   uint64_t before = messages_sent (), bytes;
-  double told = 0, untold = 0;
+  double reported = 0, unreported = 0;
 
   peers->front = &front;
   peers->fd = -1;
@@ -189,19 +189,19 @@
   peers->count = 60;
   for (unsigned i = 0; i < peers->count; i++)
     peers->list[i] = (Peer){ .heard_ms = NOW, .alive_ms = 60000, .domain = 1 };
-  for (unsigned i = 0; i < SECONDS * REQUESTS_A_S; i++)
+  for (unsigned i = 0; i < SECONDS * REQUESTS_PER_S; i++)
     {
       FrontServer *server = &servers[i % SERVERS];
 
-      front_peers_tell_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_A_S);
+      front_peers_tell_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_PER_S);
     }
   for (unsigned i = 0; i < SERVERS; i++)
-    untold += servers[i].untold_ms;
-  told = SECONDS * REQUESTS_A_S * READ_MS - untold;
+    unreported += servers[i].unreported_ms;
+  reported = SECONDS * REQUESTS_PER_S * READ_MS - unreported;
   bytes = (messages_sent () - before) * MESSAGE_BYTES;
   CU_ASSERT (bytes > 0);
   CU_ASSERT (bytes <= 8000 * (SECONDS + 1) + 24 * MESSAGE_BYTES);
-  CU_ASSERT (told > 0.5 * SECONDS * REQUESTS_A_S * READ_MS);
+  CU_ASSERT (reported > 0.5 * SECONDS * REQUESTS_PER_S * READ_MS);
   free (servers);
   free (peers);
   front_rollouts_free (front.rollouts);
@@ -209,13 +209,13 @@
 }
 
 static const SuiteCase cases[] = {
-  { "reading_drains", test_reading_drains },
-  { "running_fades", test_running_fades },
-  { "bounds", test_bounds },
-  { "message", test_message },
-  { "two_long_prompts", test_two_long_prompts },
-  { "streams_of_the_largest_model", test_streams_of_the_largest_model },
-  { "bytes_are_bounded", test_bytes_are_bounded },
+  { "pending_reading_drains", test_pending_reading_drains },
+  { "running_requests_decay", test_running_requests_decay },
+  { "invalid_load_is_clamped", test_invalid_load_is_clamped },
+  { "message_round_trip", test_message_round_trip },
+  { "second_long_prompt_goes_elsewhere", test_second_long_prompt_goes_elsewhere },
+  { "running_requests_weighted_by_model", test_running_requests_weighted_by_model },
+  { "message_rate_is_bounded", test_message_rate_is_bounded },
 };
 
 int
