--- a/bench/front_play.c
+++ b/bench/front_play.c
@@ -288,7 +288,7 @@
     .confidence = confidence_of (play, call),
     .has_middle = MODELS > 2,
     .priority = call->class->priority,
-    .passed_ms = play->clock.now_ms - call->arrived_ms,
+    .elapsed_ms = play->clock.now_ms - call->arrived_ms,
     .objective_ms = call->class->objective_ms,
     .lag_ms = front_lag_now (&play->lags[call->front], play->clock.now_ms),
     .forecast = forecast,
--- a/src/front_attempt.c
+++ b/src/front_attempt.c
@@ -4,8 +4,8 @@
 #include "util_unused.h"
 #include <stdlib.h>
 
-/* Milliseconds without an acknowledgement after which a connection is taken for dead. A cut path
- * shows only so; servers in reach acknowledge within a few milliseconds. */
+/* Milliseconds without an acknowledgement after which a connection counts as dead, which is the
+ * only sign of a broken network path. Reachable servers acknowledge within a few milliseconds. */
 #define UNACKED_TIMEOUT_MS 2000
 
 struct FrontAttempt
@@ -53,7 +53,7 @@
       attempt->callbacks->sent (attempt->user);
       return;
     }
-  /* Only an orderly close ends an answer that has no length; a reset cuts it. */
+  /* Only an orderly close ends an answer that has no length; a reset truncates it. */
   if (what & BEV_EVENT_EOF)
     http_reply_end (&attempt->reply);
   if (attempt->reply.complete)
--- a/src/front_attempt.h
+++ b/src/front_attempt.h
@@ -1,6 +1,7 @@
 /**
- * One request on its way to one backend server: a connection of its own, so that no earlier
- * answer's late bytes and no idle connection that the server is closing can get in its way.
+ * One attempt to send a request to one backend server. Each attempt has a connection of its own, so
+ * neither late bytes of an earlier answer nor an idle connection that the server is closing can
+ * interfere.
  */
 #ifndef FRONT_ATTEMPT_H
 #define FRONT_ATTEMPT_H
@@ -10,35 +11,37 @@
 
 typedef struct FrontAttempt FrontAttempt;
 
-/** Milliseconds for a connection. A server in reach opens one within about 5; one lost packet costs
- * it a second, after which another server is the better choice. */
+/** Milliseconds to open a connection. A reachable server needs about 5; a lost packet costs a
+ *  second, and then another server is the better choice. */
 #define FRONT_CONNECT_TIMEOUT_MS 350
 
-/** Called from the event loop; each may free the attempt, and nothing is called after that. */
+/** Callbacks from the event loop. Each may free the attempt; none is called after that. */
 typedef struct
 {
   /** The connection is open; the request is being sent and may run from here on. */
   void (*sent) (void *user);
-  /** More of the answer has come, or it is whole. */
+  /** More of the answer has arrived, or it is complete. */
   void (*progress) (void *user);
-  /** The connection ended before the answer was whole, or what came is no answer. */
+  /** The connection ended before the answer was complete, or the bytes are no valid answer. */
   void (*cut) (void *user);
 } AttemptCallbacks;
 
-/** Takes head's bytes; body is borrowed until the attempt is freed. NULL if no connection can be
- *  begun. */
+/** Takes over head's buffer; body must outlive the attempt. NULL if no connection can be
+ *  started. */
 FrontAttempt *front_attempt_start (Front *front,
                                    FrontServer *server,
                                    Buffer *head,
                                    const Buffer *body,
                                    const AttemptCallbacks *callbacks,
                                    void *user);
-/** Ends the connection at once; a server stops work on a request whose connection is gone. */
+/** Closes the connection at once; a server stops working on a request whose connection is
+ *  closed. */
 void front_attempt_free (FrontAttempt *attempt);
+/** The answer as far as it has arrived; valid until the attempt is freed. */
 HttpReply *front_attempt_reply (FrontAttempt *attempt);
 /** True once bytes of the request may have reached the server. */
 bool front_attempt_is_sent (const FrontAttempt *attempt);
-/** Stops or goes on reading, while the caller doesn't take what has come. */
+/** Pauses or resumes reading, for a caller that is slower than the server. */
 void front_attempt_pause (FrontAttempt *attempt, bool pause);
 
 #endif
--- a/src/front_budget.c
+++ b/src/front_budget.c
@@ -5,32 +5,33 @@
 #include <string.h>
 #include <urcu/list.h>
 
-#define SLICES 40 /* of a window; the bound is off by one slice's requests at most */
+#define SLICES 40 /* per window; the limit is off by at most one slice's requests */
 
-/* Parts of the share that each use may take. The rest of what a cascade leaves is for requests that
- * would end without an answer: taken by cascades alone, the budget was empty when a server fell
- * silent, and whole streams were cut off. */
+/* Share of the allowed retries that each use may take. What cascades must leave is for requests
+ * that would end without an answer: when cascades could take everything, the budget was empty when
+ * a server fell silent, and whole streams were cut off. */
 static const double use_shares[] = {
   [BUDGET_RETRY] = 1.0,
   [BUDGET_CASCADE] = 0.8,
 };
 
-/* A front's part of the few that are allowed besides: of sixteen fronts' at most, so that those
- * that start at once, and know of no others yet, stay within the bound together; a tenth is left
- * for those that are restarted within a window. With a fixed part 300 fronts with 5 requests each
- * in a window were allowed half as much again as the bound. */
+/* This front's share of the fixed allowance. It is at most that of one front in sixteen, so that
+ * fronts that start together and know of no others yet stay within the limit in total; a tenth is
+ * kept for fronts that restart within a window. With a fixed share, 300 fronts with 5 requests each
+ * in a window were allowed 1.5 times the limit. */
 #define EXTRA_SHARE_MAX 0.06
 #define EXTRA_USABLE    0.9
 
-/* Milliseconds that a refused caller is told to stay away. A crashed server's work has found its
- * way elsewhere after the first; callers wait about the second for a third of their time. */
+/* Milliseconds after which a refused caller is told to retry. After the minimum, other servers have
+ * taken over a crashed server's work; the maximum is about a third of the time that callers
+ * wait. */
 #define RETRY_AFTER_MIN_MS 250
 #define RETRY_AFTER_MAX_MS 1500
 #define REQUESTS_MIN       10 /* a few refusals at first are no overload */
 
 typedef struct
 {
-  int64_t slice; /* number of the slice since the clock began */
+  int64_t slice; /* slice number since the clock's start */
   unsigned requests;
   unsigned retries;
   unsigned refused;
@@ -47,7 +48,7 @@
 {
   struct cds_list_head list;
   BudgetSettings settings;
-  double extra; /* our part */
+  double extra; /* this front's share of settings.extra */
 };
 
 FrontBudget *
@@ -102,7 +103,7 @@
   return now_ms * SLICES / budget->settings.window_ms;
 }
 
-/* The present slice, emptied if it was used a window ago. */
+/* The current slice, cleared if it was last used in an earlier window. */
 static Slice *
 slice_now (const FrontBudget *budget, Entry *entry, int64_t now_ms)
 {
--- a/src/front_budget.h
+++ b/src/front_budget.h
@@ -1,8 +1,8 @@
 /**
- * How often requests for a backend service may be sent again. The bound holds over all fronts: a
- * share of the requests for the service in any window, and a few more. Each front keeps to the
- * share of its own requests, and to its part of the few more, so the sum holds without any news
- * between them but their number. No I/O.
+ * Retry budget: limits how often requests for a backend service are sent again. Over all fronts and
+ * in any window, additional sends stay within a share of the service's requests plus a fixed
+ * allowance. Each front applies the share to its own requests and takes its share of the allowance,
+ * so fronts need to know nothing of each other but their number. No I/O.
  */
 #ifndef FRONT_BUDGET_H
 #define FRONT_BUDGET_H
@@ -14,29 +14,30 @@
 
 typedef struct
 {
-  double share;      /**< sends beyond the first, for each request */
-  double extra;      /**< those allowed besides, over all fronts */
-  int64_t window_ms; /**< any span of this length counts */
+  double share;      /**< additional sends allowed per request */
+  double extra;      /**< additional sends allowed on top, over all fronts */
+  int64_t window_ms; /**< the limit holds for any time span of this length */
 } BudgetSettings;
 
-/** Why a request is sent once more. What a caller waits for goes before what is only better. */
+/** Reason for an additional send. A request without an answer goes before one whose answer would
+ *  only improve. */
 typedef enum
 {
-  BUDGET_RETRY,   /**< an attempt failed; without another the caller gets nothing */
-  BUDGET_CASCADE, /**< a smaller model's answer is there; a larger one's would be better */
+  BUDGET_RETRY,   /**< an attempt failed; without another one the caller gets no answer */
+  BUDGET_CASCADE, /**< a smaller model has answered; a larger model's answer would be better */
 } BudgetUse;
 
 FrontBudget *front_budget_new (const BudgetSettings *settings);
 void front_budget_free (FrontBudget *budget);
-/** How many fronts are known to live, this one included; 1 at first. */
+/** Number of live fronts, this one included; 1 initially. */
 void front_budget_set_fronts (FrontBudget *budget, unsigned fronts);
-/** A request for the service has come. */
+/** Counts a request for the service. */
 void front_budget_count_request (FrontBudget *budget, const char *service, int64_t now_ms);
-/** Takes one more send; false if there is none left for this use. */
+/** Takes one additional send; false if none is left for this use. */
 bool front_budget_take (FrontBudget *budget, const char *service, BudgetUse use, int64_t now_ms);
-/** Milliseconds after which a caller that is refused may come back: the longer, the more of the
- *  service's requests were refused lately, so that those who come back are not the next overload.
- */
+/** Counts a refusal. Returns the milliseconds after which the caller may retry: longer the more of
+ *  the service's recent requests were refused, so that returning callers are not the next
+ *  overload. */
 int64_t front_budget_count_refusal (FrontBudget *budget, const char *service, int64_t now_ms);
 
 #endif
--- a/src/front_cascade.h
+++ b/src/front_cascade.h
@@ -1,6 +1,6 @@
 /**
- * Whether the smallest model's answer goes to the caller, or is dropped and a larger model asked.
- * No I/O.
+ * Decides whether the smallest model's answer is relayed, or dropped and a larger model asked. No
+ * I/O.
  */
 #ifndef FRONT_CASCADE_H
 #define FRONT_CASCADE_H
@@ -8,35 +8,36 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Which model's answer the caller gets. */
+/** Model whose answer the caller gets. */
 typedef enum
 {
-  CASCADE_KEEP, /**< the smallest one's, which is there */
+  CASCADE_KEEP, /**< the smallest one, which has answered */
   CASCADE_MIDDLE,
   CASCADE_LARGEST
 } CascadeStep;
 
-/** What is predicted of a request to a larger model. */
+/** Prediction for a request to a larger model. */
 typedef struct
 {
-  double first_ms;   /**< until its answer begins */
-  double reading_ms; /**< of that, reading the prompt */
+  double first_ms;   /**< milliseconds until its answer begins */
+  double reading_ms; /**< part of first_ms spent reading the prompt */
 } CascadeForecast;
 
 /** What is known when a smaller model's answer begins. */
 typedef struct
 {
-  int confidence;       /**< of the model in its answer, 0 to 100; -1: not said */
+  int confidence;       /**< the model's confidence in its answer, 0 to 100; -1: not given */
   bool has_middle;      /**< the route has a model between the smallest and the largest */
-  int64_t priority;     /**< of the route, 0 being the most urgent */
-  int64_t passed_ms;    /**< since the request came */
-  int64_t objective_ms; /**< in which its answer should begin */
-  double lag_ms;        /**< by which engines' answers begin later than predicted */
-  /** Called for the steps that are weighed. */
+  int64_t priority;     /**< of the route; 0: most urgent */
+  int64_t elapsed_ms;   /**< since the request arrived */
+  int64_t objective_ms; /**< within which the answer should begin */
+  double lag_ms;        /**< by which engines' answers currently begin later than predicted */
+  /** Predicts a step. Called only for the steps that are considered. */
   CascadeForecast (*forecast) (void *user, CascadeStep step);
   void *user;
 } CascadeCase;
 
+/** Decides which model's answer the caller gets. */
 CascadeStep front_cascade_step (const CascadeCase *c);
 
 #endif
--- a/src/front_cold.c
+++ b/src/front_cold.c
@@ -3,24 +3,26 @@
 #include "util_id.h"
 #include <math.h>
 
-/* Parts of a server's bound. The rest is for fronts that know of too few others, and for requests
- * that a front sends late as its VM stood still. */
+/* Shares of a server's limit that fronts of its own failure domain, and those of other domains, may
+ * use. The rest covers fronts that know of too few others, and requests that a front sends late
+ * because its VM stood still. */
 #define OWN_DOMAIN_SHARE   0.75
 #define OTHER_DOMAIN_SHARE 0.125
-/* What is left when each front has its whole number of slots is divided by a hash: a front owns one
- * more slot or doesn't. Nobody has to know who the others are, but the number of owners varies. */
+/* A front's share is rarely a whole number of slots. The remainder is distributed by a hash: a
+ * front owns one more slot or doesn't. Fronts need not know each other for that, but the number of
+ * owners varies, so only this share of the remainder is given out. */
 #define EXTRA_SLOT_SHARE 0.45
 #define HASH_BITS        53
-/* Milliseconds in which a request holds its slot: a second from the moment at which it reaches the
- * server, and before that as long as this may take. */
+/* Milliseconds for which a request holds its slot: a second from its arrival at the server, and
+ * before that as long as connecting may take. */
 #define SLOT_HOLD_MS (1000 + FRONT_CONNECT_TIMEOUT_MS)
 
-/* Fronts of a large site, and of one of its failure domains. */
+/* Number of fronts in a large site, and in one of its failure domains. */
 #define LARGE_SITE_FRONTS   360
 #define LARGE_DOMAIN_FRONTS 75
-/* Registered fronts of a failure domain from which there may be others beside them, and how many
- * there are at least taken to be: a front that has not heard of half of them takes no larger part.
- */
+/* With this many registered fronts in a failure domain there may be more that are not registered,
+ * and at least DOMAIN_FRONTS_MIN are assumed, so that a front that has not heard of half of them
+ * takes no larger share. */
 #define REGISTERED_FULL   5
 #define DOMAIN_FRONTS_MIN 20
 
@@ -43,7 +45,7 @@
   rule->fronts = at_least (rule->fronts, LARGE_SITE_FRONTS);
 }
 
-/* 0 to 1, the same whenever it is asked. */
+/* Uniform in 0 to 1, and constant for a front and a server. */
 static double
 ownership (const ColdRule *rule, uint64_t server)
 {
--- a/src/front_deaths.c
+++ b/src/front_deaths.c
@@ -6,14 +6,14 @@
 #include "util_unused.h"
 #include <stdlib.h>
 
-/* Milliseconds for a connection to a server that lives. A dead one refuses it at once or, with its
- * whole machine gone, never answers. */
+/* Milliseconds in which a live server accepts a connection. A dead one refuses it at once or, if
+ * its whole machine is down, never answers. */
 #define PROBE_MS  400
 #define US_PER_MS 1000L
 
-/* A connection was cut. That is the server's death only if it takes no new connection: engines also
- * lose single answers, and a caller's request that met three of these in a row was refused as if
- * it killed servers. */
+/* Check of a server that has cut a connection. It counts as dead only if it accepts no new one:
+ * engines also drop single answers, and a caller's request that met three of these in a row was
+ * refused as if it crashed servers. */
 typedef struct
 {
   struct cds_list_head node;
--- a/src/front_deaths.h
+++ b/src/front_deaths.h
@@ -1,13 +1,13 @@
 /**
- * Deaths of backend servers, and the requests that they were running: a request that is there at
- * every death is what kills them.
+ * Detects deaths of backend servers and records the requests that they were running: a request that
+ * was present at every death is the likely cause.
  */
 #ifndef FRONT_DEATHS_H
 #define FRONT_DEATHS_H
 
 #include "front.h"
 
-/** A connection on which the server was running this request was cut. */
+/** Checks a server that has cut the connection on which it was running this request. */
 void front_deaths_check (Front *front, FrontServer *server, uint64_t fingerprint);
 
 #endif
--- a/src/front_evacuations.h
+++ b/src/front_evacuations.h
@@ -1,6 +1,6 @@
 /**
- * The failure domains whose servers the operator wants to get nothing. A domain that no server is
- * in is remembered too: servers may still come. No I/O.
+ * Failure domains whose servers get no work by the operator's order. Domains without servers are
+ * kept too, as servers may still appear. No I/O.
  */
 #ifndef FRONT_EVACUATIONS_H
 #define FRONT_EVACUATIONS_H
@@ -15,7 +15,7 @@
 
 void front_evacuations_init (FrontEvacuations *evacuations);
 void front_evacuations_clear (FrontEvacuations *evacuations);
-/** Notes an order, or that it was taken back. True if that is news. */
+/** Records an order, or its withdrawal. True if that changes anything. */
 bool front_evacuations_set (FrontEvacuations *evacuations, const char *domain, bool ordered);
 bool front_evacuations_has (const FrontEvacuations *evacuations, const char *domain);
 
--- a/src/front_evidence.c
+++ b/src/front_evidence.c
@@ -1,18 +1,18 @@
 #include "front_evidence.h"
 
-/* An answer is slow if it begins later than this many times its prediction and this much on top:
- * a version that is several times slower shows at once, a queue in front of both versions counts
+/* An answer is slow if it begins later than SLOW_FACTOR times its prediction plus SLOW_MARGIN_MS. A
+ * version that is several times slower shows at once; a queue in front of both versions counts
  * against both. */
 #define SLOW_FACTOR    4.0
 #define SLOW_MARGIN_MS 200.0
 
-/* Bad answers below which nothing is concluded. A bad version may have given 50 before it has to be
- * stopped; six at a tenth of the traffic come within two seconds of its turning bad. */
+/* Minimum bad answers for any conclusion. A bad version must be stopped before it has given 50; six
+ * at a tenth of the traffic arrive within two seconds of its turning bad. */
 #define FAILED_MIN 6
 #define SLOW_MIN   8
-#define DOUBT_MIN  2 /* of either kind, if in doubt */
-/* How much worse than the old version: its share, this many times, and this much on top. Servers
- * that fail for other reasons (crashed, overloaded) do so under both versions. */
+#define DOUBT_MIN  2 /* failed or slow, under EVIDENCE_DOUBT */
+/* A version is bad if its share of bad answers exceeds the old version's times WORSE_FACTOR plus a
+ * margin. Servers that fail for other reasons (crashes, overload) do so under both versions. */
 #define WORSE_FACTOR  3.0
 #define FAILED_MARGIN 0.06
 #define SLOW_MARGIN   0.25
--- a/src/front_evidence.h
+++ b/src/front_evidence.h
@@ -1,6 +1,7 @@
 /**
- * Answers of a service's new and old version, counted side by side, and what they say of the new
- * one. Counts only grow, so what nodes tell each other merges by taking the larger.
+ * Counts of the answers of a service's new and old version, and whether they show the new one to be
+ * worse. Counts only grow, so two reports of the same counts are merged by taking the larger
+ * ones.
  */
 #ifndef FRONT_EVIDENCE_H
 #define FRONT_EVIDENCE_H
@@ -8,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Routes are counted apart, by hash, since a version may be bad for one of them only. */
+/** Routes are counted separately, by hash, as a version may be bad for only one of them. */
 #define EVIDENCE_ROUTES 8
 
 typedef enum
@@ -20,9 +21,9 @@
 
 typedef struct
 {
-  uint32_t answers; /**< of any kind */
-  uint32_t failed;  /**< server's own errors */
-  uint32_t slow;    /**< began far later than predicted */
+  uint32_t answers; /**< all answers */
+  uint32_t failed;  /**< server errors */
+  uint32_t slow;    /**< began much later than predicted */
 } EvidenceCount;
 
 typedef struct
@@ -30,26 +31,29 @@
   EvidenceCount counts[EVIDENCE_SIDES][EVIDENCE_ROUTES];
 } FrontEvidence;
 
+/** Counts an answer that began first_ms after sending, with predicted_ms expected; route: hash. */
 void front_evidence_add (FrontEvidence *evidence,
                          EvidenceSide side,
                          uint64_t route,
                          bool failed,
                          double first_ms,
                          double predicted_ms);
-/** Raises the counts of into to at least those of news. */
+/** Raises the counts of into to at least those of other. */
 void front_evidence_merge (FrontEvidence *into, const FrontEvidence *other);
-/** Adds the counts of another node. */
+/** Adds the counts of another front. */
 void front_evidence_sum (FrontEvidence *into, const FrontEvidence *other);
-/** How sure a verdict has to be. */
+
+/** How certain a verdict has to be. */
 typedef enum
 {
-  EVIDENCE_CERTAIN, /**< beyond chance: while the roll-out can still bring more answers */
-  EVIDENCE_DOUBT,   /**< two bad answers are enough, or one if it is the only one: before the
-                       old version is given up for good */
+  EVIDENCE_CERTAIN, /**< beyond chance; while the roll-out can still bring more answers */
+  EVIDENCE_DOUBT,   /**< two bad answers suffice, or one if it is the only answer; before the old
+                       version is given up for good */
 } EvidenceThreshold;
 
-/** True if the new version is worse than the old one, on all routes or on one. */
+/** True if the new version is worse than the old one, over all routes or on one. */
 bool front_evidence_is_bad (const FrontEvidence *evidence, EvidenceThreshold threshold);
+/** Number of answers over all routes. */
 uint32_t front_evidence_answers (const FrontEvidence *evidence, EvidenceSide side);
 
 #endif
--- a/src/front_health.c
+++ b/src/front_health.c
@@ -1,24 +1,25 @@
 #include "front_health.h"
 #include <math.h>
 
-/* Milliseconds. Failures are forgotten by half in this time: long enough to keep away from a server
- * that fails two of five requests, short enough to give a repaired one its work back. */
+/* Milliseconds. Half-life of failures and answers: long enough to avoid a server that fails two of
+ * five requests, short enough to give work back to a repaired one. */
 #define DECAY_HALF_LIFE_MS 4000.0
-/* A server that could not be reached is tried again after this long, then twice as long, up to the
- * bound: crashed servers are back within some seconds. */
+/* An unreachable server is tried again after AVOID_FIRST_MS, then after twice as long each time, up
+ * to AVOID_MAX_MS: crashed servers are back within some seconds. */
 #define AVOID_FIRST_MS   800
 #define AVOID_MAX_MS     3200
-#define AVOID_FULL_MS    150 /* a full server frees a place about as often as a request ends there */
-#define FAILURES_MIN     2.0 /* fading failures from which a majority of failures is no accident */
+#define AVOID_FULL_MS    150 /* a full server frees a slot about as often as a request ends there */
+#define FAILURES_MIN     2.0 /* decayed; from these on a majority of failures is no coincidence */
 #define AVOID_FAILING_MS 1500
-/* What a failed request costs its caller: another attempt, with its prompt read again. */
+/* Milliseconds that a failed request costs its caller: another attempt, with its prompt read
+ * again. */
 #define FAILURE_COST_MS 1500.0
-#define PRIOR_ANSWERS   2.0 /* one failure at a server that is hardly known weighs a third */
+#define PRIOR_ANSWERS   2.0 /* one failure at a server without other answers weighs a third */
 #define LAG_SMOOTHING   0.2
 #define LAG_MAX_MS      5000.0
-/* Part of the lag that a request is expected to meet. Most of it is other fronts' prompts that were
- * read first, and gone by the next answer; a server that has turned slow shows a lag of seconds.
- * Counted whole, it would send requests to other failure domains. */
+/* Share of the lag that the next request is expected to meet. Most lag comes from other fronts'
+ * prompts that were read first, and is gone by the next answer; a server that has become slow shows
+ * a lag of seconds. Counted in full, lag would send requests to other failure domains. */
 #define LAG_WEIGHT 0.3
 
 static void
--- a/src/front_health.h
+++ b/src/front_health.h
@@ -1,7 +1,7 @@
 /**
- * How a backend server has treated the requests sent to it. What its health page says is not
- * asked: a server that fails its requests is avoided whatever it says of itself, and one that
- * answers them is used.
+ * Health of a backend server, from the results of the requests sent to it. Its own health page is
+ * not used: a server that fails its requests is avoided whatever it reports, and one that answers
+ * them is used.
  */
 #ifndef FRONT_HEALTH_H
 #define FRONT_HEALTH_H
@@ -11,25 +11,26 @@
 
 typedef struct
 {
-  double failures;        /**< failed requests lately, fading */
-  double answers;         /**< answered ones, fading likewise */
-  double lag_ms;          /**< how much later than predicted answers begin, smoothed */
-  int64_t decayed_ms;     /**< when the sums were last faded */
-  int64_t avoid_until_ms; /**< gets no work before, if there is another */
-  unsigned unreachable;   /**< connections in a row that could not be opened */
+  double failures;        /**< recent failures, decayed */
+  double answers;         /**< recent answers, decayed */
+  double lag_ms;          /**< by which answers begin later than predicted, smoothed */
+  int64_t decayed_ms;     /**< when these three were last decayed */
+  int64_t avoid_until_ms; /**< until then it gets no work if there is another server */
+  unsigned unreachable;   /**< failed connections in a row */
 } FrontHealth;
 
-/** It answered; first_ms after sending, predicted_ms was expected. */
+/** Records an answer that began first_ms after sending, with predicted_ms expected. */
 void
 front_health_answered (FrontHealth *health, int64_t now_ms, double first_ms, double predicted_ms);
-/** It cut, garbled or failed a request. */
+/** Records a request that it cut off, garbled or failed. */
 void front_health_failed (FrontHealth *health, int64_t now_ms);
-/** It turned a request away without running it, being full. */
+/** Records a request that it rejected without running it, being full. */
 void front_health_full (FrontHealth *health, int64_t now_ms);
-/** No connection could be opened, or its answer never began. */
+/** Records that no connection could be opened, or that no answer began. */
 void front_health_unreachable (FrontHealth *health, int64_t now_ms);
+/** True while it should get no work if there is another server. */
 bool front_health_avoided (const FrontHealth *health, int64_t now_ms);
-/** Milliseconds that a request is expected to lose there to failures and slowness. */
+/** Milliseconds that a request is expected to lose there through failures and lag. */
 double front_health_penalty_ms (const FrontHealth *health, int64_t now_ms);
 
 #endif
--- a/src/front_lag.c
+++ b/src/front_lag.c
@@ -1,13 +1,14 @@
 #include "front_lag.h"
 #include <math.h>
 
-/* Weight of an answer: a front of 69 begins 15 a second, so that a burst shows within a second. */
+/* Weight of one answer. One of 69 fronts sees 15 answers begin per second, so a burst shows within
+ * a second. */
 #define SMOOTHING 0.1
-/* Milliseconds above what is known that one answer counts for at most: a few slow engines among
- * many don't look like a queue in front of all. */
+/* Maximum milliseconds above the current lag that one answer counts for, so that a few slow engines
+ * among many don't look like a queue at all of them. */
 #define STEP_MAX_MS 400.0
-/* Milliseconds in which it halves while no answer begins: a queue of an engine drains in two or
- * three seconds once less is sent to it. */
+/* Milliseconds in which the lag halves while no answer begins: an engine's queue drains in two or
+ * three seconds once it is sent less. */
 #define HALF_LIFE_MS 2000.0
 
 double
--- a/src/front_peer_load.c
+++ b/src/front_peer_load.c
@@ -1,11 +1,12 @@
 #include "front_peer_load.h"
 #include <math.h>
 
-/* Milliseconds; no server has more in front of it, as callers leave and requests time out. Bounds
- * what a wrong message can do, as does the most that is taken to run: above any server's places. */
+/* Milliseconds. No server has more reading queued, as callers leave and requests time out. Like
+ * RUNNING_MAX, which is above any server's slots, this limits the effect of a wrong message. */
 #define READ_MAX_MS 10000.0
 #define RUNNING_MAX 1000.0
-/* Milliseconds in which half of what was sent has ended: streams last two to three seconds. */
+/* Milliseconds in which half of the reported requests have ended: streams last two to three
+ * seconds. */
 #define RUNNING_HALF_LIFE_MS 2000.0
 
 double
--- a/src/front_peer_load.h
+++ b/src/front_peer_load.h
@@ -1,8 +1,8 @@
 /**
- * What other fronts have at one backend server, as far as they told when they sent it: reading that
- * waits there, and requests that run. Reading is worked off as time passes, running requests fade;
- * nothing has to be taken back, and what a lost message or a dead front leaves wrong is soon gone.
- * A front of many sees a small part of what its servers get; this tells it the rest. No I/O.
+ * Load of one backend server by other fronts, as they report it when they send requests: prompts
+ * that wait to be read, and requests that run. Reading drains as time passes and running requests
+ * decay, so nothing has to be withdrawn, and errors from a lost message or a dead front disappear
+ * soon. A front itself sees only a small part of its servers' load. No I/O.
  */
 #ifndef FRONT_PEER_LOAD_H
 #define FRONT_PEER_LOAD_H
@@ -11,15 +11,16 @@
 
 typedef struct
 {
-  double read_ms; /**< reading that waits, as of at_ms */
-  double running; /**< requests that run, each counted by its model's share; the same */
+  double read_ms; /**< milliseconds of queued reading, as of at_ms */
+  double running; /**< running requests, weighted by model; as of at_ms */
   int64_t at_ms;
 } FrontPeerLoad;
 
-/** Somebody sends the server work; a figure that is no number or below zero adds nothing. */
+/** Adds load reported by another front; values that are not positive numbers add nothing. */
 void front_peer_load_add (FrontPeerLoad *load, double read_ms, double running, int64_t now_ms);
-/** Milliseconds of reading that are still to be done. */
+/** Milliseconds of reading that remain. */
 double front_peer_load_read_ms (const FrontPeerLoad *load, int64_t now_ms);
+/** Running requests that are assumed to remain, weighted by model. */
 double front_peer_load_running (const FrontPeerLoad *load, int64_t now_ms);
 
 #endif
--- a/src/front_pick.c
+++ b/src/front_pick.c
@@ -3,25 +3,25 @@
 #include <math.h>
 #include <string.h>
 
-/* What a server in another failure domain has to be faster by, as a part of what the caller is
- * ready to wait: bytes between domains have a price, and a caller who waits two seconds gains
- * nothing by 40 ms. */
+/* Cost of a server in another failure domain, as a share of the caller's objective: traffic between
+ * domains has a price, and a caller who waits two seconds gains nothing by 40 ms. */
 #define CROSS_DOMAIN_SHARE 0.02
-/* Milliseconds, at least: twice the way there and back (about 3 ms), the rest for the bytes. */
+/* Minimum of that cost in milliseconds: two round trips (about 3 ms), the rest for the traffic. */
 #define CROSS_DOMAIN_MIN_MS 10.0
-/* What each request of a middle-sized model that runs there adds to the time of an event of all
- * others; one of the largest adds ten times as much as one of the smallest, and is counted so. */
+/* Milliseconds that each running request of a middle-sized model adds to the time per event of all
+ * others. Requests are weighted by model: one of the largest adds ten times as much as one of the
+ * smallest. */
 #define MODEL_RUNNING_MS 1.5
-/* What a running request of a plain service adds, on average, once all places are taken: about its
- * own time. */
+/* Milliseconds that a running request of a plain service adds on average once all slots are taken:
+ * about its own duration. */
 #define SERVICE_RUNNING_MS 25.0
-#define SERVICE_QUEUED_MS  60.0
-#define COLD_MS            40.0
+#define SERVICE_QUEUED_MS  60.0 /* added by each request beyond the slots */
+#define COLD_MS            40.0 /* added by a server that is cold */
 #define SLOTS_DEFAULT      8
-/* Milliseconds by which the entries of servers that turned cold may be later than the news that
- * their evacuation was taken back. */
+/* Milliseconds by which the entries of servers that became cold may arrive later than the end of
+ * their evacuation. */
 #define RETURN_MARGIN_MS 500
-/* Tokens of shared prompt from which fronts agree on a server for it: 500 are 4 ms of reading. */
+/* Minimum tokens of a shared prompt for which fronts agree on a server: reading 500 takes 4 ms. */
 #define AFFINITY_MIN_TOKENS 500
 
 bool
@@ -50,9 +50,9 @@
   return slots ? slots : SLOTS_DEFAULT;
 }
 
-/* The near server that all fronts of the failure domain agree on for a shared prompt, by rendezvous
- * hash: each sees only its own requests, so without this a prompt that all of them get is read by
- * every server. NULL: the prompt is too short to matter, or too rare to be kept. */
+/* The server of our failure domain that all its fronts prefer for a shared prompt, by rendezvous
+ * hashing. Each front sees only its own requests, so without this a prompt that all of them get is
+ * read by every server. NULL: the prompt is too short to matter, or too rare to stay cached. */
 static const FrontServer *
 affinity_server (FrontServers *servers, const PickQuery *query, int64_t now_ms)
 {
@@ -78,7 +78,7 @@
   return preferred;
 }
 
-/* Tokens that the server has to read. */
+/* Prompt tokens that the server has to read. */
 static int64_t
 prompt_tokens (const PickQuery *query,
                const FrontServer *server,
@@ -136,8 +136,8 @@
   return cost;
 }
 
-/* Servers of a failure domain that was evacuated are cold once it is taken back, and their entries
- * tell so only with the next heartbeat. */
+/* Servers of an evacuated failure domain are cold when the evacuation ends, but their entries show
+ * that only with the next heartbeat. */
 static bool
 is_cold (const PickQuery *query, const FrontServer *server, int64_t now_ms)
 {
@@ -146,7 +146,7 @@
              && now_ms < server->returned_ms + query->cold.start_ms + RETURN_MARGIN_MS);
 }
 
-/* 0: it may get the request as far as its bound is concerned. */
+/* Milliseconds until the cold-server limit admits the request; 0: now. */
 static int64_t
 cold_bound_wait_ms (const PickQuery *query, const FrontServer *server, int64_t now_ms)
 {
@@ -156,7 +156,7 @@
                        cold_slots (&query->cold, server->hash, server->is_same_domain), now_ms);
 }
 
-/* True if it may get nothing at present, which the answer then tells. */
+/* True if the server may get no request now; the reason is added to the answer. */
 static bool
 is_excluded (PickAnswer *answer, const PickQuery *query, const FrontServer *server, int64_t now_ms)
 {
--- a/src/front_pick.h
+++ b/src/front_pick.h
@@ -1,7 +1,7 @@
 /**
- * Which backend server gets a request: the one where it is predicted to begin its answer first,
- * counting the work that we have there, the prompt that it has to read, the way to it and how it
- * has treated us. No I/O.
+ * Chooses the backend server of a request: the one predicted to begin its answer first, by the work
+ * queued there, the part of the prompt that it has to read, its failure domain and its health. No
+ * I/O.
  */
 #ifndef FRONT_PICK_H
 #define FRONT_PICK_H
@@ -17,35 +17,37 @@
   const char *service;
   const char *version; /**< NULL: any */
   const FrontCall *call;
-  uint64_t model;          /**< hash of the model's name */
-  double running_share;    /**< what one request of the model adds to the time of a token of all
-                              others, that of a middle-sized model being 1 */
-  ReadTime read_time;      /**< of a prompt with that model */
-  int64_t objective_ms;    /**< what the caller is ready to wait for the answer's begin */
-  unsigned slots;          /**< of one server; 0: what its entry says */
-  bool is_model;           /**< a model engine, not a plain service */
-  ColdRule cold;           /**< of the service */
-  int64_t affinity_tokens; /**< of the prompt's shared parts, those that are asked for so often that
-                            all fronts of the failure domain agree on a server that keeps them */
-  int64_t reuse_window_ms; /**< how long a server's cache is relied on */
+  uint64_t model;       /**< hash of the model's name */
+  double running_share; /**< what one running request of the model adds to the time per token of all
+                           others; 1 for a middle-sized model */
+  ReadTime read_time;   /**< reading speed of that model */
+  int64_t objective_ms; /**< within which the answer should begin */
+  unsigned slots;       /**< of a server whose entry gives none; 0: default */
+  bool is_model;        /**< a model engine, not a plain service */
+  ColdRule cold;        /**< limit for cold servers of the service */
+  int64_t affinity_tokens; /**< tokens of the prompt's shared parts that are requested often enough
+                              for all fronts of the failure domain to agree on a server that keeps
+                              them cached */
+  int64_t reuse_window_ms; /**< how long a prompt is assumed to stay in a server's cache */
   unsigned tried_count;
-  uint64_t tried[PICK_TRIED_MAX]; /**< hashes of servers that this request was sent to */
+  uint64_t tried[PICK_TRIED_MAX]; /**< hashes of the servers that this request was sent to */
 } PickQuery;
 
 typedef struct
 {
-  FrontServer *server;   /**< NULL: there is none */
-  double predicted_ms;   /**< until the answer begins */
-  double prompt_ms;      /**< of that, reading the prompt */
-  int64_t prompt_tokens; /**< that it has to read, as far as is known */
-  int64_t cold_wait_ms;  /**< until a cold server may get a request that was left out for the bound
-                              of such servers; 0: none was */
-  bool evacuated;        /**< servers were left out since their failure domain is evacuated */
-  bool avoided;          /**< it is one to be avoided; there was no better */
+  FrontServer *server;   /**< NULL: none */
+  double predicted_ms;   /**< milliseconds until the answer begins */
+  double prompt_ms;      /**< part of predicted_ms spent reading the prompt */
+  int64_t prompt_tokens; /**< prompt tokens that it has to read, as far as known */
+  int64_t cold_wait_ms;  /**< until a cold server that was excluded by its limit may get a request;
+                            0: none was excluded */
+  bool evacuated;        /**< servers were excluded because their failure domain is evacuated */
+  bool avoided;          /**< the server is in an avoided state; there was no better one */
 } PickAnswer;
 
-/** True if the request was sent to this server before. */
+/** True if the request was already sent to this server. */
 bool front_pick_was_tried (const PickQuery *query, const FrontServer *server);
+/** Chooses a server; if all are excluded, the answer tells why. */
 PickAnswer front_pick (FrontServers *servers, const PickQuery *query, int64_t now_ms);
 
 #endif
--- a/src/front_prompts.c
+++ b/src/front_prompts.c
@@ -2,7 +2,7 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-/* Mixes the bits of two hashes so that one part under two models takes two slots. */
+/* Mixes the bits of part and model, so that one part under two models takes two slots. */
 #define MIX 0x9e3779b97f4a7c15u
 
 static uint64_t
--- a/src/front_prompts.h
+++ b/src/front_prompts.h
@@ -1,14 +1,15 @@
 /**
- * Which parts of prompts one backend server probably still has in its cache, by what this process
- * sent there. A table in which a newer part displaces an older one with the same slot, made when
- * the first prompt is sent: of 3,000 servers a front uses some dozen, and 24 MB stood empty.
+ * Prompt parts that one backend server probably has in its cache, estimated from what this process
+ * sent there. A hash table in which a newer part replaces an older one in the same slot. It is
+ * allocated when the first prompt is sent: a front uses a few dozen of 3,000 servers, and tables
+ * for all would take 24 MB.
  */
 #ifndef FRONT_PROMPTS_H
 #define FRONT_PROMPTS_H
 
 #include "front_call.h"
 
-#define PROMPT_SLOTS 512 /**< a power of two; 8 KiB a server that is used */
+#define PROMPT_SLOTS 512 /**< power of two; 8 KiB per server in use */
 
 typedef struct
 {
@@ -18,23 +19,22 @@
 
 typedef struct
 {
-  PromptSlot *slots; /**< PROMPT_SLOTS of them; NULL: nothing was sent */
+  PromptSlot *slots; /**< PROMPT_SLOTS entries; NULL: nothing was sent */
 } FrontPrompts;
 
 void front_prompts_clear (FrontPrompts *prompts);
 
-/** Tokens of the call's prompt that need not be read again: those of its first parts that the
+/** Tokens of the call's prompt that need not be read again: those of its leading parts that the
  *  server read for this model within window_ms. */
 int64_t front_prompts_cached (const FrontPrompts *prompts,
                               const FrontCall *call,
                               uint64_t model,
                               int64_t now_ms,
                               int64_t window_ms);
-/** The server is reading this prompt. */
+/** Records that the server is reading this prompt. */
 void
 front_prompts_sent (FrontPrompts *prompts, const FrontCall *call, uint64_t model, int64_t now_ms);
-/** The same for the parts that other requests share, all but the last one: a caller asks for them.
- */
+/** Records a caller's request for the parts that requests share: all but the last one. */
 void
 front_prompts_asked (FrontPrompts *prompts, const FrontCall *call, uint64_t model, int64_t now_ms);
 
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -14,21 +14,19 @@
 #define STATUS_UNAVAILABLE  503
 #define STATUS_TIMEOUT      504
 
-/* Milliseconds that a caller is told to stay away. */
-#define RETRY_AFTER_STARTING_MS 400 /* a process learns the configuration within this time */
-#define RETRY_AFTER_QUARANTINED_MS                                                                 \
-  3000 /* the request crashes servers; it will not do better soon                                  \
-        */
+/* Milliseconds after which a refused caller is told to retry. */
+#define RETRY_AFTER_STARTING_MS    400  /* by then a starting process has the configuration */
+#define RETRY_AFTER_QUARANTINED_MS 3000 /* the request crashes servers, and will again soon */
 
-/* Milliseconds after the stop was asked for from which streams are no longer taken: by then the
- * balancer sends callers elsewhere, and those who come all the same are told so at once, since an
- * answer that takes longer than the process lives would be cut off. */
+/* Milliseconds after the stop signal from which streams are refused. By then the balancer sends
+ * callers elsewhere; those that still arrive are told so at once, as an answer that outlasts the
+ * process would be cut off. */
 #define STOP_ACCEPTS_STREAMS_MS 2600
-/* Milliseconds before the process is killed by which everything else that is taken must have its
- * final answer, if only that of its time-out. */
+/* Milliseconds before the process is killed by which every other accepted request must have its
+ * final answer, even if only that of its time-out. */
 #define STOP_MARGIN_MS          1500
 #define MS_PER_S                1000
-#define RETRY_AFTER_STOPPING_MS 50 /* another front takes the request right away */
+#define RETRY_AFTER_STOPPING_MS 50 /* another front accepts the request at once */
 
 FrontRequest *
 front_request_new (Front *front, FrontConn *conn)
@@ -128,7 +126,7 @@
   request_free (request);
 }
 
-/* A route may send to several services by weight; a session always to the same. */
+/* Chooses the route's service by weight; a session always gets the same one. */
 static const char *
 target_of (const FrontRoute *route, uint64_t session)
 {
@@ -146,8 +144,8 @@
   return route->targets[route->target_count - 1].service;
 }
 
-/* The last part of a prompt belongs to a session or to the request alone; a request that has
- * neither session nor prompt is a session of its own. */
+/* The last part of a prompt belongs to a session or to the request alone. A request with neither
+ * session nor prompt is a session of its own. */
 static uint64_t
 session_of (const FrontCall *call)
 {
@@ -168,22 +166,22 @@
   return id_hash (intake->target.text, intake->target.len, hash) | 1;
 }
 
-/* Whether the answer may be cut off by the end of a planned stop. Where all fronts of a failure
- * domain stop at once callers have nowhere else to go, so what ends within its time-out is served.
- */
+/* Whether the end of a planned stop may cut off the answer. Where all fronts of a failure domain
+ * stop at once callers have nowhere else to go, so a request whose time-out ends before the process
+ * is killed is still served. */
 static bool
 may_outlive_stop (const FrontRequest *request)
 {
   const Front *front = request->front;
-  int64_t passed_ms = request->arrived_ms - front->stop_ms;
-  int64_t most_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_MARGIN_MS;
+  int64_t elapsed_ms = request->arrived_ms - front->stop_ms;
+  int64_t max_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_MARGIN_MS;
 
-  if (front->stop_ms == 0 || passed_ms <= STOP_ACCEPTS_STREAMS_MS)
+  if (front->stop_ms == 0 || elapsed_ms <= STOP_ACCEPTS_STREAMS_MS)
     return false;
-  return request->route->kind == ROUTE_STREAM || passed_ms + request->route->timeout_ms > most_ms;
+  return request->route->kind == ROUTE_STREAM || elapsed_ms + request->route->timeout_ms > max_ms;
 }
 
-/* False if it was refused. */
+/* Routes and authenticates the request; false if it was refused. */
 static bool
 admit (FrontRequest *request)
 {
@@ -241,8 +239,9 @@
   request_send (request);
 }
 
-/* A server that fell silent and started again closes none of its old connections where a cut path
- * keeps its resets from us; without this a stream on one waits for two allowed pauses. */
+/* A server that fell silent and restarted closes none of its old connections if a broken network
+ * path holds back its resets; without this a stream on such a connection waits for two allowed
+ * pauses. */
 void
 front_requests_cut_restarted (Front *front)
 {
--- a/src/front_request.h
+++ b/src/front_request.h
@@ -1,5 +1,5 @@
 /**
- * A caller's request from its reading to its answer.
+ * A caller's request, from its arrival to its final answer.
  */
 #ifndef FRONT_REQUEST_H
 #define FRONT_REQUEST_H
@@ -10,14 +10,15 @@
 typedef struct FrontRequest FrontRequest;
 
 FrontRequest *front_request_new (Front *front, FrontConn *conn);
-/** Decides and sends; the answer may be given, and the request freed, before it returns. */
+/** Routes and sends the request. The answer may be given, and the request freed, before it
+ *  returns. */
 void front_request_start (FrontRequest *request);
-/** The caller has left. Frees the request. */
+/** The caller left. Frees the request. */
 void front_request_cancel (FrontRequest *request);
-/** The caller has taken all that was written. */
+/** All data written to the caller has been taken; reading from the server resumes. */
 void front_request_drained (FrontRequest *request);
 
-/** Servers may have been found to have started again: what ran on their earlier starts is cut. */
+/** Treats the attempts whose server has restarted like those with a lost connection. */
 void front_requests_cut_restarted (Front *front);
 /** Requests in progress that were sent to this version of the service. */
 unsigned front_request_running (const Front *front, const char *service, const char *version);
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -1,5 +1,5 @@
 /**
- * What the files of front_request_*.c share.
+ * Internal interface shared by the front_request_*.c files.
  */
 #ifndef FRONT_REQUEST_PRIVATE_H
 #define FRONT_REQUEST_PRIVATE_H
@@ -18,74 +18,79 @@
   struct cds_list_head node;
   Front *front;
   FrontConn *conn;
-  FrontConfig *config; /* the snapshot under which it was taken */
+  FrontConfig *config; /* configuration that was current when the request arrived */
   const FrontRoute *route;
   const FrontTeam *team;
   FrontCall call;
   struct event *timer;
   int64_t arrived_ms;
-  int64_t end_ms;       /* the final answer is given by then */
-  uint64_t session;     /* hash */
-  uint64_t fingerprint; /* of what is run, for requests that crash servers */
+  int64_t end_ms;       /* deadline for the final answer */
+  uint64_t session;     /* session hash */
+  uint64_t fingerprint; /* hash of team, target and body; identifies requests that crash servers */
   const char *service;
   char version[SERVER_TEXT_MAX];
-  uint64_t version_hash; /* under which the session was begun; 0: it wasn't */
-  uint32_t model;        /* index in the route's models; NO_MODEL: as the caller says */
-  bool cascade_done;     /* no larger model is to be tried */
+  uint64_t version_hash; /* hash of the version the session is registered on; 0: none */
+  uint32_t model;        /* index in the route's models; NO_MODEL: the caller's own choice */
+  bool cascade_done;     /* no larger model will be tried */
 
-  unsigned attempts;  /* made so far, but for those that reached no server */
-  unsigned unreached; /* those */
+  unsigned attempts;  /* attempts so far, except at unreachable servers */
+  unsigned unreached; /* servers that could not be reached */
   unsigned tried_count;
   uint64_t tried[PICK_TRIED_MAX];
-  bool may_have_run; /* an earlier attempt; "not run" can't be said any more */
+  bool may_have_run; /* an earlier attempt; "not executed" can no longer be reported */
 
-  FrontAttempt *attempt; /* the present one */
-  FrontServer *server;   /* of the attempt; referenced */
-  double predicted_ms;
-  double prompt_ms;      /* of that, reading the prompt */
-  int64_t prompt_tokens; /* that the server had to read for it, as far as was known */
-  double running_share;  /* what it adds to the tokens of others there */
-  double pending_ms;     /* what this attempt added to the server's pending work */
-  int64_t sent_ms;       /* when the attempt began */
-  int64_t event_ms;      /* when its last event came */
-  int64_t passed_ms;     /* when an event was last passed on, of any attempt; 0: none was */
-  int64_t pause_ms;      /* longest between two events that were passed on, of all attempts */
-  bool relaying;         /* the attempt's answer is being passed on */
+  FrontAttempt *attempt; /* current attempt; NULL between attempts */
+  FrontServer *server;   /* of the current attempt; holds a reference */
+  double predicted_ms;   /* from the start of the attempt until the answer begins */
+  double prompt_ms;      /* part of predicted_ms spent reading the prompt */
+  int64_t prompt_tokens; /* prompt tokens that the server had to read, as far as known */
+  double running_share;  /* what it adds to the server's running_share */
+  double pending_ms;     /* what it adds to the server's pending_ms */
+  int64_t sent_ms;       /* start of the current attempt */
+  int64_t event_ms;      /* time of its last event */
+  int64_t relayed_ms;    /* time of the last event relayed on any attempt; 0: none */
+  int64_t pause_ms;      /* longest gap between two relayed events, over all attempts */
+  bool relaying;         /* the attempt's answer is being relayed */
 
-  bool head_sent; /* the caller has got the head of a stream */
+  bool head_sent; /* the head of a streamed answer was sent to the caller */
   FrontEvents events;
-  int64_t first_ms; /* from arrival to the first byte passed on; -1: none yet */
+  int64_t first_ms; /* from arrival to the first byte relayed; -1: none yet */
 };
 
 /* front_request_send.c */
+/* Chooses a server and sends the request there; gives up if there is none. May free the request. */
 void request_send (FrontRequest *request);
+/* Ends the current attempt, if there is one, and releases its server. */
 void request_drop_attempt (FrontRequest *request);
-/* What is predicted if a larger model is asked now. */
+/* Predicts the times of a request sent to this model now. */
 CascadeForecast request_forecast (const FrontRequest *request, uint32_t model);
+/* Sets the timer to the end of the request, or to when the attempt counts as silent if earlier. */
 void request_arm_timer (FrontRequest *request);
-/* The attempt's answer has begun so long after the sending. */
+/* Learns the engine's speed from an answer that began first_ms after the attempt. */
 void request_learn_speed (FrontRequest *request, double first_ms, int64_t now_ms);
-/* The attempt's server has ended, or its connection has; the request may be freed. */
+/* Handles the loss of the attempt's connection or of its server. May free the request. */
 void request_cut (FrontRequest *request);
 
-/* front_request_retry.c; after each of them the request may be freed. */
-/* An attempt failed. Sends the request again if that is allowed, or gives it up. */
+/* front_request_retry.c; each of these may free the request. */
+/* Handles a failed attempt: retries if that is allowed, otherwise gives up. */
 void request_retry (FrontRequest *request, const char *reason, bool may_have_run);
-/* The server could not be reached. */
+/* Handles a server that could not be reached. */
 void request_unreached (FrontRequest *request, const char *reason);
-/* The server has said nothing for longer than it should. */
+/* Handles a server that has been silent for too long. */
 void request_silent (FrontRequest *request);
 
 /* front_request_relay.c */
+/* Evaluates what has arrived of the answer. May free the request. */
 void request_progress (FrontRequest *request);
-/* During a roll-out, counts for or against the version how the present attempt has begun, or that
- * it has not until now. */
+/* During a roll-out, counts the current attempt for or against its version: how its answer began,
+ * or that it has not begun yet. */
 void request_add_evidence (FrontRequest *request, bool failed, int64_t now_ms);
 
 /* front_request.c */
+/* Answers with an error status and frees the request. */
 void request_refuse (FrontRequest *request, int status, const char *reason, int64_t retry_after_ms);
-/* The last answer of a request that has been given up, by what may have happened to it. wait_ms:
- * its caller is told to stay away for so long at least. */
+/* Sends the final answer of a request that is given up; its status tells whether the request may
+ * have run. The caller is told to retry after at least wait_ms. */
 void request_give_up (FrontRequest *request, const char *reason, int64_t wait_ms);
 void request_free (FrontRequest *request);
 
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -1,4 +1,4 @@
-/* What a backend server answers, and how it reaches the caller. */
+/* Evaluates a backend server's answer and relays it to the caller. */
 #include "front_cascade.h"
 #include "front_counter.h"
 #include "front_log.h"
@@ -7,7 +7,7 @@
 #include "wire_call.h"
 #include <string.h>
 
-/* A route with so many models has one between the smallest and the largest. */
+/* Number of models from which a route has one between the smallest and the largest. */
 #define MODELS_WITH_MIDDLE 3
 
 #define STATUS_OK           200
@@ -19,12 +19,12 @@
 
 typedef enum
 {
-  REPLY_STREAM,       /* events to pass on as they come */
-  REPLY_WHOLE,        /* to be passed on when it is whole */
-  REPLY_NOT_RUN,      /* turned away */
-  REPLY_OTHER_SERVER, /* the address belongs to another server now */
-  REPLY_FAILED,       /* the server's own failure */
-  REPLY_GARBLED,      /* no answer of this server to this request */
+  REPLY_STREAM,       /* events, relayed as they arrive */
+  REPLY_BUFFERED,     /* relayed when it is complete */
+  REPLY_NOT_RUN,      /* rejected without running */
+  REPLY_OTHER_SERVER, /* the address now belongs to another server */
+  REPLY_FAILED,       /* server error */
+  REPLY_GARBLED,      /* not a valid answer of this server to this request */
 } ReplyKind;
 
 static bool
@@ -46,43 +46,43 @@
     {
       if (!info->is_signed || info->is_encoded)
         return REPLY_GARBLED;
-      return request->route->kind == ROUTE_STREAM ? REPLY_STREAM : REPLY_WHOLE;
+      return request->route->kind == ROUTE_STREAM ? REPLY_STREAM : REPLY_BUFFERED;
     }
   if (reply->status >= STATUS_SERVER_ERROR || reply->status == STATUS_TOO_MANY)
     return REPLY_FAILED;
-  return REPLY_WHOLE;
+  return REPLY_BUFFERED;
 }
 
 void
-request_add_evidence (FrontRequest *request, bool handle_server_failure, int64_t now_ms)
+request_add_evidence (FrontRequest *request, bool failed, int64_t now_ms)
 {
   FrontRollout *rollout = front_rollouts_get (request->front->rollouts, request->service);
   bool is_target = strcmp (request->version, rollout->order.target) == 0;
 
   if (front_rollout_is_running (rollout))
     front_evidence_add (&rollout->evidence, is_target ? EVIDENCE_NEW : EVIDENCE_OLD,
-                        request->route->hash, handle_server_failure,
-                        (double)(now_ms - request->sent_ms), request->predicted_ms);
+                        request->route->hash, failed, (double)(now_ms - request->sent_ms),
+                        request->predicted_ms);
 }
 
-/* Counts the answer for its server and, during a roll-out, for its version. */
+/* Records the start of an answer for its server and, during a roll-out, for its version. */
 static void
-record_answer_start (FrontRequest *request, bool handle_server_failure)
+record_answer_start (FrontRequest *request, bool failed)
 {
   int64_t now_ms = clock_boot_ms ();
   double first_ms = (double)(now_ms - request->sent_ms);
 
   request->server->pending_ms -= request->pending_ms;
   request->pending_ms = 0;
-  if (handle_server_failure)
+  if (failed)
     front_health_failed (&request->server->health, now_ms);
   else
     front_health_answered (&request->server->health, now_ms, first_ms, request->predicted_ms);
-  if (!handle_server_failure && request->route->kind == ROUTE_STREAM)
+  if (!failed && request->route->kind == ROUTE_STREAM)
     request_learn_speed (request, first_ms, now_ms);
-  if (!handle_server_failure && request->model != NO_MODEL)
+  if (!failed && request->model != NO_MODEL)
     front_lag_add (&request->front->lag, first_ms - request->predicted_ms, now_ms);
-  request_add_evidence (request, handle_server_failure, now_ms);
+  request_add_evidence (request, failed, now_ms);
 }
 
 static uint32_t
@@ -107,7 +107,7 @@
     .confidence = info->confidence,
     .has_middle = request->route->model_count >= MODELS_WITH_MIDDLE,
     .priority = request->route->priority,
-    .passed_ms = now_ms - request->arrived_ms,
+    .elapsed_ms = now_ms - request->arrived_ms,
     .objective_ms = request->route->objective_ms,
     .lag_ms = front_lag_now (&request->front->lag, now_ms),
     .forecast = forecast,
@@ -121,7 +121,7 @@
   return front_cascade_step (&c);
 }
 
-/* Drops the answer for a larger model's; false if that isn't wanted, or the budget doesn't allow
+/* Drops the answer and asks a larger model; false if that isn't wanted, or the budget doesn't allow
  * it. */
 static bool
 try_larger_model (FrontRequest *request, const ReplyInfo *info)
@@ -147,7 +147,7 @@
     return false;
   front_counter_add (FRONT_COUNTER_CASCADES);
   request->model = model;
-  request->tried_count = 0; /* the same server may well run the larger model */
+  request->tried_count = 0; /* the same server may run the larger model */
   request->may_have_run = true;
   request_drop_attempt (request);
   request_send (request);
@@ -228,13 +228,13 @@
 {
   int64_t now_ms = clock_boot_ms ();
 
-  if (request->passed_ms != 0 && now_ms - request->passed_ms > request->pause_ms)
-    request->pause_ms = now_ms - request->passed_ms;
-  request->passed_ms = now_ms;
+  if (request->relayed_ms != 0 && now_ms - request->relayed_ms > request->pause_ms)
+    request->pause_ms = now_ms - request->relayed_ms;
+  request->relayed_ms = now_ms;
   request->event_ms = now_ms;
 }
 
-/* Passes on the whole events that have come. */
+/* Relays the complete events that have arrived. */
 static void
 stream_progress (FrontRequest *request)
 {
@@ -276,14 +276,15 @@
     front_attempt_pause (request->attempt, false);
 }
 
-/* A server's own failure is the caller's answer, unless another server may be asked. */
+/* Relays a server error to the caller, unless another server may be asked. */
 static void
 handle_server_failure (FrontRequest *request, const ReplyInfo *info)
 {
   HttpReply *reply = front_attempt_reply (request->attempt);
   bool may_repeat = front_route_is_idempotent (request->route)
                     && request->attempts < request->route->attempts_max;
-  /* These two statuses promise that nothing ran, which the server doesn't vouch for here. */
+  /* Callers take these two statuses as a promise that nothing ran, which the server doesn't give
+   * here. */
   bool promises = reply->status == STATUS_TOO_MANY || reply->status == STATUS_UNAVAILABLE;
 
   if (may_repeat || promises || request->head_sent || !info->is_signed)
@@ -292,7 +293,7 @@
     send_complete_answer (request);
 }
 
-/* The first look at an answer whose head is whole. */
+/* Evaluates an answer whose head is complete. */
 static void
 handle_reply_head (FrontRequest *request)
 {
@@ -330,7 +331,7 @@
       request->relaying = true;
       stream_progress (request);
       return;
-    case REPLY_WHOLE:
+    case REPLY_BUFFERED:
       if (!request->relaying)
         record_answer_start (request, false);
       request->relaying = true;
--- a/src/front_request_retry.c
+++ b/src/front_request_retry.c
@@ -1,17 +1,18 @@
-/* Whether a request whose attempt failed is sent once more. */
+/* Decides whether a request whose attempt failed is sent again. */
 #include "front_counter.h"
 #include "front_log.h"
 #include "front_request_private.h"
 #include "util_clock.h"
 
 /* Servers that one request may fail to reach without using up its attempts. With a third of all
- * gone, and three attempts by the route, one of 2,187 requests (3 to the 7th) reaches none. */
+ * servers down, and three attempts by the route, one of 2,187 requests (3 to the 7th) reaches
+ * none. */
 #define UNREACHED_MAX 4
 
 typedef enum
 {
   RETRY_NOW,
-  RETRY_MAY_HAVE_RUN, /* and may run only once */
+  RETRY_MAY_HAVE_RUN, /* and must run only once */
   RETRY_ATTEMPTS,
   RETRY_DEADLINE,
   RETRY_NO_BUDGET,
@@ -27,7 +28,7 @@
   [RETRY_UNSENT] = "unsent",
 };
 
-/* Whether another attempt may be made; if so, it is taken from the budget. */
+/* Whether another attempt is allowed; if so, takes it from the budget. */
 static RetryVerdict
 retry_verdict (FrontRequest *request, bool may_have_run)
 {
@@ -84,9 +85,9 @@
     }
 }
 
-/* The server could not be reached. Nothing arrived there, so neither the route's bound of attempts
- * nor the retry budget is touched: with several servers crashed at once, requests were refused
- * after three connections that took 7 ms in all, beside servers that had room. */
+/* Nothing arrives at a server that can't be reached, so this counts neither against the route's
+ * attempts nor against the retry budget: with several servers crashed at once, requests were
+ * refused after three connections that took 7 ms in all, although other servers had capacity. */
 void
 request_unreached (FrontRequest *request, const char *reason)
 {
@@ -104,8 +105,8 @@
   send_again (request);
 }
 
-/* The server is silent. Unlike a cut connection that is no reason to end the answer: the attempt is
- * left only for another one, and otherwise kept, since the server may go on. */
+/* Unlike a lost connection, silence doesn't end the answer: the attempt is dropped only for another
+ * one, and otherwise kept, since the server may continue. */
 void
 request_silent (FrontRequest *request)
 {
@@ -114,8 +115,8 @@
   int64_t now_ms = clock_boot_ms ();
 
   log_retry (request, reason, verdict);
-  /* Counted before the attempt is left: a version that is slow throughout would otherwise have no
-   * answers at all to be judged by. */
+  /* Counted before the attempt is dropped: a version that is always slow would otherwise have no
+   * answers by which to evaluate it. */
   if (!request->relaying)
     request_add_evidence (request, false, now_ms);
   if (verdict != RETRY_NOW)
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -1,4 +1,5 @@
-/* Choosing a server for a request, sending it there, and what happens when that fails. */
+/* Chooses a server for a request, sends the request there, and handles time-outs and lost
+ * connections. */
 #include "front_counter.h"
 #include "front_deaths.h"
 #include "front_log.h"
@@ -11,16 +12,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A stream that may be resumed goes on elsewhere after a silence of this many allowed pauses: twice
- * what is still on time, and far below the eight after which callers leave. */
+/* A resumable stream continues elsewhere after a silence of this many allowed pauses: twice what is
+ * still on time, and far below the eight after which callers leave. */
 #define SILENCE_PAUSES 2
-/* An idempotent request is sent elsewhere when its answer has not begun in this part of its
- * objective, or this many times the predicted time if that is more. */
+/* An idempotent request is sent elsewhere when its answer has not begun within this share of its
+ * objective, or within this many times the predicted time if that is longer. */
 #define FIRST_BYTE_SHARE  0.6
 #define FIRST_BYTE_FACTOR 4.0
 #define MS_PER_S          1000
-/* From a plain service's acceptance to its answer: its slow answers of 60 ms are no silence, which
- * is four times this. */
+/* Milliseconds from a plain service's acceptance to its answer. An answer after 60 ms is slow but
+ * no silence, which starts at four times this. */
 #define PLAIN_FIRST_MS 60.0
 
 static void on_sent (void *user);
@@ -56,8 +57,8 @@
   return span_hash (model == NO_MODEL ? request->call.model : model_name (request, model));
 }
 
-/* The configuration gives a rate that cold servers bear; the settings say how far it may be
- * exceeded. */
+/* The configuration gives the rate that cold servers tolerate; the settings say by how much it may
+ * be exceeded. */
 static ColdRule
 cold_rule (const Front *front, const FrontService *service)
 {
@@ -75,9 +76,9 @@
   return rule;
 }
 
-/* A front gets one request in as many as there are fronts in its failure domain. A part for which
- * it was asked within so many windows is asked for once in a window by all together, and so stays
- * cached. */
+/* A front gets one in as many requests as there are fronts in its failure domain. A shared part
+ * that is requested here within that many windows is requested about once per window from all of
+ * them together, and so stays cached. */
 static int64_t
 affinity_tokens (const FrontRequest *request, uint64_t model)
 {
@@ -115,7 +116,7 @@
   return query;
 }
 
-/* The session runs on this version from now on. */
+/* Registers the session on the version that it runs on from now on. */
 static void
 version_set (FrontRequest *request, const char *version, int64_t now_ms)
 {
@@ -153,8 +154,8 @@
   front_log_end (line);
 }
 
-/* Remembers the attempt for what later choices need: the load that it adds, the prompt that the
- * server will have read. */
+/* Records the attempt for later choices: the load that it adds, and the prompt that the server will
+ * have read. */
 static void
 record_attempt (FrontRequest *request,
                 const PickQuery *query,
@@ -228,7 +229,7 @@
 
   if (!pick.server && request->tried_count > 0)
     {
-      query.tried_count = 0; /* better one that failed this request than none */
+      query.tried_count = 0; /* a server that failed this request is better than none */
       pick = front_pick (front->servers, &query, now_ms);
     }
   if (!pick.server)
@@ -299,7 +300,7 @@
   request->server = NULL;
 }
 
-/* When the present attempt is given up for its silence. INT64_MAX: never before the end. */
+/* When the current attempt is given up for its silence. INT64_MAX: never before end_ms. */
 static int64_t
 silence_due_ms (const FrontRequest *request)
 {
@@ -311,7 +312,8 @@
     return INT64_MAX;
   if (!front_attempt_is_sent (request->attempt))
     return request->sent_ms + FRONT_CONNECT_TIMEOUT_MS;
-  /* What may run only once is not sent again, so there is nothing to win by giving it up. */
+  /* A request that may run only once is not sent again, so giving up the attempt would gain
+   * nothing. */
   if (!front_route_is_idempotent (route) || request->attempts >= route->attempts_max)
     return INT64_MAX;
   if (request->relaying)
--- a/src/front_rollout_order.h
+++ b/src/front_rollout_order.h
@@ -1,5 +1,5 @@
 /**
- * The operator's order to move a service to another version, and how far it has come.
+ * The operator's order to move a service to another version, and the state of that roll-out.
  */
 #ifndef FRONT_ROLLOUT_ORDER_H
 #define FRONT_ROLLOUT_ORDER_H
@@ -12,7 +12,7 @@
 {
   FRONT_ROLLOUT_RUNNING,
   FRONT_ROLLOUT_COMPLETED,   /**< the old version's servers are being stopped */
-  FRONT_ROLLOUT_ROLLED_BACK, /**< the new version gets no more work */
+  FRONT_ROLLOUT_ROLLED_BACK, /**< the new version gets no more requests */
 } FrontRolloutState;
 
 typedef struct
@@ -20,7 +20,7 @@
   char service[ROLLOUT_TEXT_MAX];
   char target[ROLLOUT_TEXT_MAX]; /**< the new version */
   int64_t duration_ms;           /**< from the order until it has to be completed */
-  int64_t row_version;           /**< of the order's row; tells two orders apart */
+  int64_t row_version;           /**< of the order's row; distinguishes two orders */
 } RolloutOrder;
 
 #endif
--- a/src/front_rollouts.c
+++ b/src/front_rollouts.c
@@ -5,36 +5,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How a roll-out begins, by how many servers the service has. */
+/* First stage of a roll-out, by the service's number of servers. */
 typedef struct
 {
-  unsigned servers; /* at least */
-  /* Of sessions that begin on the new version until half of the time has passed. A bad version may
-   * get 15 of 100 requests; eight leave room for retries and for what is in flight when it is
-   * stopped, and bring the evidence for a verdict within seconds. With many servers there are many
-   * requests, and so many sessions that go on over the order; a smaller share brings the same
-   * number of answers and leaves fewer sessions to be told of. */
+  unsigned servers; /* minimum */
+  /* Share of the sessions that begin on the new version during the first half. A bad version may
+   * get 15 of 100 requests; eight leave room for retries and for requests in flight when it is
+   * stopped, and give the evidence for a verdict within seconds. With many servers there are many
+   * requests, and many sessions that were open before the order; a smaller share gives the same
+   * number of answers and leaves fewer sessions to report. */
   double share;
-  /* Milliseconds after the order in which no session begins on the new version. In that time nodes
-   * tell each other of the sessions that run on the old one; without it, such a session moves when
-   * its next request comes to a node that has not seen it. */
+  /* Milliseconds after the order in which no session begins on the new version. In that time fronts
+   * tell each other of the sessions on the old version; without it, such a session changes version
+   * when its next request reaches a front that has not seen it. */
   int64_t hold_ms;
 } FirstStage;
 
-/* 70 fronts need about ten messages of 200 ms until all know; 300 hear of 186 sessions in 4 s, but
- * for one in sixty (test_front_peers). */
+/* 70 fronts need about ten rounds of messages, 200 ms apart, until all know; of 300 fronts all hear
+ * of 186 sessions in 4 s, except for one in sixty (test_front_peers). */
 static const FirstStage stages[] = {
   { .servers = 120, .share = 0.02, .hold_ms = 4000 },
   { .servers = 40, .share = 0.04, .hold_ms = 2500 },
   { .servers = 0, .share = 0.08, .hold_ms = 800 },
 };
 
-/* The second half: all sessions have moved after this part of the whole time, which leaves the rest
- * for the answers in progress on the old version to end. */
+/* Parts of the duration after which the second half starts, and after which all sessions have
+ * moved; the rest is left for answers in progress on the old version to end. */
 #define SECOND_HALF_AT 0.5
 #define ALL_MOVED_AT   0.72
-/* Milliseconds. Sessions may move to the new version in the second half only; nodes don't begin it
- * at the same moment, as the order reaches them at different times. */
+/* Milliseconds. Sessions may change version only in the second half, which fronts do not start at
+ * the same moment, as the order reaches them at different times. */
 #define SECOND_HALF_MARGIN_MS 400
 #define SHARE_STEPS           10000
 
@@ -156,7 +156,7 @@
   if (started_ms != 0 && started_ms < rollout->started_ms)
     rollout->started_ms = started_ms;
   if (rollout->state != FRONT_ROLLOUT_RUNNING)
-    return false; /* an end is final; a late "running" doesn't take it back */
+    return false; /* a final state does not change; a late "running" is ignored */
   changed = state != rollout->state;
   rollout->state = state;
   if (state == FRONT_ROLLOUT_COMPLETED)
@@ -170,7 +170,7 @@
   return rollout->ordered && rollout->state == FRONT_ROLLOUT_RUNNING;
 }
 
-#define VERSIONS_MAX 8 /* of one service at a time; one that is left out is in the minority */
+#define VERSIONS_MAX 8 /* of one service; a version that is left out is in the minority */
 
 typedef struct
 {
@@ -191,7 +191,7 @@
   counts[i].count++;
 }
 
-/* A version that is being tried or was found bad is no version in use. */
+/* A version that is being rolled out, or was rolled back, is not the base version. */
 static bool
 is_candidate (const FrontRollout *rollout, const FrontServer *server)
 {
@@ -201,9 +201,9 @@
          || strcmp (server->entry.version, rollout->order.target) != 0;
 }
 
-/* The version that most listed servers have. Servers that leave count only if there are no others:
- * those of the version before may drain for many seconds after the last roll-out, and a front that
- * starts among them would send its requests to a version that is about to be gone. */
+/* Finds the version that most listed servers have. Servers that leave count only if there are no
+ * others: those of the previous version may drain for many seconds after a roll-out, and a front
+ * that starts meanwhile would send its requests to a version that is about to disappear. */
 static void
 find_base (FrontRollout *rollout, FrontServers *servers)
 {
@@ -294,8 +294,8 @@
   return false;
 }
 
-/* Sessions are ordered by a hash; those below the share begin on the new version, the same at each
- * node, so that a session that comes to another node finds its version. */
+/* Sessions whose hash is below the share begin on the new version. All fronts compare the same
+ * hash, so a session keeps its version when it reaches another front. */
 static bool
 is_in_share (const FrontRollout *rollout, uint64_t session, int64_t now_ms)
 {
@@ -349,7 +349,7 @@
   return has_servers (servers, service, version) ? version : rollout->base;
 }
 
-/* Sessions that would begin on the new version in the first half. */
+/* True for sessions that would begin on the new version during the first half. */
 static bool
 is_in_first_stage_share (const void *context, uint64_t session)
 {
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -1,7 +1,7 @@
 /**
- * Which version of a service a request runs on, and when a roll-out has succeeded or failed. Each
- * node decides by the same rule on the same news: the order with its row version, the status that
- * was written, the answers counted by all nodes. No I/O; the status is written by front_store.
+ * Which version of a service a request runs on, and when a roll-out has succeeded or failed. All
+ * fronts apply the same rules to the same data: the order with its row version, the stored status,
+ * and the answers counted by all fronts. No I/O; front_store writes the status.
  */
 #ifndef FRONT_ROLLOUTS_H
 #define FRONT_ROLLOUTS_H
@@ -12,59 +12,60 @@
 #include "front_sessions.h"
 #include <urcu/list.h>
 
-/** Incarnations of nodes of the own failure domain whose evidence is kept for one roll-out: the
- * target has 120 nodes a domain at most, half of which may be restarted meanwhile. */
+/** Maximum fronts of our failure domain, by incarnation, whose evidence is kept for one roll-out:
+ *  the largest planned site has 120 per domain, and half of them may restart meanwhile. */
 #define ROLLOUT_PEERS_MAX   192
 #define ROLLOUT_DOMAINS_MAX 16
 
-/** A process of our failure domain and what it has counted itself. */
+/** A front of our failure domain, and what it has counted itself. */
 typedef struct
 {
   uint64_t incarnation;
   FrontEvidence evidence;
 } RolloutPeer;
 
-/** Evidence of a whole failure domain: the most that any node has summed up for it. */
+/** Evidence of a whole failure domain: the largest counts that any front has summed up for it. */
 typedef struct
 {
-  uint32_t domain; /**< hash */
+  uint32_t domain; /**< hash of its name */
   FrontEvidence evidence;
 } RolloutDomain;
 
-/** What another node says of a roll-out. */
+/** What another front tells about a roll-out. */
 typedef struct
 {
-  bool is_bad;            /**< it has found the new version bad, or was told so */
+  bool is_bad;            /**< it found the new version bad, or was told so */
   int64_t old_busy_ms;    /**< when a request on the old version was last known to run anywhere, on
                              our clock; 0: never */
-  uint64_t peer;          /**< its incarnation if it is of our failure domain; 0: it is not */
-  FrontEvidence evidence; /**< its own; read of neighbours only */
+  uint64_t peer;          /**< its incarnation if it is in our failure domain; 0: it is not */
+  FrontEvidence evidence; /**< its own counts; used only if peer is not 0 */
   uint32_t domain_count;
   const RolloutDomain *domains;
 } RolloutUpdate;
 
-/** One service's versions. */
+/** The versions of one service. */
 typedef struct
 {
   struct cds_list_head node;
   char service[ROLLOUT_TEXT_MAX];
   uint64_t service_hash;
-  uint32_t own_domain;         /**< hash */
-  char base[ROLLOUT_TEXT_MAX]; /**< version outside of a roll-out; "" until it is known */
-  bool ordered;                /**< order holds one */
+  uint32_t own_domain;         /**< hash of our failure domain's name */
+  char base[ROLLOUT_TEXT_MAX]; /**< version outside a roll-out; "" until known */
+  bool ordered;                /**< order is valid */
   RolloutOrder order;
   FrontRolloutState state;
-  int64_t learned_ms;     /**< when the order was read here */
-  int64_t started_ms;     /**< on our clock; may be before this process began */
+  int64_t learned_ms;     /**< when this front read the order */
+  int64_t started_ms;     /**< on our clock; may be before this process started */
   int64_t status_version; /**< row version of the status; 0: none written for this order */
-  bool is_bad;            /**< found so here or at another node; holds though no status says so */
-  bool has_verdict;       /**< verdict is to be written */
+  bool is_bad;      /**< found bad by this front or another one, whether or not a status says so */
+  bool has_verdict; /**< verdict has to be written */
   FrontRolloutState verdict;
-  int64_t verdict_ms;     /**< since when */
-  unsigned servers;       /**< of the service, but for the new version's, when it was ordered */
-  unsigned held_cursor;   /**< where the next list of held sessions begins */
+  int64_t verdict_ms; /**< when verdict was reached */
+  unsigned servers;   /**< number of the service's servers when it was ordered, without those of the
+                         new version */
+  unsigned held_cursor;   /**< start of the next list of held sessions */
   int64_t old_busy_ms;    /**< when a request on the old version was last known to run anywhere */
-  FrontEvidence evidence; /**< our own */
+  FrontEvidence evidence; /**< counted by this front */
   unsigned peer_count;
   RolloutPeer peers[ROLLOUT_PEERS_MAX];
   unsigned domain_count;
@@ -73,30 +74,33 @@
 
 typedef struct FrontRollouts FrontRollouts;
 
-/** sessions is borrowed; domain: hash of our failure domain. */
+/** sessions must outlive the object; domain: hash of our failure domain's name. */
 FrontRollouts *front_rollouts_new (FrontSessions *sessions, uint32_t domain);
 void front_rollouts_free (FrontRollouts *rollouts);
-/** The entry of a service, made if it isn't there. */
+/** The entry of a service, created on first use. */
 FrontRollout *front_rollouts_get (FrontRollouts *rollouts, const char *service);
+/** All FrontRollout, linked by node. */
 struct cds_list_head *front_rollouts_list (FrontRollouts *rollouts);
 
-/** An order was read; false if it is no news. servers tells how large the service is. */
+/** Takes an order that was read; false if it is not newer. servers gives the size of the
+ *  service. */
 bool front_rollouts_order (FrontRollouts *rollouts,
                            FrontServers *servers,
                            const RolloutOrder *order,
                            int64_t now_ms);
-/** The order's row is gone. */
+/** The order's row was removed. */
 void front_rollouts_order_removed (FrontRollouts *rollouts, const char *service);
-/** A status was read or written, or another node told it. A status older than the order is of an
- *  earlier one. started_ms 0: not known. True if it is news. */
+/** Takes a status that was read, written, or told by another front. A status older than the order
+ *  belongs to an earlier order. started_ms 0: unknown. True if the state changes. */
 bool front_rollouts_status (FrontRollout *rollout,
                             const char *target,
                             FrontRolloutState state,
                             int64_t row_version,
                             int64_t started_ms);
-/** The version of the base is that of most servers; called once the whole list is known. */
+/** Sets missing base versions to the one that most servers have; called once the whole list is
+ *  known. */
 void front_rollouts_find_base (FrontRollouts *rollouts, FrontServers *servers);
-/** Version for a request of a session; one that no server has if none may be used. */
+/** Version for a request of a session; if none may be used, one that no server has. */
 const char *front_rollouts_choose (FrontRollouts *rollouts,
                                    FrontServers *servers,
                                    const char *service,
@@ -104,26 +108,25 @@
                                    int64_t now_ms);
 /** Share of the sessions that begin on the new version now, 0 to 1. */
 double front_rollout_share (const FrontRollout *rollout, int64_t now_ms);
-/** True while a roll-out is running. */
 bool front_rollout_is_running (const FrontRollout *rollout);
-/** Sessions that run on the old version though new ones like them would begin on the new one: other
- *  nodes must know of them, as a session may come to any node. */
+/** Lists sessions that stay on the old version although new ones like them would begin on the new
+ *  one. Other fronts must know of them, as a session's requests may reach any front. */
 unsigned front_rollouts_held_sessions (const FrontRollouts *rollouts,
                                        FrontRollout *rollout,
                                        SessionUpdate *out,
                                        unsigned max,
                                        int64_t now_ms);
-/** Another node holds this session on the old version. */
+/** Another front holds this session on the old version. */
 void front_rollouts_hold_session (FrontRollouts *rollouts,
                                   const FrontRollout *rollout,
                                   const SessionUpdate *update,
                                   int64_t now_ms);
-/** News of another node about this order. */
+/** Merges what another front tells about this order. */
 void front_rollout_merge (FrontRollout *rollout, const RolloutUpdate *update);
-/** Sums up our failure domain's evidence as far as it is known here. */
+/** Sums up the evidence of our failure domain as far as it is known here. */
 void front_rollout_sum_domain (FrontRollout *rollout);
-/** Judges a running roll-out by all evidence and updates is_bad and verdict. A bad version gets no
- *  more work from here at once, whether or not the store can be told. */
+/** Evaluates a running roll-out by all evidence and updates is_bad and verdict. A bad version gets
+ *  no more requests from this front at once, whether or not the store is reachable. */
 void front_rollout_update_verdict (FrontRollout *rollout, int64_t now_ms);
 
 #endif
--- a/src/front_rollouts_verdict.c
+++ b/src/front_rollouts_verdict.c
@@ -1,20 +1,21 @@
-/* What all nodes have seen of a new version, and what follows from it.
+/* Evaluates a new version by what all fronts have seen of it.
  *
- * Nodes of one failure domain tell each other what they have counted themselves, and each sums up
- * what it knows of its domain. These sums travel on from node to node over all domains. A sum may
- * miss some node's counts but never has too much, and counts only grow, so the larger of two sums
+ * Fronts of one failure domain tell each other what they have counted themselves, and each sums up
+ * what it knows of its domain. These sums are passed on from front to front over all domains. A sum
+ * may lack some counts but never holds any twice, and counts only grow, so the larger of two sums
  * of one domain is the better one. A message thereby carries a few sums in place of the counts of
- * hundreds of nodes. */
+ * hundreds of fronts. */
 #include "front_rollouts.h"
 #include <string.h>
 
-/* Milliseconds. The last moment to report success: the write needs to be accepted before the time
- * is over. */
+/* Milliseconds before the end of the roll-out's duration from which success is reported at the
+ * latest: the write must be accepted before the end. */
 #define DEADLINE_MARGIN_MS 2000
-/* Requests on the old version that were last heard of so long ago have ended, or their node is dead
- * or cut off and holds nothing up. Word of one that runs is at most four rounds of messages old. */
+/* Milliseconds. Requests on the old version that were last reported so long ago have ended, or
+ * their front is dead or disconnected and must not delay the roll-out. A report of a running one is
+ * at most four rounds of messages old. */
 #define OLD_IDLE_MS 1600
-#define ANSWERS_MIN 20 /* of the new version, without which its success is not reported early */
+#define ANSWERS_MIN 20 /* of the new version, without which success is not reported early */
 
 static RolloutPeer *
 peer_get (FrontRollout *rollout, uint64_t incarnation)
@@ -105,8 +106,8 @@
   for (unsigned i = 0; i < rollout->domain_count; i++)
     front_evidence_sum (&all, &rollout->domains[i].evidence);
   done = is_done (rollout, front_evidence_answers (&all, EVIDENCE_NEW), now_ms);
-  /* Completing stops the old version's servers: with few answers, what is not clearly good is not
-   * completed. */
+  /* Completing the roll-out stops the old version's servers: with few answers, a version that is
+   * not clearly good is not completed. */
   rollout->is_bad |= front_evidence_is_bad (&all, done ? EVIDENCE_DOUBT : EVIDENCE_CERTAIN);
   if (rollout->is_bad)
     verdict_set (rollout, FRONT_ROLLOUT_ROLLED_BACK, now_ms);
--- a/src/front_server.c
+++ b/src/front_server.c
@@ -19,8 +19,8 @@
   return server->listed && !server->leaving && !server->evacuated;
 }
 
-/* What the list says goes before what requests have seen: a server that is leaving may answer well,
- * and gets nothing all the same. */
+/* The list takes precedence over the results of requests: a server that is leaving may answer well,
+ * but gets no new work. */
 FrontServerState
 front_server_state (const FrontServer *server, int64_t now_ms)
 {
--- a/src/front_server.h
+++ b/src/front_server.h
@@ -1,6 +1,6 @@
 /**
- * A backend server as this process knows it: its entry in the list, the work that we have there,
- * and how it has treated us.
+ * A backend server as known to this process: its entry in the platform's list, our work there, and
+ * its health.
  */
 #ifndef FRONT_SERVER_H
 #define FRONT_SERVER_H
@@ -13,54 +13,55 @@
 #include <netinet/in.h>
 #include <urcu/list.h>
 
-/** From best to worst: a request goes to a server of a better state first, within READY and COLD by
- * predicted time. */
+/** From best to worst. Requests go to a server in a better state first; READY and COLD servers are
+ *  compared by predicted time. */
 typedef enum
 {
   FRONT_SERVER_READY,
-  FRONT_SERVER_COLD,        /**< started lately, and slow for a while */
-  FRONT_SERVER_AVOIDED,     /**< unreachable, failing or full: used if there is no better one */
-  FRONT_SERVER_UNCONFIRMED, /**< gone from the list while the store could not be trusted: the same
-                             */
-  FRONT_SERVER_EVACUATED,   /**< in a failure domain that is to get no work for now */
+  FRONT_SERVER_COLD,    /**< started recently, and slow for a while */
+  FRONT_SERVER_AVOIDED, /**< unreachable, failing or full: used only if there is no better one */
+  FRONT_SERVER_UNCONFIRMED, /**< removed from the list while the store could not be trusted:
+                               likewise */
+  FRONT_SERVER_EVACUATED,   /**< in a failure domain that gets no work for now */
   FRONT_SERVER_LEAVING,     /**< draining, or its address belongs to another server: no new work */
-  FRONT_SERVER_GONE,        /**< not listed any more */
+  FRONT_SERVER_GONE,        /**< no longer listed */
   FRONT_SERVER_STATES
 } FrontServerState;
 
 typedef struct FrontServer
 {
   struct cds_list_head node;
-  struct cds_list_head bucket; /**< by hash of the id */
+  struct cds_list_head bucket; /**< hash chain, by id */
   ServerEntry entry;
   struct sockaddr_in address;
-  uint64_t hash;       /**< of the id and the start, the same on every VM */
+  uint64_t hash;       /**< of the id and the start time, the same on every VM */
   bool is_same_domain; /**< in our own failure domain */
   bool leaving;        /**< draining, or its address belongs to another server: no new work */
-  bool evacuated;      /**< its failure domain is to get no work for now */
-  bool listed;         /**< false: freed as soon as nothing refers to it */
-  bool restarted;      /**< a later start of the same id is known: what ran here is lost */
-  bool unconfirmed;    /**< gone from the list while the store could not be trusted */
-  int64_t unconfirmed_until_ms; /**< gone unless it is back by then */
+  bool evacuated;      /**< its failure domain gets no work for now */
+  bool listed;         /**< false: freed with the last reference */
+  bool restarted;   /**< a later start of the same id is known: requests that ran here are lost */
+  bool unconfirmed; /**< removed from the list while the store could not be trusted */
+  int64_t unconfirmed_until_ms; /**< removed for good unless it is listed again by then */
   int64_t cold_until_ms;
-  int64_t returned_ms; /**< when an evacuation of its failure domain was taken back; 0: never */
+  int64_t returned_ms; /**< when the evacuation of its failure domain ended; 0: never */
   ColdSends cold_sends;
-  unsigned references;  /**< attempts that hold it */
-  unsigned running;     /**< our requests there */
-  double pending_ms;    /**< prompts that we sent and whose answer has not begun: predicted work */
-  double running_share; /**< of them, those of model engines, each counted by its model's share */
-  FrontPeerLoad peer_load; /**< what other fronts sent there */
-  double unreported_ms;    /**< reading that we sent there and others don't know of yet */
-  double unreported_share; /**< requests, likewise */
+  unsigned references; /**< number of attempts that use it */
+  unsigned running;    /**< our requests in progress there */
+  double pending_ms;   /**< predicted reading of the prompts that we sent and whose answers have not
+                          begun */
+  double running_share;    /**< of running, those at model engines, weighted by model */
+  FrontPeerLoad peer_load; /**< load by other fronts */
+  double unreported_ms; /**< reading that we sent there and have not reported to other fronts yet */
+  double unreported_share; /**< running requests, likewise */
   FrontHealth health;
   FrontPrompts prompts;
 } FrontServer;
 
-/** Another server answered at its address: it has ended, though the list doesn't say so yet. */
+/** Another server answered at its address: it has ended, although it is still listed. */
 void front_server_lost_address (FrontServer *server);
-/** False if it gets nothing at all, however good it is; the states from EVACUATED on. */
+/** False in the states from EVACUATED on, in which it gets no work whatever its health. */
 bool front_server_takes_work (const FrontServer *server);
-/** What its entry, the list and its treatment of requests say together. */
+/** State by its entry, the list and the results of its requests. */
 FrontServerState front_server_state (const FrontServer *server, int64_t now_ms);
 /** Lower-case name, as in logs and metrics. */
 const char *front_server_state_name (FrontServerState state);
--- a/src/front_server_entry.h
+++ b/src/front_server_entry.h
@@ -1,5 +1,5 @@
 /**
- * What a backend server says of itself in the platform's list.
+ * What a backend server reports in the platform's list.
  */
 #ifndef FRONT_SERVER_ENTRY_H
 #define FRONT_SERVER_ENTRY_H
@@ -11,17 +11,17 @@
 
 typedef struct
 {
-  char
-      id[SERVER_TEXT_MAX]; /**< kept by a server that starts again, which knows nothing of before */
-  int64_t born_ms;         /**< when this start was, Unix milliseconds; tells the starts of one id
-                              apart; 0: not said */
+  char id[SERVER_TEXT_MAX]; /**< kept by a server that restarts, which has no memory of its earlier
+                               start */
+  int64_t born_ms; /**< start time, Unix milliseconds; distinguishes the starts of one id; 0: not
+                      given */
   char service[SERVER_TEXT_MAX];
   char address[SERVER_TEXT_MAX]; /**< IP:PORT */
   char failure_domain[SERVER_TEXT_MAX];
   char version[SERVER_TEXT_MAX];
   unsigned slots;
   bool draining;
-  int64_t cold_ms; /**< how much longer it stays slow after its start */
+  int64_t cold_ms; /**< how much longer it stays cold after its start */
 } ServerEntry;
 
 #endif
--- a/src/front_servers.c
+++ b/src/front_servers.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUCKETS 512 /* short lists at some thousand servers */
+#define BUCKETS 512 /* short chains with several thousand servers */
 
 struct FrontServers
 {
@@ -107,8 +107,8 @@
     return false;
   if (!front_starts_take (&servers->starts, entry))
     return true;
-  /* Its cache is empty, its place may be another, and how it treated us, how long it drains or
-     stays cold is told anew: kept, these would deny it work or send it work at its old address. */
+  /* A restarted server has an empty cache, may have another address, and reports anew how long it
+   * drains or stays cold: the old record would deny it work or send work to its old address. */
   if (server && entry->born_ms > server->entry.born_ms)
     {
       server->restarted = true;
--- a/src/front_sessions.c
+++ b/src/front_sessions.c
@@ -2,10 +2,10 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define SLOTS      4096 /* a power of two; some hundred sessions are open at a node at a time */
-#define PROBES_MAX 8
-/* A request that never reported its end (its process would have to lose it) doesn't hold a session
- * for longer; above any time-out of a route. */
+#define SLOTS      4096 /* power of two; a few hundred sessions are open at a front at a time */
+#define PROBES_MAX 8    /* slots in which a session may be */
+/* Milliseconds after which a request whose end was never reported (the process would have to lose
+ * it) no longer keeps its session; above any route's time-out. */
 #define OPEN_MAX_MS 60000
 
 typedef struct
@@ -112,10 +112,10 @@
     slot->open--;
 }
 
-/* What we know ourselves goes before news that may be older. News of the same version can only make
- * its last use later: a session that was told of while its request ran was forgotten a session's
- * time after that, though the request ended seconds later, and its next one moved to the new
- * version. */
+/* What this front knows itself takes precedence over updates, which may be older. An update with
+ * the same version can only move the last use later: a session reported while its request ran was
+ * forgotten one idle time after that report, although the request ended seconds later, and its next
+ * request moved to the new version. */
 void
 front_sessions_learn (FrontSessions *sessions,
                       uint64_t session,
--- a/src/front_sessions.h
+++ b/src/front_sessions.h
@@ -1,6 +1,7 @@
 /**
- * Which version each session's requests ran on lately, so that a session stays on it during a
- * roll-out. A fixed table; a full neighbourhood loses its oldest entry.
+ * Which version each session's recent requests ran on, so that a session stays on it during a
+ * roll-out. A hash table of fixed size; where all slots of a hash are taken, the oldest entry is
+ * replaced.
  */
 #ifndef FRONT_SESSIONS_H
 #define FRONT_SESSIONS_H
@@ -10,29 +11,30 @@
 
 typedef struct FrontSessions FrontSessions;
 
-/** idle_ms: a session ends so long after its last request has ended. */
+/** A session ends idle_ms after the end of its last request. */
 FrontSessions *front_sessions_new (int64_t idle_ms);
 void front_sessions_free (FrontSessions *sessions);
 /** Hash of the version on which the session runs; 0 if there is no such session. */
 uint64_t front_sessions_version (const FrontSessions *sessions, uint64_t session, int64_t now_ms);
-/** A request of the session begins on this version. */
+/** A request of the session starts on this version. */
 void
 front_sessions_begin (FrontSessions *sessions, uint64_t session, uint64_t version, int64_t now_ms);
-/** Another node had a request of the session on this version, age_ms ago. */
+/** Another front had a request of the session on this version, age_ms ago. */
 void front_sessions_learn (FrontSessions *sessions,
                            uint64_t session,
                            uint64_t version,
                            int64_t age_ms,
                            int64_t now_ms);
-/** Sessions that run on a version, as told to other nodes. */
+
+/** A session on some version, as reported to other fronts. */
 typedef struct
 {
   uint64_t session;
   uint32_t age_ms; /**< since its last request; 0: one is in progress */
 } SessionUpdate;
 
-/** Lists the active sessions on the version that the filter takes, from where the cursor was left;
- *  returns their number. */
+/** Lists active sessions on the version that the filter accepts, continuing at cursor; returns
+ *  their number. */
 unsigned front_sessions_list (const FrontSessions *sessions,
                               uint64_t version,
                               bool (*filter) (const void *context, uint64_t session),
@@ -41,6 +43,7 @@
                               SessionUpdate *out,
                               unsigned max,
                               int64_t now_ms);
+/** A request of the session has ended. */
 void front_sessions_end (FrontSessions *sessions, uint64_t session, int64_t now_ms);
 
 #endif
--- a/src/front_speeds.c
+++ b/src/front_speeds.c
@@ -2,39 +2,40 @@
 #include <math.h>
 #include <stddef.h>
 
-/* What is taken before any answer has told. Engines of two kinds read 92 and 140 tokens in a
- * millisecond with their middle-sized model; the smallest and the largest are faster and slower by
- * about these factors. A token takes twice as long with 24,000 to 31,000 tokens before it. */
+/* Prior values, used before any answer has been seen. Two types of engines read 92 and 140 tokens
+ * per millisecond with their middle-sized model; the smallest and the largest are faster and slower
+ * by about these factors. A token takes twice as long with 24,000 to 31,000 tokens before it. */
 #define PRIOR_TOKENS_PER_MS 110.0
 #define PRIOR_PAIR_FACTOR   3.5e-5 /* of a token's time, for each token before it */
 #define SMALLEST_FACTOR     0.3
 #define LARGEST_FACTOR      3.0
-#define FIRST_MS_PRIOR      60.0 /* of both kinds of engines: 53 and 60 */
+#define FIRST_MS_PRIOR      60.0 /* the two types of engines need 53 and 60 */
 
-/* How far one answer moves what is known: a step of 10%, split by the part of the answers that are
- * to be below it. No single answer counts for more. Queues that nobody told of make answers late,
- * and caches that others filled make few of them early, so the part is under a half. */
+/* Each answer changes the factor by a step of at most 10%, split so that TARGET_QUANTILE of the
+ * answers are below the prediction. Queues that no front reported make answers late, and caches
+ * filled by other fronts make few of them early, so the quantile is below one half. */
 #define STEP            0.1
 #define TARGET_QUANTILE 0.4
 #define FACTOR_MIN      0.05
 #define FACTOR_MAX      20.0
-/* Milliseconds; shorter reading is lost among the steps of other requests. Where all prompts are as
- * short the prior stays. */
+/* Milliseconds. Shorter reading cannot be measured among the steps of other requests. Where all
+ * prompts are that short, the prior stays. */
 #define READ_MIN_MS 10.0
-/* The same for the time to the first event, of which half of the answers are to be below. */
+/* The same for the time to the first event; half of the answers are to be below it. */
 #define FIRST_STEP   0.05
 #define FIRST_MIN_MS 1.0
 #define FIRST_MAX_MS 2000.0
 
-/* Milliseconds, more than any caller waits. A caller that says its prompt has a quintillion tokens
- * would make a server's pending work so large that all else is lost beside it in rounding. */
+/* Milliseconds, more than any caller waits. A caller that claims a prompt of a quintillion tokens
+ * would otherwise make a server's pending work so large that all else is lost in rounding. */
 #define READ_MAX_MS 60000.0
 
 double
 read_time_ms (const ReadTime *time, int64_t tokens, int64_t prompt_tokens)
 {
   double n = (double)tokens;
-  double before = (double)prompt_tokens - n / 2; /* a token of the prompt, on average */
+  double before
+      = (double)prompt_tokens - n / 2; /* average number of tokens before one that is read */
 
   return fmin (n * time->ms_per_token + n * before * time->ms_per_pair, READ_MAX_MS);
 }
@@ -62,7 +63,7 @@
   return NULL;
 }
 
-/* The entry of the model, or that of the one not met for longest. */
+/* The entry of the model; a new one replaces the least recently used. */
 static ModelSpeed *
 speed_get (FrontSpeeds *speeds, uint64_t model)
 {
--- a/tests/test_front_budget.c
+++ b/tests/test_front_budget.c
@@ -1,4 +1,4 @@
-/** How often requests are sent again: src/front_budget.c. */
+/** Retry budget: src/front_budget.c. */
 #include "front_budget.h"
 #include "suite.h"
 #include "util_id.h"
@@ -25,8 +25,9 @@
   return count;
 }
 
-/* Story: half of all answers are sent to a larger model, in clumps. An engine falls silent, and the
-   streams on it find no budget left to go on elsewhere: whole answers are cut off. */
+/* Cascades must leave budget for retries. Half of all answers go to a larger model, in bursts, when
+ * an engine falls silent: without a reserve its streams find no budget to resume elsewhere, and
+ * whole answers are cut off. */
 static void
 test_cascades_leave_budget_for_retries (void)
 {
@@ -65,7 +66,7 @@
   front_budget_free (budget);
 }
 
-/* One send of a request, for the check below. */
+/* One send of a request, recorded for limit_holds_in_all_windows. */
 typedef struct
 {
   int64_t at_ms;
@@ -76,8 +77,8 @@
 
 static Send sends[SENDS_MAX];
 
-/* In each window that ends with a send, those sent again stay within the bound. A window's requests
- * may be those of the window before it, as an answer to a request may fail much later. */
+/* True if the retries of each window that ends with a send are within the limit. They may belong to
+ * requests of the window before it, as a request may fail much later. */
 static bool
 limit_holds_in_all_windows (unsigned count)
 {
@@ -102,10 +103,10 @@
   return true;
 }
 
-/* Story: engines fail most requests while fronts are killed and come back, each knowing nothing of
-   what it sent before. Over all fronts no window may hold more repeats than the bound, or the
-   retries alone keep the engines down. Load: 160 requests a second over six fronts, each asking for
-   two more sends, a front restarted every two seconds. */
+/* Engines fail most requests while fronts are killed and restarted, each without memory of what it
+ * sent. Over all fronts no window may hold more retries than the limit, or the retries alone keep
+ * the engines down. Load: 160 requests per second over six fronts, with two retries wanted for
+ * each, and a front restarted every two seconds. */
 static void
 test_limit_holds_while_fronts_restart (void)
 {
@@ -142,9 +143,8 @@
     front_budget_free (fronts[i]);
 }
 
-/* Story: all engines of a service fail at a site of 300 fronts, each of which gets five requests
-   for it in a window. What each front may send besides must not add up to more than the site may.
- */
+/* All engines of a service fail at a site of 300 fronts, each of which gets five requests for it in
+ * a window. The fronts' shares of the fixed allowance must not add up to more than the site's. */
 static void
 test_limit_holds_over_many_fronts (void)
 {
--- a/tests/test_front_cascade.c
+++ b/tests/test_front_cascade.c
@@ -1,11 +1,11 @@
-/** Which answers are worth a larger model: src/front_cascade.c. */
+/** Which answers are replaced by a larger model's: src/front_cascade.c. */
 #include "front_cascade.h"
 #include "suite.h"
 
 #define URGENT       0
 #define LEAST_URGENT 2
 
-/* Answers begin as predicted but for this. */
+/* Lag of answers against their prediction. */
 static double lag_ms;
 static bool has_middle;
 static double reading_ms[CASCADE_LARGEST + 1]; /* of the prompt, by step */
@@ -24,7 +24,7 @@
 }
 
 static CascadeStep
-step_of (int confidence, int64_t priority, double larger_ms, int64_t passed_ms)
+step_of (int confidence, int64_t priority, double larger_ms, int64_t elapsed_ms)
 {
   Forecasts forecasts = { .larger_ms = larger_ms };
   CascadeCase c = {
@@ -32,7 +32,7 @@
     .has_middle = has_middle,
     .priority = priority,
     .lag_ms = lag_ms,
-    .passed_ms = passed_ms,
+    .elapsed_ms = elapsed_ms,
     .objective_ms = 1500,
     .forecast = forecast,
     .user = &forecasts,
@@ -42,9 +42,9 @@
 }
 
 static bool
-escalates (int confidence, int64_t priority, double larger_ms, int64_t passed_ms)
+escalates (int confidence, int64_t priority, double larger_ms, int64_t elapsed_ms)
 {
-  return step_of (confidence, priority, larger_ms, passed_ms) == CASCADE_LARGEST;
+  return step_of (confidence, priority, larger_ms, elapsed_ms) == CASCADE_LARGEST;
 }
 
 static void
@@ -52,11 +52,11 @@
 {
   CU_ASSERT (escalates (20, URGENT, 50, 100));
   CU_ASSERT (!escalates (90, URGENT, 50, 100));
-  CU_ASSERT (!escalates (-1, URGENT, 50, 100)); /* an engine that doesn't say it */
+  CU_ASSERT (!escalates (-1, URGENT, 50, 100)); /* an engine that gives no confidence */
 }
 
-/* The least urgent kinds of request are many and small; the largest model's price is more than what
-   its better answer is worth there, but for the worst answers. */
+/* The least urgent requests are many and small. There the largest model's price exceeds the worth
+ * of its better answer, except for the worst answers. */
 static void
 test_least_urgent_escalates_less (void)
 {
@@ -65,11 +65,12 @@
   CU_ASSERT (escalates (20, LEAST_URGENT, 50, 100));
 }
 
-/* Load pattern: a burst of 1.7 times the usual, or a sixth of the engines lost. The largest model's
-   queue grows first; sending it more makes all of its streams late. Half of the objective taken by
-   its wait lowers the bar by 40 of 100, so that only answers that are nearly surely poor go on. */
+/* Load: a burst of 1.7 times the normal rate, or a sixth of the engines lost. The largest model's
+ * queue grows first, and more requests would delay all of its streams. A wait of half of the
+ * objective lowers the threshold by 40 of 100, so that only answers that are almost certainly poor
+ * are replaced. */
 static void
-test_queue_of_larger_model_lowers_threshold (void)
+test_burst (void)
 {
   CU_ASSERT (escalates (20, URGENT, 500, 100));
   CU_ASSERT (!escalates (20, URGENT, 750, 100));
@@ -77,11 +78,11 @@
   CU_ASSERT (!escalates (0, URGENT, 1100, 100));
 }
 
-/* Load pattern: a burst of four times the usual over 68 fronts, each of which sees too little of it
-   to predict the engines' queues. All answers begin later than predicted; when that is a quarter of
-   the objective, hardly anything goes to the largest model any more. Played by build/bench_front:
-   of what could be earned in that day, less the price of models, 0.53 without it and 0.74 with it.
- */
+/* Load: a burst of four times the normal rate over 68 fronts, each of which sees too little of it
+ * to predict the engines' queues. All answers begin later than predicted; with a lag of a quarter
+ * of the objective, hardly anything goes to the largest model. In build/bench_front, the share of
+ * that day's possible earnings, less the price of models, was 0.53 without this and 0.74 with
+ * it. */
 static void
 test_lag_lowers_threshold (void)
 {
@@ -95,8 +96,9 @@
   lag_ms = 0;
 }
 
-/* Load pattern: long prompts behind others, so that the smallest model's answer itself comes late.
-   A second reading would miss the objective; a late answer earns less than a doubtful one. */
+/* Load: long prompts queued behind others, so that the smallest model's answer itself begins late.
+ * Reading the prompt a second time would miss the objective, and a late answer earns less than a
+ * doubtful one. */
 static void
 test_no_escalation_when_late (void)
 {
@@ -104,9 +106,9 @@
   CU_ASSERT (!escalates (20, URGENT, 50, 900));
 }
 
-/* Three models: what the smallest is fairly sure of goes to the middle one, at half of the price
-   and of the reading that holds up all streams; what is too hard for both, to the largest at once.
- */
+/* Three models. Answers of which the smallest is fairly confident go to the middle one, at half of
+ * the price and of the reading that stalls all streams; requests that are too hard for both go to
+ * the largest at once. */
 static void
 test_middle_model_by_confidence (void)
 {
@@ -122,8 +124,8 @@
   has_middle = false;
 }
 
-/* Load pattern: long drafts beside many short streams. A prompt that the largest model reads for
-   seconds stops all streams of its server for as long; the middle one reads it if that may help. */
+/* Load: long drafts beside many short streams. A prompt that the largest model reads for seconds
+ * stalls all streams of its server for as long; the middle model reads it if that may help. */
 static void
 test_long_prompts_avoid_larger_models (void)
 {
@@ -143,7 +145,7 @@
 static const SuiteCase cases[] = {
   { "low_confidence_escalates", test_low_confidence_escalates },
   { "least_urgent_escalates_less", test_least_urgent_escalates_less },
-  { "queue_of_larger_model_lowers_threshold", test_queue_of_larger_model_lowers_threshold },
+  { "burst", test_burst },
   { "lag_lowers_threshold", test_lag_lowers_threshold },
   { "no_escalation_when_late", test_no_escalation_when_late },
   { "middle_model_by_confidence", test_middle_model_by_confidence },
--- a/tests/test_front_cold.c
+++ b/tests/test_front_cold.c
@@ -1,4 +1,4 @@
-/** The bound of servers that have started lately: src/front_cold.c. */
+/** Rate limit for servers that have started recently: src/front_cold.c. */
 #include "front_attempt.h"
 #include "front_cold.h"
 #include "suite.h"
@@ -11,9 +11,9 @@
 #define SIMULATED_MS 3000 /* as long as a server stays cold */
 #define SERVERS      20
 #define FRONTS_MAX   400
-#define RATE_MAX     32.0 /* 18 a second, by half more, and 5 */
+#define RATE_MAX     32.0 /* 18 per second, exceeded by half, plus 5 */
 
-/** A site, and what its fronts know of each other. */
+/** A site, and what its fronts know of their number. */
 typedef struct
 {
   const char *name;
@@ -44,7 +44,7 @@
   return rule;
 }
 
-/* Most arrivals in any second of a play in which each front sends as soon as it may. */
+/* Maximum arrivals in any second if each front sends as soon as it may. */
 static unsigned
 simulate_greedy_fronts (const Site *site, uint64_t server, unsigned *total)
 {
@@ -79,9 +79,9 @@
   return most;
 }
 
-/* Failure: a domain comes back cold beside a hot prompt and a burst. Every front sends its servers
-   all that it may, and they crash again; also where fronts have just started, hear nobody or
-   disagree. */
+/* A failure domain restarts cold during a burst with a popular prompt. Even if every front sends
+ * its servers all that it may, they must not get more than the limit and crash again; also where
+ * fronts have just started, hear no others or disagree on their number. */
 static void
 test_rate_limit_holds_over_all_fronts (void)
 {
@@ -103,8 +103,8 @@
     }
 }
 
-/* Pattern: a domain back cold. Where all know each other its servers take over at half of their
-   rate at least, or the domain stays idle while the others are overloaded. */
+/* A failure domain restarts cold. Where all fronts know each other its servers must get at least
+ * half of their limit, or the domain stays idle while the others are overloaded. */
 static void
 test_cold_servers_are_used (void)
 {
@@ -118,7 +118,7 @@
   CU_ASSERT ((double)all / SERVERS / SIMULATED_MS * SECOND_MS > RATE_MAX / 2);
 }
 
-/* Failure: a connection that takes long brings two requests of one slot into one second. */
+/* A connection that takes long must not bring two requests of one slot into one second. */
 static void
 test_slot_time_starts_at_connection (void)
 {
@@ -146,7 +146,7 @@
   CU_ASSERT_EQUAL (cold_slots (&rule, 3, true), COLD_SLOTS_MAX);
 }
 
-/* More sends than slots are remembered: only the last ones count. */
+/* Of more sends than are remembered, only the latest count. */
 static void
 test_send_history_keeps_latest (void)
 {
--- a/tests/test_front_lag.c
+++ b/tests/test_front_lag.c
@@ -1,15 +1,15 @@
-/** How late answers come, over all engines: src/front_lag.c. */
+/** Lag of answers over all engines: src/front_lag.c. */
 #include "front_lag.h"
 #include "suite.h"
 
 #define NOW 100000
 
-/* Load pattern: a burst of four times the usual for some seconds. A front of 69 begins 15 answers a
-   second, of 88 engines; of no single one it learns in time that its queue has grown by a second.
-   Over all of them it knows two fifths of it after these 15 answers, and believes it no more 4 s
-   later. */
+/* Load: a burst of four times the normal rate for some seconds. One of 69 fronts sees 15 answers
+ * per second begin, at 88 engines; of no single one it learns in time that its queue has grown by a
+ * second. Over all of them it must know two fifths of that lag after these 15 answers, and have
+ * forgotten it 4 s later. */
 static void
-test_burst_is_detected_and_forgotten (void)
+test_burst (void)
 {
   FrontLag lag = { 0 };
 
@@ -20,7 +20,7 @@
   CU_ASSERT (front_lag_now (&lag, NOW + 4990) < 150);
 }
 
-/* One slow engine of twenty doesn't change what is sent to the others. */
+/* One slow engine of twenty must not change what is sent to the others. */
 static void
 test_one_slow_engine_changes_little (void)
 {
@@ -32,7 +32,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "burst_is_detected_and_forgotten", test_burst_is_detected_and_forgotten },
+  { "burst", test_burst },
   { "one_slow_engine_changes_little", test_one_slow_engine_changes_little },
 };
 
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -1,4 +1,4 @@
-/** Choosing a server: src/front_pick.c, front_servers.c, front_health.c, front_prompts.c. */
+/** Choice of a server: src/front_pick.c, front_servers.c, front_health.c, front_prompts.c. */
 #include "front_pick.h"
 #include "suite.h"
 #include <stdlib.h>
@@ -70,7 +70,7 @@
   PickQuery query = query_of ("v1");
 
   setup ();
-  call.part_count = 0; /* no shared prompt that would draw the request anywhere */
+  call.part_count = 0; /* no shared prompt that would attract the request */
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
   add ("far", "there", "v1");
   add ("near", "here", "v1");
@@ -81,9 +81,9 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "far");
 }
 
-/* Pattern: a morning of long prompts (7,000 tokens, 70 ms each on the middle model) on a few
-   engines. Counting requests sends two long ones after each other to the engine that has the
-   fewest; predicted work spreads them. Grounds: 0.01 ms a token, of the engines' sheet. */
+/* Long prompts (7,000 tokens, 70 ms each on the middle model) on a few engines. By the number of
+ * requests, two long ones would be sent one after the other to the engine that has the fewest;
+ * predicted work must spread them. The engines' data sheet gives 0.01 ms per token. */
 static void
 test_spreads_long_prompts (void)
 {
@@ -124,7 +124,7 @@
   add ("far", "there", "v1");
   front_prompts_sent (&front_servers_find (servers, "far")->prompts, &call, 1, NOW);
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "far");
-  /* Another model's cache is of no use, nor an old one, nor a part without those before it. */
+  /* Another model's cache doesn't count, nor an old one, nor a part without those before it. */
   query.model = 2;
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "near");
   query.model = 1;
@@ -133,9 +133,9 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "near");
 }
 
-/* Pattern: 17 fronts of a failure domain get requests about the same 131 contracts, each prompt
-   with 4,870 tokens of the contract. Each front knows only its own requests; if each picks by these
-   alone, every engine reads every contract. Grounds: the sheet of the grown site. */
+/* 17 fronts of a failure domain get requests about the same 131 contracts, each prompt with 4,870
+ * tokens of the contract (by the data sheet of the enlarged site). Each front knows only its own
+ * requests; if each chose by these alone, every engine would read every contract. */
 static void
 test_fronts_agree_on_shared_prompts (void)
 {
@@ -164,14 +164,15 @@
     }
   CU_ASSERT_EQUAL (agreed, 300);
   CU_ASSERT (most < 35);
-  /* A home that is busier than the reading costs is left for another. */
+  /* If more work is queued at the affinity server than the reading costs, another one is chosen. */
   front_servers_find (servers, picked (&query, NOW))->pending_ms = 100;
   CU_ASSERT (front_pick (servers, &query, NOW).server->pending_ms < 1);
 }
 
-/* Pattern: 588 contracts, each asked for once in nine seconds over all failure domains: no server
-   keeps one until the next request. Taken to be kept at its home, each prompt would be read there
-   behind others, on servers that all fronts choose, and predicted too fast by its 4,870 tokens. */
+/* 588 contracts, each requested once in nine seconds over all failure domains: no server keeps one
+ * cached until the next request. If they were assumed to be cached at an affinity server, each
+ * prompt would be read there behind others, at servers that all fronts choose, and its predicted
+ * time would be too short by its 4,870 tokens. */
 static void
 test_rare_prompts_have_no_affinity (void)
 {
@@ -189,8 +190,7 @@
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 7000);
 }
 
-/* What callers ask for tells how often a shared part is wanted; the last part is one caller's own.
- */
+/* Callers' requests show how often a shared part is wanted; the last part is one caller's own. */
 static void
 test_requested_prompts_expire (void)
 {
@@ -207,8 +207,8 @@
   front_prompts_clear (&asked);
 }
 
-/* Story: an engine's health page is good while it fails two of five requests. Its fast failures
-   make it look idle, so it draws ever more of the work. */
+/* An engine's health page is good while it fails two of five requests. Its fast failures make it
+ * look idle, so that it would attract more and more of the work. */
 static void
 test_avoids_failing_server (void)
 {
@@ -230,10 +230,10 @@
   CU_ASSERT (front_health_penalty_ms (health, NOW + 20000) < 100);
 }
 
-/* Load: eight long prompts of other fronts are read at the near server within a second, and six of
-   our answers begin 110 ms later than predicted; the far server is idle. What waited there is read
-   by the next request, so it stays near: bytes between failure domains are dear. A near server that
-   has turned slow, with answers late by two seconds, is left. */
+/* Eight long prompts of other fronts are read at the server of our failure domain within a second,
+ * and six of our answers begin 110 ms later than predicted; the server of the other domain is idle.
+ * That queue is gone by the next request, which must stay in the domain, as traffic between domains
+ * is expensive. A server that has become slow, with answers two seconds late, must be left. */
 static void
 test_tolerates_short_lag_not_slow_server (void)
 {
@@ -253,11 +253,11 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "bb");
 }
 
-/* Pattern: 50 fronts of a failure domain each see a fiftieth of what its 27 servers get, so that at
-   any moment some near server seems to have 20 ms more to do than one elsewhere. With 10 ms for the
-   way, 40% of short questions left their failure domain, for callers who wait two seconds. Grounds:
-   a part of 0.02 of the 2,000 and 3,000 ms that the users' callers of model engines are ready to
-   wait; those of plain services, 150 ms, gain by a server that is 15 ms faster. */
+/* Each of 50 fronts of a failure domain sees a fiftieth of what its 27 servers get, so that at any
+ * moment some of them seems to have 20 ms more queued than one elsewhere. With a cost of 10 ms for
+ * other domains, 40% of short questions left their domain, for callers who wait two seconds. The
+ * cost is 0.02 of the 2,000 and 3,000 ms that callers of model engines are ready to wait; callers
+ * of plain services, at 150 ms, gain by a server that is 15 ms faster. */
 static void
 test_crosses_domains_only_for_gain (void)
 {
@@ -299,7 +299,7 @@
   CU_ASSERT (!front_health_avoided (health, NOW + 900));
   front_health_unreachable (health, NOW + 900);
   CU_ASSERT (front_health_avoided (health, NOW + 900 + 1500));
-  /* Avoided is not forbidden: with no other server it is tried. */
+  /* An avoided server is not excluded: it is tried if there is no other. */
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "a");
   add ("bb", "there", "v1");
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "bb");
@@ -319,8 +319,8 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
 }
 
-/* Story: an engine says that it drains; an older heartbeat of it arrives later and it gets new
-   work, which its end cuts off. */
+/* An engine reports that it drains, and an older heartbeat of it arrives later. It must get no new
+ * work, which its end would cut off. */
 static void
 test_draining_is_final (void)
 {
@@ -338,8 +338,9 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
 }
 
-/* Story: the store is away for seconds, entries of living engines lapse and are back within two
-   seconds of its return. Taken as gone at once, a whole service has no engine left. */
+/* The store is unavailable for seconds; entries of live engines expire and are back within two
+ * seconds of its return. If they were removed at once, a whole service would have no engine
+ * left. */
 static void
 test_lapsed_entries_have_grace (void)
 {
@@ -359,8 +360,9 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "none");
 }
 
-/* Failure: a failure domain is evacuated in a burst, and its idle servers draw all requests since
-   those of the other one are loaded, full or failing; or the home of a hot prompt stays there. */
+/* A failure domain is evacuated in a burst. Its idle servers must not attract requests because
+ * those of the other domain are loaded, full or failing, nor as affinity servers of a popular
+ * prompt. */
 static void
 test_evacuated_domain_gets_nothing (void)
 {
@@ -396,7 +398,8 @@
 #define SIMULATED_MS  3000
 #define SECOND_MS     1000
 
-/* One front's own view of a failure domain that has come back cold, beside one that is warm. */
+/* One front's table of a failure domain that has restarted cold, and of another one that is
+ * warm. */
 static FrontServers *
 servers_with_cold_domain (void)
 {
@@ -416,8 +419,9 @@
   return servers_seen;
 }
 
-/* Failure: a domain comes back cold beside a hot prompt and a burst. Its idle servers, and the home
-   of the prompt first, draw all requests of all fronts at once, and crash again. */
+/* A failure domain restarts cold during a burst with a popular prompt. Its idle servers, and the
+ * affinity server first, must not attract all requests of all fronts at once, or they crash
+ * again. */
 static void
 test_cold_domain_rate_is_limited (void)
 {
@@ -432,7 +436,7 @@
     views[i] = servers_with_cold_domain ();
   for (unsigned ms = 0; ms < SIMULATED_MS; ms++)
     {
-      unsigned front = ms % DOMAIN_FRONTS; /* 1,000 requests a second */
+      unsigned front = ms % DOMAIN_FRONTS; /* 1,000 requests per second */
       PickAnswer answer;
       unsigned number;
 
@@ -462,7 +466,7 @@
           CU_ASSERT (in_second <= 32);
         }
     }
-  CU_ASSERT (cold > SIMULATED_MS / 10); /* it takes over a part of its work meanwhile */
+  CU_ASSERT (cold > SIMULATED_MS / 10); /* the domain takes over a part of its work meanwhile */
   CU_ASSERT_EQUAL (refused, 0);
   for (unsigned i = 0; i < DOMAIN_FRONTS; i++)
     front_servers_free (views[i]);
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -7,7 +7,7 @@
 #define NOW              100000
 #define DURATION         24000
 #define SESSION_MS       6000
-#define SESSION_IN_SHARE 5 /* a session hash below the first share */
+#define SESSION_IN_SHARE 5 /* a session hash below the first stage's share */
 #define OWN_DOMAIN       1
 #define OTHER_DOMAIN     2
 
@@ -70,7 +70,8 @@
   front_sessions_end (sessions, session, now_ms);
 }
 
-/* Story: engines of a new version register before the operator has asked for it. */
+/* Engines of a new version register before the operator has ordered it; they must get no
+ * requests. */
 static void
 test_version_unused_without_order (void)
 {
@@ -101,37 +102,38 @@
   CU_ASSERT_EQUAL (count[2], 10000);
 }
 
-/* Story: a clinic's conversation runs on the old version when the roll-out begins, and its next
-   request comes to another front. It must stay where it is for the first half, at each front. */
+/* A session runs on the old version when the roll-out begins, and its next request reaches another
+ * front. It must stay on that version during the first half, at every front. */
 static void
 test_sessions_stay_on_old_version (void)
 {
-  SessionUpdate update[4];
+  SessionUpdate news[4];
   unsigned count;
 
   setup ();
   add ("c", "v2");
   run_request (SESSION_IN_SHARE, "v1", NOW - 1000);
-  run_request (9999, "v1", NOW - 1000); /* begins on the old version anyway: no news */
+  /* This session begins on the old version anyway, so it is not reported. */
+  run_request (9999, "v1", NOW - 1000);
   order (10, NOW);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
-  count = front_rollouts_held_sessions (rollouts, rollout, update, 4, NOW + 100);
+  count = front_rollouts_held_sessions (rollouts, rollout, news, 4, NOW + 100);
   CU_ASSERT_EQUAL (count, 1);
-  CU_ASSERT_EQUAL (update[0].session, SESSION_IN_SHARE);
-  CU_ASSERT_EQUAL (update[0].age_ms, 1100);
+  CU_ASSERT_EQUAL (news[0].session, SESSION_IN_SHARE);
+  CU_ASSERT_EQUAL (news[0].age_ms, 1100);
 
   setup (); /* another front, which has not seen the session */
   add ("c", "v2");
   order (10, NOW);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 100), "v1");
-  front_rollouts_hold_session (rollouts, rollout, &update[0], NOW + 150);
+  front_rollouts_hold_session (rollouts, rollout, &news[0], NOW + 150);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 7000), "v2");
 }
 
-/* Story: another front tells of a session while its stream runs on the old version, and again after
-   the stream has ended, five seconds later. The session lasts from that end: its next request,
-   three seconds after it, stays on the old version. Counted from the first word, it moved. */
+/* Another front reports a session while its stream runs on the old version, and again after the
+ * stream has ended, five seconds later. The session lasts from that end, so its next request
+ * seconds later must stay on the old version. Counted from the first report, it moved. */
 static void
 test_session_expires_after_last_end (void)
 {
@@ -144,7 +146,7 @@
   front_rollouts_hold_session (rollouts, rollout, &running, NOW + 100);
   front_rollouts_hold_session (rollouts, rollout, &ended, end_ms);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, end_ms + SESSION_MS - 1000), "v1");
-  /* Older news, late, doesn't take that back. */
+  /* A late report that is older must not undo that. */
   ended.age_ms = SESSION_MS - 500;
   front_rollouts_hold_session (rollouts, rollout, &ended, end_ms + 100);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, end_ms + SESSION_MS - 1000), "v1");
@@ -172,8 +174,8 @@
     front_evidence_add (evidence, EVIDENCE_OLD, route, i % 50 == 0, 70, 60);
 }
 
-/* Story: a version fails a third of the requests of one route only; over all routes its failures
-   drown. And one that is slow but never fails. */
+/* A version fails a third of the requests of one route only, which is hardly visible over all
+ * routes. Another one is slow but never fails. */
 static void
 test_detects_bad_versions (void)
 {
@@ -189,8 +191,8 @@
   CU_ASSERT (front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
 }
 
-/* Failure: of a version that fails everything only one answer is known when its time is over, as
-   the rest hangs behind a dead path, and it is completed. */
+/* Of a version that fails everything only one answer is known when its time is over, as the rest
+ * hang on a dead path. It must not be completed. */
 static void
 test_only_answer_failed_is_bad (void)
 {
@@ -202,12 +204,12 @@
   front_evidence_add (&evidence, EVIDENCE_NEW, 0, true, 70, 60);
   CU_ASSERT (front_evidence_is_bad (&evidence, EVIDENCE_DOUBT));
   CU_ASSERT (!front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
-  /* A good answer on any route tells that it works. */
+  /* A good answer on any route shows that it works. */
   front_evidence_add (&evidence, EVIDENCE_NEW, 1, false, 70, 60);
   CU_ASSERT (!front_evidence_is_bad (&evidence, EVIDENCE_DOUBT));
 }
 
-/* Story: engines crash during a good roll-out, and requests of both versions fail alike. */
+/* Engines crash during the roll-out of a good version, and requests of both versions fail alike. */
 static void
 test_failures_of_both_versions_are_not_blamed (void)
 {
@@ -221,8 +223,8 @@
   CU_ASSERT (!front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
 }
 
-/* Story: each of six fronts sees two failures of a bad version; none can tell it from chance alone.
-   Together they stop it, everywhere and at once, though the store can't be told. */
+/* Each of six fronts sees two failures of a bad version, which none can tell from chance alone.
+ * Together they must stop it, everywhere and at once, even if the store is unreachable. */
 static void
 test_evidence_of_all_peers_counts (void)
 {
@@ -235,7 +237,7 @@
 
       add_answers (&update.evidence, 0, 2, 3, false);
       front_rollout_merge (rollout, &update);
-      front_rollout_merge (rollout, &update); /* the same news twice counts once */
+      front_rollout_merge (rollout, &update); /* a repeated update counts once */
     }
   CU_ASSERT_EQUAL (rollout->peer_count, 6);
   front_rollout_update_verdict (rollout, NOW + 2000);
@@ -245,9 +247,9 @@
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
 }
 
-/* Story: a bad version fails requests at hundreds of fronts of three failure domains, each of which
-   sees too few of them. The sums of the domains, told on from front to front in any order, stop it
-   all the same, and nothing is counted twice. */
+/* A bad version fails requests at hundreds of fronts of three failure domains, each of which sees
+ * too few of them. The sums of the domains, passed on from front to front in any order, must stop
+ * it, and nothing may be counted twice. */
 static void
 test_evidence_of_all_domains_counts (void)
 {
@@ -266,7 +268,7 @@
   add_answers (&domains[0].evidence, 0, 4, 40, false);
   front_rollout_merge (rollout, &update);
   domains[0].evidence = (FrontEvidence){ 0 };
-  front_rollout_merge (rollout, &update); /* late: it knew less */
+  front_rollout_merge (rollout, &update); /* late, with smaller counts */
   front_rollout_update_verdict (rollout, NOW + 1200);
   CU_ASSERT_EQUAL (rollout->domain_count, 3);
   CU_ASSERT_EQUAL (front_evidence_answers (&rollout->domains[0].evidence, EVIDENCE_NEW), 44);
@@ -277,7 +279,7 @@
   CU_ASSERT (rollout->is_bad);
 }
 
-/* A domain's sum holds what each of its nodes has counted, its dead ones included. */
+/* A domain's sum must hold what each of its fronts has counted, including dead ones. */
 static void
 test_sum_of_own_domain (void)
 {
@@ -318,7 +320,7 @@
   front_rollout_merge (rollout, &update);
   front_rollout_update_verdict (rollout, NOW + 18100);
   CU_ASSERT (!rollout->has_verdict);
-  update.old_busy_ms = NOW + 17000; /* older word doesn't undo it */
+  update.old_busy_ms = NOW + 17000; /* an older update must not undo it */
   front_rollout_merge (rollout, &update);
   front_rollout_update_verdict (rollout, NOW + 19400);
   CU_ASSERT (!rollout->has_verdict);
@@ -329,10 +331,9 @@
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW + 19600), "v2");
 }
 
-/* Story: a version that fails all its requests gets hardly any, as fronts are stopped and cut off
-   while it is rolled out. Two failures are too few for a verdict early on, and at the end of its
-   time the version was reported completed, which stops the servers of the old one (soak, seed
-   2007). */
+/* A version that fails all its requests gets hardly any, as fronts are stopped and disconnected
+ * during its roll-out. Two failures are too few for an early verdict, and at the end of its time
+ * the version was reported completed, which stops the servers of the old one (soak, seed 2007). */
 static void
 test_doubtful_version_is_not_completed (void)
 {
@@ -355,8 +356,8 @@
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
 }
 
-/* Story: a peer was killed with requests on the old version; its last word must not hold up the
-   roll-out beyond its time. */
+/* A peer was killed with requests on the old version; its last update must not delay the roll-out
+ * beyond its time. */
 static void
 test_dead_peer_does_not_block_completion (void)
 {
@@ -371,8 +372,8 @@
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
 }
 
-/* Story: an order for a version that was rolled back earlier is given again; the old status, which
-   names the same version, must not end it. */
+/* A version that was rolled back is ordered again. The old status, which names the same version,
+ * must not end the new roll-out. */
 static void
 test_ignores_status_of_earlier_order (void)
 {
@@ -398,8 +399,8 @@
   CU_ASSERT_EQUAL (rollout->state, FRONT_ROLLOUT_ROLLED_BACK);
 }
 
-/* Story: all processes are killed in the second half; the new ones know from the status when the
-   roll-out began, and don't begin it anew. */
+/* All processes are killed in the second half. The new ones must take the start of the roll-out
+ * from the status, and not start it anew. */
 static void
 test_restart_takes_start_from_status (void)
 {
@@ -410,7 +411,7 @@
   CU_ASSERT (front_rollout_share (rollout, NOW + 18500) >= 1);
 }
 
-/* Story: all engines of the new version crash; requests go on with the old one. */
+/* All engines of the new version crash; requests must continue on the old one. */
 static void
 test_uses_old_version_without_new_servers (void)
 {
@@ -430,9 +431,9 @@
   front_servers_set (servers, &entry, NOW, &changed);
 }
 
-/* Story: a front restarts while the servers of the version before last drain, and there are more of
-   them than of the one in use. It took theirs for the version in use, and when they were gone it
-   refused all requests for lack of a server (soak, seeds 2 and 1002). */
+/* A front restarts while servers of the version before last drain, and there are more of them than
+ * of the version in use. It took theirs for the version in use, and when they were gone it refused
+ * all requests for lack of a server (soak, seeds 2 and 1002). */
 static void
 test_base_ignores_draining_servers (void)
 {
@@ -450,7 +451,7 @@
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v2");
 }
 
-/* Story: the same front, where the old servers had not yet said that they drain. */
+/* The same front, where the old servers had not yet reported that they drain. */
 static void
 test_base_follows_remaining_servers (void)
 {
@@ -461,7 +462,7 @@
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v1");
   front_servers_remove (servers, "b", NOW, 0);
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v2");
-  /* But never a version that was rolled back. */
+  /* A version that was rolled back is never used. */
   order (10, NOW);
   CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 11, 0));
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "");
--- a/tests/test_front_server.c
+++ b/tests/test_front_server.c
@@ -1,4 +1,4 @@
-/** The state of a backend server: src/front_server.c, front_servers.c, front_health.c. */
+/** States of a backend server: src/front_server.c, front_servers.c, front_health.c. */
 #include "front_servers.h"
 #include "suite.h"
 #include <arpa/inet.h>
@@ -15,27 +15,28 @@
   LISTED_COLD, /* for 1,000 ms */
   DRAINS,
   REMOVED,
-  LAPSED,       /* removed while the store was away lately */
+  LAPSED,       /* removed while the store was unavailable recently */
   ADDRESS_LOST, /* another server answers at its address */
   ANSWERED,
   FAILED,
   FULL,
   UNREACHABLE,
   EVACUATED,  /* its failure domain */
-  TAKEN_BACK, /* the evacuation */
-  NOTHING,    /* time passes */
+  TAKEN_BACK, /* its evacuation ended */
+  NOTHING,    /* only time passes */
 } Event;
 
 typedef struct
 {
   Event event;
-  int64_t at_ms; /* after the start */
+  int64_t at_ms; /* since the start of the scenario */
   FrontServerState state;
 } Step;
 
 #define STEPS_MAX 8
 
-/** One life of a server, by which each transition is passed. */
+/** A sequence of events, with the expected state after each; together the scenarios cover every
+ *  transition. */
 typedef struct
 {
   const char *name;
@@ -48,23 +49,23 @@
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
       { DRAINS, 10, FRONT_SERVER_LEAVING },
-      { LISTED, 20, FRONT_SERVER_LEAVING }, /* an old report doesn't bring it back */
+      { LISTED, 20, FRONT_SERVER_LEAVING }, /* an older report must not undo it */
       { REMOVED, 30, FRONT_SERVER_GONE } } },
   { "starts cold",
     3,
     { { LISTED_COLD, 0, FRONT_SERVER_COLD },
       { ANSWERED, 999, FRONT_SERVER_COLD },
       { NOTHING, 1000, FRONT_SERVER_READY } } },
-  { "lapses and is back",
+  { "its entry expires and is back",
     3,
     { { LISTED, 0, FRONT_SERVER_READY },
       { LAPSED, 100, FRONT_SERVER_UNCONFIRMED },
       { LISTED, 500, FRONT_SERVER_READY } } },
-  { "lapses and stays away",
+  { "its entry expires for good",
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
       { LAPSED, 100, FRONT_SERVER_UNCONFIRMED },
-      { LAPSED, 100 + GRACE - 1, FRONT_SERVER_UNCONFIRMED }, /* its grace doesn't begin anew */
+      { LAPSED, 100 + GRACE - 1, FRONT_SERVER_UNCONFIRMED }, /* its grace period is not restarted */
       { NOTHING, 100 + GRACE, FRONT_SERVER_GONE } } },
   { "drains while it is not confirmed",
     3,
@@ -83,17 +84,17 @@
       { NOTHING, 809, FRONT_SERVER_AVOIDED },
       { NOTHING, 810, FRONT_SERVER_READY },
       { ANSWERED, 820, FRONT_SERVER_READY } } },
-  { "can't be reached again and again",
+  { "can't be reached several times",
     5,
     { { LISTED, 0, FRONT_SERVER_READY },
       { UNREACHABLE, 10, FRONT_SERVER_AVOIDED },
       { UNREACHABLE, 810, FRONT_SERVER_AVOIDED },
-      { NOTHING, 2409, FRONT_SERVER_AVOIDED }, /* twice as long */
+      { NOTHING, 2409, FRONT_SERVER_AVOIDED }, /* avoided for twice as long */
       { NOTHING, 2410, FRONT_SERVER_READY } } },
   { "fails most requests",
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
-      { FAILED, 10, FRONT_SERVER_READY }, /* one may be an accident */
+      { FAILED, 10, FRONT_SERVER_READY }, /* one may be a coincidence */
       { FAILED, 10, FRONT_SERVER_AVOIDED },
       { NOTHING, 1510, FRONT_SERVER_READY } } },
   { "fails few of many",
@@ -108,13 +109,13 @@
     { { LISTED, 0, FRONT_SERVER_READY },
       { FULL, 10, FRONT_SERVER_AVOIDED },
       { NOTHING, 160, FRONT_SERVER_READY } } },
-  { "flaps: answers end its avoidance no sooner",
+  { "answers don't shorten its avoidance",
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
       { UNREACHABLE, 10, FRONT_SERVER_AVOIDED },
       { ANSWERED, 20, FRONT_SERVER_AVOIDED }, /* it was asked for lack of others */
       { NOTHING, 810, FRONT_SERVER_READY } } },
-  { "is evacuated, which answers and reports don't end",
+  { "stays evacuated despite answers and reports",
     5,
     { { LISTED, 0, FRONT_SERVER_READY },
       { EVACUATED, 10, FRONT_SERVER_EVACUATED },
@@ -222,10 +223,10 @@
           continue;
         }
       if (server->references == 0)
-        front_server_ref (server); /* an attempt holds it to the end */
+        front_server_ref (server); /* held by an attempt until the end */
       state = front_server_state (server, NOW + step->at_ms);
       if (state != step->state)
-        printf ("%s, step %u: %s in place of %s\n", scenario->name, i,
+        printf ("%s, step %u: %s instead of %s\n", scenario->name, i,
                 front_server_state_name (state), front_server_state_name (step->state));
       CU_ASSERT_EQUAL (state, step->state);
     }
@@ -240,7 +241,7 @@
     run_scenario (&scenarios[i]);
 }
 
-/* Each state is reached in some life, and has a name of its own. */
+/* Each state is reached in some scenario, and has a name of its own. */
 static void
 test_every_state_is_reached_and_named (void)
 {
@@ -260,7 +261,7 @@
     }
 }
 
-/* What may be told of one id, in any order. */
+/* A report about one id; reports may arrive in any order. */
 typedef struct
 {
   int64_t born_ms;
@@ -289,9 +290,9 @@
   return changed;
 }
 
-/* What a caller would see: no answer, or a stream that stands still. A server drained or crashed
- * and started again under its id; the front went on with the address, the health and the prompt
- * cache of the start before, or kept it away from all work, as a server that drains stays away. */
+/* A server drained or crashed and restarted under its id. The front kept the address, the health
+ * and the prompt cache of the earlier start, so that callers got no answer or a stalled stream, or
+ * it sent the server no work at all, as if it still drained. */
 static void
 test_later_start_replaces_earlier (void)
 {
@@ -321,7 +322,7 @@
   CU_ASSERT_NOT_EQUAL (after->hash, before->hash);
   CU_ASSERT_EQUAL (front_servers_count (servers), 1);
 
-  /* Late reports of the first start say nothing of the second. */
+  /* Late reports of the first start say nothing about the second. */
   CU_ASSERT_FALSE (apply_report (servers, &drains, NOW));
   CU_ASSERT_FALSE (apply_report (servers, &first, NOW));
   CU_ASSERT_PTR_EQUAL (front_servers_find (servers, "a"), after);
@@ -330,7 +331,7 @@
   front_servers_free (servers);
 }
 
-/* A report that was on its way while its server drained and left comes after the removal. */
+/* A report sent before its server drained and left arrives after the removal. */
 static void
 test_late_report_does_not_revive (void)
 {
@@ -341,7 +342,7 @@
 
   apply_report (servers, &ready, NOW);
   apply_report (servers, &gone, NOW);
-  apply_report (servers, &ready, NOW); /* its entry had lapsed, and is back */
+  apply_report (servers, &ready, NOW); /* its entry had expired, and is back */
   CU_ASSERT_PTR_NOT_NULL (front_servers_find (servers, "a"));
   apply_report (servers, &drains, NOW);
   apply_report (servers, &gone, NOW);
@@ -355,9 +356,9 @@
   front_servers_free (servers);
 }
 
-/* Reports of three starts in any order, lost and repeated: the server that is used is never of an
- * earlier start than one that was told, never one that has said that it drains, and always at the
- * address of its own start. */
+/* Reports of three starts in any order, some lost, some repeated. The server in use must never be
+ * of an earlier start than one that was reported, must be leaving exactly if that start has
+ * reported that it drains, and must have the address of its own start. */
 static void
 test_reports_in_any_order (void)
 {
--- a/tests/test_front_speeds.c
+++ b/tests/test_front_speeds.c
@@ -1,4 +1,4 @@
-/** Learned speeds of reading: src/front_speeds.c. */
+/** Learned reading speeds: src/front_speeds.c. */
 #include "front_speeds.h"
 #include "suite.h"
 #include <math.h>
@@ -6,7 +6,7 @@
 
 #define MODEL_HASH 7
 
-/* Milliseconds that an engine takes for a prompt that no cache holds. */
+/* Milliseconds that an engine needs for an uncached prompt. */
 static double
 engine_ms (double tokens_per_ms, double pair_share, double tokens)
 {
@@ -19,8 +19,8 @@
   return (double)rand_r (seed) / RAND_MAX;
 }
 
-/* Answers of an engine of that speed; of late in 100, another front's prompt of 200 ms was read
- * first. */
+/* Feeds the answers of an engine with that speed; for late of 100, another front's prompt of up to
+ * 200 ms was read first. */
 static void
 simulate_answers (FrontSpeeds *speeds,
                   double tokens_per_ms,
@@ -54,9 +54,10 @@
   return read_time_ms (&time, tokens, tokens);
 }
 
-/* Engines that read 30, 92 and 400 tokens a ms, among others' prompts: after 60 answers, about ten
- * seconds of a front of nine, predictions are within a third. A fixed figure would be wrong by 3.6
- * times at the ends, and with it the price of a larger model's answer. */
+/* Engines that read 30, 92 and 400 tokens per ms, among other fronts' prompts: after 60 answers,
+ * about ten seconds at one of nine fronts, predictions must be within a third. A fixed value would
+ * be wrong by a factor of 3.6 at the extremes, and so would be the predicted cost of a larger
+ * model's answer. */
 static void
 test_learns_read_speed (void)
 {
@@ -74,8 +75,8 @@
     }
 }
 
-/* Engines turn four times as slow, as with a failing cooler: half of the way is known after 40
- * answers, and it is forgotten again when they are mended. */
+/* Engines become four times as slow, as with a failing cooler: half of the change must be learned
+ * after 40 answers, and forgotten again when they are repaired. */
 static void
 test_adapts_to_speed_change (void)
 {
@@ -91,8 +92,8 @@
   CU_ASSERT (learned_ms (&speeds, 8000) < 1.4 * usual);
 }
 
-/* A server that hangs for a minute, a clock that went wrong, a prompt whose cached part is longer
- * than the prompt: one such answer moves the prediction by a tenth at most, or not at all. */
+/* A server that hangs for a minute, a wrong clock, a prompt whose cached part is longer than the
+ * prompt: one such answer may move the prediction by a tenth at most, or not at all. */
 static void
 test_outlier_has_bounded_effect (void)
 {
@@ -138,7 +139,7 @@
     }
 }
 
-/* More models than there is room for: the one not met for longest is forgotten. */
+/* With more models than entries, the least recently seen one is evicted. */
 static void
 test_evicts_least_recently_seen_model (void)
 {
@@ -164,7 +165,7 @@
     }
 }
 
-/* The prior rises with a model's rank, and a long prompt takes more than in proportion. */
+/* The prior rises with a model's rank, and reading time grows faster than the prompt's length. */
 static void
 test_prior_by_rank_and_length (void)
 {
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -1,4 +1,4 @@
-/** Reading that other fronts tell of: src/front_peer_load.c, front_work_message.c, front_pick.c. */
+/** Load reported by other fronts: src/front_peer_load.c, front_work_message.c, front_pick.c. */
 #include "front_counter.h"
 #include "front_peers_private.h"
 #include "front_pick.h"
@@ -26,7 +26,7 @@
   CU_ASSERT_DOUBLE_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 1000), 10, 1e-9);
 }
 
-/* A front that died told of its requests and never of their end. */
+/* A front that died has reported its requests, but never their end. */
 static void
 test_running_requests_decay (void)
 {
@@ -38,7 +38,7 @@
   CU_ASSERT (front_peer_load_running (&peer_load, NOW + 20000) < 0.01);
 }
 
-/* Nonsense adds nothing, and a huge figure no more than any server can have in front of it. */
+/* Invalid values add nothing, and a huge one no more than any server can have queued. */
 static void
 test_invalid_load_is_clamped (void)
 {
@@ -55,7 +55,7 @@
 }
 
 static void
-test_message_round_trip (void)
+test_message (void)
 {
   WorkMessage message
       = { .incarnation = 5, .count = 2, .notes = { { 11, 250, 300 }, { 12, 30, 5 } } };
@@ -71,17 +71,17 @@
   CU_ASSERT_EQUAL (read.notes[1].running, 5);
   for (size_t i = 0; i < len; i++)
     CU_ASSERT (!work_message_decode (&read, data, i));
-  data[15] = WORK_NOTES_MAX + 1; /* the count's last byte */
+  data[15] = WORK_NOTES_MAX + 1; /* last byte of the count */
   CU_ASSERT (!work_message_decode (&read, data, len));
   message.count = WORK_NOTES_MAX;
   CU_ASSERT (work_message_encode (&message, data, sizeof data) <= WORK_MESSAGE_MAX);
 }
 
-/* What callers would see: streams that stand still for two seconds. Two fronts get a prompt of
- * 20,000 tokens for the largest model within 50 ms; each knows only its own work and sends it to
- * the server that both like best, where one is read behind the other. Told of the first, the second
- * front takes the next server; once the first prompt is read, the best one again. A front that is
- * cut off from this news decides as it would alone. */
+/* Two fronts get a prompt of 20,000 tokens for the largest model within 50 ms. If each knew only
+ * its own work, both would send it to the same server, where one is read behind the other, and
+ * callers would see streams that stall for two seconds. With a report of the first, the second
+ * front must take the next server; once the first prompt is read, the best one again. A front that
+ * gets no reports decides as it would alone. */
 static void
 test_second_long_prompt_goes_elsewhere (void)
 {
@@ -115,9 +115,9 @@
   front_servers_free (servers);
 }
 
-/* The largest model's streams slow down all tokens of their server: another front has ten of them
- * at the server that we like best, none at the next one. Without the share of the model ten streams
- * of the smallest would weigh the same. */
+/* The largest model's streams slow down all tokens of their server. Another front has ten of them
+ * at our preferred server and none at the next one. Without the weight of the model, ten streams of
+ * the smallest would count the same. */
 static void
 test_running_requests_weighted_by_model (void)
 {
@@ -162,9 +162,10 @@
   return count;
 }
 
-/* Load: the target's largest site, 60 fronts in a failure domain, each with 28 requests a second
- * for ten seconds to 24 servers. Bytes for notes stay at 8,000 a second, and what couldn't be told
- * at once is told later: at each server but for its last second all reading was told. */
+/* Load: the largest planned site, 60 fronts in a failure domain, each with 28 requests per second
+ * for ten seconds to 24 servers. Bytes for reports must stay at 8,000 per second, and what couldn't
+ * be reported at once must be reported later: at each server all reading but that of its last
+ * second. */
 static void
 test_message_rate_is_bounded (void)
 {
@@ -212,7 +213,7 @@
   { "pending_reading_drains", test_pending_reading_drains },
   { "running_requests_decay", test_running_requests_decay },
   { "invalid_load_is_clamped", test_invalid_load_is_clamped },
-  { "message_round_trip", test_message_round_trip },
+  { "message", test_message },
   { "second_long_prompt_goes_elsewhere", test_second_long_prompt_goes_elsewhere },
   { "running_requests_weighted_by_model", test_running_requests_weighted_by_model },
   { "message_rate_is_bounded", test_message_rate_is_bounded },
