--- a/bench/front_play.c
+++ b/bench/front_play.c
@@ -159,7 +159,7 @@
     .read_time = { .ms_per_token = model_sizes[model].pace / READ_A_MS },
     .objective_ms = call->class->objective_ms,
     .is_model = true,
-    .home_tokens = call->call.parts[0].tokens,
+    .affinity_tokens = call->call.parts[0].tokens,
     .reuse_window_ms = REUSE_WINDOW_MS,
   };
 }
@@ -170,7 +170,7 @@
   play->price += model_sizes[call->model].price * (double)read * READ_PRICE / 1000;
   play->tokens += call->call.prompt_tokens;
   play->reread += read - call->call.parts[1].tokens > 0 ? read - call->call.parts[1].tokens : 0;
-  play->far += !pick->server->is_near;
+  play->far += !pick->server->is_same_domain;
   call->predicted_ms = pick->predicted_ms + FIRST_TOKEN_MS;
   call->pending_ms = pick->prompt_ms;
   pick->server->pending_ms += pick->prompt_ms;
@@ -288,7 +288,7 @@
     .confidence = confidence_of (play, call),
     .has_middle = MODELS > 2,
     .priority = call->class->priority,
-    .passed_ms = play->clock.now_ms - call->arrived_ms,
+    .elapsed_ms = play->clock.now_ms - call->arrived_ms,
     .objective_ms = call->class->objective_ms,
     .lag_ms = front_lag_now (&play->lags[call->front], play->clock.now_ms),
     .forecast = forecast,
--- /dev/null
+++ b/src/front_request_retry.c
@@ -0,0 +1,132 @@
+/* Decides whether a request whose attempt failed is sent again. */
+#include "front_counter.h"
+#include "front_log.h"
+#include "front_request_private.h"
+#include "util_clock.h"
+
+/* Servers that one request may fail to reach without using up its attempts. With a third of all
+ * servers down, and three attempts by the route, one of 2,187 requests (3 to the 7th) reaches
+ * none. */
+#define UNREACHED_MAX 4
+
+typedef enum
+{
+  RETRY_NOW,
+  RETRY_MAY_HAVE_RUN, /* and must run only once */
+  RETRY_ATTEMPTS,
+  RETRY_DEADLINE,
+  RETRY_NO_BUDGET,
+  RETRY_UNSENT, /* now, as nothing was sent */
+} RetryVerdict;
+
+static const char *const verdict_names[] = {
+  [RETRY_NOW] = "now",
+  [RETRY_MAY_HAVE_RUN] = "may_have_run",
+  [RETRY_ATTEMPTS] = "attempts",
+  [RETRY_DEADLINE] = "deadline",
+  [RETRY_NO_BUDGET] = "no_budget",
+  [RETRY_UNSENT] = "unsent",
+};
+
+/* Whether another attempt is allowed; if so, takes it from the budget. */
+static RetryVerdict
+retry_verdict (FrontRequest *request, bool may_have_run)
+{
+  int64_t now_ms = clock_boot_ms ();
+
+  if (may_have_run && !front_route_is_idempotent (request->route))
+    return RETRY_MAY_HAVE_RUN;
+  if (request->attempts >= request->route->attempts_max)
+    return RETRY_ATTEMPTS;
+  if (now_ms >= request->end_ms)
+    return RETRY_DEADLINE;
+  if (!front_budget_take (request->front->budget, request->service, BUDGET_RETRY, now_ms))
+    return RETRY_NO_BUDGET;
+  return RETRY_NOW;
+}
+
+static void
+log_retry (const FrontRequest *request, const char *reason, RetryVerdict verdict)
+{
+  FrontLine *line = front_log_begin (request->head_sent ? FRONT_EVENT_RESUME : FRONT_EVENT_RETRY);
+
+  front_log_span (line, "request", request->call.id);
+  front_log_text (line, "reason", reason);
+  front_log_text (line, "verdict", verdict_names[verdict]);
+  front_log_text (line, "server", request->server ? request->server->entry.id : NULL);
+  front_log_number (line, "attempt", request->attempts);
+  front_log_number (line, "may_have_run", request->may_have_run);
+  front_log_number (line, "last_event", request->events.last_id);
+  front_log_end (line);
+}
+
+static void
+send_again (FrontRequest *request)
+{
+  front_counter_add (request->head_sent ? FRONT_COUNTER_RESUMES : FRONT_COUNTER_RETRIES);
+  request_drop_attempt (request);
+  request_send (request);
+}
+
+void
+request_retry (FrontRequest *request, const char *reason, bool may_have_run)
+{
+  RetryVerdict verdict;
+
+  request->may_have_run |= may_have_run;
+  verdict = retry_verdict (request, request->may_have_run);
+  log_retry (request, reason, verdict);
+  if (verdict == RETRY_NOW)
+    send_again (request);
+  else
+    {
+      request_drop_attempt (request);
+      request_give_up (request, reason, 0);
+    }
+}
+
+/* Nothing arrives at a server that can't be reached, so this counts neither against the route's
+ * attempts nor against the retry budget: with several servers crashed at once, requests were
+ * refused after three connections that took 7 ms in all, although other servers had capacity. */
+void
+request_unreached (FrontRequest *request, const char *reason)
+{
+  int64_t now_ms = clock_boot_ms ();
+
+  front_health_unreachable (&request->server->health, now_ms);
+  if (request->unreached == UNREACHED_MAX || now_ms >= request->end_ms)
+    {
+      request_retry (request, reason, false);
+      return;
+    }
+  request->unreached++;
+  request->attempts--;
+  log_retry (request, reason, RETRY_UNSENT);
+  send_again (request);
+}
+
+/* Unlike a lost connection, silence doesn't end the answer: the attempt is dropped only for another
+ * one, and otherwise kept, since the server may continue. */
+void
+request_silent (FrontRequest *request)
+{
+  const char *reason = request->relaying ? "stream_silent" : "answer_late";
+  RetryVerdict verdict = retry_verdict (request, true);
+  int64_t now_ms = clock_boot_ms ();
+
+  log_retry (request, reason, verdict);
+  /* Counted before the attempt is dropped: a version that is always slow would otherwise have no
+   * answers by which to evaluate it. */
+  if (!request->relaying)
+    request_add_evidence (request, false, now_ms);
+  if (verdict != RETRY_NOW)
+    {
+      request->event_ms = now_ms;
+      request->sent_ms = now_ms;
+      request_arm_timer (request);
+      return;
+    }
+  front_health_failed (&request->server->health, now_ms);
+  request->may_have_run = true;
+  send_again (request);
+}
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -1,4 +1,4 @@
-/** Choosing a server: src/front_pick.c, front_servers.c, front_health.c, front_prompts.c. */
+/** Choice of a server: src/front_pick.c, front_servers.c, front_health.c, front_prompts.c. */
 #include "front_pick.h"
 #include "suite.h"
 #include <stdlib.h>
@@ -32,7 +32,7 @@
 }
 
 static void
-begin (void)
+setup (void)
 {
   if (servers)
     front_servers_free (servers);
@@ -65,12 +65,12 @@
 }
 
 static void
-test_near_first (void)
+test_prefers_same_domain (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
-  call.part_count = 0; /* no shared prompt that would draw the request anywhere */
+  setup ();
+  call.part_count = 0; /* no shared prompt that would attract the request */
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
   add ("far", "there", "v1");
   add ("near", "here", "v1");
@@ -81,16 +81,16 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "far");
 }
 
-/* Pattern: a morning of long prompts (7,000 tokens, 70 ms each on the middle model) on a few
-   engines. Counting requests sends two long ones after each other to the engine that has the
-   fewest; predicted work spreads them. Grounds: 0.01 ms a token, of the engines' sheet. */
+/* Long prompts (7,000 tokens, 70 ms each on the middle model) on a few engines. By the number of
+ * requests, two long ones would be sent one after the other to the engine that has the fewest;
+ * predicted work must spread them. The engines' data sheet gives 0.01 ms per token. */
 static void
 test_spreads_long_prompts (void)
 {
   PickQuery query = query_of ("v1");
   unsigned most = 0;
 
-  begin ();
+  setup ();
   for (unsigned i = 0; i < 4; i++)
     add (&"aaaa"[i], "here", "v1");
   for (unsigned i = 0; i < 16; i++)
@@ -115,16 +115,16 @@
 }
 
 static void
-test_cached_prompt (void)
+test_prefers_cached_prompt (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("near", "here", "v1");
   add ("far", "there", "v1");
   front_prompts_sent (&front_servers_find (servers, "far")->prompts, &call, 1, NOW);
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "far");
-  /* Another model's cache is of no use, nor an old one, nor a part without those before it. */
+  /* Another model's cache doesn't count, nor an old one, nor a part without those before it. */
   query.model = 2;
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "near");
   query.model = 1;
@@ -133,9 +133,9 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "near");
 }
 
-/* Pattern: 17 fronts of a failure domain get requests about the same 131 contracts, each prompt
-   with 4,870 tokens of the contract. Each front knows only its own requests; if each picks by these
-   alone, every engine reads every contract. Grounds: the sheet of the grown site. */
+/* 17 fronts of a failure domain get requests about the same 131 contracts, each prompt with 4,870
+ * tokens of the contract (by the data sheet of the enlarged site). Each front knows only its own
+ * requests; if each chose by these alone, every engine would read every contract. */
 static void
 test_fronts_agree_on_shared_prompts (void)
 {
@@ -143,14 +143,14 @@
   const char *ids[] = { "a", "bb", "ccc", "dddd", "eeeee" };
   unsigned agreed = 0, most = 0, load[6] = { 0 };
 
-  query.home_tokens = 5000;
+  query.affinity_tokens = 5000;
   for (unsigned contract = 0; contract < 100; contract++)
     {
       char first[SERVER_TEXT_MAX] = "";
 
       for (unsigned front = 0; front < 3; front++)
         {
-          begin ();
+          setup ();
           for (unsigned i = 0; i < 5; i++)
             add (ids[(i + front) % 5], "here", "v1");
           call.parts[0].id = 1000 + contract;
@@ -164,39 +164,39 @@
     }
   CU_ASSERT_EQUAL (agreed, 300);
   CU_ASSERT (most < 35);
-  /* A home that is busier than the reading costs is left for another. */
+  /* If more work is queued at the affinity server than the reading costs, another one is chosen. */
   front_servers_find (servers, picked (&query, NOW))->pending_ms = 100;
   CU_ASSERT (front_pick (servers, &query, NOW).server->pending_ms < 1);
 }
 
-/* Pattern: 588 contracts, each asked for once in nine seconds over all failure domains: no server
-   keeps one until the next request. Taken to be kept at its home, each prompt would be read there
-   behind others, on servers that all fronts choose, and predicted too fast by its 4,870 tokens. */
+/* 588 contracts, each requested once in nine seconds over all failure domains: no server keeps one
+ * cached until the next request. If they were assumed to be cached at an affinity server, each
+ * prompt would be read there behind others, at servers that all fronts choose, and its predicted
+ * time would be too short by its 4,870 tokens. */
 static void
-test_rare_prompts_have_no_home (void)
+test_rare_prompts_have_no_affinity (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   add ("bb", "here", "v1");
-  query.home_tokens = 5000;
+  query.affinity_tokens = 5000;
   front_servers_find (servers, picked (&query, NOW))->pending_ms = 20;
   CU_ASSERT (front_pick (servers, &query, NOW).server->pending_ms > 1);
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 2000);
-  query.home_tokens = 0;
+  query.affinity_tokens = 0;
   CU_ASSERT (front_pick (servers, &query, NOW).server->pending_ms < 1);
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 7000);
 }
 
-/* What callers ask for tells how often a shared part is wanted; the last part is one caller's own.
- */
+/* Callers' requests show how often a shared part is wanted; the last part is one caller's own. */
 static void
-test_asked_prompts (void)
+test_requested_prompts_expire (void)
 {
   FrontPrompts asked = { 0 };
 
-  begin ();
+  setup ();
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW, 6000), 0);
   front_prompts_asked (&asked, &call, 1, NOW);
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW + 6000, 6000), 5000);
@@ -207,15 +207,15 @@
   front_prompts_clear (&asked);
 }
 
-/* Story: an engine's health page is good while it fails two of five requests. Its fast failures
-   make it look idle, so it draws ever more of the work. */
+/* An engine's health page is good while it fails two of five requests. Its fast failures make it
+ * look idle, so that it would attract more and more of the work. */
 static void
-test_failing_server (void)
+test_avoids_failing_server (void)
 {
   PickQuery query = query_of ("v1");
   FrontHealth *health;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   add ("bb", "here", "v1");
   health = &front_servers_find (servers, "a")->health;
@@ -230,18 +230,18 @@
   CU_ASSERT (front_health_penalty_ms (health, NOW + 20000) < 100);
 }
 
-/* Load: eight long prompts of other fronts are read at the near server within a second, and six of
-   our answers begin 110 ms later than predicted; the far server is idle. What waited there is read
-   by the next request, so it stays near: bytes between failure domains are dear. A near server that
-   has turned slow, with answers late by two seconds, is left. */
+/* Eight long prompts of other fronts are read at the server of our failure domain within a second,
+ * and six of our answers begin 110 ms later than predicted; the server of the other domain is idle.
+ * That queue is gone by the next request, which must stay in the domain, as traffic between domains
+ * is expensive. A server that has become slow, with answers two seconds late, must be left. */
 static void
-test_late_by_others_or_slow (void)
+test_tolerates_short_lag_not_slow_server (void)
 {
   PickQuery query = query_of ("v1");
   FrontHealth *health;
 
-  begin ();
-  query.home_tokens = 5000;
+  setup ();
+  query.affinity_tokens = 5000;
   add ("a", "here", "v1");
   add ("bb", "there", "v1");
   health = &front_servers_find (servers, "a")->health;
@@ -253,13 +253,13 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "bb");
 }
 
-/* Pattern: 50 fronts of a failure domain each see a fiftieth of what its 27 servers get, so that at
-   any moment some near server seems to have 20 ms more to do than one elsewhere. With 10 ms for the
-   way, 40% of short questions left their failure domain, for callers who wait two seconds. Grounds:
-   a part of 0.02 of the 2,000 and 3,000 ms that the users' callers of model engines are ready to
-   wait; those of plain services, 150 ms, gain by a server that is 15 ms faster. */
+/* Each of 50 fronts of a failure domain sees a fiftieth of what its 27 servers get, so that at any
+ * moment some of them seems to have 20 ms more queued than one elsewhere. With a cost of 10 ms for
+ * other domains, 40% of short questions left their domain, for callers who wait two seconds. The
+ * cost is 0.02 of the 2,000 and 3,000 ms that callers of model engines are ready to wait; callers
+ * of plain services, at 150 ms, gain by a server that is 15 ms faster. */
 static void
-test_far_only_if_the_caller_gains (void)
+test_crosses_domains_only_for_gain (void)
 {
   static const struct
   {
@@ -275,7 +275,7 @@
     {
       PickQuery query = query_of ("v1");
 
-      begin ();
+      setup ();
       call.part_count = 0;
       query.objective_ms = loads[i].objective_ms;
       add ("far", "there", "v1");
@@ -286,12 +286,12 @@
 }
 
 static void
-test_unreachable_server (void)
+test_unreachable_server_backs_off (void)
 {
   PickQuery query = query_of ("v1");
   FrontHealth *health;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   health = &front_servers_find (servers, "a")->health;
   front_health_unreachable (health, NOW);
@@ -299,18 +299,18 @@
   CU_ASSERT (!front_health_avoided (health, NOW + 900));
   front_health_unreachable (health, NOW + 900);
   CU_ASSERT (front_health_avoided (health, NOW + 900 + 1500));
-  /* Avoided is not forbidden: with no other server it is tried. */
+  /* An avoided server is not excluded: it is tried if there is no other. */
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "a");
   add ("bb", "there", "v1");
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 1000), "bb");
 }
 
 static void
-test_versions_and_tried (void)
+test_filters_by_version_and_tried (void)
 {
   PickQuery query = query_of ("v2");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
   add ("bb", "there", "v2");
@@ -319,8 +319,8 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
 }
 
-/* Story: an engine says that it drains; an older heartbeat of it arrives later and it gets new
-   work, which its end cuts off. */
+/* An engine reports that it drains, and an older heartbeat of it arrives later. It must get no new
+ * work, which its end would cut off. */
 static void
 test_draining_is_final (void)
 {
@@ -328,7 +328,7 @@
   ServerEntry entry = entry_of ("a", "here", "v1");
   bool changed;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   entry.draining = true;
   front_servers_set (servers, &entry, NOW, &changed);
@@ -338,35 +338,37 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW), "none");
 }
 
-/* Story: the store is away for seconds, entries of living engines lapse and are back within two
-   seconds of its return. Taken as gone at once, a whole service has no engine left. */
+/* The store is unavailable for seconds; entries of live engines expire and are back within two
+ * seconds of its return. If they were removed at once, a whole service would have no engine
+ * left. */
 static void
-test_lapsed_entries (void)
+test_lapsed_entries_have_grace (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   front_servers_remove (servers, "a", NOW, 2200);
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "a");
   add ("bb", "there", "v1");
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "bb");
-  front_servers_sweep (servers, NOW + 2199);
+  front_servers_expire (servers, NOW + 2199);
   CU_ASSERT_PTR_NOT_NULL (front_servers_find (servers, "a"));
-  front_servers_sweep (servers, NOW + 2200);
+  front_servers_expire (servers, NOW + 2200);
   CU_ASSERT_PTR_NULL (front_servers_find (servers, "a"));
   front_servers_remove (servers, "bb", NOW, 0);
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "none");
 }
 
-/* Failure: a failure domain is evacuated in a burst, and its idle servers draw all requests since
-   those of the other one are loaded, full or failing; or the home of a hot prompt stays there. */
+/* A failure domain is evacuated in a burst. Its idle servers must not attract requests because
+ * those of the other domain are loaded, full or failing, nor as affinity servers of a popular
+ * prompt. */
 static void
-test_domain_evacuated_in_a_burst (void)
+test_evacuated_domain_gets_nothing (void)
 {
   PickQuery query = query_of ("v1");
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   add ("bb", "here", "v1");
   add ("ccc", "there", "v1");
@@ -392,53 +394,56 @@
 }
 
 #define DOMAIN_FRONTS 17
-#define DOMAIN_COLD   15
-#define PLAYED_MS     3000
+#define COLD_SERVERS  15
+#define SIMULATED_MS  3000
 #define SECOND_MS     1000
 
-/* One front's own view of a failure domain that has come back cold, beside one that is warm. */
+/* One front's table of a failure domain that has restarted cold, and of another one that is
+ * warm. */
 static FrontServers *
-view_of_cold_domain (void)
+servers_with_cold_domain (void)
 {
-  FrontServers *view = front_servers_new ("here");
+  FrontServers *servers_seen = front_servers_new ("here");
   bool changed;
 
-  for (unsigned i = 0; i < 2 * DOMAIN_COLD; i++)
+  for (unsigned i = 0; i < 2 * COLD_SERVERS; i++)
     {
       char id[SERVER_TEXT_MAX];
       ServerEntry entry;
 
-      snprintf (id, sizeof id, "%c%02u", i < DOMAIN_COLD ? 'c' : 'w', i);
-      entry = entry_of (id, i < DOMAIN_COLD ? "here" : "there", "v1");
-      entry.cold_ms = i < DOMAIN_COLD ? PLAYED_MS : 0;
-      front_servers_set (view, &entry, NOW, &changed);
+      snprintf (id, sizeof id, "%c%02u", i < COLD_SERVERS ? 'c' : 'w', i);
+      entry = entry_of (id, i < COLD_SERVERS ? "here" : "there", "v1");
+      entry.cold_ms = i < COLD_SERVERS ? SIMULATED_MS : 0;
+      front_servers_set (servers_seen, &entry, NOW, &changed);
     }
-  return view;
+  return servers_seen;
 }
 
-/* Failure: a domain comes back cold beside a hot prompt and a burst. Its idle servers, and the home
-   of the prompt first, draw all requests of all fronts at once, and crash again. */
+/* A failure domain restarts cold during a burst with a popular prompt. Its idle servers, and the
+ * affinity server first, must not attract all requests of all fronts at once, or they crash
+ * again. */
 static void
-test_domain_back_cold_beside_a_hot_prompt (void)
+test_cold_domain_rate_is_limited (void)
 {
   static FrontServers *views[DOMAIN_FRONTS];
-  static unsigned arrivals[2 * DOMAIN_COLD][PLAYED_MS];
+  static unsigned arrivals[2 * COLD_SERVERS][SIMULATED_MS];
   PickQuery query = query_of ("v1");
   unsigned cold = 0, refused = 0;
 
-  begin ();
-  query.home_tokens = 5000;
+  setup ();
+  query.affinity_tokens = 5000;
   for (unsigned i = 0; i < DOMAIN_FRONTS; i++)
-    views[i] = view_of_cold_domain ();
-  for (unsigned ms = 0; ms < PLAYED_MS; ms++)
+    views[i] = servers_with_cold_domain ();
+  for (unsigned ms = 0; ms < SIMULATED_MS; ms++)
     {
-      unsigned front = ms % DOMAIN_FRONTS; /* 1,000 requests a second */
+      unsigned front = ms % DOMAIN_FRONTS; /* 1,000 requests per second */
       PickAnswer answer;
       unsigned number;
 
-      query.cold = (ColdRule){ .most_per_s = 32, .start_ms = PLAYED_MS };
+      query.cold = (ColdRule){ .max_per_s = 32, .start_ms = SIMULATED_MS };
       query.cold.self = front + 1;
-      cold_rule_count (&query.cold, &(ColdView){ .neighbours = DOMAIN_FRONTS, .fronts = 66 });
+      cold_rule_set_fronts (&query.cold,
+                            &(ColdView){ .domain_fronts = DOMAIN_FRONTS, .fronts = 66 });
       answer = front_pick (views[front], &query, NOW + ms);
       refused += answer.server == NULL;
       if (!answer.server)
@@ -446,33 +451,33 @@
       number = (unsigned)strtoul (answer.server->entry.id + 1, NULL, 10);
       cold_sent (&answer.server->cold_sends, NOW + ms);
       cold_connected (&answer.server->cold_sends, NOW + ms, NOW + ms);
-      answer.server->pending_ms += number < DOMAIN_COLD ? 0 : answer.prompt_ms;
+      answer.server->pending_ms += number < COLD_SERVERS ? 0 : answer.prompt_ms;
       arrivals[number][ms]++;
-      cold += number < DOMAIN_COLD;
+      cold += number < COLD_SERVERS;
     }
-  for (unsigned i = 0; i < DOMAIN_COLD; i++)
+  for (unsigned i = 0; i < COLD_SERVERS; i++)
     {
       unsigned in_second = 0;
 
-      for (unsigned ms = 0; ms < PLAYED_MS; ms++)
+      for (unsigned ms = 0; ms < SIMULATED_MS; ms++)
         {
           in_second += arrivals[i][ms];
           in_second -= ms >= SECOND_MS ? arrivals[i][ms - SECOND_MS] : 0;
           CU_ASSERT (in_second <= 32);
         }
     }
-  CU_ASSERT (cold > PLAYED_MS / 10); /* it takes over a part of its work meanwhile */
+  CU_ASSERT (cold > SIMULATED_MS / 10); /* the domain takes over a part of its work meanwhile */
   CU_ASSERT_EQUAL (refused, 0);
   for (unsigned i = 0; i < DOMAIN_FRONTS; i++)
     front_servers_free (views[i]);
 }
 
 static void
-test_removed_while_used (void)
+test_removed_server_lives_while_referenced (void)
 {
   FrontServer *server;
 
-  begin ();
+  setup ();
   add ("a", "here", "v1");
   server = front_servers_find (servers, "a");
   front_server_ref (server);
@@ -485,22 +490,22 @@
 }
 
 static const SuiteCase cases[] = {
-  { "near_first", test_near_first },
+  { "prefers_same_domain", test_prefers_same_domain },
   { "spreads_long_prompts", test_spreads_long_prompts },
-  { "cached_prompt", test_cached_prompt },
+  { "prefers_cached_prompt", test_prefers_cached_prompt },
   { "fronts_agree_on_shared_prompts", test_fronts_agree_on_shared_prompts },
-  { "rare_prompts_have_no_home", test_rare_prompts_have_no_home },
-  { "asked_prompts", test_asked_prompts },
-  { "failing_server", test_failing_server },
-  { "late_by_others_or_slow", test_late_by_others_or_slow },
-  { "far_only_if_the_caller_gains", test_far_only_if_the_caller_gains },
-  { "unreachable_server", test_unreachable_server },
-  { "versions_and_tried", test_versions_and_tried },
+  { "rare_prompts_have_no_affinity", test_rare_prompts_have_no_affinity },
+  { "requested_prompts_expire", test_requested_prompts_expire },
+  { "avoids_failing_server", test_avoids_failing_server },
+  { "tolerates_short_lag_not_slow_server", test_tolerates_short_lag_not_slow_server },
+  { "crosses_domains_only_for_gain", test_crosses_domains_only_for_gain },
+  { "unreachable_server_backs_off", test_unreachable_server_backs_off },
+  { "filters_by_version_and_tried", test_filters_by_version_and_tried },
   { "draining_is_final", test_draining_is_final },
-  { "lapsed_entries", test_lapsed_entries },
-  { "domain_evacuated_in_a_burst", test_domain_evacuated_in_a_burst },
-  { "domain_back_cold_beside_a_hot_prompt", test_domain_back_cold_beside_a_hot_prompt },
-  { "removed_while_used", test_removed_while_used },
+  { "lapsed_entries_have_grace", test_lapsed_entries_have_grace },
+  { "evacuated_domain_gets_nothing", test_evacuated_domain_gets_nothing },
+  { "cold_domain_rate_is_limited", test_cold_domain_rate_is_limited },
+  { "removed_server_lives_while_referenced", test_removed_server_lives_while_referenced },
 };
 
 int
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -1,4 +1,4 @@
-/** Reading that other fronts tell of: src/front_others.c, front_work_message.c, front_pick.c. */
+/** Load reported by other fronts: src/front_peer_load.c, front_work_message.c, front_pick.c. */
 #include "front_counter.h"
 #include "front_peers_private.h"
 #include "front_pick.h"
@@ -12,46 +12,46 @@
 #define NOW 100000
 
 static void
-test_reading_drains (void)
+test_pending_reading_drains (void)
 {
-  FrontOthers others = { 0 };
-
-  CU_ASSERT_EQUAL (front_others_read_ms (&others, NOW), 0);
-  front_others_add (&others, 300, 0, NOW);
-  front_others_add (&others, 200, 0, NOW + 100);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_read_ms (&others, NOW + 100), 400, 1e-9);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_read_ms (&others, NOW + 450), 50, 1e-9);
-  CU_ASSERT_EQUAL (front_others_read_ms (&others, NOW + 1000), 0);
-  front_others_add (&others, 10, 0, NOW + 1000);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_read_ms (&others, NOW + 1000), 10, 1e-9);
+  FrontPeerLoad peer_load = { 0 };
+
+  CU_ASSERT_EQUAL (front_peer_load_read_ms (&peer_load, NOW), 0);
+  front_peer_load_add (&peer_load, 300, 0, NOW);
+  front_peer_load_add (&peer_load, 200, 0, NOW + 100);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 100), 400, 1e-9);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 450), 50, 1e-9);
+  CU_ASSERT_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 1000), 0);
+  front_peer_load_add (&peer_load, 10, 0, NOW + 1000);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_read_ms (&peer_load, NOW + 1000), 10, 1e-9);
 }
 
-/* A front that died told of its requests and never of their end. */
+/* A front that died has reported its requests, but never their end. */
 static void
-test_running_fades (void)
+test_running_requests_decay (void)
 {
-  FrontOthers others = { 0 };
+  FrontPeerLoad peer_load = { 0 };
 
-  front_others_add (&others, 0, 8, NOW);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_running (&others, NOW), 8, 1e-9);
-  CU_ASSERT_DOUBLE_EQUAL (front_others_running (&others, NOW + 2000), 4, 1e-9);
-  CU_ASSERT (front_others_running (&others, NOW + 20000) < 0.01);
+  front_peer_load_add (&peer_load, 0, 8, NOW);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_running (&peer_load, NOW), 8, 1e-9);
+  CU_ASSERT_DOUBLE_EQUAL (front_peer_load_running (&peer_load, NOW + 2000), 4, 1e-9);
+  CU_ASSERT (front_peer_load_running (&peer_load, NOW + 20000) < 0.01);
 }
 
-/* Nonsense adds nothing, and a huge figure no more than any server can have in front of it. */
+/* Invalid values add nothing, and a huge one no more than any server can have queued. */
 static void
-test_bounds (void)
+test_invalid_load_is_clamped (void)
 {
   static const double odd[] = { -1, 0, NAN, -INFINITY };
-  FrontOthers others = { 0 };
+  FrontPeerLoad peer_load = { 0 };
 
   for (size_t i = 0; i < SUITE_COUNT (odd); i++)
-    front_others_add (&others, odd[i], odd[i], NOW);
-  CU_ASSERT_EQUAL (front_others_read_ms (&others, NOW), 0);
-  CU_ASSERT_EQUAL (front_others_running (&others, NOW), 0);
-  front_others_add (&others, 4e9, 4e9, NOW);
-  CU_ASSERT (front_others_read_ms (&others, NOW) <= 10000);
-  CU_ASSERT (front_others_running (&others, NOW) <= 1000);
+    front_peer_load_add (&peer_load, odd[i], odd[i], NOW);
+  CU_ASSERT_EQUAL (front_peer_load_read_ms (&peer_load, NOW), 0);
+  CU_ASSERT_EQUAL (front_peer_load_running (&peer_load, NOW), 0);
+  front_peer_load_add (&peer_load, 4e9, 4e9, NOW);
+  CU_ASSERT (front_peer_load_read_ms (&peer_load, NOW) <= 10000);
+  CU_ASSERT (front_peer_load_running (&peer_load, NOW) <= 1000);
 }
 
 static void
@@ -71,19 +71,19 @@
   CU_ASSERT_EQUAL (read.notes[1].running, 5);
   for (size_t i = 0; i < len; i++)
     CU_ASSERT (!work_message_decode (&read, data, i));
-  data[15] = WORK_NOTES_MAX + 1; /* the count's last byte */
+  data[15] = WORK_NOTES_MAX + 1; /* last byte of the count */
   CU_ASSERT (!work_message_decode (&read, data, len));
   message.count = WORK_NOTES_MAX;
   CU_ASSERT (work_message_encode (&message, data, sizeof data) <= WORK_MESSAGE_MAX);
 }
 
-/* What callers would see: streams that stand still for two seconds. Two fronts get a prompt of
- * 20,000 tokens for the largest model within 50 ms; each knows only its own work and sends it to
- * the server that both like best, where one is read behind the other. Told of the first, the second
- * front takes the next server; once the first prompt is read, the best one again. A front that is
- * cut off from this news decides as it would alone. */
+/* Two fronts get a prompt of 20,000 tokens for the largest model within 50 ms. If each knew only
+ * its own work, both would send it to the same server, where one is read behind the other, and
+ * callers would see streams that stall for two seconds. With a report of the first, the second
+ * front must take the next server; once the first prompt is read, the best one again. A front that
+ * gets no reports decides as it would alone. */
 static void
-test_two_long_prompts (void)
+test_second_long_prompt_goes_elsewhere (void)
 {
   FrontServers *servers = front_servers_new ("here");
   static const char *const ids[] = { "near", "beside" };
@@ -109,17 +109,17 @@
     }
   first = front_pick (servers, &query, NOW).server;
   CU_ASSERT_STRING_EQUAL (first->entry.id, "near");
-  front_others_add (&first->others, 600, 0, NOW);
+  front_peer_load_add (&first->peer_load, 600, 0, NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW + 50).server->entry.id, "beside");
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW + 595).server->entry.id, "near");
   front_servers_free (servers);
 }
 
-/* The largest model's streams slow down all tokens of their server: another front has ten of them
- * at the server that we like best, none at the next one. Without the share of the model ten streams
- * of the smallest would weigh the same. */
+/* The largest model's streams slow down all tokens of their server. Another front has ten of them
+ * at our preferred server and none at the next one. Without the weight of the model, ten streams of
+ * the smallest would count the same. */
 static void
-test_streams_of_the_largest_model (void)
+test_running_requests_weighted_by_model (void)
 {
   FrontServers *servers = front_servers_new ("here");
   ReadTime small = front_speeds_prior (0, 3), large = front_speeds_prior (2, 3);
@@ -138,9 +138,9 @@
       CU_ASSERT (front_servers_set (servers, &entry, NOW, &changed));
     }
   near = front_servers_find (servers, "s0");
-  front_others_add (&near->others, 0, 10 * front_speeds_share (&small), NOW);
+  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_share (&small), NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW).server->entry.id, "s0");
-  front_others_add (&near->others, 0, 10 * front_speeds_share (&large), NOW);
+  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_share (&large), NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW).server->entry.id, "s1");
   front_servers_free (servers);
 }
@@ -162,17 +162,18 @@
   return count;
 }
 
-/* Load: the target's largest site, 60 fronts in a failure domain, each with 28 requests a second
- * for ten seconds to 24 servers. Bytes for notes stay at 8,000 a second, and what couldn't be told
- * at once is told later: at each server but for its last second all reading was told. */
+/* Load: the largest planned site, 60 fronts in a failure domain, each with 28 requests per second
+ * for ten seconds to 24 servers. Bytes for reports must stay at 8,000 per second, and what couldn't
+ * be reported at once must be reported later: at each server all reading but that of its last
+ * second. */
 static void
-test_bytes_are_bounded (void)
+test_message_rate_is_bounded (void)
 {
   enum
   {
     SERVERS = 24,
     SECONDS = 10,
-    REQUESTS_A_S = 28,
+    REQUESTS_PER_S = 28,
     READ_MS = 60,
     MESSAGE_BYTES = 60,
   };
@@ -181,7 +182,7 @@
   FrontPeers *peers = memory_alloc (sizeof *peers);
   FrontServer *servers = memory_alloc (SERVERS * sizeof *servers);
   uint64_t before = messages_sent (), bytes;
-  double told = 0, untold = 0;
+  double reported = 0, unreported = 0;
 
   peers->front = &front;
   peers->fd = -1;
@@ -189,19 +190,19 @@
   peers->count = 60;
   for (unsigned i = 0; i < peers->count; i++)
     peers->list[i] = (Peer){ .heard_ms = NOW, .alive_ms = 60000, .domain = 1 };
-  for (unsigned i = 0; i < SECONDS * REQUESTS_A_S; i++)
+  for (unsigned i = 0; i < SECONDS * REQUESTS_PER_S; i++)
     {
       FrontServer *server = &servers[i % SERVERS];
 
-      front_peers_tell_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_A_S);
+      front_peers_tell_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_PER_S);
     }
   for (unsigned i = 0; i < SERVERS; i++)
-    untold += servers[i].untold_ms;
-  told = SECONDS * REQUESTS_A_S * READ_MS - untold;
+    unreported += servers[i].unreported_ms;
+  reported = SECONDS * REQUESTS_PER_S * READ_MS - unreported;
   bytes = (messages_sent () - before) * MESSAGE_BYTES;
   CU_ASSERT (bytes > 0);
   CU_ASSERT (bytes <= 8000 * (SECONDS + 1) + 24 * MESSAGE_BYTES);
-  CU_ASSERT (told > 0.5 * SECONDS * REQUESTS_A_S * READ_MS);
+  CU_ASSERT (reported > 0.5 * SECONDS * REQUESTS_PER_S * READ_MS);
   free (servers);
   free (peers);
   front_rollouts_free (front.rollouts);
@@ -209,13 +210,13 @@
 }
 
 static const SuiteCase cases[] = {
-  { "reading_drains", test_reading_drains },
-  { "running_fades", test_running_fades },
-  { "bounds", test_bounds },
+  { "pending_reading_drains", test_pending_reading_drains },
+  { "running_requests_decay", test_running_requests_decay },
+  { "invalid_load_is_clamped", test_invalid_load_is_clamped },
   { "message", test_message },
-  { "two_long_prompts", test_two_long_prompts },
-  { "streams_of_the_largest_model", test_streams_of_the_largest_model },
-  { "bytes_are_bounded", test_bytes_are_bounded },
+  { "second_long_prompt_goes_elsewhere", test_second_long_prompt_goes_elsewhere },
+  { "running_requests_weighted_by_model", test_running_requests_weighted_by_model },
+  { "message_rate_is_bounded", test_message_rate_is_bounded },
 };
 
 int
