--- a/src/front_start.c
+++ b/src/front_bootstrap.c
@@ -1,4 +1,4 @@
-#include "front_start.h"
+#include "front_bootstrap.h"
 
 /* Milliseconds, since the start of the process. */
 /* The store answers within 10; if it is silent, the other fronts are all that can be asked. */
--- a/src/front_start.h
+++ b/src/front_bootstrap.h
@@ -3,8 +3,8 @@
  * another front of the own failure domain asks that one: 300 fronts that start at one moment, or
  * come back at one moment, make some 40 calls for each table and not 300 and more. No I/O.
  */
-#ifndef FRONT_START_H
-#define FRONT_START_H
+#ifndef FRONT_BOOTSTRAP_H
+#define FRONT_BOOTSTRAP_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/front_pack.c
+++ b/src/front_compress.c
@@ -1,4 +1,4 @@
-#include "front_pack.h"
+#include "front_compress.h"
 #include <stdint.h>
 #include <stdlib.h>
 #include <zlib.h>
--- a/src/front_pack.h
+++ b/src/front_compress.h
@@ -3,8 +3,8 @@
  * to 9 KB in half a millisecond: 25 neighbours that start at one moment get it over a link of 20
  * Mbit/s in 0.1 s, not in 1.6 s.
  */
-#ifndef FRONT_PACK_H
-#define FRONT_PACK_H
+#ifndef FRONT_COMPRESS_H
+#define FRONT_COMPRESS_H
 
 #include "util_buffer.h"
 #include <stdbool.h>
--- a/src/front_control.c
+++ b/src/front_control.c
@@ -1,7 +1,7 @@
 #include "front_control.h"
+#include "front_compress.h"
 #include "front_counter.h"
 #include "front_log.h"
-#include "front_pack.h"
 #include "front_peers.h"
 #include "front_socket.h"
 #include "front_store.h"
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -94,7 +94,7 @@
 /* True while a roll-out runs, whose evidence is told more often. */
 bool peers_has_rollout (const FrontPeers *peers);
 
-/* front_peers_take.c: what another front has told. */
+/* front_peers_receive.c: what another front has told. */
 void peers_take_message (FrontPeers *peers, Peer *peer, const PeerMessage *message, int64_t now_ms);
 
 /* front_peers_work.c: false if the bytes are no note of work. */
@@ -102,7 +102,7 @@
 
 #define PEERS_A_ROUND 16 /* that are told at once, at most */
 
-/* front_peers_tell.c: whom to tell in this round: the collectors of the own failure domain, other
+/* front_peers_send.c: whom to tell in this round: the collectors of the own failure domain, other
  * living peers in turn, and now and then those that don't answer. Returns their number. */
 unsigned peers_choose (FrontPeers *peers, Peer **chosen, int64_t now_ms);
 /* Adds our own failure domain's sum, and some of the others in turn. */
--- a/src/front_starts.c
+++ b/src/front_server_starts.c
@@ -1,4 +1,4 @@
-#include "front_starts.h"
+#include "front_server_starts.h"
 #include "util_id.h"
 
 bool
--- a/src/front_starts.h
+++ b/src/front_server_starts.h
@@ -3,8 +3,8 @@
  * servers may be late, and an old report must not bring back a process that has ended. A fixed
  * table in which a newer id displaces an older one with the same slot. No I/O.
  */
-#ifndef FRONT_STARTS_H
-#define FRONT_STARTS_H
+#ifndef FRONT_SERVER_STARTS_H
+#define FRONT_SERVER_STARTS_H
 
 #include "front_server_entry.h"
 
--- a/src/front_servers.c
+++ b/src/front_servers.c
@@ -1,7 +1,7 @@
 #include "front_servers.h"
 #include "front_evacuations.h"
+#include "front_server_starts.h"
 #include "front_socket.h"
-#include "front_starts.h"
 #include "util_id.h"
 #include "util_memory.h"
 #include "util_span.h"
--- a/src/front_store_news.c
+++ b/src/front_store_news.c
@@ -1,5 +1,5 @@
 /* What fronts ask each other for rows, and give. */
-#include "front_pack.h"
+#include "front_compress.h"
 #include "front_store.h"
 #include "util_span.h"
 #include "wire_store.h"
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -88,7 +88,7 @@
 /* Reads the list of fronts again while nobody is known. */
 void store_list_tick (FrontStore *store, int64_t now_ms);
 
-/* front_store_aim.c: whom a question goes to. */
+/* front_store_source.c: whom a question goes to. */
 typedef enum
 {
   AIM_STORE,
--- a/src/front_store_aim.c
+++ b/src/front_store_source.c
@@ -1,6 +1,6 @@
 /* Whom a question for rows goes to: the store, or another front that passes them on. */
+#include "front_bootstrap.h"
 #include "front_peers.h"
-#include "front_start.h"
 #include "front_store_private.h"
 
 /* In a row, until the store is asked: several neighbours may have died at one moment. */
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -1,8 +1,8 @@
-/* Follows one table: whom it asks is decided in front_store_aim.c. */
+/* Follows one table: whom it asks is decided in front_store_source.c. */
+#include "front_bootstrap.h"
 #include "front_counter.h"
 #include "front_log.h"
 #include "front_peers.h"
-#include "front_start.h"
 #include "front_store_private.h"
 #include "util_clock.h"
 #include "util_id.h"
--- a/tests/test_front_start.c
+++ b/tests/test_front_bootstrap.c
@@ -1,7 +1,7 @@
-/** Who asks the store when many fronts start: src/front_start.c, front_peers_rank.c and the choice
- * of whom to tell, played in steps of 10 ms without a network. */
+/** Who asks the store when many fronts start: src/front_bootstrap.c, front_peers_rank.c and the
+ * choice of whom to tell, played in steps of 10 ms without a network. */
+#include "front_bootstrap.h"
 #include "front_peers_private.h"
-#include "front_start.h"
 #include "suite.h"
 #include "util_id.h"
 #include "util_memory.h"
@@ -472,5 +472,5 @@
 int
 main (int argc, char **argv)
 {
-  return suite_main (argc, argv, "front_start", cases, SUITE_COUNT (cases));
+  return suite_main (argc, argv, "front_bootstrap", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_front_pack.c
+++ b/tests/test_front_compress.c
@@ -1,7 +1,7 @@
-/** What fronts give each other, packed, and the row by which one registers: src/front_pack.c,
+/** What fronts give each other, packed, and the row by which one registers: src/front_compress.c,
  * front_store_news.c, front_member.c. */
+#include "front_compress.h"
 #include "front_member.h"
-#include "front_pack.h"
 #include "front_store.h"
 #include "suite.h"
 #include "util_memory.h"
@@ -195,5 +195,5 @@
 int
 main (int argc, char **argv)
 {
-  return suite_main (argc, argv, "front_pack", cases, SUITE_COUNT (cases));
+  return suite_main (argc, argv, "front_compress", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -1,4 +1,4 @@
-/** How news spreads among many fronts: src/front_peers_tell.c, front_peers_rank.c,
+/** How news spreads among many fronts: src/front_peers_send.c, front_peers_rank.c,
  * front_rollouts_judge.c, without a network. */
 #include "front_peers_private.h"
 #include "suite.h"
--- a/tests/test_front_aim.c
+++ b/tests/test_front_store_source.c
@@ -1,5 +1,5 @@
-/** Whom a question for rows goes to: src/front_store_aim.c and front_peers_rank.c, for all fronts
- * of a site at once, without a network. */
+/** Whom a question for rows goes to: src/front_store_source.c and front_peers_rank.c, for all
+ * fronts of a site at once, without a network. */
 #include "front_peers_private.h"
 #include "front_store_private.h"
 #include "suite.h"
@@ -293,5 +293,5 @@
 int
 main (int argc, char **argv)
 {
-  return suite_main (argc, argv, "front_aim", cases, SUITE_COUNT (cases));
+  return suite_main (argc, argv, "front_store_source", cases, SUITE_COUNT (cases));
 }
