--- a/src/front.c
+++ b/src/front.c
@@ -11,14 +11,14 @@
 front_open (Front *front, int64_t now_ms)
 {
   if (front->is_open || !front->listener
-      || (!front_is_ready (front) && now_ms - front->started_ms < FRONT_CLOSED_MS))
+      || (!front_is_ready (front) && now_ms - front->started_ms < FRONT_OPEN_DELAY_MS))
     return;
   front->is_open = true;
   evconnlistener_enable (front->listener);
 }
 
 uint32_t
-front_failure_domain (const char *name)
+front_failure_domain_hash (const char *name)
 {
   return (uint32_t)span_hash (span_of (name)) | 1;
 }
--- a/src/front.h
+++ b/src/front.h
@@ -54,14 +54,14 @@
 
 /** True if callers may be sent here: everything needed to serve them is known. */
 bool front_is_ready (const Front *front);
-/** Accepts callers' connections as soon as they can be served, or after FRONT_CLOSED_MS to refuse
- *  what can't be. Until then the system keeps them: after a loss of all VMs callers come back while
- *  the fronts still ask each other for the configuration, 0.02 to 0.6 s, and each one refused
+/** Accepts callers' connections as soon as they can be served, or after FRONT_OPEN_DELAY_MS to
+ * refuse what can't be. Until then the system keeps them: after a loss of all VMs callers come back
+ * while the fronts still ask each other for the configuration, 0.02 to 0.6 s, and each one refused
  *  meanwhile had to come back half a second later, for the last time that it tries. */
 void front_open (Front *front, int64_t now_ms);
 /** Half of the shortest time in which a caller gives up on a request that isn't read. */
-#define FRONT_CLOSED_MS 500
+#define FRONT_OPEN_DELAY_MS 500
 /** Hash of a failure domain's name, as fronts tell it each other; never 0. */
-uint32_t front_failure_domain (const char *name);
+uint32_t front_failure_domain_hash (const char *name);
 
 #endif
--- a/src/front_attempt.c
+++ b/src/front_attempt.c
@@ -35,7 +35,7 @@
 {
   FrontAttempt *attempt = user;
 
-  front_socket_read (bev, &attempt->reply);
+  front_socket_feed_reply (bev, &attempt->reply);
   if (attempt->reply.broken)
     attempt->owner->cut (attempt->user);
   else if (attempt->reply.status)
--- a/src/front_bootstrap.c
+++ b/src/front_bootstrap.c
@@ -13,19 +13,19 @@
 /* A front that has asked so many others in vain, and still later, asks the store. */
 #define FAILURES_MOST 6
 
-StartStep
-front_start_step (const StartView *view)
+BootstrapStep
+front_bootstrap_step (const BootstrapView *view)
 {
   bool list_is_due = view->list_known || view->list_lost || view->age_ms >= LIST_MS;
   int64_t patience_ms = view->has_registered || view->list_lost ? RETURN_MS : HEAR_MS;
 
   if (view->failures >= FAILURES_MOST && view->age_ms >= RETURN_MS)
-    return START_ASK_STORE;
+    return BOOTSTRAP_ASK_STORE;
   if (view->has_informed)
-    return START_ASK_INFORMED;
+    return BOOTSTRAP_ASK_INFORMED;
   if (!list_is_due)
-    return START_WAIT;
+    return BOOTSTRAP_WAIT;
   if (view->is_registered)
-    return START_ASK_STORE;
-  return view->age_ms < patience_ms ? START_WAIT : START_ASK_RANKED;
+    return BOOTSTRAP_ASK_STORE;
+  return view->age_ms < patience_ms ? BOOTSTRAP_WAIT : BOOTSTRAP_ASK_RANKED;
 }
--- a/src/front_bootstrap.h
+++ b/src/front_bootstrap.h
@@ -11,11 +11,11 @@
 
 typedef enum
 {
-  START_WAIT,         /**< somebody is to be heard of soon; decide again then */
-  START_ASK_INFORMED, /**< the front that has the rows, or is going to */
-  START_ASK_RANKED,   /**< by rank of the living, as when changes are asked for */
-  START_ASK_STORE,
-} StartStep;
+  BOOTSTRAP_WAIT,         /**< somebody is to be heard of soon; decide again then */
+  BOOTSTRAP_ASK_INFORMED, /**< the front that has the rows, or is going to */
+  BOOTSTRAP_ASK_RANKED,   /**< by rank of the living, as when changes are asked for */
+  BOOTSTRAP_ASK_STORE,
+} BootstrapStep;
 
 /** What a front knows while it lacks a table. */
 typedef struct
@@ -27,11 +27,11 @@
   bool has_registered; /**< other fronts of our failure domain are on it */
   bool has_informed;   /**< one of these, or one that told us that it has the rows, can be asked */
   unsigned failures;   /**< questions to other fronts that got no good answer, in a row */
-} StartView;
+} BootstrapView;
 
-StartStep front_start_step (const StartView *view);
+BootstrapStep front_bootstrap_step (const BootstrapView *view);
 
 /** Until a front that waits decides again. */
-#define START_LOOK_MS 20
+#define BOOTSTRAP_RETRY_MS 20
 
 #endif
--- a/src/front_channel.c
+++ b/src/front_channel.c
@@ -38,7 +38,7 @@
   int64_t begun_ms; /* when it began; 0: it hasn't */
   int64_t moved_ms; /* when bytes of it came last */
   size_t marked;    /* bytes that had come when the timer was set */
-  ChannelAnswer answer;
+  ChannelCallback answer;
   void *user;
 };
 
@@ -110,7 +110,7 @@
 {
   FrontChannel *channel = user;
 
-  front_socket_read (bev, &channel->reply);
+  front_socket_feed_reply (bev, &channel->reply);
   channel->moved_ms = clock_boot_ms ();
   if (channel->waiting && channel->begun_ms == 0)
     {
@@ -146,7 +146,7 @@
 FrontChannel *
 front_channel_new (struct event_base *base,
                    const struct sockaddr_in *address,
-                   ChannelAnswer answer,
+                   ChannelCallback answer,
                    void *user)
 {
   FrontChannel *channel = memory_alloc (sizeof *channel);
@@ -184,7 +184,7 @@
 }
 
 void
-front_channel_ask (FrontChannel *channel, const char *path, const Buffer *body, int timeout_ms)
+front_channel_request (FrontChannel *channel, const char *path, const Buffer *body, int timeout_ms)
 {
   bool is_new = !channel->bev;
   struct evbuffer *output;
@@ -213,7 +213,7 @@
 }
 
 void
-front_channel_aim (FrontChannel *channel, const struct sockaddr_in *address)
+front_channel_set_address (FrontChannel *channel, const struct sockaddr_in *address)
 {
   if (channel->address.sin_addr.s_addr == address->sin_addr.s_addr
       && channel->address.sin_port == address->sin_port)
@@ -224,13 +224,13 @@
 }
 
 void
-front_channel_connect_within (FrontChannel *channel, int ms)
+front_channel_set_connect_timeout (FrontChannel *channel, int ms)
 {
   channel->connect_ms = ms;
 }
 
 void
-front_channel_drop (FrontChannel *channel)
+front_channel_cancel (FrontChannel *channel)
 {
   channel->waiting = false;
   event_del (channel->timer);
@@ -238,7 +238,7 @@
 }
 
 bool
-front_channel_is_open (const FrontChannel *channel)
+front_channel_is_pending (const FrontChannel *channel)
 {
   return channel->waiting;
 }
--- a/src/front_channel.h
+++ b/src/front_channel.h
@@ -13,26 +13,26 @@
 typedef struct FrontChannel FrontChannel;
 
 /** status 0: no answer came; the question may have had its effect. text is valid in the call. */
-typedef void (*ChannelAnswer) (void *user, int status, const char *text, size_t len);
+typedef void (*ChannelCallback) (void *user, int status, const char *text, size_t len);
 
 FrontChannel *front_channel_new (struct event_base *base,
                                  const struct sockaddr_in *address,
-                                 ChannelAnswer answer,
+                                 ChannelCallback answer,
                                  void *user);
 void front_channel_free (FrontChannel *channel);
 /** Asks; no other question may be open. body NULL: a GET without one. The question fails if no
  *  answer begins within timeout_ms; one that has begun may take longer, as long as it moves, and
  *  fails if it is larger than any answer of the store. */
 void
-front_channel_ask (FrontChannel *channel, const char *path, const Buffer *body, int timeout_ms);
+front_channel_request (FrontChannel *channel, const char *path, const Buffer *body, int timeout_ms);
 /** The next question goes to this address. No question may be open. */
-void front_channel_aim (FrontChannel *channel, const struct sockaddr_in *address);
+void front_channel_set_address (FrontChannel *channel, const struct sockaddr_in *address);
 /** A new connection is given up after so many milliseconds; 0: only with the question. A VM without
  *  power doesn't refuse connections, and TCP tries again after a second only. */
-void front_channel_connect_within (FrontChannel *channel, int ms);
+void front_channel_set_connect_timeout (FrontChannel *channel, int ms);
 /** Forgets an open question; its answer will not come. */
-void front_channel_drop (FrontChannel *channel);
-bool front_channel_is_open (const FrontChannel *channel);
+void front_channel_cancel (FrontChannel *channel);
+bool front_channel_is_pending (const FrontChannel *channel);
 /** Bytes that have come of the answer to the last question, which failed or is open. */
 size_t front_channel_received (const FrontChannel *channel);
 /** True while the answer to the open question arrives. */
--- a/src/front_compress.c
+++ b/src/front_compress.c
@@ -6,7 +6,7 @@
 #define PIECE 16384 /* bytes unpacked at a time */
 
 bool
-front_pack (Buffer *text)
+front_compress (Buffer *text)
 {
   uLongf len = compressBound (text->len);
   Bytef *packed = malloc (len);
@@ -24,7 +24,7 @@
 }
 
 bool
-front_unpack (Buffer *out, const char *data, size_t len, size_t text_most)
+front_decompress (Buffer *out, const char *data, size_t len, size_t text_most)
 {
   z_stream stream = { .next_in = (Bytef *)(uintptr_t)data, .avail_in = (uInt)len };
   unsigned char piece[PIECE];
--- a/src/front_compress.h
+++ b/src/front_compress.h
@@ -10,11 +10,11 @@
 #include <stdbool.h>
 
 /** Replaces the text by its packed form; false if there is no memory for that. */
-bool front_pack (Buffer *text);
+bool front_compress (Buffer *text);
 /** Appends the text to out. False if the bytes are not whole or hold more than text_most. */
-bool front_unpack (Buffer *out, const char *data, size_t len, size_t text_most);
+bool front_decompress (Buffer *out, const char *data, size_t len, size_t text_most);
 
 /** Bytes of text that a front takes from another: a hundred times the rows of the largest site. */
-#define FRONT_PACK_TEXT_MOST ((size_t)64 << 20)
+#define FRONT_COMPRESS_TEXT_MAX ((size_t)64 << 20)
 
 #endif
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -192,7 +192,7 @@
 }
 
 bool
-front_conn_is_full (const FrontConn *conn)
+front_conn_output_is_full (const FrontConn *conn)
 {
   return evbuffer_get_length (bufferevent_get_output (conn->bev)) > OUTPUT_MOST;
 }
@@ -301,7 +301,7 @@
   HttpIntakeLimits limits = limits_now (front);
 
   conn->front = front;
-  front_socket_watch (fd, SILENT_MS);
+  front_socket_set_options (fd, SILENT_MS);
   conn->bev = bufferevent_socket_new (front->base, fd, BEV_OPT_CLOSE_ON_FREE);
   http_intake_init (&conn->intake, &limits);
   idle_begin (conn);
--- a/src/front_conn.h
+++ b/src/front_conn.h
@@ -22,7 +22,7 @@
 /** Ends the connection so that the answer can't be taken for a whole one. */
 void front_conn_abort (FrontConn *conn);
 /** True if the caller takes bytes more slowly than they come. */
-bool front_conn_is_full (const FrontConn *conn);
+bool front_conn_output_is_full (const FrontConn *conn);
 /** Time-outs of all connections, and the idle ones' end in a stop. */
 void front_conn_sweep (Front *front, int64_t now_ms);
 /** True if no answer waits to be sent; one whose request has ended may still be in a buffer. */
--- a/src/front_control.c
+++ b/src/front_control.c
@@ -113,7 +113,8 @@
     {
       buffer_clear (&given->text);
       *given = (Given){ .table = table, .since = since, .version = version, .text = given->text };
-      if (!front_store_give (store, table, since, &given->text) || !front_pack (&given->text))
+      if (!front_store_encode_rows (store, table, since, &given->text)
+          || !front_compress (&given->text))
         buffer_clear (&given->text);
     }
   if (given->text.len == 0)
@@ -170,8 +171,8 @@
 static bool
 is_due (const Question *question, int64_t now_ms)
 {
-  return front_store_has_news (question->control->front->store, question->table, question->since)
-         || now_ms - question->asked_ms >= FRONT_NEWS_WAIT_MS;
+  return front_store_has_changes (question->control->front->store, question->table, question->since)
+         || now_ms - question->asked_ms >= FRONT_LONG_POLL_MS;
 }
 
 void
@@ -194,9 +195,9 @@
   int64_t since;
   bool wait;
 
-  if (!front_store_news_parse (evhttp_request_get_uri (http), &table, &since, &wait))
+  if (!front_store_parse_news_path (evhttp_request_get_uri (http), &table, &since, &wait))
     reply (http, HTTP_NOTFOUND, NULL);
-  else if (wait && !front_store_has_news (control->front->store, table, since))
+  else if (wait && !front_store_has_changes (control->front->store, table, since))
     question_hold (control, http, table, since);
   else
     give (control, http, table, since);
@@ -210,7 +211,7 @@
   char host[INET_ADDRSTRLEN];
   struct evhttp *http;
 
-  if (!front_socket_address (text, &address))
+  if (!front_socket_parse_address (text, &address))
     return NULL;
   inet_ntop (AF_INET, &address.sin_addr, host, sizeof host);
   http = evhttp_new (front->base);
--- a/src/front_events.c
+++ b/src/front_events.c
@@ -44,7 +44,7 @@
 }
 
 void
-front_events_take (FrontEvents *events, Buffer *input, Buffer *output)
+front_events_forward (FrontEvents *events, Buffer *input, Buffer *output)
 {
   size_t taken = 0, len;
 
--- a/src/front_events.h
+++ b/src/front_events.h
@@ -19,6 +19,6 @@
 void front_events_init (FrontEvents *events);
 /** Moves whole events from input to output; those that were passed on already are dropped, as a
  *  resumed stream may repeat them. */
-void front_events_take (FrontEvents *events, Buffer *input, Buffer *output);
+void front_events_forward (FrontEvents *events, Buffer *input, Buffer *output);
 
 #endif
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -91,7 +91,7 @@
   front_store_tick (self->front.store, now_ms);
   front_peers_tick (self->front.peers, now_ms);
   front_budget_set_fronts (self->front.budget, front_peers_alive (self->front.peers, now_ms));
-  front_peers_count (self->front.peers, now_ms, &self->front.fronts);
+  front_peers_fill_cold_view (self->front.peers, now_ms, &self->front.fronts);
   front_control_tick (self->control, now_ms);
   settings_watch (self, now_ms);
   stop_check (self, now_ms);
@@ -165,7 +165,7 @@
 {
   struct sockaddr_in address;
 
-  if (!front_socket_address (self->front.settings.callers, &address))
+  if (!front_socket_parse_address (self->front.settings.callers, &address))
     return false;
   self->front.listener
       = evconnlistener_new_bind (self->front.base, on_accept, self,
@@ -204,7 +204,7 @@
   front->sessions
       = front_sessions_new ((int64_t)(settings->session_s * MS_PER_S) + SESSION_MORE_MS);
   front->rollouts
-      = front_rollouts_new (front->sessions, front_failure_domain (settings->failure_domain));
+      = front_rollouts_new (front->sessions, front_failure_domain_hash (settings->failure_domain));
   front->budget = front_budget_new (&(BudgetSettings){
       .share = settings->retry_share * RETRY_SHARE_USED,
       .extra = settings->retry_extra,
@@ -215,7 +215,7 @@
   if (!front->peers)
     return "peers";
   front->vm_hash = id_hash_string (settings->vm, 0);
-  front_peers_count (front->peers, front->started_ms, &front->fronts);
+  front_peers_fill_cold_view (front->peers, front->started_ms, &front->fronts);
   front->store = front_store_new (front);
   if (!front->store)
     return "store";
--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -130,13 +130,13 @@
       PeerMessage message;
       Peer *peer;
 
-      if (peers_take_work (peers, data, (size_t)len, clock_boot_ms ())
+      if (peers_receive_work (peers, data, (size_t)len, clock_boot_ms ())
           || !peer_message_decode (&message, data, (size_t)len)
           || message.incarnation == peers->front->incarnation)
         continue;
       peer = peer_add (peers, from.sin_addr.s_addr);
       if (peer)
-        peers_take_message (peers, peer, &message, clock_boot_ms ());
+        peers_receive_message (peers, peer, &message, clock_boot_ms ());
     }
 }
 
@@ -170,10 +170,10 @@
   if (now_ms - peers->beat_ms >= beat_ms)
     {
       peers->beat_ms = now_ms;
-      peers_tell (peers, now_ms);
+      peers_send_round (peers, now_ms);
     }
   for (unsigned i = 0; i < PEER_TABLES; i++)
-    peers_catch_up (peers, (StoreTable)i, now_ms);
+    peers_fetch_missing (peers, (StoreTable)i, now_ms);
 }
 
 FrontPeers *
@@ -189,13 +189,13 @@
   peers->own.sin_family = AF_INET;
   peers->own.sin_port = htons ((uint16_t)front->settings.peer_port);
   if (peers->fd < 0 || inet_pton (AF_INET, front->settings.ip, &ip) != 1
-      || !front_socket_address (front->settings.control, &control))
+      || !front_socket_parse_address (front->settings.control, &control))
     {
       free (peers);
       return NULL;
     }
   peers->own.sin_addr = ip;
-  peers->own_domain = front_failure_domain (front->settings.failure_domain);
+  peers->own_domain = front_failure_domain_hash (front->settings.failure_domain);
   peers->control_port = control.sin_port;
   if (bind (peers->fd, (struct sockaddr *)&peers->own, sizeof peers->own) != 0)
     {
--- a/src/front_peers_fetch.c
+++ b/src/front_peers_fetch.c
@@ -23,13 +23,13 @@
   fetch->done = true;
   /* The peer doesn't remember what was removed since our version. */
   fetch->needs_all = status == STATUS_UNAVAILABLE;
-  if (status != STATUS_GOOD || !front_store_unpack (text, len, &answer))
+  if (status != STATUS_GOOD || !front_store_decode_peer_answer (text, len, &answer))
     {
-      front_store_rows_failed (fetch->peers->front->store, fetch->table, &fetch->source,
-                               fetch->asked_ms, fetch->channel);
+      front_store_log_rows_failed (fetch->peers->front->store, fetch->table, &fetch->source,
+                                   fetch->asked_ms, fetch->channel);
       return;
     }
-  front_store_take (fetch->peers->front->store, fetch->table, fetch->since, &answer);
+  front_store_apply_peer_rows (fetch->peers->front->store, fetch->table, fetch->since, &answer);
   store_answer_clear (&answer);
 }
 
@@ -54,8 +54,8 @@
   *fetch = (Fetch){ .peers = peers, .table = table, .since = since, .source = source };
   fetch->asked_ms = clock_boot_ms ();
   fetch->channel = front_channel_new (peers->front->base, &source, on_fetched, fetch);
-  front_store_news_path (&path, table, since, false);
-  front_channel_ask (fetch->channel, path.data, NULL, FETCH_MS);
+  front_store_format_news_path (&path, table, since, false);
+  front_channel_request (fetch->channel, path.data, NULL, FETCH_MS);
   buffer_free (&path);
 }
 
@@ -99,7 +99,7 @@
 /* A peer that knows more for longer than the store takes to tell us: we are cut off from the store,
  * or our connection to it is silent. */
 void
-peers_catch_up (FrontPeers *peers, StoreTable table, int64_t now_ms)
+peers_fetch_missing (FrontPeers *peers, StoreTable table, int64_t now_ms)
 {
   const Peer *best = nearest_informed_peer (peers, table, now_ms);
 
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -80,9 +80,9 @@
 uint64_t peers_rank_hash (const struct sockaddr_in *address, uint64_t subject);
 /* It lives, in our failure domain. */
 bool peers_is_neighbour (const FrontPeers *peers, const Peer *peer, int64_t now_ms);
-void peers_collectors (FrontPeers *peers, int64_t now_ms, Collectors *out);
+void peers_find_collectors (FrontPeers *peers, int64_t now_ms, Collectors *out);
 /* Living fronts of our failure domain, ourselves included. */
-unsigned peers_neighbours (const FrontPeers *peers, int64_t now_ms);
+unsigned peers_neighbour_count (const FrontPeers *peers, int64_t now_ms);
 
 /* front_peers.c */
 bool peer_is_alive (const Peer *peer, int64_t now_ms);
@@ -95,30 +95,31 @@
 bool peers_has_rollout (const FrontPeers *peers);
 
 /* front_peers_receive.c: what another front has told. */
-void peers_take_message (FrontPeers *peers, Peer *peer, const PeerMessage *message, int64_t now_ms);
+void
+peers_receive_message (FrontPeers *peers, Peer *peer, const PeerMessage *message, int64_t now_ms);
 
 /* front_peers_work.c: false if the bytes are no note of work. */
-bool peers_take_work (FrontPeers *peers, const void *data, size_t len, int64_t now_ms);
+bool peers_receive_work (FrontPeers *peers, const void *data, size_t len, int64_t now_ms);
 
-#define PEERS_A_ROUND 16 /* that are told at once, at most */
+#define PEERS_PER_ROUND_MAX 16 /* that are told at once, at most */
 
 /* front_peers_send.c: whom to tell in this round: the collectors of the own failure domain, other
  * living peers in turn, and now and then those that don't answer. Returns their number. */
-unsigned peers_choose (FrontPeers *peers, Peer **chosen, int64_t now_ms);
+unsigned peers_choose_recipients (FrontPeers *peers, Peer **chosen, int64_t now_ms);
 /* Adds our own failure domain's sum, and some of the others in turn. */
-void peers_domains_fill (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out);
+void peers_fill_domains (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out);
 /* How many held sessions this round's message tells of, at most. */
-unsigned peers_sessions_most (const FrontPeers *peers);
+unsigned peers_sessions_max (const FrontPeers *peers);
 /* Leaves out of the message what doesn't fit; returns its bytes. */
 size_t peers_encode (PeerMessage *message, void *out, size_t size);
 /* Tells them how things stand here. */
-void peers_tell (FrontPeers *peers, int64_t now_ms);
+void peers_send_round (FrontPeers *peers, int64_t now_ms);
 /* True if a front that knows so many others is to be answered at once. */
-bool peers_is_newcomer (const FrontPeers *peers, const Peer *peer, uint32_t alive, int64_t now_ms);
+bool peers_is_starting (const FrontPeers *peers, const Peer *peer, uint32_t alive, int64_t now_ms);
 /* Answers a front that hardly knows anybody yet: tells of its own failure domain. */
-void peers_greet (FrontPeers *peers, Peer *peer, int64_t now_ms);
+void peers_answer_starting (FrontPeers *peers, Peer *peer, int64_t now_ms);
 
 /* front_peers_fetch.c: gets rows that others know and we don't. */
-void peers_catch_up (FrontPeers *peers, StoreTable table, int64_t now_ms);
+void peers_fetch_missing (FrontPeers *peers, StoreTable table, int64_t now_ms);
 
 #endif
--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -23,7 +23,7 @@
 }
 
 void
-front_peers_count (const FrontPeers *peers, int64_t now_ms, ColdView *view)
+front_peers_fill_cold_view (const FrontPeers *peers, int64_t now_ms, ColdView *view)
 {
   *view = (ColdView){ .neighbours = 1, .registered = peers->is_registered, .fronts = 1 };
   view->is_new
@@ -53,7 +53,7 @@
 }
 
 unsigned
-peers_neighbours (const FrontPeers *peers, int64_t now_ms)
+peers_neighbour_count (const FrontPeers *peers, int64_t now_ms)
 {
   unsigned count = 1;
 
@@ -81,7 +81,7 @@
 }
 
 void
-peers_collectors (FrontPeers *peers, int64_t now_ms, Collectors *out)
+peers_find_collectors (FrontPeers *peers, int64_t now_ms, Collectors *out)
 {
   Peer *best[COLLECTORS] = { 0 };
   uint64_t hashes[COLLECTORS] = { 0 };
@@ -133,7 +133,7 @@
 }
 
 bool
-front_peers_registers (const FrontPeers *peers, int64_t now_ms)
+front_peers_is_registrar (const FrontPeers *peers, int64_t now_ms)
 {
   return rank_near (peers, REGISTRAR_SUBJECT, now_ms) < REGISTRARS;
 }
@@ -187,7 +187,7 @@
 /* By failure domain and then within it: after a start a front knows its neighbours soon, but all of
  * 300 fronts only after many rounds, and ten of them acted where three were to. */
 bool
-front_peers_is_among (const FrontPeers *peers, uint64_t subject, unsigned few, int64_t now_ms)
+front_peers_is_selected (const FrontPeers *peers, uint64_t subject, unsigned few, int64_t now_ms)
 {
   unsigned before, part;
   unsigned domains = count_domains (peers, subject, now_ms, &before);
--- a/src/front_peers_receive.c
+++ b/src/front_peers_receive.c
@@ -58,7 +58,7 @@
 }
 
 void
-peers_take_message (FrontPeers *peers, Peer *peer, const PeerMessage *message, int64_t now_ms)
+peers_receive_message (FrontPeers *peers, Peer *peer, const PeerMessage *message, int64_t now_ms)
 {
   Front *front = peers->front;
 
@@ -83,6 +83,6 @@
     quarantine_add (front->quarantine, &message->deaths[i], now_ms);
   for (uint32_t i = 0; i < message->member_count; i++)
     take_member (peers, &message->members[i], now_ms);
-  if (peers_is_newcomer (peers, peer, message->alive, now_ms))
-    peers_greet (peers, peer, now_ms);
+  if (peers_is_starting (peers, peer, message->alive, now_ms))
+    peers_answer_starting (peers, peer, now_ms);
 }
--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -26,7 +26,8 @@
  * fronts, callers' requests included. */
 #define FAR_A_DOMAIN 12.0
 
-_Static_assert(NEAR_FANOUT + FAR_FANOUT + BOOT_FANOUT <= PEERS_A_ROUND, "all that are chosen fit");
+_Static_assert(NEAR_FANOUT + FAR_FANOUT + BOOT_FANOUT <= PEERS_PER_ROUND_MAX,
+               "all that are chosen fit");
 
 static void
 member_add (PeerMessage *message, const Peer *peer, int64_t now_ms)
@@ -71,7 +72,7 @@
 }
 
 void
-peers_domains_fill (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out)
+peers_fill_domains (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out)
 {
   unsigned others = 0;
 
@@ -89,7 +90,7 @@
 }
 
 unsigned
-peers_sessions_most (const FrontPeers *peers)
+peers_sessions_max (const FrontPeers *peers)
 {
   return peers->is_sessions_turn ? PEER_SESSIONS_MAX : SESSIONS_BESIDE_MEMBERS;
 }
@@ -107,9 +108,9 @@
   out->old_busy_age_ms
       = rollout->old_busy_ms == 0 ? PEER_NEVER : (uint32_t)(now_ms - rollout->old_busy_ms);
   out->evidence = rollout->evidence;
-  peers_domains_fill (peers, rollout, out);
+  peers_fill_domains (peers, rollout, out);
   out->session_count = front_rollouts_held_sessions (front->rollouts, rollout, out->sessions,
-                                                     peers_sessions_most (peers), now_ms);
+                                                     peers_sessions_max (peers), now_ms);
 }
 
 static void
@@ -146,7 +147,7 @@
 static unsigned
 far_quota (FrontPeers *peers, bool is_collector, int64_t now_ms)
 {
-  double share = FAR_A_DOMAIN / peers_neighbours (peers, now_ms);
+  double share = FAR_A_DOMAIN / peers_neighbour_count (peers, now_ms);
   unsigned quota;
 
   if (is_collector || share >= FAR_FANOUT)
@@ -186,14 +187,14 @@
 }
 
 unsigned
-peers_choose (FrontPeers *peers, Peer **chosen, int64_t now_ms)
+peers_choose_recipients (FrontPeers *peers, Peer **chosen, int64_t now_ms)
 {
   Collectors collectors;
   bool is_alone = front_peers_alive (peers, now_ms) == 1;
   Quota quota = { .boot = BOOT_FANOUT, .probe_ms = is_alone ? PROBE_ALONE_MS : PROBE_MS };
   unsigned count = 0;
 
-  peers_collectors (peers, now_ms, &collectors);
+  peers_find_collectors (peers, now_ms, &collectors);
   quota.near = NEAR_FANOUT - collectors.count;
   quota.far = far_quota (peers, collectors.is_self, now_ms);
   for (unsigned i = 0; i < collectors.count; i++)
@@ -221,8 +222,8 @@
 static void
 tell_some (FrontPeers *peers, const unsigned char *data, size_t len, int64_t now_ms)
 {
-  Peer *chosen[PEERS_A_ROUND];
-  unsigned count = peers_choose (peers, chosen, now_ms);
+  Peer *chosen[PEERS_PER_ROUND_MAX];
+  unsigned count = peers_choose_recipients (peers, chosen, now_ms);
 
   for (unsigned i = 0; i < count; i++)
     tell_one (peers, chosen[i], data, len, now_ms);
@@ -298,7 +299,7 @@
 }
 
 void
-peers_tell (FrontPeers *peers, int64_t now_ms)
+peers_send_round (FrontPeers *peers, int64_t now_ms)
 {
   unsigned char data[PEER_MESSAGE_MAX];
   PeerMessage message;
@@ -311,7 +312,7 @@
 }
 
 bool
-peers_is_newcomer (const FrontPeers *peers, const Peer *peer, uint32_t alive, int64_t now_ms)
+peers_is_starting (const FrontPeers *peers, const Peer *peer, uint32_t alive, int64_t now_ms)
 {
   unsigned known = front_peers_alive (peers, now_ms) - 1;
 
@@ -322,7 +323,7 @@
  * as usual it would take them some ten seconds to hear of their neighbours, and all that time each
  * would take itself for the first of its failure domain and ask the store. */
 void
-peers_greet (FrontPeers *peers, Peer *peer, int64_t now_ms)
+peers_answer_starting (FrontPeers *peers, Peer *peer, int64_t now_ms)
 {
   unsigned char data[PEER_MESSAGE_MAX];
   PeerMessage message;
--- a/src/front_peers_source.c
+++ b/src/front_peers_source.c
@@ -58,10 +58,10 @@
 /* Only fronts that come before us are asked, so that no two ask each other, whatever each of them
  * knows. */
 bool
-front_peers_source (const FrontPeers *peers,
-                    uint64_t table,
-                    int64_t now_ms,
-                    struct sockaddr_in *address)
+front_peers_ranked_source (const FrontPeers *peers,
+                           uint64_t table,
+                           int64_t now_ms,
+                           struct sockaddr_in *address)
 {
   const Peer *best = NULL;
   uint64_t best_hash = 0;
@@ -122,10 +122,10 @@
 }
 
 bool
-front_peers_informed (const FrontPeers *peers,
-                      uint64_t table,
-                      int64_t now_ms,
-                      struct sockaddr_in *address)
+front_peers_informed_source (const FrontPeers *peers,
+                             uint64_t table,
+                             int64_t now_ms,
+                             struct sockaddr_in *address)
 {
   return pick_informed (peers, table, 0, now_ms, address);
 }
@@ -133,10 +133,10 @@
 /* Where only one other can be asked, both are to ask the store: the other may be cut off from it.
  */
 bool
-front_peers_informed_before (const FrontPeers *peers,
-                             uint64_t table,
-                             int64_t now_ms,
-                             struct sockaddr_in *address)
+front_peers_informed_source_before (const FrontPeers *peers,
+                                    uint64_t table,
+                                    int64_t now_ms,
+                                    struct sockaddr_in *address)
 {
   unsigned informed = 0;
 
@@ -147,7 +147,7 @@
 }
 
 void
-front_peers_failed (FrontPeers *peers, const struct sockaddr_in *address, int64_t now_ms)
+front_peers_mark_failed (FrontPeers *peers, const struct sockaddr_in *address, int64_t now_ms)
 {
   Peer *peer = peer_find (peers, address->sin_addr.s_addr);
 
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -11,7 +11,7 @@
 /* Fronts that are told of one piece of reading, those of our failure domain first: they use the
  * same servers. */
 #define TELL_MOST   24
-#define SHARE_UNITS 100.0 /* of WorkNote.running */
+#define SHARE_UNITS 100.0 /* of WorkEntry.running */
 /* Bytes a second that a front sends for this, headers of UDP and IP included. A front of 80 needs
  * 7,200 at 6 requests a second; one of 360 with 28 would need 32,000, and its control traffic is to
  * stay within 14,000, of which other news takes 4,700, or 12,600 during a roll-out with many
@@ -65,7 +65,7 @@
 }
 
 void
-front_peers_tell_work (FrontPeers *peers,
+front_peers_send_work (FrontPeers *peers,
                        FrontServer *server,
                        double read_ms,
                        double share,
@@ -80,9 +80,10 @@
   server->untold_share += share;
   if (server->untold_ms < TELL_LEAST_MS || !may_send (peers, now_ms))
     return;
-  message.notes[0] = (WorkNote){ .server = server->hash,
-                                 .read_ms = (uint32_t)lround (server->untold_ms),
-                                 .running = (uint32_t)lround (server->untold_share * SHARE_UNITS) };
+  message.notes[0]
+      = (WorkEntry){ .server = server->hash,
+                     .read_ms = (uint32_t)lround (server->untold_ms),
+                     .running = (uint32_t)lround (server->untold_share * SHARE_UNITS) };
   server->untold_ms = 0;
   server->untold_share = 0;
   len = work_message_encode (&message, data, sizeof data);
@@ -93,7 +94,7 @@
 }
 
 static void
-take_note (Front *front, const WorkNote *note, int64_t now_ms)
+take_note (Front *front, const WorkEntry *note, int64_t now_ms)
 {
   FrontServer *server;
 
@@ -107,7 +108,7 @@
 }
 
 bool
-peers_take_work (FrontPeers *peers, const void *data, size_t len, int64_t now_ms)
+peers_receive_work (FrontPeers *peers, const void *data, size_t len, int64_t now_ms)
 {
   WorkMessage message;
 
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -242,7 +242,7 @@
   Buffer out = { 0 };
   bool cut_off;
 
-  front_events_take (&request->events, &reply->body, &out);
+  front_events_forward (&request->events, &reply->body, &out);
   cut_off = request->events.gap || (reply->complete && reply->body.len > 0);
   if (out.len > 0)
     {
@@ -263,7 +263,7 @@
     }
   else
     {
-      if (front_conn_is_full (request->conn))
+      if (front_conn_output_is_full (request->conn))
         front_attempt_pause (request->attempt, true);
       request_arm (request);
     }
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -180,7 +180,7 @@
   pick->server->running_share += query->running_share;
   front_prompts_sent (&pick->server->prompts, &request->call, query->model, now_ms);
   front_prompts_asked (&request->front->asked, &request->call, query->model, now_ms);
-  front_peers_tell_work (request->front->peers, pick->server, pick->prompt_ms, query->running_share,
+  front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms, query->running_share,
                          now_ms);
 }
 
--- a/src/front_server_starts.c
+++ b/src/front_server_starts.c
@@ -2,10 +2,10 @@
 #include "util_id.h"
 
 bool
-front_starts_take (FrontStarts *starts, const ServerEntry *entry)
+front_server_starts_accept (FrontServerStarts *starts, const ServerEntry *entry)
 {
   uint64_t id = id_hash_string (entry->id, 0) | 1;
-  ServerStart *start = &starts->slots[(id >> 32) & (STARTS_SLOTS - 1)];
+  ServerStart *start = &starts->slots[(id >> 32) & (SERVER_STARTS_SLOTS - 1)];
   bool same = start->id == id;
 
   if (same && entry->born_ms < start->born_ms)
--- a/src/front_server_starts.h
+++ b/src/front_server_starts.h
@@ -8,7 +8,7 @@
 
 #include "front_server_entry.h"
 
-#define STARTS_SLOTS                                                                               \
+#define SERVER_STARTS_SLOTS                                                                        \
   2048 /**< a power of two, three times the 660 servers of the target; 48 KiB                      \
         */
 
@@ -21,11 +21,11 @@
 
 typedef struct
 {
-  ServerStart slots[STARTS_SLOTS];
-} FrontStarts;
+  ServerStart slots[SERVER_STARTS_SLOTS];
+} FrontServerStarts;
 
 /** False if the entry tells of a start that is over: a later one is known, or this one drained and
  *  the entry says that it is ready. Otherwise the entry is remembered. */
-bool front_starts_take (FrontStarts *starts, const ServerEntry *entry);
+bool front_server_starts_accept (FrontServerStarts *starts, const ServerEntry *entry);
 
 #endif
--- a/src/front_servers.c
+++ b/src/front_servers.c
@@ -16,7 +16,7 @@
   struct cds_list_head buckets[BUCKETS];
   char failure_domain[SERVER_TEXT_MAX];
   unsigned count;
-  FrontStarts starts;
+  FrontServerStarts starts;
   FrontEvacuations evacuations;
 };
 
@@ -103,9 +103,9 @@
   struct sockaddr_in address;
 
   *changed = false;
-  if (!front_socket_address (entry->address, &address))
+  if (!front_socket_parse_address (entry->address, &address))
     return false;
-  if (!front_starts_take (&servers->starts, entry))
+  if (!front_server_starts_accept (&servers->starts, entry))
     return true;
   /* Its cache is empty, its place may be another, and how it treated us, how long it drains or
      stays cold is told anew: kept, these would deny it work or send it work at its old address. */
--- a/src/front_socket.c
+++ b/src/front_socket.c
@@ -12,7 +12,7 @@
 #define KEEP_EVERY_S 1
 
 bool
-front_socket_address (const char *text, struct sockaddr_in *out)
+front_socket_parse_address (const char *text, struct sockaddr_in *out)
 {
   Span port = span_of (text);
   Span host = span_cut (&port, ':');
@@ -30,7 +30,7 @@
 }
 
 void
-front_socket_watch (evutil_socket_t fd, int timeout_ms)
+front_socket_set_options (evutil_socket_t fd, int timeout_ms)
 {
   int on = 1, every = KEEP_EVERY_S, probes = KEEP_PROBES;
 
@@ -50,7 +50,7 @@
 
   if (fd < 0)
     return NULL;
-  front_socket_watch (fd, timeout_ms);
+  front_socket_set_options (fd, timeout_ms);
   bev = bufferevent_socket_new (base, fd, BEV_OPT_CLOSE_ON_FREE);
   if (!bev)
     {
@@ -64,7 +64,7 @@
 }
 
 void
-front_socket_read (struct bufferevent *bev, HttpReply *reply)
+front_socket_feed_reply (struct bufferevent *bev, HttpReply *reply)
 {
   struct evbuffer *input = bufferevent_get_input (bev);
   size_t len;
--- a/src/front_socket.h
+++ b/src/front_socket.h
@@ -10,13 +10,13 @@
 #include <stdbool.h>
 
 /** Reads "IP:PORT". */
-bool front_socket_address (const char *text, struct sockaddr_in *out);
+bool front_socket_parse_address (const char *text, struct sockaddr_in *out);
 /** No delay, and a peer that stops answering is noticed after timeout_ms though no reset comes. */
-void front_socket_watch (evutil_socket_t fd, int timeout_ms);
+void front_socket_set_options (evutil_socket_t fd, int timeout_ms);
 /** Starts to connect; NULL if no descriptor is to be had. The connection is watched. */
 struct bufferevent *
 front_socket_connect (struct event_base *base, const struct sockaddr_in *address, int timeout_ms);
 /** Feeds an answer with all bytes that have come. */
-void front_socket_read (struct bufferevent *bev, HttpReply *reply);
+void front_socket_feed_reply (struct bufferevent *bev, HttpReply *reply);
 
 #endif
--- a/src/front_store.c
+++ b/src/front_store.c
@@ -34,20 +34,20 @@
 }
 
 void
-store_waiting_ask (FrontStore *store)
+store_poll_waiting (FrontStore *store)
 {
   for (unsigned i = 0; i < STORE_TABLES; i++)
     {
       Watch *watch = &store->watches[i];
 
       if (watch->id != STORE_MEMBERS && !watch->loaded && !watch->lost
-          && !front_channel_is_open (watch->channel))
-        store_watch_ask (watch);
+          && !front_channel_is_pending (watch->channel))
+        store_watch_poll (watch);
     }
 }
 
 void
-store_settle (FrontStore *store, int64_t now_ms)
+store_settle_tick (FrontStore *store, int64_t now_ms)
 {
   if (store->settled || now_ms - store->started_ms < FRONT_SETTLED_MS)
     return;
@@ -56,17 +56,17 @@
     {
       Watch *watch = &store->watches[i];
 
-      if (watch->loaded && watch->asked_peer && front_channel_is_open (watch->channel))
-        store_watch_ask_anew (watch);
+      if (watch->loaded && watch->asked_peer && front_channel_is_pending (watch->channel))
+        store_watch_restart_poll (watch);
     }
 }
 
 void
 store_sentinel_tick (Watch *watch, int64_t now_ms)
 {
-  if (front_channel_is_open (watch->channel) && !watch->asked_short
+  if (front_channel_is_pending (watch->channel) && !watch->asked_short
       && store_is_sentinel (watch, now_ms))
-    store_watch_ask_anew (watch);
+    store_watch_restart_poll (watch);
 }
 
 void
@@ -76,9 +76,12 @@
 }
 
 void
-front_store_take (FrontStore *store, StoreTable table, int64_t since, StoreAnswer *answer)
+front_store_apply_peer_rows (FrontStore *store,
+                             StoreTable table,
+                             int64_t since,
+                             StoreAnswer *answer)
 {
-  store_watch_take (&store->watches[table], since, answer);
+  store_watch_apply_peer_rows (&store->watches[table], since, answer);
 }
 
 int64_t
@@ -104,18 +107,19 @@
 }
 
 bool
-front_store_give (const FrontStore *store, StoreTable table, int64_t since, Buffer *out)
+front_store_encode_rows (const FrontStore *store, StoreTable table, int64_t since, Buffer *out)
 {
   const Watch *watch = &store->watches[table];
 
-  if (watch->table.version == 0 || (since != 0 && !front_table_remembers (&watch->table, since)))
+  if (watch->table.version == 0
+      || (since != 0 && !front_table_has_changes_since (&watch->table, since)))
     return false;
   wire_store_encode (out, &watch->table, since);
   return true;
 }
 
 bool
-front_store_has_news (const FrontStore *store, StoreTable table, int64_t since)
+front_store_has_changes (const FrontStore *store, StoreTable table, int64_t since)
 {
   const FrontTable *rows = &store->watches[table].table;
 
@@ -125,11 +129,11 @@
 /* A front that found nobody when it started was the first, or all that were listed have died: it
  * must not stay alone with what it knows of bad versions and crashed servers. */
 void
-store_list_tick (FrontStore *store, int64_t now_ms)
+store_member_list_tick (FrontStore *store, int64_t now_ms)
 {
   Watch *list = &store->watches[STORE_MEMBERS];
 
-  if (now_ms < store->list_again_ms || front_channel_is_open (list->channel)
+  if (now_ms < store->list_again_ms || front_channel_is_pending (list->channel)
       || front_peers_alive (store->front->peers, now_ms) > 1)
     return;
   store->list_wait_ms *= 2;
@@ -137,7 +141,7 @@
     store->list_wait_ms = LIST_AGAIN_MOST_MS;
   store->list_again_ms = now_ms + store->list_wait_ms;
   list->loaded = false;
-  store_watch_ask (list);
+  store_watch_poll (list);
 }
 
 FrontStore *
@@ -146,7 +150,7 @@
   FrontStore *store;
   struct sockaddr_in address;
 
-  if (!front_socket_address (front->settings.store, &address))
+  if (!front_socket_parse_address (front->settings.store, &address))
     return NULL;
   store = memory_alloc (sizeof *store);
   store->front = front;
@@ -154,11 +158,11 @@
   store->started_ms = clock_boot_ms ();
   store->list_wait_ms = LIST_AGAIN_MS;
   store->list_again_ms = store->started_ms + LIST_AGAIN_MS;
-  store->writer = front_channel_new (front->base, &address, store_written, store);
+  store->writer = front_channel_new (front->base, &address, store_on_written, store);
   for (unsigned i = 0; i < STORE_TABLES; i++)
     store_watch_init (&store->watches[i], store, (StoreTable)i);
   for (unsigned i = 0; i < STORE_TABLES; i++)
-    store_watch_ask (&store->watches[i]);
+    store_watch_poll (&store->watches[i]);
   return store;
 }
 
--- a/src/front_store.h
+++ b/src/front_store.h
@@ -37,28 +37,32 @@
 /** True while rows of the table arrive, and arrive well. */
 bool front_store_is_receiving (const FrontStore *store, StoreTable table);
 /** What another front gave: unpacks and decodes it. False if it is no such answer. */
-bool front_store_unpack (const char *data, size_t len, StoreAnswer *answer);
+bool front_store_decode_peer_answer (const char *data, size_t len, StoreAnswer *answer);
 /** Notes a question for rows whose answer didn't come whole, with the bytes of it that came.
  *  source: the front that was asked; NULL: the store. */
-void front_store_rows_failed (const FrontStore *store,
-                              StoreTable table,
-                              const struct sockaddr_in *source,
-                              int64_t asked_ms,
-                              const FrontChannel *channel);
+void front_store_log_rows_failed (const FrontStore *store,
+                                  StoreTable table,
+                                  const struct sockaddr_in *source,
+                                  int64_t asked_ms,
+                                  const FrontChannel *channel);
 /** Rows of a table as another front has them: all changes since a version that is known here; 0:
  *  all rows. */
-void front_store_take (FrontStore *store, StoreTable table, int64_t since, StoreAnswer *answer);
+void front_store_apply_peer_rows (FrontStore *store,
+                                  StoreTable table,
+                                  int64_t since,
+                                  StoreAnswer *answer);
 /** Our rows of a table that changed since a version, in the store's own form; all rows if since is
  *  0. False if we don't know them. */
-bool front_store_give (const FrontStore *store, StoreTable table, int64_t since, Buffer *out);
-/** True if there is a change since the version that front_store_give would tell. */
-bool front_store_has_news (const FrontStore *store, StoreTable table, int64_t since);
+bool
+front_store_encode_rows (const FrontStore *store, StoreTable table, int64_t since, Buffer *out);
+/** True if there is a change since the version that front_store_encode_rows would tell. */
+bool front_store_has_changes (const FrontStore *store, StoreTable table, int64_t since);
 /** Path under which another front gives a table's changes; wait: not before there are some. */
-void front_store_news_path (Buffer *out, StoreTable table, int64_t since, bool wait);
+void front_store_format_news_path (Buffer *out, StoreTable table, int64_t since, bool wait);
 /** Reads such a path; false if it is none. */
-bool front_store_news_parse (const char *path, StoreTable *table, int64_t *since, bool *wait);
+bool front_store_parse_news_path (const char *path, StoreTable *table, int64_t *since, bool *wait);
 /** How long a question for changes may be held until there are some. */
-#define FRONT_NEWS_WAIT_MS 20000
+#define FRONT_LONG_POLL_MS 20000
 
 /** Writes what the roll-outs' verdicts ask for. Called several times a second. */
 void front_store_tick (FrontStore *store, int64_t now_ms);
--- a/src/front_store_apply.c
+++ b/src/front_store_apply.c
@@ -193,7 +193,7 @@
     return;
   if (front_member_decode (value, &member)
       && front_peers_add_registered (store->front->peers, row->key,
-                                     front_failure_domain (member.failure_domain)))
+                                     front_failure_domain_hash (member.failure_domain)))
     return;
   line = front_log_begin (FRONT_EVENT_MEMBER_REFUSED);
   front_log_text (line, "key", row->key);
@@ -223,7 +223,7 @@
   if (id == STORE_OPERATOR)
     statuses_again (store);
   if (id == STORE_MEMBERS)
-    store_waiting_ask (store);
+    store_poll_waiting (store);
   front_open (front, clock_boot_ms ());
   /* Fronts that start wait for these rows: a tick later is a tenth of a second of refusals. */
   if (front->control)
--- a/src/front_store_news.c
+++ b/src/front_store_news.c
@@ -9,14 +9,14 @@
 static const char news_wait[] = "/wait";
 
 void
-front_store_news_path (Buffer *out, StoreTable table, int64_t since, bool wait)
+front_store_format_news_path (Buffer *out, StoreTable table, int64_t since, bool wait)
 {
   buffer_printf (out, "%s%d/%lld%s", news_prefix, (int)table, (long long)since,
                  wait ? news_wait : "");
 }
 
 bool
-front_store_news_parse (const char *path, StoreTable *table, int64_t *since, bool *wait)
+front_store_parse_news_path (const char *path, StoreTable *table, int64_t *since, bool *wait)
 {
   Span rest, part;
   int64_t number;
@@ -34,10 +34,10 @@
 }
 
 bool
-front_store_unpack (const char *data, size_t len, StoreAnswer *answer)
+front_store_decode_peer_answer (const char *data, size_t len, StoreAnswer *answer)
 {
   Buffer text = { 0 };
-  bool good = front_unpack (&text, data, len, FRONT_PACK_TEXT_MOST) && text.len > 0
+  bool good = front_decompress (&text, data, len, FRONT_COMPRESS_TEXT_MAX) && text.len > 0
               && wire_store_decode (text.data, text.len, answer);
 
   buffer_free (&text);
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -13,9 +13,9 @@
 /** After the store's return living servers are listed again within two seconds. */
 #define STORE_RELIST_MS 2200
 
-#define STORE_GOOD     200
-#define STORE_CONFLICT 412
-#define STORE_GONE     410
+#define STORE_HTTP_OK       200
+#define STORE_HTTP_CONFLICT 412
+#define STORE_HTTP_GONE     410
 
 /** Follows one table: reads all rows, then asks for changes again and again. */
 typedef struct Watch
@@ -67,40 +67,40 @@
 /* front_store_watch.c */
 void store_watch_init (Watch *watch, FrontStore *store, StoreTable id);
 void store_watch_clear (Watch *watch);
-void store_watch_ask (Watch *watch);
+void store_watch_poll (Watch *watch);
 /* Forgets the open question and asks another one, unless its answer is arriving. */
-void store_watch_ask_anew (Watch *watch);
+void store_watch_restart_poll (Watch *watch);
 /* Another front knows the table up to this version. */
 void store_watch_hint (Watch *watch, int64_t version, int64_t now_ms);
 /* Another front gave rows: all, or those changed since a version. */
-void store_watch_take (Watch *watch, int64_t since, StoreAnswer *answer);
+void store_watch_apply_peer_rows (Watch *watch, int64_t since, StoreAnswer *answer);
 /* Asks again in so many milliseconds. */
-void store_watch_later (Watch *watch, int64_t ms);
+void store_watch_schedule_poll (Watch *watch, int64_t ms);
 
 /* front_store.c */
 /* Who is registered is known now: tables that waited for that are asked for at once. */
-void store_waiting_ask (FrontStore *store);
+void store_poll_waiting (FrontStore *store);
 /* Questions that a front asked before it knew its rank are asked anew, of whom they belong to. */
-void store_settle (FrontStore *store, int64_t now_ms);
+void store_settle_tick (FrontStore *store, int64_t now_ms);
 /* One that has become a sentinel, as another died, doesn't wait for the end of its long question.
  */
 void store_sentinel_tick (Watch *watch, int64_t now_ms);
 /* Reads the list of fronts again while nobody is known. */
-void store_list_tick (FrontStore *store, int64_t now_ms);
+void store_member_list_tick (FrontStore *store, int64_t now_ms);
 
 /* front_store_source.c: whom a question goes to. */
 typedef enum
 {
-  AIM_STORE,
-  AIM_PEER, /* watch->source */
-  AIM_LATER /* nobody yet */
-} Aim;
+  SOURCE_STORE,
+  SOURCE_PEER,     /* watch->source */
+  SOURCE_UNDECIDED /* nobody yet */
+} StoreSource;
 
-Aim store_aim (Watch *watch, int64_t now_ms);
+StoreSource store_choose_source (Watch *watch, int64_t now_ms);
 /* We are one of the few whose questions at the store are short. */
 bool store_is_sentinel (const Watch *watch, int64_t now_ms);
 
 /* front_store_write.c */
-void store_written (void *user, int status, const char *text, size_t len);
+void store_on_written (void *user, int status, const char *text, size_t len);
 
 #endif
--- a/src/front_store_source.c
+++ b/src/front_store_source.c
@@ -27,53 +27,55 @@
 
   return (watch->id == STORE_OPERATOR || watch->id == STORE_SERVERS) && watch->loaded
          && is_settled (store, now_ms)
-         && front_peers_is_among (store->front->peers, (uint64_t)watch->id + 1, SENTINELS, now_ms);
+         && front_peers_is_selected (store->front->peers, (uint64_t)watch->id + 1, SENTINELS,
+                                     now_ms);
 }
 
 /* A front that has just started doesn't know yet who lives, and would take itself for the first by
  * rank: it asks one that is likely to follow the store. */
-static Aim
+static StoreSource
 aim_ranked (Watch *watch, int64_t now_ms)
 {
   const FrontStore *store = watch->store;
 
   if (!is_settled (store, now_ms)
-      && front_peers_informed_before (store->front->peers, (uint64_t)watch->id, now_ms,
-                                      &watch->source))
-    return AIM_PEER;
-  return front_peers_source (watch->store->front->peers, (uint64_t)watch->id, now_ms,
-                             &watch->source)
-             ? AIM_PEER
-             : AIM_STORE;
+      && front_peers_informed_source_before (store->front->peers, (uint64_t)watch->id, now_ms,
+                                             &watch->source))
+    return SOURCE_PEER;
+  return front_peers_ranked_source (watch->store->front->peers, (uint64_t)watch->id, now_ms,
+                                    &watch->source)
+             ? SOURCE_PEER
+             : SOURCE_STORE;
 }
 
 /* The table is to be read as a whole. */
-static Aim
+static StoreSource
 aim_start (Watch *watch, int64_t now_ms)
 {
   FrontStore *store = watch->store;
   FrontPeers *peers = store->front->peers;
   const Watch *list = &store->watches[STORE_MEMBERS];
-  StartView view = {
+  BootstrapView view = {
     .age_ms = now_ms - store->started_ms,
     .list_known = list->loaded,
     .list_lost = list->lost,
     .is_registered = front_peers_is_registered (peers),
     .has_registered = front_peers_has_registered (peers),
-    .has_informed = front_peers_informed (peers, (uint64_t)watch->id, now_ms, &watch->source),
+    .has_informed
+    = front_peers_informed_source (peers, (uint64_t)watch->id, now_ms, &watch->source),
     .failures = watch->peer_failures,
   };
 
-  switch (front_start_step (&view))
+  switch (front_bootstrap_step (&view))
     {
-    case START_WAIT:
-      return AIM_LATER;
-    case START_ASK_INFORMED:
-      return AIM_PEER;
-    case START_ASK_RANKED:
+    case BOOTSTRAP_WAIT:
+      return SOURCE_UNDECIDED;
+    case BOOTSTRAP_ASK_INFORMED:
+      return SOURCE_PEER;
+    case BOOTSTRAP_ASK_RANKED:
       return aim_ranked (watch, now_ms);
     default:
-      return AIM_STORE;
+      return SOURCE_STORE;
     }
 }
 
@@ -85,14 +87,14 @@
   return !watch->loaded && watch->table.version != 0;
 }
 
-Aim
-store_aim (Watch *watch, int64_t now_ms)
+StoreSource
+store_choose_source (Watch *watch, int64_t now_ms)
 {
   if (watch->id == STORE_MEMBERS || watch->after || is_forgotten (watch))
-    return AIM_STORE;
+    return SOURCE_STORE;
   if (!watch->loaded)
     return aim_start (watch, now_ms);
   if (store_is_sentinel (watch, now_ms) || watch->peer_failures >= PEER_FAILURES_MOST)
-    return AIM_STORE;
+    return SOURCE_STORE;
   return aim_ranked (watch, now_ms);
 }
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -41,7 +41,7 @@
 typedef struct
 {
   const char *name;
-  TableChange change;
+  TableChangeCallback change;
   bool followed; /* false: read once */
 } TableKind;
 
@@ -71,7 +71,7 @@
 }
 
 void
-store_watch_later (Watch *watch, int64_t ms)
+store_watch_schedule_poll (Watch *watch, int64_t ms)
 {
   struct timeval wait = { .tv_sec = ms / MS_PER_S, .tv_usec = ms % MS_PER_S * US_PER_MS };
 
@@ -89,7 +89,8 @@
   lost_set (watch, true, status);
   if (most_ms > AGAIN_MOST_MS)
     most_ms = AGAIN_MOST_MS;
-  store_watch_later (watch, most_ms / 2 + (int64_t)(id_random_u64 () % (uint64_t)(most_ms / 2)));
+  store_watch_schedule_poll (watch,
+                             most_ms / 2 + (int64_t)(id_random_u64 () % (uint64_t)(most_ms / 2)));
 }
 
 static void
@@ -125,7 +126,7 @@
   pages_add (watch, answer);
   if (more)
     return;
-  front_table_snapshot (&watch->table, &watch->pages, kinds[watch->id].change, watch->store);
+  front_table_apply_snapshot (&watch->table, &watch->pages, kinds[watch->id].change, watch->store);
   pages_drop (watch);
   watch->loaded = true;
   store_apply_end (watch->store, watch->id);
@@ -149,11 +150,11 @@
 }
 
 void
-front_store_rows_failed (const FrontStore *store,
-                         StoreTable table,
-                         const struct sockaddr_in *source,
-                         int64_t asked_ms,
-                         const FrontChannel *channel)
+front_store_log_rows_failed (const FrontStore *store,
+                             StoreTable table,
+                             const struct sockaddr_in *source,
+                             int64_t asked_ms,
+                             const FrontChannel *channel)
 {
   FrontLine *line = front_log_begin (FRONT_EVENT_ROWS_FAILED);
 
@@ -170,8 +171,8 @@
 static void
 rows_failed (const Watch *watch)
 {
-  front_store_rows_failed (watch->store, watch->id, asked_source (watch), watch->asked_ms,
-                           watch->channel);
+  front_store_log_rows_failed (watch->store, watch->id, asked_source (watch), watch->asked_ms,
+                               watch->channel);
 }
 
 /* Another one is asked. */
@@ -179,14 +180,14 @@
 peer_failed (Watch *watch)
 {
   watch->peer_failures++;
-  front_peers_failed (watch->store->front->peers, &watch->source, clock_boot_ms ());
-  store_watch_ask (watch);
+  front_peers_mark_failed (watch->store->front->peers, &watch->source, clock_boot_ms ());
+  store_watch_poll (watch);
 }
 
 static bool
 answer_decode (const Watch *watch, const char *text, size_t len, StoreAnswer *answer)
 {
-  return watch->asked_peer ? front_store_unpack (text, len, answer)
+  return watch->asked_peer ? front_store_decode_peer_answer (text, len, answer)
                            : wire_store_decode (text, len, answer);
 }
 
@@ -196,13 +197,13 @@
   Watch *watch = user;
   StoreAnswer answer;
 
-  if (status == STORE_GONE && !watch->asked_peer)
+  if (status == STORE_HTTP_GONE && !watch->asked_peer)
     {
       watch->loaded = false; /* the changes since our version are forgotten: read all rows */
-      store_watch_ask (watch);
+      store_watch_poll (watch);
       return;
     }
-  if (status != STORE_GOOD || !answer_decode (watch, text, len, &answer))
+  if (status != STORE_HTTP_OK || !answer_decode (watch, text, len, &answer))
     {
       if (watch->asked_peer || front_channel_received (watch->channel) > 0)
         rows_failed (watch);
@@ -222,14 +223,14 @@
     load_take (watch, &answer);
   else
     {
-      front_table_changes (&watch->table, &answer, kinds[watch->id].change, watch->store);
+      front_table_apply_changes (&watch->table, &answer, kinds[watch->id].change, watch->store);
       store_apply_end (watch->store, watch->id);
     }
   store_answer_clear (&answer);
   if (watch->loaded && watch->id == STORE_SERVERS && !watch->asked_peer)
-    store_watch_later (watch, SERVERS_PAUSE_MS);
+    store_watch_schedule_poll (watch, SERVERS_PAUSE_MS);
   else if (kinds[watch->id].followed || !watch->loaded)
-    store_watch_ask (watch);
+    store_watch_poll (watch);
 }
 
 /* A front that stays unready shows by these lines whom it waits for. */
@@ -250,11 +251,11 @@
 {
   Buffer path = { 0 };
 
-  front_channel_aim (watch->channel, &watch->source);
-  front_channel_connect_within (watch->channel, PEER_CONNECT_MS);
-  front_store_news_path (&path, watch->id, watch->table.version, true);
-  front_channel_ask (watch->channel, path.data, NULL,
-                     watch->loaded ? STORE_ANSWER_MS + FRONT_NEWS_WAIT_MS : PEER_LOAD_MS);
+  front_channel_set_address (watch->channel, &watch->source);
+  front_channel_set_connect_timeout (watch->channel, PEER_CONNECT_MS);
+  front_store_format_news_path (&path, watch->id, watch->table.version, true);
+  front_channel_request (watch->channel, path.data, NULL,
+                         watch->loaded ? STORE_ANSWER_MS + FRONT_LONG_POLL_MS : PEER_LOAD_MS);
   buffer_free (&path);
 }
 
@@ -265,33 +266,33 @@
   Buffer path = { 0 };
 
   watch->asked_short = store_is_sentinel (watch, watch->asked_ms);
-  wait_ms = watch->asked_short ? SENTINEL_WAIT_MS : FRONT_NEWS_WAIT_MS;
+  wait_ms = watch->asked_short ? SENTINEL_WAIT_MS : FRONT_LONG_POLL_MS;
   answer_ms = watch->asked_short ? SENTINEL_ANSWER_MS : STORE_ANSWER_MS;
   front_counter_add (FRONT_COUNTER_STORE_CALLS);
-  front_channel_aim (watch->channel, &watch->store->address);
-  front_channel_connect_within (watch->channel, 0);
+  front_channel_set_address (watch->channel, &watch->store->address);
+  front_channel_set_connect_timeout (watch->channel, 0);
   if (watch->loaded)
-    wire_feed_path (&path, kinds[watch->id].name, watch->table.version, wait_ms);
+    wire_changes_path (&path, kinds[watch->id].name, watch->table.version, wait_ms);
   else
-    wire_rows_path (&path, kinds[watch->id].name, watch->after);
-  front_channel_ask (watch->channel, path.data, NULL,
-                     watch->loaded ? answer_ms + wait_ms : STORE_LOAD_MS);
+    wire_snapshot_path (&path, kinds[watch->id].name, watch->after);
+  front_channel_request (watch->channel, path.data, NULL,
+                         watch->loaded ? answer_ms + wait_ms : STORE_LOAD_MS);
   buffer_free (&path);
 }
 
 void
-store_watch_ask (Watch *watch)
+store_watch_poll (Watch *watch)
 {
   int64_t now_ms = clock_boot_ms ();
-  Aim aim = store_aim (watch, now_ms);
+  StoreSource aim = store_choose_source (watch, now_ms);
 
-  if (aim == AIM_LATER)
+  if (aim == SOURCE_UNDECIDED)
     {
-      store_watch_later (watch, START_LOOK_MS);
+      store_watch_schedule_poll (watch, BOOTSTRAP_RETRY_MS);
       return;
     }
   watch->asked_ms = now_ms;
-  watch->asked_peer = aim == AIM_PEER;
+  watch->asked_peer = aim == SOURCE_PEER;
   watch->asked_short = false;
   if (!watch->loaded)
     log_asked (watch);
@@ -306,18 +307,18 @@
 {
   Watch *watch = user;
 
-  if (!front_channel_is_open (watch->channel))
-    store_watch_ask (watch);
+  if (!front_channel_is_pending (watch->channel))
+    store_watch_poll (watch);
 }
 
 void
-store_watch_ask_anew (Watch *watch)
+store_watch_restart_poll (Watch *watch)
 {
   if (front_channel_is_receiving (watch->channel))
     return;
-  front_channel_drop (watch->channel);
+  front_channel_cancel (watch->channel);
   pages_drop (watch);
-  store_watch_ask (watch);
+  store_watch_poll (watch);
 }
 
 void
@@ -326,16 +327,16 @@
   /* What is arriving, of rows or of pages, would be sent from its begin again. */
   if (front_channel_is_receiving (watch->channel) || !watch->loaded
       || !front_table_is_behind (&watch->table, version) || now_ms - watch->asked_ms < HINT_MS
-      || !front_channel_is_open (watch->channel))
+      || !front_channel_is_pending (watch->channel))
     return;
-  front_channel_drop (watch->channel);
+  front_channel_cancel (watch->channel);
   pages_drop (watch);
   /* Whom we asked is behind, too: somebody else is asked next. */
   rows_failed (watch);
   if (watch->asked_peer)
     peer_failed (watch);
   else
-    store_watch_ask (watch);
+    store_watch_poll (watch);
 }
 
 /* What is being read of the whole table isn't needed any more: its changes are asked for. */
@@ -344,20 +345,20 @@
 {
   watch->loaded = true;
   pages_drop (watch);
-  front_channel_drop (watch->channel);
-  store_watch_later (watch, 0);
+  front_channel_cancel (watch->channel);
+  store_watch_schedule_poll (watch, 0);
 }
 
 /* What a peer passes on is as good as the store's own rows: it read them there. */
 void
-store_watch_take (Watch *watch, int64_t since, StoreAnswer *answer)
+store_watch_apply_peer_rows (Watch *watch, int64_t since, StoreAnswer *answer)
 {
   if (answer->version <= watch->table.version)
     return;
   if (since == 0)
-    front_table_snapshot (&watch->table, answer, kinds[watch->id].change, watch->store);
+    front_table_apply_snapshot (&watch->table, answer, kinds[watch->id].change, watch->store);
   else
-    front_table_changes (&watch->table, answer, kinds[watch->id].change, watch->store);
+    front_table_apply_changes (&watch->table, answer, kinds[watch->id].change, watch->store);
   store_apply_end (watch->store, watch->id);
   if (!watch->loaded)
     load_end (watch);
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -27,7 +27,7 @@
 
   wire_write_body (&body, &write);
   front_counter_add (FRONT_COUNTER_STORE_CALLS);
-  front_channel_ask (store->writer, wire_write_path, &body, STORE_ANSWER_MS);
+  front_channel_request (store->writer, wire_write_path, &body, STORE_ANSWER_MS);
   buffer_free (&body);
 }
 
@@ -62,22 +62,23 @@
 }
 
 void
-store_written (void *user, int status, const char *text, size_t len)
+store_on_written (void *user, int status, const char *text, size_t len)
 {
   FrontStore *store = user;
   StoreAnswer answer;
 
-  if ((status == STORE_GOOD || status == STORE_CONFLICT) && wire_store_decode (text, len, &answer))
+  if ((status == STORE_HTTP_OK || status == STORE_HTTP_CONFLICT)
+      && wire_store_decode (text, len, &answer))
     {
-      if (store->registering && status == STORE_GOOD)
+      if (store->registering && status == STORE_HTTP_OK)
         front_peers_set_registered (store->front->peers);
-      else if (status == STORE_GOOD && store->writing)
+      else if (status == STORE_HTTP_OK && store->writing)
         front_rollouts_status (store->writing, store->writing->order.target, store->writing_state,
                                answer.version, 0);
       else if (store->writing) /* another front was first; its row comes with the answer */
-        front_table_changes (&store->watches[STORE_STATUS].table,
-                             &(StoreAnswer){ .count = answer.count, .rows = answer.rows },
-                             store_apply_status, store);
+        front_table_apply_changes (&store->watches[STORE_STATUS].table,
+                                   &(StoreAnswer){ .count = answer.count, .rows = answer.rows },
+                                   store_apply_status, store);
       store_answer_clear (&answer);
     }
   else
@@ -107,13 +108,13 @@
   Front *front = store->front;
   FrontRollout *rollout;
 
-  store_list_tick (store, now_ms);
-  store_settle (store, now_ms);
+  store_member_list_tick (store, now_ms);
+  store_settle_tick (store, now_ms);
   for (unsigned i = 0; i < STORE_TABLES; i++)
     store_sentinel_tick (&store->watches[i], now_ms);
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
       front_rollout_judge (rollout, now_ms);
-  if (front_channel_is_open (store->writer) || now_ms < store->write_again_ms)
+  if (front_channel_is_pending (store->writer) || now_ms < store->write_again_ms)
     return;
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
   {
@@ -125,6 +126,6 @@
     return;
   }
   if (store->settled && front->config && !front_peers_is_registered (front->peers)
-      && front_peers_registers (front->peers, now_ms))
+      && front_peers_is_registrar (front->peers, now_ms))
     register_self (store);
 }
--- a/src/front_table.c
+++ b/src/front_table.c
@@ -108,7 +108,7 @@
 }
 
 static void
-row_take (FrontTable *table, StoreRow *row, TableChange change, void *user)
+row_take (FrontTable *table, StoreRow *row, TableChangeCallback change, void *user)
 {
   TableEntry *entry = find (table, row->key);
 
@@ -128,7 +128,7 @@
 }
 
 bool
-front_table_remembers (const FrontTable *table, int64_t since)
+front_table_has_changes_since (const FrontTable *table, int64_t since)
 {
   return since >= table->forgotten;
 }
@@ -141,7 +141,10 @@
 }
 
 void
-front_table_changes (FrontTable *table, StoreAnswer *answer, TableChange change, void *user)
+front_table_apply_changes (FrontTable *table,
+                           StoreAnswer *answer,
+                           TableChangeCallback change,
+                           void *user)
 {
   for (unsigned i = 0; i < answer->count; i++)
     row_take (table, &answer->rows[i], change, user);
@@ -167,14 +170,21 @@
 /* The row is not among all rows of a later version. That doesn't tell when it was removed, so it is
  * no newest change. */
 static void
-row_gone (FrontTable *table, TableEntry *entry, StoreRow *gone, TableChange change, void *user)
+row_gone (FrontTable *table,
+          TableEntry *entry,
+          StoreRow *gone,
+          TableChangeCallback change,
+          void *user)
 {
   change (user, gone);
   row_put (table, entry, gone);
 }
 
 void
-front_table_snapshot (FrontTable *table, StoreAnswer *answer, TableChange change, void *user)
+front_table_apply_snapshot (FrontTable *table,
+                            StoreAnswer *answer,
+                            TableChangeCallback change,
+                            void *user)
 {
   TableEntry *entry, *next;
 
@@ -188,5 +198,5 @@
       row_gone (table, entry, &gone, change, user);
     free (gone.key);
   }
-  front_table_changes (table, answer, change, user);
+  front_table_apply_changes (table, answer, change, user);
 }
--- a/src/front_table.h
+++ b/src/front_table.h
@@ -31,19 +31,25 @@
 } FrontTable;
 
 /** Told of each row that is new, changed or gone. */
-typedef void (*TableChange) (void *user, const StoreRow *row);
+typedef void (*TableChangeCallback) (void *user, const StoreRow *row);
 
 void front_table_init (FrontTable *table);
 void front_table_clear (FrontTable *table);
 /** Takes changes: rows and removals, up to a version. */
-void front_table_changes (FrontTable *table, StoreAnswer *answer, TableChange change, void *user);
+void front_table_apply_changes (FrontTable *table,
+                                StoreAnswer *answer,
+                                TableChangeCallback change,
+                                void *user);
 /** Takes all rows as of a version: what is missing in them is gone, unless it is newer. */
-void front_table_snapshot (FrontTable *table, StoreAnswer *answer, TableChange change, void *user);
+void front_table_apply_snapshot (FrontTable *table,
+                                 StoreAnswer *answer,
+                                 TableChangeCallback change,
+                                 void *user);
 /** True if a change with this version, known elsewhere, is not known here. A table that was read as
  * a whole knows all changes up to its version, though it saw none of the removals among them. */
 bool front_table_is_behind (const FrontTable *table, int64_t newest_elsewhere);
 /** True if all changes since a version can still be told. */
-bool front_table_remembers (const FrontTable *table, int64_t since);
+bool front_table_has_changes_since (const FrontTable *table, int64_t since);
 /** NULL if there is none. */
 const StoreRow *front_table_find (const FrontTable *table, const char *key);
 
--- a/src/front_work_message.c
+++ b/src/front_work_message.c
@@ -10,7 +10,7 @@
   uint32_t magic = MAGIC;
 
   if (!xdr_uint32_t (xdr, &magic) || magic != MAGIC || !xdr_uint64_t (xdr, &message->incarnation)
-      || !xdr_uint32_t (xdr, &message->count) || message->count > WORK_NOTES_MAX)
+      || !xdr_uint32_t (xdr, &message->count) || message->count > WORK_ENTRIES_MAX)
     return FALSE;
   for (uint32_t i = 0; i < message->count; i++)
     {
--- a/src/front_work_message.h
+++ b/src/front_work_message.h
@@ -9,21 +9,21 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define WORK_NOTES_MAX   16
-#define WORK_MESSAGE_MAX (16 + 16 * WORK_NOTES_MAX) /**< bytes */
+#define WORK_ENTRIES_MAX 16
+#define WORK_MESSAGE_MAX (16 + 16 * WORK_ENTRIES_MAX) /**< bytes */
 
 typedef struct
 {
   uint64_t server;  /**< FrontServer.hash */
   uint32_t read_ms; /**< reading that was sent there since the last note of it */
   uint32_t running; /**< requests, each counted by its model's share, in hundredths; the same */
-} WorkNote;
+} WorkEntry;
 
 typedef struct
 {
   uint64_t incarnation; /**< of the sender */
   uint32_t count;
-  WorkNote notes[WORK_NOTES_MAX];
+  WorkEntry notes[WORK_ENTRIES_MAX];
 } WorkMessage;
 
 /** Bytes written; 0 if they don't fit. */
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -149,7 +149,7 @@
     return;
   heard (receiver, from, sender->has_table, now_ms);
   tell_members (sender, receiver, 0, sender->peers.next_member, now_ms);
-  if (!peers_is_newcomer (&receiver->peers, peer_find (&receiver->peers, address_of (from)), alive,
+  if (!peers_is_starting (&receiver->peers, peer_find (&receiver->peers, address_of (from)), alive,
                           now_ms))
     return;
   heard (sender, to, receiver->has_table, now_ms);
@@ -161,13 +161,13 @@
 {
   Node *node = &world->nodes[number];
   bool alone = front_peers_alive (&node->peers, now_ms) == 1;
-  Peer *chosen[PEERS_A_ROUND];
+  Peer *chosen[PEERS_PER_ROUND_MAX];
   unsigned count;
 
   if (now_ms - node->peers.beat_ms < (alone ? ALONE_MS : BEAT_MS))
     return;
   node->peers.beat_ms = now_ms;
-  count = peers_choose (&node->peers, chosen, now_ms);
+  count = peers_choose_recipients (&node->peers, chosen, now_ms);
   for (unsigned i = 0; i < count; i++)
     {
       chosen[i]->sent_ms = now_ms;
@@ -217,25 +217,25 @@
 ask (World *world, Node *node, int64_t now_ms)
 {
   struct sockaddr_in source = { 0 };
-  StartView view = {
+  BootstrapView view = {
     .age_ms = now_ms - node->start_ms,
     .list_known = node->list_known,
     .is_registered = front_peers_is_registered (&node->peers),
     .has_registered = front_peers_has_registered (&node->peers),
-    .has_informed = front_peers_informed (&node->peers, TABLE, now_ms, &source),
+    .has_informed = front_peers_informed_source (&node->peers, TABLE, now_ms, &source),
     .failures = node->failures,
   };
-  StartStep step = front_start_step (&view);
+  BootstrapStep step = front_bootstrap_step (&view);
 
-  if (step == START_WAIT)
+  if (step == BOOTSTRAP_WAIT)
     return;
-  if (step == START_ASK_RANKED)
-    step = front_peers_source (&node->peers, TABLE, now_ms, &source) ? START_ASK_INFORMED
-                                                                     : START_ASK_STORE;
-  node->asks = step == START_ASK_STORE ? ASKS_STORE : ASKS_FRONT;
+  if (step == BOOTSTRAP_ASK_RANKED)
+    step = front_peers_ranked_source (&node->peers, TABLE, now_ms, &source) ? BOOTSTRAP_ASK_INFORMED
+                                                                            : BOOTSTRAP_ASK_STORE;
+  node->asks = step == BOOTSTRAP_ASK_STORE ? ASKS_STORE : ASKS_FRONT;
   node->asked = number_of (&source);
-  node->until_ms = step == START_ASK_STORE ? store_answers (world, ++world->table_calls, now_ms)
-                                           : now_ms + LOAD_MS;
+  node->until_ms = step == BOOTSTRAP_ASK_STORE ? store_answers (world, ++world->table_calls, now_ms)
+                                               : now_ms + LOAD_MS;
 }
 
 static void
@@ -254,7 +254,7 @@
   if (node->asks == ASKS_FRONT)
     {
       node->failures++;
-      front_peers_failed (&node->peers, &source, now_ms);
+      front_peers_mark_failed (&node->peers, &source, now_ms);
     }
   node->asks = ASKS_NOBODY;
 }
@@ -436,26 +436,26 @@
 {
   static const struct
   {
-    StartView view;
-    StartStep step;
+    BootstrapView view;
+    BootstrapStep step;
   } states[] = {
-    { { .age_ms = 0 }, START_WAIT },
-    { { .age_ms = 299 }, START_WAIT },
-    { { .age_ms = 5, .has_informed = true }, START_ASK_INFORMED },
-    { { .age_ms = 5, .list_known = true, .is_registered = true }, START_ASK_STORE },
-    { { .age_ms = 5, .list_known = true, .has_registered = true }, START_WAIT },
-    { { .age_ms = 300, .list_known = true, .has_registered = true }, START_ASK_RANKED },
-    { { .age_ms = 400, .list_known = true }, START_WAIT },
-    { { .age_ms = 1500, .list_known = true }, START_ASK_RANKED },
-    { { .age_ms = 5, .list_lost = true }, START_WAIT },
-    { { .age_ms = 300, .list_lost = true }, START_ASK_RANKED },
-    { { .age_ms = 1500 }, START_ASK_RANKED },
-    { { .age_ms = 5, .has_informed = true, .failures = 6 }, START_ASK_INFORMED },
-    { { .age_ms = 300, .has_informed = true, .failures = 6 }, START_ASK_STORE },
+    { { .age_ms = 0 }, BOOTSTRAP_WAIT },
+    { { .age_ms = 299 }, BOOTSTRAP_WAIT },
+    { { .age_ms = 5, .has_informed = true }, BOOTSTRAP_ASK_INFORMED },
+    { { .age_ms = 5, .list_known = true, .is_registered = true }, BOOTSTRAP_ASK_STORE },
+    { { .age_ms = 5, .list_known = true, .has_registered = true }, BOOTSTRAP_WAIT },
+    { { .age_ms = 300, .list_known = true, .has_registered = true }, BOOTSTRAP_ASK_RANKED },
+    { { .age_ms = 400, .list_known = true }, BOOTSTRAP_WAIT },
+    { { .age_ms = 1500, .list_known = true }, BOOTSTRAP_ASK_RANKED },
+    { { .age_ms = 5, .list_lost = true }, BOOTSTRAP_WAIT },
+    { { .age_ms = 300, .list_lost = true }, BOOTSTRAP_ASK_RANKED },
+    { { .age_ms = 1500 }, BOOTSTRAP_ASK_RANKED },
+    { { .age_ms = 5, .has_informed = true, .failures = 6 }, BOOTSTRAP_ASK_INFORMED },
+    { { .age_ms = 300, .has_informed = true, .failures = 6 }, BOOTSTRAP_ASK_STORE },
   };
 
   for (size_t i = 0; i < SUITE_COUNT (states); i++)
-    CU_ASSERT_EQUAL (front_start_step (&states[i].view), states[i].step);
+    CU_ASSERT_EQUAL (front_bootstrap_step (&states[i].view), states[i].step);
 }
 
 static const SuiteCase cases[] = {
--- a/tests/test_front_channel.c
+++ b/tests/test_front_channel.c
@@ -101,7 +101,7 @@
   struct sockaddr_in address;
 
   snprintf (text, sizeof text, "127.0.0.1:%d", suite_free_port ());
-  CU_ASSERT_FATAL (front_socket_address (text, &address));
+  CU_ASSERT_FATAL (front_socket_parse_address (text, &address));
   server.base = event_base_new ();
   server.timer = evtimer_new (server.base, send_piece, &server);
   server.listener = evconnlistener_new_bind (server.base, on_connection, &server,
@@ -109,7 +109,7 @@
                                              (struct sockaddr *)&address, sizeof address);
   CU_ASSERT_PTR_NOT_NULL_FATAL (server.listener);
   server.channel = front_channel_new (server.base, &address, on_answer, &server);
-  front_channel_ask (server.channel, "/rows", NULL, WAIT_MS);
+  front_channel_request (server.channel, "/rows", NULL, WAIT_MS);
   event_base_loopexit (server.base, &give_up);
   event_base_dispatch (server.base);
   front_channel_free (server.channel);
--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -53,10 +53,10 @@
         .key = key.data, .value = value.data, .value_len = value.len, .version = 1 + i
       };
     }
-  front_table_changes (&table, &answer, ignore, NULL);
+  front_table_apply_changes (&table, &answer, ignore, NULL);
   store_answer_clear (&answer);
   wire_store_encode (&text, &table, 0);
-  CU_ASSERT (front_pack (&text));
+  CU_ASSERT (front_compress (&text));
   return text;
 }
 
@@ -67,7 +67,7 @@
   StoreAnswer answer;
 
   CU_ASSERT (packed.len <= PACKED_MOST);
-  CU_ASSERT_FATAL (front_store_unpack (packed.data, packed.len, &answer));
+  CU_ASSERT_FATAL (front_store_decode_peer_answer (packed.data, packed.len, &answer));
   CU_ASSERT_EQUAL (answer.count, SERVERS);
   CU_ASSERT_EQUAL (answer.version, 900);
   store_answer_clear (&answer);
@@ -115,13 +115,13 @@
   answer.rows[0] = (StoreRow){
     .key = memory_strdup ("config"), .value = value.data, .value_len = value.len, .version = 7
   };
-  front_table_changes (&table, &answer, ignore, NULL);
+  front_table_apply_changes (&table, &answer, ignore, NULL);
   store_answer_clear (&answer);
   wire_store_encode (&text, &table, 0);
   CU_ASSERT (text.len > CONFIG_MOST);
-  CU_ASSERT (front_pack (&text));
+  CU_ASSERT (front_compress (&text));
   CU_ASSERT (text.len <= CONFIG_MOST);
-  CU_ASSERT_FATAL (front_store_unpack (text.data, text.len, &answer));
+  CU_ASSERT_FATAL (front_store_decode_peer_answer (text.data, text.len, &answer));
   CU_ASSERT_EQUAL (answer.count, 1);
   store_answer_clear (&answer);
   buffer_free (&text);
@@ -137,12 +137,12 @@
   StoreAnswer answer;
 
   for (size_t len = 0; len < packed.len; len += 97)
-    CU_ASSERT_FALSE (front_store_unpack (packed.data, len, &answer));
+    CU_ASSERT_FALSE (front_store_decode_peer_answer (packed.data, len, &answer));
   buffer_add (&packed, "more", 4);
-  CU_ASSERT_FALSE (front_store_unpack (packed.data, packed.len, &answer));
+  CU_ASSERT_FALSE (front_store_decode_peer_answer (packed.data, packed.len, &answer));
   packed.data[packed.len / 2] ^= 1;
-  CU_ASSERT_FALSE (front_store_unpack (packed.data, packed.len - 4, &answer));
-  CU_ASSERT_FALSE (front_store_unpack ("<html>", 6, &answer));
+  CU_ASSERT_FALSE (front_store_decode_peer_answer (packed.data, packed.len - 4, &answer));
+  CU_ASSERT_FALSE (front_store_decode_peer_answer ("<html>", 6, &answer));
   buffer_free (&packed);
   front_table_clear (&table);
 }
@@ -156,8 +156,8 @@
 
   for (unsigned i = 0; i < 256; i++)
     buffer_add (&text, zeros, sizeof zeros);
-  CU_ASSERT (front_pack (&text));
-  CU_ASSERT_FALSE (front_unpack (&out, text.data, text.len, 100000));
+  CU_ASSERT (front_compress (&text));
+  CU_ASSERT_FALSE (front_decompress (&out, text.data, text.len, 100000));
   CU_ASSERT (out.len <= 200000);
   buffer_free (&text);
   buffer_free (&out);
--- a/tests/test_front_events.c
+++ b/tests/test_front_events.c
@@ -19,7 +19,7 @@
 check (const char *more, const char *passed_on)
 {
   buffer_add_string (&input, more);
-  front_events_take (&events, &input, &output);
+  front_events_forward (&events, &input, &output);
   CU_ASSERT_STRING_EQUAL (output.data ? output.data : "", passed_on);
 }
 
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -113,7 +113,7 @@
   Node *sender = &net->nodes[from], *receiver = &net->nodes[to];
   SessionNews news[PEER_SESSIONS_MAX];
   unsigned count = front_rollouts_held_sessions (sender->rollouts, sender->rollout, news,
-                                                 peers_sessions_most (&sender->peers), now_ms);
+                                                 peers_sessions_max (&sender->peers), now_ms);
 
   for (unsigned i = 0; i < count; i++)
     front_rollouts_hold_session (receiver->rollouts, receiver->rollout, &news[i], now_ms);
@@ -132,7 +132,7 @@
     .evidence = rollout->evidence,
   };
 
-  peers_domains_fill (&net->nodes[from].peers, rollout, &told);
+  peers_fill_domains (&net->nodes[from].peers, rollout, &told);
   news.domain_count = told.domain_count;
   news.domains = told.domains;
   front_rollout_news (net->nodes[to].rollout, &news);
@@ -146,8 +146,8 @@
   all_live (net, now_ms);
   for (unsigned i = 0; i < net->count; i++)
     {
-      Peer *chosen[PEERS_A_ROUND];
-      unsigned count = peers_choose (&net->nodes[i].peers, chosen, now_ms);
+      Peer *chosen[PEERS_PER_ROUND_MAX];
+      unsigned count = peers_choose_recipients (&net->nodes[i].peers, chosen, now_ms);
 
       net->nodes[i].peers.is_sessions_turn = !net->nodes[i].peers.is_sessions_turn;
 
--- a/tests/test_front_store_source.c
+++ b/tests/test_front_store_source.c
@@ -93,7 +93,7 @@
 {
   Watch *watch = watch_of (site, number);
 
-  if (store_aim (watch, NOW) != AIM_PEER)
+  if (store_choose_source (watch, NOW) != SOURCE_PEER)
     return site->count;
   return ntohl (watch->source.sin_addr.s_addr) - FIRST_IP;
 }
@@ -191,9 +191,9 @@
       for (unsigned j = 0; j < site->count; j++)
         {
           if (follows[j])
-            front_peers_failed (&site->nodes[i].peers,
-                                &(struct sockaddr_in){ .sin_addr.s_addr = htonl (FIRST_IP + j) },
-                                NOW);
+            front_peers_mark_failed (
+                &site->nodes[i].peers,
+                &(struct sockaddr_in){ .sin_addr.s_addr = htonl (FIRST_IP + j) }, NOW);
         }
     }
   CU_ASSERT (ask_the_store (site) <= 2 * (12 + 3));
@@ -242,7 +242,7 @@
   unsigned count = 0;
 
   for (unsigned i = 0; i < site->count; i++)
-    count += front_peers_registers (&site->nodes[i].peers, NOW);
+    count += front_peers_is_registrar (&site->nodes[i].peers, NOW);
   return count;
 }
 
--- a/tests/test_front_watch.c
+++ b/tests/test_front_watch.c
@@ -34,7 +34,7 @@
   char text[32];
 
   snprintf (text, sizeof text, "127.0.0.1:%d", suite_free_port ());
-  CU_ASSERT_FATAL (front_socket_address (text, address));
+  CU_ASSERT_FATAL (front_socket_parse_address (text, address));
   CU_ASSERT_EQUAL_FATAL (bind (fd, (struct sockaddr *)address, sizeof *address), 0);
   CU_ASSERT_EQUAL_FATAL (listen (fd, LISTEN), 0);
   return fd;
@@ -105,7 +105,7 @@
 static void
 ask (Node *node)
 {
-  store_watch_ask (node->watch);
+  store_watch_poll (node->watch);
   CU_ASSERT_FATAL (suite_wait (is_asked, node));
 }
 
@@ -145,7 +145,7 @@
   ask (node);
   node->watch->asked_ms -= LATE_MS;
   store_watch_hint (node->watch, NEWER, clock_boot_ms ());
-  CU_ASSERT (front_channel_is_open (node->watch->channel));
+  CU_ASSERT (front_channel_is_pending (node->watch->channel));
   CU_ASSERT (clock_boot_ms () - node->watch->asked_ms < LATE_MS);
   node_free (node);
 }
@@ -159,8 +159,8 @@
   int64_t now_ms = clock_boot_ms ();
 
   ask_and_receive (node);
-  peers_catch_up (&node->peers, STORE_OPERATOR, now_ms);
-  peers_catch_up (&node->peers, STORE_OPERATOR, now_ms + LATE_MS);
+  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms);
+  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms + LATE_MS);
   CU_ASSERT_PTR_NULL (node->peers.fetches[STORE_OPERATOR].channel);
   node_free (node);
 }
@@ -184,8 +184,8 @@
 
   ask_and_receive (node);
   CU_ASSERT_FATAL (suite_wait (is_slow, node));
-  peers_catch_up (&node->peers, STORE_OPERATOR, now_ms);
-  peers_catch_up (&node->peers, STORE_OPERATOR, now_ms + LATE_MS);
+  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms);
+  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms + LATE_MS);
   CU_ASSERT_PTR_NOT_NULL (node->peers.fetches[STORE_OPERATOR].channel);
   CU_ASSERT (front_channel_is_receiving (node->watch->channel));
   node_free (node);
@@ -202,7 +202,7 @@
   ask_and_receive (node);
   node->watch->asked_peer = true;
   node->watch->asked_short = false;
-  store_settle (&node->store, clock_boot_ms ());
+  store_settle_tick (&node->store, clock_boot_ms ());
   CU_ASSERT (front_channel_is_receiving (node->watch->channel));
   store_sentinel_tick (node->watch, clock_boot_ms ());
   CU_ASSERT (front_channel_is_receiving (node->watch->channel));
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -381,9 +381,9 @@
   changes[0] = '\0';
   CU_ASSERT (wire_store_decode (text, strlen (text), &answer));
   if (snapshot)
-    front_table_snapshot (table, &answer, note, NULL);
+    front_table_apply_snapshot (table, &answer, note, NULL);
   else
-    front_table_changes (table, &answer, note, NULL);
+    front_table_apply_changes (table, &answer, note, NULL);
   store_answer_clear (&answer);
   CU_ASSERT_STRING_EQUAL (changes, expected);
 }
@@ -423,7 +423,7 @@
   wire_store_encode (&out, &table, 12);
   take (&other, false, out.data, "-a= ");
   CU_ASSERT_PTR_NULL (front_table_find (&other, "a"));
-  CU_ASSERT (front_table_remembers (&table, 1));
+  CU_ASSERT (front_table_has_changes_since (&table, 1));
   buffer_free (&out);
   front_table_clear (&table);
   front_table_clear (&other);
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -71,9 +71,9 @@
   CU_ASSERT_EQUAL (read.notes[1].running, 5);
   for (size_t i = 0; i < len; i++)
     CU_ASSERT (!work_message_decode (&read, data, i));
-  data[15] = WORK_NOTES_MAX + 1; /* the count's last byte */
+  data[15] = WORK_ENTRIES_MAX + 1; /* the count's last byte */
   CU_ASSERT (!work_message_decode (&read, data, len));
-  message.count = WORK_NOTES_MAX;
+  message.count = WORK_ENTRIES_MAX;
   CU_ASSERT (work_message_encode (&message, data, sizeof data) <= WORK_MESSAGE_MAX);
 }
 
@@ -193,7 +193,7 @@
     {
       FrontServer *server = &servers[i % SERVERS];
 
-      front_peers_tell_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_A_S);
+      front_peers_send_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_A_S);
     }
   for (unsigned i = 0; i < SERVERS; i++)
     untold += servers[i].untold_ms;
