--- a/src/front.h
+++ b/src/front.h
@@ -38,7 +38,7 @@
   Quarantine *quarantine;
   FrontLag lag; /**< of engines' answers */
   FrontSpeeds speeds;
-  FrontPrompts asked; /**< what our callers ask for, wherever it was sent */
+  FrontPrompts caller_prompts; /**< what our callers ask for, wherever it was sent */
   FrontStore *store;
   FrontPeers *peers;
   FrontControl *control;           /**< NULL until it listens */
--- a/src/front_events.h
+++ b/src/front_events.h
@@ -11,9 +11,9 @@
 
 typedef struct
 {
-  int64_t last_id; /**< of the last event passed on; -1: none */
-  int64_t passed;  /**< events passed on */
-  bool gap;        /**< an event is missing between two; the stream can't go on */
+  int64_t last_id;   /**< of the last event passed on; -1: none */
+  int64_t forwarded; /**< events passed on */
+  bool gap;          /**< an event is missing between two; the stream can't go on */
 } FrontEvents;
 
 void front_events_init (FrontEvents *events);
--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -167,9 +167,9 @@
 
   if (front_peers_alive (peers, now_ms) == 1)
     beat_ms = BEAT_ALONE_MS;
-  if (now_ms - peers->beat_ms >= beat_ms)
+  if (now_ms - peers->round_ms >= beat_ms)
     {
-      peers->beat_ms = now_ms;
+      peers->round_ms = now_ms;
       peers_send_round (peers, now_ms);
     }
   for (unsigned i = 0; i < PEER_TABLES; i++)
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -21,8 +21,9 @@
   int64_t heard_ms;     /* by us or another front */
   int64_t alive_ms;     /* how long it counts as alive after that */
   int64_t sent_ms;
-  int64_t failed_ms;  /* when it gave no good answer to a question for rows; 0: it never did */
-  bool is_registered; /* it is on the store's list of fronts */
+  int64_t
+      request_failed_ms; /* when it gave no good answer to a question for rows; 0: it never did */
+  bool is_registered;    /* it is on the store's list of fronts */
   int64_t newest[PEER_TABLES];
 } Peer;
 
@@ -49,15 +50,15 @@
   uint16_t control_port; /* the same at all fronts; network order */
   unsigned count;
   Peer list[PEERS_MAX];
-  unsigned next;         /* where the next round of messages begins */
-  bool is_sessions_turn; /* this round tells of sessions in place of members */
-  unsigned next_member;  /* where the next list of members begins */
-  unsigned next_domain;  /* where the next list of failure domains' sums begins */
-  double work_bytes;     /* that may be sent for notes of work */
-  int64_t work_ms;       /* as of then */
-  unsigned next_work;    /* where the next note of work begins */
-  double far_credit;     /* messages to other failure domains that may be sent, below one */
-  int64_t beat_ms;
+  unsigned next_peer;       /* where the next round of messages begins */
+  bool is_sessions_turn;    /* this round tells of sessions in place of members */
+  unsigned next_member;     /* where the next list of members begins */
+  unsigned next_domain;     /* where the next list of failure domains' sums begins */
+  double work_credit_bytes; /* that may be sent for notes of work */
+  int64_t work_ms;          /* as of then */
+  unsigned next_work;       /* where the next note of work begins */
+  double remote_credit;     /* messages to other failure domains that may be sent, below one */
+  int64_t round_ms;
   int64_t started_ms;
   bool is_registered;                  /* we are on the store's list of fronts */
   int64_t ahead_since_ms[PEER_TABLES]; /* since when some peer knows more; 0: none does */
@@ -107,7 +108,7 @@
  * living peers in turn, and now and then those that don't answer. Returns their number. */
 unsigned peers_choose_recipients (FrontPeers *peers, Peer **chosen, int64_t now_ms);
 /* Adds our own failure domain's sum, and some of the others in turn. */
-void peers_fill_domains (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out);
+void peers_domains_fill (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out);
 /* How many held sessions this round's message tells of, at most. */
 unsigned peers_sessions_max (const FrontPeers *peers);
 /* Leaves out of the message what doesn't fit; returns its bytes. */
--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -72,7 +72,7 @@
 }
 
 void
-peers_fill_domains (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out)
+peers_domains_fill (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out)
 {
   unsigned others = 0;
 
@@ -108,7 +108,7 @@
   out->old_busy_age_ms
       = rollout->old_busy_ms == 0 ? PEER_NEVER : (uint32_t)(now_ms - rollout->old_busy_ms);
   out->evidence = rollout->evidence;
-  peers_fill_domains (peers, rollout, out);
+  peers_domains_fill (peers, rollout, out);
   out->session_count = front_rollouts_held_sessions (front->rollouts, rollout, out->sessions,
                                                      peers_sessions_max (peers), now_ms);
 }
@@ -152,9 +152,9 @@
 
   if (is_collector || share >= FAR_FANOUT)
     return FAR_FANOUT;
-  peers->far_credit += share;
-  quota = (unsigned)peers->far_credit;
-  peers->far_credit -= quota;
+  peers->remote_credit += share;
+  quota = (unsigned)peers->remote_credit;
+  peers->remote_credit -= quota;
   return quota;
 }
 
@@ -201,13 +201,13 @@
     chosen[count++] = collectors.peers[i];
   for (unsigned i = 0; i < peers->count; i++)
     {
-      Peer *peer = &peers->list[(peers->next + i) % peers->count];
+      Peer *peer = &peers->list[(peers->next_peer + i) % peers->count];
 
       if (!is_collector (&collectors, peer) && is_told (peers, peer, &quota, now_ms))
         chosen[count++] = peer;
     }
   if (peers->count > 0)
-    peers->next = (peers->next + NEAR_FANOUT) % peers->count;
+    peers->next_peer = (peers->next_peer + NEAR_FANOUT) % peers->count;
   return count;
 }
 
--- a/src/front_peers_source.c
+++ b/src/front_peers_source.c
@@ -14,7 +14,7 @@
 static bool
 has_failed (const Peer *peer, int64_t for_ms, int64_t now_ms)
 {
-  return peer->failed_ms != 0 && now_ms - peer->failed_ms < for_ms;
+  return peer->request_failed_ms != 0 && now_ms - peer->request_failed_ms < for_ms;
 }
 
 static bool
@@ -152,5 +152,5 @@
   Peer *peer = peer_find (peers, address->sin_addr.s_addr);
 
   if (peer)
-    peer->failed_ms = now_ms;
+    peer->request_failed_ms = now_ms;
 }
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -57,11 +57,11 @@
 may_send (FrontPeers *peers, int64_t now_ms)
 {
   double rate = peers_is_large (peers) && peers_has_rollout (peers) ? BYTES_A_S_BUSY : BYTES_A_S;
-  double saved = peers->work_bytes + rate * (double)(now_ms - peers->work_ms) / MS_PER_S;
+  double saved = peers->work_credit_bytes + rate * (double)(now_ms - peers->work_ms) / MS_PER_S;
 
-  peers->work_bytes = fmin (saved, BYTES_SAVED_MOST);
+  peers->work_credit_bytes = fmin (saved, BYTES_SAVED_MOST);
   peers->work_ms = now_ms;
-  return peers->work_bytes > 0;
+  return peers->work_credit_bytes > 0;
 }
 
 void
@@ -80,7 +80,7 @@
   server->untold_share += share;
   if (server->untold_ms < TELL_LEAST_MS || !may_send (peers, now_ms))
     return;
-  message.notes[0]
+  message.entries[0]
       = (WorkEntry){ .server = server->hash,
                      .read_ms = (uint32_t)lround (server->untold_ms),
                      .running = (uint32_t)lround (server->untold_share * SHARE_UNITS) };
@@ -89,7 +89,7 @@
   len = work_message_encode (&message, data, sizeof data);
   told = tell_those (peers, data, len, true, TELL_MOST, now_ms);
   told += tell_those (peers, data, len, false, TELL_MOST - told, now_ms);
-  peers->work_bytes -= (double)told * (double)(len + BYTES_OF_HEADERS);
+  peers->work_credit_bytes -= (double)told * (double)(len + BYTES_OF_HEADERS);
   peers->next_work++;
 }
 
@@ -117,6 +117,6 @@
   if (message.incarnation == peers->front->incarnation)
     return true;
   for (uint32_t i = 0; i < message.count; i++)
-    take_note (peers->front, &message.notes[i], now_ms);
+    take_note (peers->front, &message.entries[i], now_ms);
   return true;
 }
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -84,7 +84,7 @@
   const Front *front = request->front;
   double window_ms = front->settings.reuse_window_s * MS_PER_S * front->fronts.neighbours;
 
-  return front_prompts_cached (&front->asked, &request->call, model, clock_boot_ms (),
+  return front_prompts_cached (&front->caller_prompts, &request->call, model, clock_boot_ms (),
                                (int64_t)window_ms);
 }
 
@@ -179,7 +179,7 @@
   request->running_share = query->running_share;
   pick->server->running_share += query->running_share;
   front_prompts_sent (&pick->server->prompts, &request->call, query->model, now_ms);
-  front_prompts_asked (&request->front->asked, &request->call, query->model, now_ms);
+  front_prompts_asked (&request->front->caller_prompts, &request->call, query->model, now_ms);
   front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms, query->running_share,
                          now_ms);
 }
--- a/src/front_row.h
+++ b/src/front_row.h
@@ -20,7 +20,7 @@
 {
   unsigned count;
   StoreRow *rows;
-  bool more;        /**< there are rows behind the last one */
+  bool has_more;    /**< there are rows behind the last one */
   int64_t version;  /**< newest version of the store */
   int64_t clock_ms; /**< the store's steady clock; 0: not told */
 } StoreAnswer;
--- a/src/front_store.c
+++ b/src/front_store.c
@@ -64,7 +64,7 @@
 void
 store_sentinel_tick (Watch *watch, int64_t now_ms)
 {
-  if (front_channel_is_pending (watch->channel) && !watch->asked_short
+  if (front_channel_is_pending (watch->channel) && !watch->is_short_poll
       && store_is_sentinel (watch, now_ms))
     store_watch_restart_poll (watch);
 }
@@ -133,13 +133,13 @@
 {
   Watch *list = &store->watches[STORE_MEMBERS];
 
-  if (now_ms < store->list_again_ms || front_channel_is_pending (list->channel)
+  if (now_ms < store->list_next_ms || front_channel_is_pending (list->channel)
       || front_peers_alive (store->front->peers, now_ms) > 1)
     return;
-  store->list_wait_ms *= 2;
-  if (store->list_wait_ms > LIST_AGAIN_MOST_MS)
-    store->list_wait_ms = LIST_AGAIN_MOST_MS;
-  store->list_again_ms = now_ms + store->list_wait_ms;
+  store->list_interval_ms *= 2;
+  if (store->list_interval_ms > LIST_AGAIN_MOST_MS)
+    store->list_interval_ms = LIST_AGAIN_MOST_MS;
+  store->list_next_ms = now_ms + store->list_interval_ms;
   list->loaded = false;
   store_watch_poll (list);
 }
@@ -156,8 +156,8 @@
   store->front = front;
   store->address = address;
   store->started_ms = clock_boot_ms ();
-  store->list_wait_ms = LIST_AGAIN_MS;
-  store->list_again_ms = store->started_ms + LIST_AGAIN_MS;
+  store->list_interval_ms = LIST_AGAIN_MS;
+  store->list_next_ms = store->started_ms + LIST_AGAIN_MS;
   store->writer = front_channel_new (front->base, &address, store_on_written, store);
   for (unsigned i = 0; i < STORE_TABLES; i++)
     store_watch_init (&store->watches[i], store, (StoreTable)i);
--- a/src/front_store_apply.c
+++ b/src/front_store_apply.c
@@ -127,7 +127,7 @@
   FrontStore *store = user;
   Front *front = store->front;
   int64_t now_ms = clock_boot_ms ();
-  int64_t grace_ms = store->watches[STORE_SERVERS].back_ms + STORE_RELIST_MS - now_ms;
+  int64_t grace_ms = store->watches[STORE_SERVERS].recovered_ms + STORE_RELIST_MS - now_ms;
   ServerEntry entry;
   bool changed;
 
@@ -165,8 +165,8 @@
                                       &state, &started_ms))
     return;
   rollout = front_rollouts_get (store->front->rollouts, row->key + strlen (wire_key_rollout));
-  if (started_ms != 0 && store->clock_ms != 0)
-    started_ms -= store->clock_ms;
+  if (started_ms != 0 && store->clock_offset_ms != 0)
+    started_ms -= store->clock_offset_ms;
   else
     started_ms = 0;
   if (front_rollouts_status (rollout, target, state, row->version, started_ms))
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -24,16 +24,16 @@
   StoreTable id;
   FrontTable table;
   FrontChannel *channel;
-  struct event *again;
-  StoreAnswer pages; /* rows of the pages read so far */
-  char *after;       /* last key of these */
-  bool loaded;       /* all rows were read from the store; changes are asked for */
-  bool lost;         /* the last question had no good answer */
-  unsigned tries;    /* in a row that failed */
-  int64_t back_ms;   /* when the store answered again after an error */
+  struct event *poll_timer;
+  StoreAnswer pages;    /* rows of the pages read so far */
+  char *last_key;       /* last key of these */
+  bool loaded;          /* all rows were read from the store; changes are asked for */
+  bool lost;            /* the last question had no good answer */
+  unsigned failures;    /* in a row that failed */
+  int64_t recovered_ms; /* when the store answered again after an error */
   int64_t asked_ms;
   bool asked_peer;           /* the open question went to another front */
-  bool asked_short;          /* the open question is a sentinel's */
+  bool is_short_poll;        /* the open question is a sentinel's */
   struct sockaddr_in source; /* which one */
   unsigned peer_failures;    /* questions to other fronts that failed, in a row */
 } Watch;
@@ -45,15 +45,15 @@
   Watch watches[STORE_TABLES];
   FrontChannel *writer;
   int64_t started_ms;
-  int64_t list_again_ms; /* when the list of fronts is read again, should we still be alone */
-  int64_t list_wait_ms;  /* until the time after that */
-  FrontRollout *writing; /* the roll-out whose status is being written; NULL: none */
+  int64_t list_next_ms;     /* when the list of fronts is read again, should we still be alone */
+  int64_t list_interval_ms; /* until the time after that */
+  FrontRollout *writing;    /* the roll-out whose status is being written; NULL: none */
   FrontRolloutState writing_state;
   int64_t writing_started_ms;
-  bool settled;     /* FRONT_SETTLED_MS are over */
-  bool registering; /* our address is being written */
-  int64_t clock_ms; /* the store's clock less ours */
-  int64_t write_again_ms;
+  bool settled;            /* FRONT_SETTLED_MS are over */
+  bool registering;        /* our address is being written */
+  int64_t clock_offset_ms; /* the store's clock less ours */
+  int64_t write_next_ms;
 };
 
 /* front_store_apply.c: a row that is new, changed or gone, by table. */
--- a/src/front_store_source.c
+++ b/src/front_store_source.c
@@ -90,7 +90,7 @@
 StoreSource
 store_choose_source (Watch *watch, int64_t now_ms)
 {
-  if (watch->id == STORE_MEMBERS || watch->after || is_forgotten (watch))
+  if (watch->id == STORE_MEMBERS || watch->last_key || is_forgotten (watch))
     return SOURCE_STORE;
   if (!watch->loaded)
     return aim_start (watch, now_ms);
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -62,7 +62,7 @@
     return;
   watch->lost = lost;
   if (!lost)
-    watch->back_ms = clock_boot_ms ();
+    watch->recovered_ms = clock_boot_ms ();
   line = front_log_begin (lost ? FRONT_EVENT_STORE_LOST : FRONT_EVENT_STORE_BACK);
   front_log_text (line, "table", kinds[watch->id].name);
   front_log_number (line, "status", status);
@@ -75,16 +75,16 @@
 {
   struct timeval wait = { .tv_sec = ms / MS_PER_S, .tv_usec = ms % MS_PER_S * US_PER_MS };
 
-  evtimer_add (watch->again, &wait);
+  evtimer_add (watch->poll_timer, &wait);
 }
 
 /* Fronts that lose the store at one moment must not all come back at one: the wait is random. */
 static void
 watch_failed (Watch *watch, int status)
 {
-  int64_t most_ms = AGAIN_FIRST_MS << (watch->tries < 4 ? watch->tries : 4);
+  int64_t most_ms = AGAIN_FIRST_MS << (watch->failures < 4 ? watch->failures : 4);
 
-  watch->tries++;
+  watch->failures++;
   front_counter_add (FRONT_COUNTER_STORE_ERRORS);
   lost_set (watch, true, status);
   if (most_ms > AGAIN_MOST_MS)
@@ -97,8 +97,8 @@
 pages_drop (Watch *watch)
 {
   store_answer_clear (&watch->pages);
-  free (watch->after);
-  watch->after = NULL;
+  free (watch->last_key);
+  watch->last_key = NULL;
 }
 
 static void
@@ -114,14 +114,14 @@
   free (page->rows);
   page->rows = NULL;
   page->count = 0;
-  free (watch->after);
-  watch->after = all->count ? memory_strdup (all->rows[all->count - 1].key) : NULL;
+  free (watch->last_key);
+  watch->last_key = all->count ? memory_strdup (all->rows[all->count - 1].key) : NULL;
 }
 
 static void
 load_take (Watch *watch, StoreAnswer *answer)
 {
-  bool more = answer->more && answer->count > 0;
+  bool more = answer->has_more && answer->count > 0;
 
   pages_add (watch, answer);
   if (more)
@@ -213,12 +213,12 @@
         watch_failed (watch, status);
       return;
     }
-  watch->tries = 0;
+  watch->failures = 0;
   watch->peer_failures = 0;
   if (!watch->asked_peer)
     lost_set (watch, false, status);
   if (answer.clock_ms != 0)
-    watch->store->clock_ms = answer.clock_ms - clock_boot_ms ();
+    watch->store->clock_offset_ms = answer.clock_ms - clock_boot_ms ();
   if (!watch->loaded)
     load_take (watch, &answer);
   else
@@ -265,16 +265,16 @@
   int wait_ms, answer_ms;
   Buffer path = { 0 };
 
-  watch->asked_short = store_is_sentinel (watch, watch->asked_ms);
-  wait_ms = watch->asked_short ? SENTINEL_WAIT_MS : FRONT_LONG_POLL_MS;
-  answer_ms = watch->asked_short ? SENTINEL_ANSWER_MS : STORE_ANSWER_MS;
+  watch->is_short_poll = store_is_sentinel (watch, watch->asked_ms);
+  wait_ms = watch->is_short_poll ? SENTINEL_WAIT_MS : FRONT_LONG_POLL_MS;
+  answer_ms = watch->is_short_poll ? SENTINEL_ANSWER_MS : STORE_ANSWER_MS;
   front_counter_add (FRONT_COUNTER_STORE_CALLS);
   front_channel_set_address (watch->channel, &watch->store->address);
   front_channel_set_connect_timeout (watch->channel, 0);
   if (watch->loaded)
     wire_changes_path (&path, kinds[watch->id].name, watch->table.version, wait_ms);
   else
-    wire_snapshot_path (&path, kinds[watch->id].name, watch->after);
+    wire_snapshot_path (&path, kinds[watch->id].name, watch->last_key);
   front_channel_request (watch->channel, path.data, NULL,
                          watch->loaded ? answer_ms + wait_ms : STORE_LOAD_MS);
   buffer_free (&path);
@@ -293,7 +293,7 @@
     }
   watch->asked_ms = now_ms;
   watch->asked_peer = aim == SOURCE_PEER;
-  watch->asked_short = false;
+  watch->is_short_poll = false;
   if (!watch->loaded)
     log_asked (watch);
   if (watch->asked_peer)
@@ -369,10 +369,10 @@
 {
   watch->store = store;
   watch->id = id;
-  watch->back_ms = -STORE_RELIST_MS;
+  watch->recovered_ms = -STORE_RELIST_MS;
   front_table_init (&watch->table);
   watch->channel = front_channel_new (store->front->base, &store->address, on_answer, watch);
-  watch->again = evtimer_new (store->front->base, on_again, watch);
+  watch->poll_timer = evtimer_new (store->front->base, on_again, watch);
 }
 
 void
@@ -380,6 +380,6 @@
 {
   pages_drop (watch);
   front_channel_free (watch->channel);
-  event_free (watch->again);
+  event_free (watch->poll_timer);
   front_table_clear (&watch->table);
 }
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -51,7 +51,7 @@
   store->writing_state = rollout->verdict;
   store->writing_started_ms = rollout->started_ms;
   wire_rollout_status_encode (&value, &rollout->order, rollout->verdict,
-                              rollout->started_ms + store->clock_ms);
+                              rollout->started_ms + store->clock_offset_ms);
   front_log_text (line, "key", key.data);
   front_log_text (line, "value", value.data);
   front_log_number (line, "expected", row ? row->version : 0);
@@ -83,7 +83,7 @@
     }
   else
     {
-      store->write_again_ms = clock_boot_ms () + TURN_MS;
+      store->write_next_ms = clock_boot_ms () + TURN_MS;
       front_counter_add (FRONT_COUNTER_STORE_ERRORS);
     }
   store->registering = false;
@@ -114,7 +114,7 @@
     store_sentinel_tick (&store->watches[i], now_ms);
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
       front_rollout_judge (rollout, now_ms);
-  if (front_channel_is_pending (store->writer) || now_ms < store->write_again_ms)
+  if (front_channel_is_pending (store->writer) || now_ms < store->write_next_ms)
     return;
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
   {
--- a/src/front_table.c
+++ b/src/front_table.c
@@ -85,7 +85,7 @@
     table->removed_count--;
     entry_free (entry);
   }
-  table->forgotten = up_to;
+  table->removals_dropped_to = up_to;
 }
 
 /* Moves the row's key and value into the table. */
@@ -130,7 +130,7 @@
 bool
 front_table_has_changes_since (const FrontTable *table, int64_t since)
 {
-  return since >= table->forgotten;
+  return since >= table->removals_dropped_to;
 }
 
 static void
@@ -158,12 +158,12 @@
 {
   TableEntry *entry;
 
-  cds_list_for_each_entry (entry, &table->entries, node) entry->is_found = false;
+  cds_list_for_each_entry (entry, &table->entries, node) entry->in_snapshot = false;
   for (unsigned i = 0; i < answer->count; i++)
     {
       entry = find (table, answer->rows[i].key);
       if (entry)
-        entry->is_found = true;
+        entry->in_snapshot = true;
     }
 }
 
@@ -194,7 +194,7 @@
     StoreRow gone
         = { .key = memory_strdup (entry->row.key), .version = answer->version, .removed = true };
 
-    if (!entry->row.removed && entry->row.version <= answer->version && !entry->is_found)
+    if (!entry->row.removed && entry->row.version <= answer->version && !entry->in_snapshot)
       row_gone (table, entry, &gone, change, user);
     free (gone.key);
   }
--- a/src/front_table.h
+++ b/src/front_table.h
@@ -15,8 +15,8 @@
 {
   struct cds_list_head node;
   struct cds_list_head bucket;
-  StoreRow row;  /**< removed rows are kept for a while, to be told to others */
-  bool is_found; /**< while all rows are taken: it is among them */
+  StoreRow row;     /**< removed rows are kept for a while, to be told to others */
+  bool in_snapshot; /**< while all rows are taken: it is among them */
 } TableEntry;
 
 typedef struct
@@ -27,7 +27,7 @@
   int64_t newest;  /**< version of the newest change seen: tells who knows more, where version
                         also rises without changes */
   unsigned removed_count;
-  int64_t forgotten; /**< removals up to this version are no longer kept */
+  int64_t removals_dropped_to; /**< removals up to this version are no longer kept */
 } FrontTable;
 
 /** Told of each row that is new, changed or gone. */
--- a/src/front_work_message.c
+++ b/src/front_work_message.c
@@ -14,9 +14,9 @@
     return FALSE;
   for (uint32_t i = 0; i < message->count; i++)
     {
-      if (!xdr_uint64_t (xdr, &message->notes[i].server)
-          || !xdr_uint32_t (xdr, &message->notes[i].read_ms)
-          || !xdr_uint32_t (xdr, &message->notes[i].running))
+      if (!xdr_uint64_t (xdr, &message->entries[i].server)
+          || !xdr_uint32_t (xdr, &message->entries[i].read_ms)
+          || !xdr_uint32_t (xdr, &message->entries[i].running))
         return FALSE;
     }
   return TRUE;
--- a/src/front_work_message.h
+++ b/src/front_work_message.h
@@ -23,7 +23,7 @@
 {
   uint64_t incarnation; /**< of the sender */
   uint32_t count;
-  WorkEntry notes[WORK_ENTRIES_MAX];
+  WorkEntry entries[WORK_ENTRIES_MAX];
 } WorkMessage;
 
 /** Bytes written; 0 if they don't fit. */
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -86,7 +86,7 @@
 
       node->peers.own.sin_addr.s_addr = address_of (i);
       node->peers.own_domain = domain_of (i);
-      node->peers.next = i;
+      node->peers.next_peer = i;
       node->start_ms = ORIGIN_MS + (int64_t)(i * 7919 % JITTER_MS);
       for (unsigned j = 0; j < SEEDS; j++)
         peer_add (&node->peers, address_of (j * 50));
@@ -164,9 +164,9 @@
   Peer *chosen[PEERS_PER_ROUND_MAX];
   unsigned count;
 
-  if (now_ms - node->peers.beat_ms < (alone ? ALONE_MS : BEAT_MS))
+  if (now_ms - node->peers.round_ms < (alone ? ALONE_MS : BEAT_MS))
     return;
-  node->peers.beat_ms = now_ms;
+  node->peers.round_ms = now_ms;
   count = peers_choose_recipients (&node->peers, chosen, now_ms);
   for (unsigned i = 0; i < count; i++)
     {
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -73,7 +73,7 @@
 
       node->peers.own.sin_addr.s_addr = address_of (i);
       node->peers.own_domain = domain_of (net, i);
-      node->peers.next = i;
+      node->peers.next_peer = i;
       for (unsigned j = 0; j < count; j++)
         {
           Peer *peer = peer_add (&node->peers, address_of (j));
@@ -132,7 +132,7 @@
     .evidence = rollout->evidence,
   };
 
-  peers_fill_domains (&net->nodes[from].peers, rollout, &told);
+  peers_domains_fill (&net->nodes[from].peers, rollout, &told);
   news.domain_count = told.domain_count;
   news.domains = told.domains;
   front_rollout_news (net->nodes[to].rollout, &news);
--- a/tests/test_front_watch.c
+++ b/tests/test_front_watch.c
@@ -201,7 +201,7 @@
 
   ask_and_receive (node);
   node->watch->asked_peer = true;
-  node->watch->asked_short = false;
+  node->watch->is_short_poll = false;
   store_settle_tick (&node->store, clock_boot_ms ());
   CU_ASSERT (front_channel_is_receiving (node->watch->channel));
   store_sentinel_tick (node->watch, clock_boot_ms ());
