--- a/src/front.h
+++ b/src/front.h
@@ -1,6 +1,6 @@
 /**
- * The whole of a front's process: its event loop and the state that its modules share. One thread
- * runs the loop, so none of it is locked.
+ * The state of the lovage-front process: its event loop and everything that its modules share. All
+ * of it runs on the event loop's one thread, so none of it is locked.
  */
 #ifndef FRONT_H
 #define FRONT_H
@@ -26,42 +26,43 @@
 {
   struct event_base *base;
   SettingsFront settings;
-  uint64_t incarnation; /**< random, of this process */
+  uint64_t incarnation; /**< random; differs between runs of the process */
   FrontConfig *config;  /**< NULL until one is known */
   FrontServers *servers;
   uint64_t vm_hash;   /**< of this VM's name */
-  ColdView fronts;    /**< what is known of the number of fronts */
-  bool servers_known; /**< the whole list was read once */
+  ColdView fronts;    /**< estimate of the number of fronts */
+  bool servers_known; /**< the complete list was read at least once */
   FrontSessions *sessions;
   FrontRollouts *rollouts;
   FrontBudget *budget;
   Quarantine *quarantine;
-  FrontLag lag; /**< of engines' answers */
+  FrontLag lag; /**< of model engines' answers */
   FrontSpeeds speeds;
-  FrontPrompts caller_prompts; /**< what our callers ask for, wherever it was sent */
+  FrontPrompts caller_prompts; /**< of requests received here, wherever they were sent */
   FrontStore *store;
   FrontPeers *peers;
   FrontControl *control;           /**< NULL until it listens */
-  struct evconnlistener *listener; /**< for callers; see front_open */
+  struct evconnlistener *listener; /**< for callers; disabled until front_open */
   int64_t started_ms;
   bool is_open;                  /**< callers' connections are accepted */
   struct cds_list_head conns;    /**< FrontConn by node */
   struct cds_list_head requests; /**< FrontRequest by node */
   unsigned conn_count;
   unsigned request_count;
-  int64_t stop_ms; /**< when the stop was asked for; 0: it wasn't */
+  int64_t stop_ms; /**< when the stop was requested; 0: it was not */
 } Front;
 
-/** True if callers may be sent here: everything needed to serve them is known. */
+/** True once everything that is needed to serve callers is known, and until a stop is requested. */
 bool front_is_ready (const Front *front);
-/** Accepts callers' connections as soon as they can be served, or after FRONT_OPEN_DELAY_MS to
- * refuse what can't be. Until then the system keeps them: after a loss of all VMs callers come back
- * while the fronts still ask each other for the configuration, 0.02 to 0.6 s, and each one refused
- *  meanwhile had to come back half a second later, for the last time that it tries. */
+/** Starts to accept callers' connections as soon as front_is_ready, or FRONT_OPEN_DELAY_MS after
+ *  the start, when requests that can't be served are refused. Until then connections wait in the
+ *  kernel's backlog. After a power loss of all VMs callers reconnect while the fronts still fetch
+ *  the configuration from each other (0.02 to 0.6 s); a caller refused in that time retries half a
+ *  second later and then has no attempt left. */
 void front_open (Front *front, int64_t now_ms);
-/** Half of the shortest time in which a caller gives up on a request that isn't read. */
+/** Half of the shortest time after which a caller gives up on a request that is not read. */
 #define FRONT_OPEN_DELAY_MS 500
-/** Hash of a failure domain's name, as fronts tell it each other; never 0. */
+/** Hash that identifies a failure domain in messages between fronts; never 0. */
 uint32_t front_failure_domain_hash (const char *name);
 
 #endif
--- a/src/front_bootstrap.h
+++ b/src/front_bootstrap.h
@@ -1,7 +1,7 @@
 /**
- * How a front that starts comes by the rows of the store's tables. Whoever can have them from
- * another front of the own failure domain asks that one: 300 fronts that start at one moment, or
- * come back at one moment, make some 40 calls for each table and not 300 and more. No I/O.
+ * Decides how a starting front gets the rows of the store's tables. A front that can get them from
+ * another one of its failure domain asks that one: 300 fronts that start at one moment, or restart
+ * at one moment, make some 40 calls for each table instead of 300 and more. No I/O.
  */
 #ifndef FRONT_BOOTSTRAP_H
 #define FRONT_BOOTSTRAP_H
@@ -11,27 +11,27 @@
 
 typedef enum
 {
-  BOOTSTRAP_WAIT,         /**< somebody is to be heard of soon; decide again then */
-  BOOTSTRAP_ASK_INFORMED, /**< the front that has the rows, or is going to */
-  BOOTSTRAP_ASK_RANKED,   /**< by rank of the living, as when changes are asked for */
+  BOOTSTRAP_WAIT,         /**< wait for messages or the list; decide again later */
+  BOOTSTRAP_ASK_INFORMED, /**< ask the front that has the rows or is about to */
+  BOOTSTRAP_ASK_RANKED,   /**< ask by rank of the living fronts, as for changes */
   BOOTSTRAP_ASK_STORE,
 } BootstrapStep;
 
-/** What a front knows while it lacks a table. */
+/** What a starting front knows while it lacks a table. */
 typedef struct
 {
   int64_t age_ms;      /**< since the process started */
   bool list_known;     /**< the list of registered fronts was read */
-  bool list_lost;      /**< the store gave no good answer when asked for it */
-  bool is_registered;  /**< we are on that list: others count on us to ask the store */
-  bool has_registered; /**< other fronts of our failure domain are on it */
-  bool has_informed;   /**< one of these, or one that told us that it has the rows, can be asked */
-  unsigned failures;   /**< questions to other fronts that got no good answer, in a row */
+  bool list_lost;      /**< the store failed to return the list */
+  bool is_registered;  /**< this front is on the list: others rely on it to ask the store */
+  bool has_registered; /**< other fronts of the same failure domain are on the list */
+  bool has_informed;   /**< one of these, or one that reported that it has the rows, can be asked */
+  unsigned failures;   /**< failed requests to other fronts in a row */
 } BootstrapView;
 
 BootstrapStep front_bootstrap_step (const BootstrapView *view);
 
-/** Until a front that waits decides again. */
+/** Milliseconds until a waiting front decides again. */
 #define BOOTSTRAP_RETRY_MS 20
 
 #endif
--- a/src/front_channel.c
+++ b/src/front_channel.c
@@ -9,20 +9,25 @@
 
 #define MS_PER_S  1000
 #define US_PER_MS 1000L
-/* Milliseconds without an acknowledgement or an answer to a probe after which the connection is
- * dead: news has to arrive within two seconds, so a silent connection must show earlier. */
-#define SILENT_MS 1200
-/* An answer that has begun goes on while each of these times brings so many bytes. */
-#define PROGRESS_MS    1200
-#define PROGRESS_BYTES 8000 /* a share of the smallest link that 150 others use, too */
-/* One that takes longer, or of which nothing comes for so long, may be had sooner elsewhere. */
+/* Milliseconds without an acknowledgement or a reply to a keep-alive probe after which the
+ * connection is closed: changes have to arrive within two seconds, so a dead connection must be
+ * noticed earlier. */
+#define TCP_TIMEOUT_MS 1200
+/* An answer that has begun is abandoned if a period of PROGRESS_MS brings fewer than
+ * PROGRESS_BYTES. */
+#define PROGRESS_MS 1200
+/* The share of the slowest link when 150 other transfers use it as well. */
+#define PROGRESS_BYTES 8000
+/* An answer that takes SLOW_MS in all, or of which nothing arrives for STALL_MS, may be fetched
+ * from another source. */
 #define SLOW_MS  1500
-#define STILL_MS 400
-/* Bytes; a configuration of 50,000 routes has fewer. An answer without end must not use up the
- * memory of the VM. */
-#define ANSWER_MOST ((size_t)16 << 20)
-/* Until a question fails for which no socket could be had: never within the call that asks. */
-#define NOT_CONNECTED_MS 1
+#define STALL_MS 400
+/* Bytes; larger than a configuration of 50,000 routes. Bounds the memory that an endless answer can
+ * use. */
+#define ANSWER_MAX_BYTES ((size_t)16 << 20)
+/* Delay until a request without a socket fails, so that the callback never runs within
+ * front_channel_request. */
+#define NO_SOCKET_DELAY_MS 1
 
 struct FrontChannel
 {
@@ -32,12 +37,12 @@
   struct bufferevent *bev; /* NULL: not connected */
   struct event *timer;
   HttpReply reply;
-  bool waiting;
-  int connect_ms;   /* until a new connection is given up; 0: as long as for the answer */
-  int answer_ms;    /* until the answer to the open question begins */
-  int64_t begun_ms; /* when it began; 0: it hasn't */
-  int64_t moved_ms; /* when bytes of it came last */
-  size_t marked;    /* bytes that had come when the timer was set */
+  bool pending;
+  int connect_timeout_ms;   /* time-out of a new connection; 0: answer_timeout_ms */
+  int answer_timeout_ms;    /* until the answer to the pending request begins */
+  int64_t answer_begun_ms;  /* when the answer began; 0: it has not */
+  int64_t last_received_ms; /* when bytes of the answer last arrived */
+  size_t received_at_timer; /* bytes received when the timer was set */
   ChannelCallback answer;
   void *user;
 };
@@ -51,9 +56,9 @@
 }
 
 static void
-finish (FrontChannel *channel, int status, const char *text, size_t len)
+complete_request (FrontChannel *channel, int status, const char *text, size_t len)
 {
-  channel->waiting = false;
+  channel->pending = false;
   event_del (channel->timer);
   channel->answer (channel->user, status, text, len);
 }
@@ -62,8 +67,8 @@
 fail (FrontChannel *channel)
 {
   disconnect (channel);
-  if (channel->waiting)
-    finish (channel, 0, "", 0);
+  if (channel->pending)
+    complete_request (channel, 0, "", 0);
 }
 
 static void
@@ -74,21 +79,22 @@
   evtimer_add (channel->timer, &wait);
 }
 
-/* How long a large configuration takes depends on the link and on who else asks. Were it given up
- * after a fixed time, the same bytes would be asked for again and given up again, and callers would
- * meet the configuration before for as long as links stay busy. What doesn't move is left. */
+/* How long a large configuration takes depends on the link and on the other transfers. With a fixed
+ * time-out the same bytes would be requested and abandoned again and again, and callers would be
+ * served by the previous configuration for as long as links stay busy. So only a transfer without
+ * progress is abandoned. */
 static void
 on_timer (evutil_socket_t fd UNUSED, short what UNUSED, void *user)
 {
   FrontChannel *channel = user;
   size_t received = front_channel_received (channel);
 
-  if (received < channel->marked + PROGRESS_BYTES)
+  if (received < channel->received_at_timer + PROGRESS_BYTES)
     {
       fail (channel);
       return;
     }
-  channel->marked = received;
+  channel->received_at_timer = received;
   timer_set (channel, PROGRESS_MS);
 }
 
@@ -100,8 +106,9 @@
   http_reply_init (&channel->reply);
   if (!http_should_keep_alive (&reply.parser) || reply.surplus)
     disconnect (channel);
-  if (channel->waiting)
-    finish (channel, reply.status, reply.body.data ? reply.body.data : "", reply.body.len);
+  if (channel->pending)
+    complete_request (channel, reply.status, reply.body.data ? reply.body.data : "",
+                      reply.body.len);
   http_reply_clear (&reply);
 }
 
@@ -111,13 +118,14 @@
   FrontChannel *channel = user;
 
   front_socket_feed_reply (bev, &channel->reply);
-  channel->moved_ms = clock_boot_ms ();
-  if (channel->waiting && channel->begun_ms == 0)
+  channel->last_received_ms = clock_boot_ms ();
+  if (channel->pending && channel->answer_begun_ms == 0)
     {
-      channel->begun_ms = channel->moved_ms;
+      channel->answer_begun_ms = channel->last_received_ms;
       timer_set (channel, PROGRESS_MS);
     }
-  if (channel->reply.broken || !channel->waiting || front_channel_received (channel) > ANSWER_MOST)
+  if (channel->reply.broken || !channel->pending
+      || front_channel_received (channel) > ANSWER_MAX_BYTES)
     fail (channel);
   else if (channel->reply.complete)
     take_answer (channel);
@@ -130,14 +138,14 @@
 
   if (what & BEV_EVENT_CONNECTED)
     {
-      if (channel->waiting)
-        timer_set (channel, channel->answer_ms);
+      if (channel->pending)
+        timer_set (channel, channel->answer_timeout_ms);
       return;
     }
   if (what & BEV_EVENT_EOF)
     http_reply_end (&channel->reply);
   disconnect (channel);
-  if (channel->waiting && channel->reply.complete && (what & BEV_EVENT_EOF))
+  if (channel->pending && channel->reply.complete && (what & BEV_EVENT_EOF))
     take_answer (channel);
   else
     fail (channel);
@@ -171,11 +179,11 @@
 }
 
 static bool
-connect_now (FrontChannel *channel)
+ensure_connected (FrontChannel *channel)
 {
   if (channel->bev)
     return true;
-  channel->bev = front_socket_connect (channel->base, &channel->address, SILENT_MS);
+  channel->bev = front_socket_connect (channel->base, &channel->address, TCP_TIMEOUT_MS);
   if (!channel->bev)
     return false;
   bufferevent_setcb (channel->bev, on_read, NULL, on_event, channel);
@@ -189,18 +197,19 @@
   bool is_new = !channel->bev;
   struct evbuffer *output;
 
-  channel->waiting = true;
-  channel->answer_ms = timeout_ms;
-  channel->begun_ms = 0;
-  channel->marked = 0;
+  channel->pending = true;
+  channel->answer_timeout_ms = timeout_ms;
+  channel->answer_begun_ms = 0;
+  channel->received_at_timer = 0;
   http_reply_clear (&channel->reply);
   http_reply_init (&channel->reply);
-  if (!connect_now (channel))
+  if (!ensure_connected (channel))
     {
-      timer_set (channel, NOT_CONNECTED_MS);
+      timer_set (channel, NO_SOCKET_DELAY_MS);
       return;
     }
-  timer_set (channel, is_new && channel->connect_ms > 0 ? channel->connect_ms : timeout_ms);
+  timer_set (channel,
+             is_new && channel->connect_timeout_ms > 0 ? channel->connect_timeout_ms : timeout_ms);
   output = bufferevent_get_output (channel->bev);
   evbuffer_add_printf (output, "%s %s HTTP/1.1\r\nHost: %s\r\n", body ? "POST" : "GET", path,
                        channel->host);
@@ -226,13 +235,13 @@
 void
 front_channel_set_connect_timeout (FrontChannel *channel, int ms)
 {
-  channel->connect_ms = ms;
+  channel->connect_timeout_ms = ms;
 }
 
 void
 front_channel_cancel (FrontChannel *channel)
 {
-  channel->waiting = false;
+  channel->pending = false;
   event_del (channel->timer);
   disconnect (channel);
 }
@@ -240,7 +249,7 @@
 bool
 front_channel_is_pending (const FrontChannel *channel)
 {
-  return channel->waiting;
+  return channel->pending;
 }
 
 size_t
@@ -252,7 +261,7 @@
 bool
 front_channel_is_receiving (const FrontChannel *channel)
 {
-  return channel->waiting && channel->begun_ms != 0;
+  return channel->pending && channel->answer_begun_ms != 0;
 }
 
 bool
@@ -260,5 +269,6 @@
 {
   int64_t now_ms = clock_boot_ms ();
 
-  return now_ms - channel->begun_ms >= SLOW_MS || now_ms - channel->moved_ms >= STILL_MS;
+  return now_ms - channel->answer_begun_ms >= SLOW_MS
+         || now_ms - channel->last_received_ms >= STALL_MS;
 }
--- a/src/front_channel.h
+++ b/src/front_channel.h
@@ -1,6 +1,6 @@
 /**
- * A connection on which this process asks one HTTP question after the other: to the platform's
- * store, or to another front. It is opened again after any error.
+ * HTTP client connection to the platform's store or to another front, with one request at a time.
+ * It is opened again after any error.
  */
 #ifndef FRONT_CHANNEL_H
 #define FRONT_CHANNEL_H
@@ -12,7 +12,8 @@
 
 typedef struct FrontChannel FrontChannel;
 
-/** status 0: no answer came; the question may have had its effect. text is valid in the call. */
+/** Called with the answer. status 0: none arrived, though the request may have taken effect. text
+ *  is valid during the call only. */
 typedef void (*ChannelCallback) (void *user, int status, const char *text, size_t len);
 
 FrontChannel *front_channel_new (struct event_base *base,
@@ -20,24 +21,24 @@
                                  ChannelCallback answer,
                                  void *user);
 void front_channel_free (FrontChannel *channel);
-/** Asks; no other question may be open. body NULL: a GET without one. The question fails if no
- *  answer begins within timeout_ms; one that has begun may take longer, as long as it moves, and
- *  fails if it is larger than any answer of the store. */
+/** Sends a request; no other may be pending. body NULL: a GET. The request fails if no answer
+ *  begins within timeout_ms, if an answer that has begun makes no progress, or if it is larger than
+ *  any answer of the store. */
 void
 front_channel_request (FrontChannel *channel, const char *path, const Buffer *body, int timeout_ms);
-/** The next question goes to this address. No question may be open. */
+/** Sets the address for the next request. No request may be pending. */
 void front_channel_set_address (FrontChannel *channel, const struct sockaddr_in *address);
-/** A new connection is given up after so many milliseconds; 0: only with the question. A VM without
- *  power doesn't refuse connections, and TCP tries again after a second only. */
+/** Sets the time-out of new connections in milliseconds; 0: that of the request. A VM without power
+ *  doesn't refuse connections, and TCP retransmits its first packet only after a second. */
 void front_channel_set_connect_timeout (FrontChannel *channel, int ms);
-/** Forgets an open question; its answer will not come. */
+/** Cancels the pending request; its callback will not be called. */
 void front_channel_cancel (FrontChannel *channel);
 bool front_channel_is_pending (const FrontChannel *channel);
-/** Bytes that have come of the answer to the last question, which failed or is open. */
+/** Bytes received of the answer to the last request, pending or failed. */
 size_t front_channel_received (const FrontChannel *channel);
-/** True while the answer to the open question arrives. */
+/** True while the answer to the pending request arrives. */
 bool front_channel_is_receiving (const FrontChannel *channel);
-/** True if that takes long, or has come to a stop. */
+/** True if the answer being received takes long or has stalled. */
 bool front_channel_is_slow (const FrontChannel *channel);
 
 #endif
--- a/src/front_compress.c
+++ b/src/front_compress.c
@@ -3,40 +3,40 @@
 #include <stdlib.h>
 #include <zlib.h>
 
-#define PIECE 16384 /* bytes unpacked at a time */
+#define CHUNK_BYTES 16384 /* bytes decompressed at a time */
 
 bool
 front_compress (Buffer *text)
 {
   uLongf len = compressBound (text->len);
-  Bytef *packed = malloc (len);
+  Bytef *compressed = malloc (len);
   bool good
-      = packed
-        && compress2 (packed, &len, (const Bytef *)text->data, text->len, Z_BEST_SPEED) == Z_OK;
+      = compressed
+        && compress2 (compressed, &len, (const Bytef *)text->data, text->len, Z_BEST_SPEED) == Z_OK;
 
   if (good)
     {
       buffer_clear (text);
-      buffer_add (text, packed, len);
+      buffer_add (text, compressed, len);
     }
-  free (packed);
+  free (compressed);
   return good;
 }
 
 bool
-front_decompress (Buffer *out, const char *data, size_t len, size_t text_most)
+front_decompress (Buffer *out, const char *data, size_t len, size_t text_max)
 {
   z_stream stream = { .next_in = (Bytef *)(uintptr_t)data, .avail_in = (uInt)len };
-  unsigned char piece[PIECE];
+  unsigned char chunk[CHUNK_BYTES];
   int status = inflateInit (&stream);
 
-  while (status == Z_OK && stream.total_out <= text_most)
+  while (status == Z_OK && stream.total_out <= text_max)
     {
-      stream.next_out = piece;
-      stream.avail_out = sizeof piece;
+      stream.next_out = chunk;
+      stream.avail_out = sizeof chunk;
       status = inflate (&stream, Z_NO_FLUSH);
-      buffer_add (out, piece, sizeof piece - stream.avail_out);
+      buffer_add (out, chunk, sizeof chunk - stream.avail_out);
     }
   inflateEnd (&stream);
-  return status == Z_STREAM_END && stream.avail_in == 0 && out->len <= text_most;
+  return status == Z_STREAM_END && stream.avail_in == 0 && out->len <= text_max;
 }
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -10,22 +10,23 @@
 #include <event2/buffer.h>
 #include <stdlib.h>
 
-/* Bytes written and not yet taken by the caller from which its backend server is no longer read. */
-#define OUTPUT_MOST 262144
-/* Bytes of later requests that are read while one is being answered. */
-#define AHEAD_MOST 65536
-/* Used before there is a configuration; the platform's usual limits. */
-#define HEADER_MOST_DEFAULT 16384
-#define BODY_MOST_DEFAULT   4194304
-#define HEADER_WAIT_MS      3000
-#define IDLE_WAIT_MS        15000
-/* Milliseconds without an acknowledgement after which a caller is gone. */
-#define SILENT_MS 6000
-/* Idle connections live this much longer than callers may reuse them, so that no request crosses
- * the close. */
-#define IDLE_MORE 1.25
-/* Milliseconds of a stop during which the balancer may still send callers, and idle connections
- * are kept for their next request, which is answered and then closed. */
+/* Bytes of output that the caller has not read yet, above which its backend server is no longer
+ * read from. */
+#define OUTPUT_MAX_BYTES 262144
+/* Bytes of pipelined requests that are read while one is being answered. */
+#define READ_AHEAD_MAX_BYTES 65536
+/* Used before there is a configuration: the platform's usual limits. */
+#define HEADER_MAX_BYTES_DEFAULT  16384
+#define BODY_MAX_BYTES_DEFAULT    4194304
+#define HEADER_TIMEOUT_DEFAULT_MS 3000
+#define IDLE_TIMEOUT_DEFAULT_MS   15000
+/* Milliseconds without an acknowledgement after which a connection counts as lost. */
+#define TCP_TIMEOUT_MS 6000
+/* Idle connections are kept this much longer than callers may reuse them, so that no request
+ * arrives while its connection is being closed. */
+#define IDLE_FACTOR 1.25
+/* Milliseconds after a stop request in which the load balancer may still send callers. Idle
+ * connections are kept for their next request; the answer to it closes them. */
 #define STOP_IDLE_MS 2500
 
 struct FrontConn
@@ -35,42 +36,44 @@
   struct bufferevent *bev;
   HttpIntake intake;
   FrontRequest *request; /* being answered; NULL: none */
-  bool reading;          /* guards against reading the next request within the last one's start */
-  bool close_after;      /* the answer in progress is the last one */
+  bool reading;          /* set while conn_read runs, so that the end of an answer doesn't call it
+                            recursively */
+  bool close_after;      /* close the connection after this answer */
   bool chunked;
-  bool freed;       /* nothing may use it any more */
-  bool closing;     /* nothing more is read; freed when all is written */
-  int64_t since_ms; /* last change between idle, reading a request, answering it */
-  int64_t idle_wait_ms;
+  bool freed;       /* awaits its removal by the next sweep */
+  bool closing;     /* nothing more is read; freed once all output is written */
+  int64_t since_ms; /* last change between idle, reading a request and answering it */
+  int64_t idle_timeout_ms;
 };
 
 static void conn_read (FrontConn *conn);
 
 static HttpIntakeLimits
-limits_now (const Front *front)
+current_limits (const Front *front)
 {
   if (!front->config)
-    return (HttpIntakeLimits){ .head_max = HEADER_MOST_DEFAULT, .body_max = BODY_MOST_DEFAULT };
+    return (HttpIntakeLimits){ .head_max = HEADER_MAX_BYTES_DEFAULT,
+                               .body_max = BODY_MAX_BYTES_DEFAULT };
   return (HttpIntakeLimits){
     .head_max = (size_t)front->config->limits.header_max_bytes,
     .body_max = (size_t)front->config->limits.body_max_bytes,
   };
 }
 
-/* A limit that was lowered since binds only connections that became idle after that: callers go by
- * what was in force when they began to wait. */
+/* Takes the idle time-out that is in force now. One that is lowered later doesn't apply to a
+ * connection that is already idle: callers rely on the one in force when they began to wait. */
 static void
 idle_begin (FrontConn *conn)
 {
   const FrontConfig *config = conn->front->config;
-  int64_t wait_ms = config ? config->limits.idle_timeout_ms : IDLE_WAIT_MS;
+  int64_t wait_ms = config ? config->limits.idle_timeout_ms : IDLE_TIMEOUT_DEFAULT_MS;
 
   conn->since_ms = clock_boot_ms ();
-  conn->idle_wait_ms = (int64_t)((double)wait_ms * IDLE_MORE);
+  conn->idle_timeout_ms = (int64_t)((double)wait_ms * IDLE_FACTOR);
 }
 
-/* Ends the connection at once. The callers of this function may still look at conn, so its memory
- * is given back by the next sweep. */
+/* Closes the connection at once. Callers of this function may still read conn, so its memory is
+ * freed by the next sweep. */
 static void
 conn_free (FrontConn *conn)
 {
@@ -114,9 +117,10 @@
     evbuffer_add_printf (output, "Connection: close\r\n");
 }
 
-/* The answer is written; on to the next request. The caller's buffers may hold it already. */
+/* Called when the answer is written: closes the connection or reads the next request, which may be
+ * in the input buffer already. */
 static void
-answer_done (FrontConn *conn)
+on_answer_written (FrontConn *conn)
 {
   conn->request = NULL;
   if (conn->close_after)
@@ -138,7 +142,7 @@
   write_head (conn, head);
   evbuffer_add_printf (output, "Content-Length: %zu\r\n\r\n", len);
   evbuffer_add (output, body, len);
-  answer_done (conn);
+  on_answer_written (conn);
 }
 
 void
@@ -172,10 +176,11 @@
 {
   if (conn->chunked)
     evbuffer_add_printf (bufferevent_get_output (conn->bev), "0\r\n\r\n");
-  answer_done (conn);
+  on_answer_written (conn);
 }
 
-/* Without chunks an orderly close would look like the end of the answer: a reset doesn't. */
+/* Without chunked encoding an orderly close marks the end of the answer, so the connection is
+ * reset. */
 void
 front_conn_abort (FrontConn *conn)
 {
@@ -194,7 +199,7 @@
 bool
 front_conn_output_is_full (const FrontConn *conn)
 {
-  return evbuffer_get_length (bufferevent_get_output (conn->bev)) > OUTPUT_MOST;
+  return evbuffer_get_length (bufferevent_get_output (conn->bev)) > OUTPUT_MAX_BYTES;
 }
 
 HttpIntake *
@@ -204,7 +209,7 @@
 }
 
 static void
-refuse_bytes (FrontConn *conn, int status)
+refuse_request (FrontConn *conn, int status)
 {
   Buffer head = { 0 };
   FrontLine *line = front_log_begin (FRONT_EVENT_BAD_REQUEST);
@@ -219,7 +224,7 @@
 }
 
 static void
-take_request (FrontConn *conn)
+start_request (FrontConn *conn)
 {
   conn->since_ms = clock_boot_ms ();
   conn->chunked = false;
@@ -227,7 +232,7 @@
   front_request_start (conn->request);
 }
 
-/* Returns false once no more is to be read now; the connection may be gone then. */
+/* Returns false when nothing more can be read now; the connection may have been freed. */
 static bool
 read_some (FrontConn *conn)
 {
@@ -238,7 +243,7 @@
     return false;
   if (!http_intake_started (&conn->intake))
     {
-      conn->intake.limits = limits_now (conn->front);
+      conn->intake.limits = current_limits (conn->front);
       conn->since_ms = clock_boot_ms ();
     }
   switch (http_intake_feed (&conn->intake, (const char *)evbuffer_pullup (input, (ev_ssize_t)len),
@@ -246,11 +251,11 @@
     {
     case INTAKE_DONE:
       evbuffer_drain (input, used);
-      take_request (conn);
+      start_request (conn);
       return true;
     case INTAKE_REFUSED:
       evbuffer_drain (input, len);
-      refuse_bytes (conn, conn->intake.refuse_status);
+      refuse_request (conn, conn->intake.refuse_status);
       return false;
     case INTAKE_MORE:
       break;
@@ -298,17 +303,17 @@
 front_conn_new (Front *front, evutil_socket_t fd)
 {
   FrontConn *conn = memory_alloc (sizeof *conn);
-  HttpIntakeLimits limits = limits_now (front);
+  HttpIntakeLimits limits = current_limits (front);
 
   conn->front = front;
-  front_socket_set_options (fd, SILENT_MS);
+  front_socket_set_options (fd, TCP_TIMEOUT_MS);
   conn->bev = bufferevent_socket_new (front->base, fd, BEV_OPT_CLOSE_ON_FREE);
   http_intake_init (&conn->intake, &limits);
   idle_begin (conn);
   cds_list_add_tail (&conn->node, &front->conns);
   front->conn_count++;
   bufferevent_setcb (conn->bev, on_read, on_written, on_event, conn);
-  bufferevent_setwatermark (conn->bev, EV_READ, 0, AHEAD_MOST);
+  bufferevent_setwatermark (conn->bev, EV_READ, 0, READ_AHEAD_MAX_BYTES);
   bufferevent_enable (conn->bev, EV_READ | EV_WRITE);
 }
 
@@ -317,28 +322,28 @@
 {
   const FrontConfig *config = conn->front->config;
   int64_t passed_ms = now_ms - conn->since_ms;
-  int64_t header_ms = config ? config->limits.header_timeout_ms : HEADER_WAIT_MS;
+  int64_t header_ms = config ? config->limits.header_timeout_ms : HEADER_TIMEOUT_DEFAULT_MS;
 
-  /* What is still being written belongs to an answer that the caller waits for. */
+  /* Unsent output belongs to an answer that the caller waits for. */
   bool written = evbuffer_get_length (bufferevent_get_output (conn->bev)) == 0;
 
   if (conn->request)
     return;
   if (conn->closing)
     {
-      if (passed_ms > SILENT_MS)
+      if (passed_ms > TCP_TIMEOUT_MS)
         conn_free (conn);
     }
   else if (http_intake_started (&conn->intake))
     {
       if (!conn->intake.in_body && passed_ms > header_ms + header_ms / 2)
-        refuse_bytes (conn, 408);
-      else if (passed_ms > 2 * conn->idle_wait_ms)
+        refuse_request (conn, 408);
+      else if (passed_ms > 2 * conn->idle_timeout_ms)
         conn_free (conn);
     }
   else if (!written)
     return;
-  else if (passed_ms > conn->idle_wait_ms
+  else if (passed_ms > conn->idle_timeout_ms
            || (conn->front->stop_ms != 0 && now_ms - conn->front->stop_ms > STOP_IDLE_MS))
     conn_free (conn);
 }
--- a/src/front_conn.h
+++ b/src/front_conn.h
@@ -1,5 +1,5 @@
 /**
- * A caller's connection: reads one request after the other and writes its answer.
+ * A caller's connection: reads one request after the other and writes the answers.
  */
 #ifndef FRONT_CONN_H
 #define FRONT_CONN_H
@@ -9,23 +9,24 @@
 
 typedef struct FrontConn FrontConn;
 
-/** Takes a connection that was accepted. */
+/** Takes over an accepted connection. */
 void front_conn_new (Front *front, evutil_socket_t fd);
-/** The request that was read; valid until it is answered. */
+/** The request being answered; valid until its answer is written. */
 HttpIntake *front_conn_intake (FrontConn *conn);
-/** A whole answer: head is status line and fields, without the empty line. */
+/** Writes a complete answer: head holds the status line and header fields, without the empty line.
+ */
 void front_conn_answer (FrontConn *conn, const Buffer *head, const void *body, size_t len);
-/** An answer in pieces. */
+/** Write an answer of unknown length. */
 void front_conn_stream_begin (FrontConn *conn, const Buffer *head);
 void front_conn_stream_data (FrontConn *conn, const void *data, size_t len);
 void front_conn_stream_end (FrontConn *conn);
-/** Ends the connection so that the answer can't be taken for a whole one. */
+/** Ends the connection so that the caller can't take the answer for complete. */
 void front_conn_abort (FrontConn *conn);
-/** True if the caller takes bytes more slowly than they come. */
+/** True if the caller reads its answer more slowly than it is produced. */
 bool front_conn_output_is_full (const FrontConn *conn);
-/** Time-outs of all connections, and the idle ones' end in a stop. */
+/** Applies the time-outs of all connections, and closes idle ones during a stop. */
 void front_conn_sweep (Front *front, int64_t now_ms);
-/** True if no answer waits to be sent; one whose request has ended may still be in a buffer. */
+/** True if no output is pending; a request may have ended while its answer is still in a buffer. */
 bool front_conn_all_written (const Front *front);
 
 #endif
--- a/src/front_control.c
+++ b/src/front_control.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A question of another front that is held until there is news. */
+/* A long-poll request of another front, held until there are changes. */
 typedef struct
 {
   struct cds_list_head node;
@@ -22,30 +22,30 @@
   struct evhttp_request *http;
   StoreTable table;
   int64_t since;
-  int64_t asked_ms;
-} Question;
+  int64_t received_ms;
+} HeldPoll;
 
-/* The rows last given, packed. Some dozen fronts ask for the same ones at one moment, and a front
- * may have a tenth of a core. */
+/* The last encoded rows, compressed. Some dozen fronts request the same rows at one moment, and a
+ * front may have only a tenth of a CPU core. */
 typedef struct
 {
   StoreTable table;
   int64_t since;
   int64_t version;
   Buffer text;
-} Given;
+} EncodedRows;
 
 struct FrontControl
 {
   Front *front;
   struct evhttp *ready;
   struct evhttp *control;
-  struct cds_list_head questions;
-  Given given;
+  struct cds_list_head held_polls;
+  EncodedRows encoded;
 };
 
 static void
-reply (struct evhttp_request *http, int status, const Buffer *text)
+send_reply (struct evhttp_request *http, int status, const Buffer *text)
 {
   struct evbuffer *out = evbuffer_new ();
 
@@ -60,7 +60,7 @@
 {
   FrontControl *control = user;
 
-  reply (http, front_is_ready (control->front) ? HTTP_OK : HTTP_SERVUNAVAIL, NULL);
+  send_reply (http, front_is_ready (control->front) ? HTTP_OK : HTTP_SERVUNAVAIL, NULL);
 }
 
 static void
@@ -97,93 +97,95 @@
   for (unsigned i = 0; i < STORE_TABLES; i++)
     buffer_printf (&text, "lovage_front_store_lost{table=\"%u\"} %d\n", i,
                    front_store_is_lost (front->store, (StoreTable)i));
-  reply (http, HTTP_OK, &text);
+  send_reply (http, HTTP_OK, &text);
   buffer_free (&text);
 }
 
 static void
-give (FrontControl *control, struct evhttp_request *http, StoreTable table, int64_t since)
+send_rows (FrontControl *control, struct evhttp_request *http, StoreTable table, int64_t since)
 {
   const FrontStore *store = control->front->store;
   int64_t version = front_store_version (store, table);
-  Given *given = &control->given;
+  EncodedRows *encoded = &control->encoded;
 
-  if (given->text.len == 0 || given->table != table || given->since != since
-      || given->version != version)
+  if (encoded->text.len == 0 || encoded->table != table || encoded->since != since
+      || encoded->version != version)
     {
-      buffer_clear (&given->text);
-      *given = (Given){ .table = table, .since = since, .version = version, .text = given->text };
-      if (!front_store_encode_rows (store, table, since, &given->text)
-          || !front_compress (&given->text))
-        buffer_clear (&given->text);
+      buffer_clear (&encoded->text);
+      *encoded = (EncodedRows){
+        .table = table, .since = since, .version = version, .text = encoded->text
+      };
+      if (!front_store_encode_rows (store, table, since, &encoded->text)
+          || !front_compress (&encoded->text))
+        buffer_clear (&encoded->text);
     }
-  if (given->text.len == 0)
+  if (encoded->text.len == 0)
     {
-      reply (http, HTTP_SERVUNAVAIL, NULL);
+      send_reply (http, HTTP_SERVUNAVAIL, NULL);
       return;
     }
   front_counter_add (FRONT_COUNTER_ROWS_GIVEN);
-  front_counter_add_many (FRONT_COUNTER_ROWS_GIVEN_BYTES, given->text.len);
-  reply (http, HTTP_OK, &given->text);
+  front_counter_add_many (FRONT_COUNTER_ROWS_GIVEN_BYTES, encoded->text.len);
+  send_reply (http, HTTP_OK, &encoded->text);
 }
 
 static void
-question_free (Question *question)
+poll_free (HeldPoll *poll)
 {
-  cds_list_del (&question->node);
-  free (question);
+  cds_list_del (&poll->node);
+  free (poll);
 }
 
-/* The other front has gone; evhttp frees the request with its connection. */
+/* The other front closed the connection; evhttp frees the request along with it. */
 static void
-on_asker_gone (struct evhttp_connection *connection UNUSED, void *user)
+on_connection_closed (struct evhttp_connection *connection UNUSED, void *user)
 {
-  question_free (user);
+  poll_free (user);
 }
 
 static void
-question_hold (FrontControl *control, struct evhttp_request *http, StoreTable table, int64_t since)
+poll_hold (FrontControl *control, struct evhttp_request *http, StoreTable table, int64_t since)
 {
-  Question *question = memory_alloc (sizeof *question);
+  HeldPoll *poll = memory_alloc (sizeof *poll);
 
-  *question = (Question){
+  *poll = (HeldPoll){
     .control = control,
     .http = http,
     .table = table,
     .since = since,
-    .asked_ms = clock_boot_ms (),
+    .received_ms = clock_boot_ms (),
   };
-  cds_list_add_tail (&question->node, &control->questions);
-  evhttp_connection_set_closecb (evhttp_request_get_connection (http), on_asker_gone, question);
+  cds_list_add_tail (&poll->node, &control->held_polls);
+  evhttp_connection_set_closecb (evhttp_request_get_connection (http), on_connection_closed, poll);
 }
 
 static void
-question_answer (Question *question)
+poll_answer (HeldPoll *poll)
 {
-  struct evhttp_request *http = question->http;
+  struct evhttp_request *http = poll->http;
 
   evhttp_connection_set_closecb (evhttp_request_get_connection (http), NULL, NULL);
-  give (question->control, http, question->table, question->since);
-  question_free (question);
+  send_rows (poll->control, http, poll->table, poll->since);
+  poll_free (poll);
 }
 
-/* The question's time is over, or there is news. */
+/* There are changes, or the long poll has timed out. */
 static bool
-is_due (const Question *question, int64_t now_ms)
+is_due (const HeldPoll *poll, int64_t now_ms)
 {
-  return front_store_has_changes (question->control->front->store, question->table, question->since)
-         || now_ms - question->asked_ms >= FRONT_LONG_POLL_MS;
+  return front_store_has_changes (poll->control->front->store, poll->table, poll->since)
+         || now_ms - poll->received_ms >= FRONT_LONG_POLL_MS;
 }
 
 void
 front_control_tick (FrontControl *control, int64_t now_ms)
 {
-  Question *question, *next;
+  HeldPoll *poll, *next;
 
-  cds_list_for_each_entry_safe (question, next, &control->questions, node)
+  cds_list_for_each_entry_safe (poll, next, &control->held_polls, node)
   {
-    if (is_due (question, now_ms))
-      question_answer (question);
+    if (is_due (poll, now_ms))
+      poll_answer (poll);
   }
 }
 
@@ -196,16 +198,16 @@
   bool wait;
 
   if (!front_store_parse_news_path (evhttp_request_get_uri (http), &table, &since, &wait))
-    reply (http, HTTP_NOTFOUND, NULL);
+    send_reply (http, HTTP_NOTFOUND, NULL);
   else if (wait && !front_store_has_changes (control->front->store, table, since))
-    question_hold (control, http, table, since);
+    poll_hold (control, http, table, since);
   else
-    give (control, http, table, since);
+    send_rows (control, http, table, since);
 }
 
-/* "IP:PORT" of the settings to a server of its own. */
+/* Opens an HTTP server on an address of the settings, "IP:PORT"; NULL on failure. */
 static struct evhttp *
-serve (Front *front, const char *text)
+http_server_new (Front *front, const char *text)
 {
   struct sockaddr_in address;
   char host[INET_ADDRSTRLEN];
@@ -229,9 +231,9 @@
 
   control->front = front;
   front->control = control;
-  CDS_INIT_LIST_HEAD (&control->questions);
-  control->ready = serve (front, front->settings.ready);
-  control->control = serve (front, front->settings.control);
+  CDS_INIT_LIST_HEAD (&control->held_polls);
+  control->ready = http_server_new (front, front->settings.ready);
+  control->control = http_server_new (front, front->settings.control);
   if (!control->ready || !control->control)
     {
       front_control_free (control);
@@ -250,7 +252,7 @@
     evhttp_free (control->ready);
   if (control->control)
     evhttp_free (control->control);
-  buffer_free (&control->given.text);
+  buffer_free (&control->encoded.text);
   control->front->control = NULL;
   free (control);
 }
--- a/src/front_control.h
+++ b/src/front_control.h
@@ -1,5 +1,5 @@
 /**
- * What this process answers to the balancer, to monitoring and to other fronts.
+ * The HTTP servers for the load balancer, for monitoring and for other fronts.
  */
 #ifndef FRONT_CONTROL_H
 #define FRONT_CONTROL_H
@@ -9,8 +9,7 @@
 /** NULL if an address can't be bound. */
 FrontControl *front_control_new (Front *front);
 void front_control_free (FrontControl *control);
-/** Answers the questions of other fronts that news has come for, or that have waited long enough.
- */
+/** Answers the held long polls for which there are changes or whose time is over. */
 void front_control_tick (FrontControl *control, int64_t now_ms);
 
 #endif
--- a/src/front_counter.c
+++ b/src/front_counter.c
@@ -17,8 +17,8 @@
   [FRONT_WAIT_WHOLE] = "whole_answer",
 };
 
-/* Upper bounds in milliseconds: from a plain service's answer to the longest time-out of a route.
- */
+/* Upper bounds in milliseconds, from the answer time of a simple service to the longest time-out of
+ * a route. */
 static const int64_t bounds_ms[] = { 50, 100, 200, 300, 500, 1000, 1500, 2000, 4000, 8000, 15000 };
 
 #define BOUNDS (sizeof bounds_ms / sizeof bounds_ms[0])
--- a/src/front_counter.h
+++ b/src/front_counter.h
@@ -1,5 +1,5 @@
 /**
- * Counters of lovage-front, and histograms of how long callers wait.
+ * Counters of lovage-front, and histograms of callers' waiting times.
  */
 #ifndef FRONT_COUNTER_H
 #define FRONT_COUNTER_H
@@ -18,15 +18,15 @@
 
 typedef enum
 {
-  FRONT_WAIT_FIRST, /**< until the first byte of an answer */
-  FRONT_WAIT_WHOLE, /**< until its end */
+  FRONT_WAIT_FIRST, /**< until the first byte of the answer */
+  FRONT_WAIT_WHOLE, /**< until the end of the answer */
   FRONT_WAIT_COUNT
 } FrontWaitId;
 
 void front_counter_add (FrontCounterId id);
 void front_counter_add_many (FrontCounterId id, size_t count);
 void front_counter_wait (FrontWaitId id, int64_t ms);
-/** In the text format that monitoring systems commonly read. */
+/** Appends all metrics in the Prometheus text format. */
 void front_counter_metrics (Buffer *out);
 
 #endif
--- a/src/front_events.c
+++ b/src/front_events.c
@@ -10,7 +10,7 @@
   *events = (FrontEvents){ .last_id = NO_ID };
 }
 
-/* Length of the first event with its empty line; 0 if its end is not there yet. */
+/* Length of the first event with its empty line; 0 if the event is incomplete. */
 static size_t
 event_length (const char *data, size_t len)
 {
--- a/src/front_events.h
+++ b/src/front_events.h
@@ -1,6 +1,6 @@
 /**
- * Cuts the bytes of an event stream at the ends of its events, so that an event is passed on whole
- * or not at all, and knows the last one that was. No I/O.
+ * Splits an event stream into events, so that each is forwarded completely or not at all, and keeps
+ * the id of the last one forwarded. No I/O.
  */
 #ifndef FRONT_EVENTS_H
 #define FRONT_EVENTS_H
@@ -11,14 +11,14 @@
 
 typedef struct
 {
-  int64_t last_id;   /**< of the last event passed on; -1: none */
-  int64_t forwarded; /**< events passed on */
-  bool gap;          /**< an event is missing between two; the stream can't go on */
+  int64_t last_id;   /**< of the last event forwarded; -1: none */
+  int64_t forwarded; /**< number of events forwarded */
+  bool gap;          /**< an id was skipped; the stream can't continue */
 } FrontEvents;
 
 void front_events_init (FrontEvents *events);
-/** Moves whole events from input to output; those that were passed on already are dropped, as a
- *  resumed stream may repeat them. */
+/** Moves complete events from input to output. Drops those that were forwarded before, which a
+ *  resumed stream may repeat. Stops at the first gap. */
 void front_events_forward (FrontEvents *events, Buffer *input, Buffer *output);
 
 #endif
--- a/src/front_log.c
+++ b/src/front_log.c
@@ -7,34 +7,34 @@
 #include <string.h>
 #include <unistd.h>
 
-#define BURST_S     4.0 /* seconds' worth of lines that may come at once */
-#define MS_PER_S    1000.0
-#define PIPE_ATOMIC 4096 /* bytes that a pipe takes whole or not at all */
-#define NUMBER_MAX  24   /* digits of any number, a sign and the end */
+#define BURST_S        4.0 /* burst size, in seconds' worth of lines */
+#define MS_PER_S       1000.0
+#define LINE_MAX_BYTES 4096 /* bytes that a pipe takes in one atomic write */
+#define NUMBER_SIZE    24   /* digits of any int64_t, sign and terminator */
 
 typedef struct
 {
   const char *name;
-  double rate; /* lines a second */
+  double rate; /* lines per second */
 } EventKind;
 
 typedef struct
 {
-  double saved; /* lines that may be written now */
-  int64_t filled_ms;
+  double tokens; /* token bucket: lines that may be written now */
+  int64_t refilled_ms;
   int64_t written;
-  int64_t omitted; /* since the last line */
+  int64_t omitted; /* since the last line that was written */
   int64_t omitted_total;
 } EventState;
 
-/* The line is written piece by piece into its own room. Built as a tree of json-c's it cost 4 us, a
- * tenth of a front's processor time on a calm day; so it costs 1.2 us and less than can be told. */
+/* Lines are formatted directly into a fixed buffer. As a json-c tree a line took 4 us, a tenth of a
+ * front's CPU time at low load; formatted this way it takes 1.2 us. */
 struct FrontLine
 {
   FrontEventId id;
   bool too_long;
   size_t len;
-  char text[PIPE_ATOMIC];
+  char text[LINE_MAX_BYTES];
 };
 
 static const EventKind kinds[FRONT_EVENT_COUNT] = {
@@ -43,7 +43,7 @@
 #undef EVENT
 };
 
-/* One thread writes; the process has one event loop. */
+/* Only the event loop's thread writes. */
 static EventState states[FRONT_EVENT_COUNT];
 static FrontLine current;
 static const char *vm_name = "";
@@ -57,34 +57,34 @@
   if (flags >= 0)
     fcntl (STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
   for (unsigned i = 0; i < FRONT_EVENT_COUNT; i++)
-    states[i].saved = kinds[i].rate * BURST_S;
+    states[i].tokens = kinds[i].rate * BURST_S;
 }
 
 static bool
-take (FrontEventId id, int64_t now_ms)
+take_token (FrontEventId id, int64_t now_ms)
 {
   EventState *state = &states[id];
-  double most = kinds[id].rate * BURST_S;
+  double tokens_max = kinds[id].rate * BURST_S;
 
-  state->saved += (double)(now_ms - state->filled_ms) / MS_PER_S * kinds[id].rate;
-  state->filled_ms = now_ms;
-  if (state->saved > most)
-    state->saved = most;
-  if (state->saved < 1)
+  state->tokens += (double)(now_ms - state->refilled_ms) / MS_PER_S * kinds[id].rate;
+  state->refilled_ms = now_ms;
+  if (state->tokens > tokens_max)
+    state->tokens = tokens_max;
+  if (state->tokens < 1)
     return false;
-  state->saved -= 1;
+  state->tokens -= 1;
   return true;
 }
 
 static void
-leave_out (FrontEventId id)
+count_omitted (FrontEventId id)
 {
   states[id].omitted++;
   states[id].omitted_total++;
 }
 
 static void
-add (FrontLine *line, const char *data, size_t len)
+append (FrontLine *line, const char *data, size_t len)
 {
   if (line->len + len > sizeof line->text)
     {
@@ -108,9 +108,9 @@
   return true;
 }
 
-/* Ids and names, nearly all values, are as they stand; for others json-c knows the rules. */
+/* Nearly all values are ids and names without special characters; json-c escapes the others. */
 static void
-add_quoted (FrontLine *line, const char *data, size_t len)
+append_quoted (FrontLine *line, const char *data, size_t len)
 {
   struct json_object *object;
   size_t quoted_len;
@@ -118,24 +118,24 @@
 
   if (is_plain (data, len))
     {
-      add (line, "\"", 1);
-      add (line, data, len);
-      add (line, "\"", 1);
+      append (line, "\"", 1);
+      append (line, data, len);
+      append (line, "\"", 1);
       return;
     }
   object = json_object_new_string_len (data, (int)len);
   quoted = json_object_to_json_string_length (object, JSON_C_TO_STRING_PLAIN, &quoted_len);
-  add (line, quoted, quoted_len);
+  append (line, quoted, quoted_len);
   json_object_put (object);
 }
 
-/* Names stand in the code, and need no look. */
+/* Field names are constants that need no escaping. */
 static void
-add_name (FrontLine *line, const char *name)
+append_name (FrontLine *line, const char *name)
 {
-  add (line, line->len == 0 ? "{\"" : ",\"", 2);
-  add (line, name, strlen (name));
-  add (line, "\":", 2);
+  append (line, line->len == 0 ? "{\"" : ",\"", 2);
+  append (line, name, strlen (name));
+  append (line, "\":", 2);
 }
 
 FrontLine *
@@ -143,9 +143,9 @@
 {
   int64_t now_ms = clock_boot_ms ();
 
-  if (!take (id, now_ms))
+  if (!take_token (id, now_ms))
     {
-      leave_out (id);
+      count_omitted (id);
       return NULL;
     }
   current.id = id;
@@ -170,24 +170,24 @@
 {
   if (!line || !value.text)
     return;
-  add_name (line, name);
-  add_quoted (line, value.text, value.len);
+  append_name (line, name);
+  append_quoted (line, value.text, value.len);
 }
 
 void
 front_log_number (FrontLine *line, const char *name, int64_t value)
 {
-  char digits[NUMBER_MAX];
+  char digits[NUMBER_SIZE];
   int len;
 
   if (!line)
     return;
   len = snprintf (digits, sizeof digits, "%lld", (long long)value);
-  add_name (line, name);
-  add (line, digits, (size_t)len);
+  append_name (line, name);
+  append (line, digits, (size_t)len);
 }
 
-/* A pipe that is full loses the line; nobody who reads logs may hold up a request. */
+/* The line is lost if the pipe is full: a slow log reader must not delay requests. */
 static bool
 write_line (const FrontLine *line)
 {
@@ -204,10 +204,10 @@
 {
   if (!line)
     return;
-  add (line, "}\n", strlen ("}\n"));
+  append (line, "}\n", strlen ("}\n"));
   if (line->too_long || !write_line (line))
     {
-      leave_out (line->id);
+      count_omitted (line->id);
       return;
     }
   states[line->id].written++;
--- a/src/front_log.h
+++ b/src/front_log.h
@@ -1,7 +1,7 @@
 /**
- * Log lines of lovage-front: one JSON object a line on standard output, one line a decision. Each
- * kind of line has a rate; what is beyond it, or what a full pipe doesn't take, is left out and
- * counted in the next line of the kind. Writing never blocks.
+ * Structured log of lovage-front: one JSON object a line on standard output, one line for each
+ * decision. Each event has a maximum rate; lines above it, and lines that a full pipe doesn't take,
+ * are omitted and counted in the next line of the event. Writing never blocks.
  */
 #ifndef FRONT_LOG_H
 #define FRONT_LOG_H
@@ -19,15 +19,15 @@
 
 typedef struct FrontLine FrontLine;
 
-/** vm stands in each line. */
+/** vm is added to each line. */
 void front_log_init (const char *vm);
-/** NULL if the line is left out; all other calls take NULL. */
+/** Returns NULL if the line is omitted; the other functions accept NULL. */
 FrontLine *front_log_begin (FrontEventId id);
 void front_log_text (FrontLine *line, const char *name, const char *value);
 void front_log_span (FrontLine *line, const char *name, Span value);
 void front_log_number (FrontLine *line, const char *name, int64_t value);
 void front_log_end (FrontLine *line);
-/** Lines written and left out, by kind, as metrics. */
+/** Appends the numbers of lines written and omitted for each event, as metrics. */
 void front_log_metrics (Buffer *out);
 
 #endif
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -1,4 +1,5 @@
-/* lovage-front: callers' requests on the users' platform, in one process a VM. */
+/* lovage-front: routes callers' requests to the backend servers of the users' platform, in one
+ * process a VM. */
 #include "front.h"
 #include "front_conn.h"
 #include "front_control.h"
@@ -17,24 +18,28 @@
 #include <sys/stat.h>
 #include <syslog.h>
 
-#define TICK_MS          100 /* of time-outs, roll-outs and news; far below any bound that they keep */
-#define MS_PER_S         1000
-#define NS_PER_MS        1000000
-#define US_PER_MS        1000L
-#define SETTINGS_LOOK_MS 2000
-#define BACKLOG          1024 /* callers of a whole failure domain may come at once */
-#define STOP_LEAST_MS    2500 /* the balancer needs two questions to send callers elsewhere */
-#define STOP_SPARE_MS    400  /* before the process would be killed */
-/* A session is held for longer than it lasts, as clocks and ways differ. */
-#define SESSION_MORE_MS  1000
-#define RETRY_SHARE_USED 0.93 /* the rest is for sends that the servers count and we don't */
+/* Period of time-outs, roll-outs and messages; far below any of their limits. */
+#define TICK_MS           100
+#define MS_PER_S          1000
+#define NS_PER_MS         1000000
+#define US_PER_MS         1000L
+#define SETTINGS_CHECK_MS 2000
+#define BACKLOG           1024 /* all callers of a failure domain may connect at once */
+/* The load balancer needs two failed health checks to send callers elsewhere. */
+#define STOP_MIN_MS    2500
+#define STOP_MARGIN_MS 400 /* margin before the process would be killed */
+/* A session is held longer than it lasts, to allow for differing clocks and network delay. */
+#define SESSION_MARGIN_MS 1000
+/* Part of the permitted retries that is used; the rest allows for requests that the servers count
+ * and the router doesn't. */
+#define RETRY_SHARE_FACTOR 0.93
 
 typedef struct
 {
   Front front;
   const char *settings_file;
-  int64_t settings_looked_ms;
-  int64_t settings_changed_ms; /* time of the file's last change, as the system tells it */
+  int64_t settings_checked_ms;
+  int64_t settings_changed_ms; /* the file's modification time */
   FrontControl *control;
   struct event *tick;
   struct event *signals[2];
@@ -43,10 +48,10 @@
 const char *argp_program_version = "lovage-front 0.1";
 
 static const QuarantineSettings quarantine_settings = {
-  .servers = 3,       /* two may die by chance under one caller's retries */
-  .memory_ms = 60000, /* callers send such a request again within seconds */
+  .servers = 3,       /* two may die by coincidence during one caller's retries */
+  .memory_ms = 60000, /* callers retry such a request within seconds */
   .outage_ms = 1000,  /* servers of one rack die together */
-  .same_ms = 3000,    /* a dead server is back after some seconds, under another id */
+  .same_ms = 3000,    /* a dead server restarts within seconds, under another id */
   .hold_ms = 60000,
 };
 
@@ -67,17 +72,16 @@
 {
   Front *front = &self->front;
   int64_t passed_ms = now_ms - front->stop_ms;
-  int64_t most_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_SPARE_MS;
+  int64_t max_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_MARGIN_MS;
 
   if (front->stop_ms == 0)
     return;
-  if (passed_ms >= most_ms
-      || (passed_ms >= STOP_LEAST_MS && front->request_count == 0
-          && front_conn_all_written (front)))
+  if (passed_ms >= max_ms
+      || (passed_ms >= STOP_MIN_MS && front->request_count == 0 && front_conn_all_written (front)))
     event_base_loopbreak (front->base);
 }
 
-static void settings_watch (Main *self, int64_t now_ms);
+static void settings_check (Main *self, int64_t now_ms);
 
 static void
 on_tick (evutil_socket_t fd UNUSED, short what UNUSED, void *user)
@@ -93,7 +97,7 @@
   front_budget_set_fronts (self->front.budget, front_peers_alive (self->front.peers, now_ms));
   front_peers_fill_cold_view (self->front.peers, now_ms, &self->front.fronts);
   front_control_tick (self->control, now_ms);
-  settings_watch (self, now_ms);
+  settings_check (self, now_ms);
   stop_check (self, now_ms);
 }
 
@@ -119,7 +123,8 @@
   CheckList list = { .file = self->settings_file };
   FrontLine *line = front_log_begin (FRONT_EVENT_RELOAD);
 
-  /* Addresses stay until a restart; what may change while requests are served is taken over. */
+  /* Addresses take effect at a restart only; what may change while requests are served is applied.
+   */
   if (settings_front_read (self->settings_file, &settings, &list))
     {
       self->front.settings.stop_s = settings.stop_s;
@@ -144,14 +149,14 @@
 
 /* The file may change without a signal. */
 static void
-settings_watch (Main *self, int64_t now_ms)
+settings_check (Main *self, int64_t now_ms)
 {
   struct stat found;
   int64_t changed_ms;
 
-  if (now_ms - self->settings_looked_ms < SETTINGS_LOOK_MS)
+  if (now_ms - self->settings_checked_ms < SETTINGS_CHECK_MS)
     return;
-  self->settings_looked_ms = now_ms;
+  self->settings_checked_ms = now_ms;
   if (stat (self->settings_file, &found) != 0)
     return;
   changed_ms = (int64_t)found.st_mtim.tv_sec * MS_PER_S + found.st_mtim.tv_nsec / NS_PER_MS;
@@ -181,14 +186,14 @@
 
   self->tick = event_new (self->front.base, -1, EV_PERSIST, on_tick, self);
   event_add (self->tick, &every);
-  event_active (self->tick, EV_TIMEOUT, 0); /* others are to hear of us at once */
+  event_active (self->tick, EV_TIMEOUT, 0); /* announces this front to others without delay */
   self->signals[0] = evsignal_new (self->front.base, SIGTERM, on_stop, self);
   self->signals[1] = evsignal_new (self->front.base, SIGHUP, on_reload, self);
   event_add (self->signals[0], NULL);
   event_add (self->signals[1], NULL);
 }
 
-/* Names the first part that could not be started; NULL: all were. */
+/* Starts all parts. Returns the name of the first one that failed, or NULL. */
 static const char *
 parts_start (Main *self)
 {
@@ -202,11 +207,11 @@
   CDS_INIT_LIST_HEAD (&front->requests);
   front->servers = front_servers_new (settings->failure_domain);
   front->sessions
-      = front_sessions_new ((int64_t)(settings->session_s * MS_PER_S) + SESSION_MORE_MS);
+      = front_sessions_new ((int64_t)(settings->session_s * MS_PER_S) + SESSION_MARGIN_MS);
   front->rollouts
       = front_rollouts_new (front->sessions, front_failure_domain_hash (settings->failure_domain));
   front->budget = front_budget_new (&(BudgetSettings){
-      .share = settings->retry_share * RETRY_SHARE_USED,
+      .share = settings->retry_share * RETRY_SHARE_FACTOR,
       .extra = settings->retry_extra,
       .window_ms = (int64_t)(settings->retry_window_s * MS_PER_S),
   });
@@ -258,15 +263,15 @@
 static int
 serve (Main *self)
 {
-  const char *missing;
+  const char *failed_part;
   FrontLine *line;
 
   front_log_init (self->front.settings.vm);
   log_start (self);
-  missing = parts_start (self);
-  if (missing)
+  failed_part = parts_start (self);
+  if (failed_part)
     {
-      fprintf (stderr, "lovage-front: can't start: %s\n", missing);
+      fprintf (stderr, "lovage-front: can't start: %s\n", failed_part);
       return 1;
     }
   event_base_dispatch (self->front.base);
--- a/src/front_member.h
+++ b/src/front_member.h
@@ -1,5 +1,6 @@
 /**
- * The row by which a front registers with the store, for those that start and know nobody.
+ * The row by which a front registers its address with the store, for fronts that start without
+ * knowing any other.
  */
 #ifndef FRONT_MEMBER_H
 #define FRONT_MEMBER_H
@@ -17,7 +18,7 @@
 } FrontMember;
 
 void front_member_encode (Buffer *out, const char *vm, const char *failure_domain);
-/** False if it isn't such a row. */
+/** False if the text is not a valid row. */
 bool front_member_decode (Span text, FrontMember *out);
 
 #endif
--- a/src/front_peer_message.c
+++ b/src/front_peer_message.c
@@ -2,7 +2,7 @@
 #include <rpc/xdr.h>
 #include <string.h>
 
-#define MAGIC 0x4c484248u /* "LHBH"; rises with any change of the form */
+#define MAGIC 0x4c484248u /* "LHBH"; to be incremented with any change of the format */
 
 static bool_t
 xdr_hash (XDR *xdr, uint64_t *value)
@@ -24,8 +24,8 @@
          && evidence->counts[EVIDENCE_OLD][route].answers == 0;
 }
 
-/* Only the routes that have counts, behind a word with a bit for each of them: a service has few
- * routes, and a whole table of zeros would be 192 bytes. */
+/* Encodes only the routes that have counts, after a bit mask of them: a service has few routes, and
+ * a complete table of zeros would take 192 bytes. */
 static bool_t
 xdr_evidence (XDR *xdr, FrontEvidence *evidence)
 {
@@ -47,9 +47,9 @@
 }
 
 static bool_t
-xdr_counted (XDR *xdr, uint32_t *count, uint32_t most)
+xdr_counted (XDR *xdr, uint32_t *count, uint32_t max)
 {
-  return xdr_uint32_t (xdr, count) && *count <= most;
+  return xdr_uint32_t (xdr, count) && *count <= max;
 }
 
 static bool_t
--- a/src/front_peer_message.h
+++ b/src/front_peer_message.h
@@ -1,5 +1,5 @@
 /**
- * What fronts tell each other several times a second, in one datagram, encoded by XDR.
+ * Message that fronts send each other several times a second: one datagram, encoded by XDR.
  */
 #ifndef FRONT_PEER_MESSAGE_H
 #define FRONT_PEER_MESSAGE_H
@@ -15,25 +15,26 @@
 #define PEER_TABLES       3
 #define PEER_ROLLOUTS_MAX 2
 #define PEER_DEATHS_MAX   2
-#define PEER_MEMBERS_MAX  40 /**< of the known fronts, told in turn */
+#define PEER_MEMBERS_MAX  40 /**< fronts in one message; others follow in the next ones */
 #define PEER_SESSIONS_MAX 64 /**< of one roll-out */
 
-#define PEER_DOMAINS_MAX 3 /**< failure domains' sums in one message, told in turn */
+/** Failure domains' sums in one message; others follow in the next ones. */
+#define PEER_DOMAINS_MAX 3
 #define PEER_NEVER       UINT32_MAX
 
-/** How a roll-out stands at the sender. */
+/** State of a roll-out at the sender. */
 typedef struct
 {
-  uint64_t service;         /**< hash of its name */
+  uint64_t service;         /**< hash of the service's name */
   int64_t order;            /**< row version of the order */
-  uint32_t old_busy_age_ms; /**< since a request on the old version was last known to run anywhere;
-                               PEER_NEVER: none was */
+  uint32_t old_busy_age_ms; /**< milliseconds since a request on the old version was last known to
+                               run anywhere; PEER_NEVER: none was */
   uint32_t is_bad;
-  FrontEvidence evidence; /**< its own */
+  FrontEvidence evidence; /**< of the sender alone */
   uint32_t domain_count;
   RolloutDomain domains[PEER_DOMAINS_MAX];
   uint32_t session_count;
-  SessionNews sessions[PEER_SESSIONS_MAX]; /**< that stay on the old version */
+  SessionNews sessions[PEER_SESSIONS_MAX]; /**< held on the old version */
 } PeerRollout;
 
 /** Another front, as the sender knows it. */
@@ -41,7 +42,7 @@
 {
   uint32_t ip;     /**< IPv4, host order */
   uint32_t domain; /**< hash of its failure domain */
-  uint32_t age_ms; /**< since it was last heard of, by whomever */
+  uint32_t age_ms; /**< since any front last received a message from it */
 } PeerMember;
 
 typedef struct
@@ -49,8 +50,8 @@
   uint64_t incarnation;
   uint32_t domain;             /**< hash of the sender's failure domain */
   int64_t newest[PEER_TABLES]; /**< newest change known of each table */
-  uint32_t alive;              /**< other fronts that the sender knows to live; few: it has just
-                                    started, and is to be told who is there */
+  uint32_t alive; /**< number of other fronts that the sender knows to be alive; few: it has just
+                     started and needs to learn of the others */
   uint32_t rollout_count;
   PeerRollout rollouts[PEER_ROLLOUTS_MAX];
   uint32_t death_count;
@@ -59,9 +60,9 @@
   PeerMember members[PEER_MEMBERS_MAX];
 } PeerMessage;
 
-/** Bytes written; 0 if they don't fit. */
+/** Returns the bytes written; 0 if they don't fit. */
 size_t peer_message_encode (const PeerMessage *message, void *out, size_t size);
-/** False if the bytes are no message of this kind. */
+/** False if the data is not such a message. */
 bool peer_message_decode (PeerMessage *message, const void *data, size_t len);
 
 #endif
--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -8,17 +8,18 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Milliseconds. */
-#define BEAT_MS       500 /* between messages while nothing happens */
-#define BEAT_ALONE_MS 200 /* while nobody was heard: a front that starts is to be of use soon */
-#define BEAT_BUSY_MS  200 /* during a roll-out: its verdict needs the evidence of all */
-/* The same with many peers: five messages of 900 bytes in a round shall stay below 14 KB/s. */
-#define BEAT_BUSY_LARGE_MS 400
-#define LARGE_PEERS        100
-#define ALIVE_MS           3500 /* a peer that nobody heard for so long is not counted on */
-/* More of that for each peer above LARGE_PEERS: a message tells of 40 peers at most, so that word
- * of each of 360 takes some rounds longer. */
-#define ALIVE_MORE_MS 15
+#define ROUND_MS 500 /* milliseconds between rounds of messages */
+/* No other front is known: one that starts should become useful soon. */
+#define ROUND_ALONE_MS   200
+#define ROUND_ROLLOUT_MS 200 /* during a roll-out: its verdict needs the evidence of all fronts */
+/* The same with many peers: five messages of 900 bytes in a round have to stay below 14 KB/s. */
+#define ROUND_ROLLOUT_LARGE_MS 400
+#define LARGE_PEERS            100
+/* Milliseconds without a message, to any front, after which a peer counts as dead. */
+#define ALIVE_MS 3500
+/* Added to that for each peer above LARGE_PEERS: a message reports 40 peers at most, so that
+ * reports of all of 360 peers take several rounds. */
+#define ALIVE_EXTRA_MS 15
 
 Peer *
 peer_find (FrontPeers *peers, uint32_t ip)
@@ -34,10 +35,10 @@
 static void
 alive_time_set (FrontPeers *peers)
 {
-  int64_t more = peers->count > LARGE_PEERS ? peers->count - LARGE_PEERS : 0;
+  int64_t extra_peers = peers->count > LARGE_PEERS ? peers->count - LARGE_PEERS : 0;
 
   for (unsigned i = 0; i < peers->count; i++)
-    peers->list[i].alive_ms = ALIVE_MS + more * ALIVE_MORE_MS;
+    peers->list[i].alive_ms = ALIVE_MS + extra_peers * ALIVE_EXTRA_MS;
 }
 
 Peer *
@@ -60,7 +61,7 @@
   return peer->heard_ms != 0 && now_ms - peer->heard_ms < peer->alive_ms;
 }
 
-/* The IP number of "IP" or "IP:PORT"; 0 if it is none. */
+/* The IPv4 address of "IP" or "IP:PORT"; 0 if not valid. */
 static uint32_t
 ip_of (const char *address)
 {
@@ -162,12 +163,12 @@
 void
 front_peers_tick (FrontPeers *peers, int64_t now_ms)
 {
-  int64_t busy_ms = peers_is_large (peers) ? BEAT_BUSY_LARGE_MS : BEAT_BUSY_MS;
-  int64_t beat_ms = peers_has_rollout (peers) ? busy_ms : BEAT_MS;
+  int64_t rollout_round_ms = peers_is_large (peers) ? ROUND_ROLLOUT_LARGE_MS : ROUND_ROLLOUT_MS;
+  int64_t interval_ms = peers_has_rollout (peers) ? rollout_round_ms : ROUND_MS;
 
   if (front_peers_alive (peers, now_ms) == 1)
-    beat_ms = BEAT_ALONE_MS;
-  if (now_ms - peers->round_ms >= beat_ms)
+    interval_ms = ROUND_ALONE_MS;
+  if (now_ms - peers->round_ms >= interval_ms)
     {
       peers->round_ms = now_ms;
       peers_send_round (peers, now_ms);
--- a/src/front_peers_fetch.c
+++ b/src/front_peers_fetch.c
@@ -1,17 +1,18 @@
-/* Rows that other fronts know before the store has told them here. */
+/* Fetches rows that other fronts have before the store has reported them here. */
 #include "front_log.h"
 #include "front_peers_private.h"
 #include "util_clock.h"
 #include "util_id.h"
 
-/* Milliseconds. */
-#define AHEAD_MS 350 /* a peer may know more for so long, as the store tells us apart */
-#define FETCH_MS 800 /* until a peer's answer begins; another one is asked after that */
-/* After the start, in which a front asks its neighbours and the store for the rows that it lacks;
- * where neither have them, fronts of other failure domains are asked. */
-#define LOAD_MS 2500
+/* Milliseconds that a peer may be ahead, as the store doesn't answer all fronts at one moment. */
+#define AHEAD_MS 350
+/* Milliseconds until a peer's answer begins; another peer is asked after that. */
+#define FETCH_TIMEOUT_MS 800
+/* Milliseconds after the start in which a front requests missing rows from its own failure domain
+ * and the store only; if neither has them, fronts of other failure domains are asked. */
+#define LOCAL_ONLY_MS 2500
 
-#define STATUS_GOOD        200
+#define STATUS_OK          200
 #define STATUS_UNAVAILABLE 503
 
 static void
@@ -21,9 +22,9 @@
   StoreAnswer answer;
 
   fetch->done = true;
-  /* The peer doesn't remember what was removed since our version. */
+  /* The peer no longer has the removals since our version. */
   fetch->needs_all = status == STATUS_UNAVAILABLE;
-  if (status != STATUS_GOOD || !front_store_decode_peer_answer (text, len, &answer))
+  if (status != STATUS_OK || !front_store_decode_peer_answer (text, len, &answer))
     {
       front_store_log_rows_failed (fetch->peers->front->store, fetch->table, &fetch->source,
                                    fetch->asked_ms, fetch->channel);
@@ -33,8 +34,8 @@
   store_answer_clear (&answer);
 }
 
-/* Asks for the changes since our version. A whole list of servers, fetched by each front for each
- * change that is late, would make most of the bytes between failure domains. */
+/* Requests the changes since our version. If each front fetched the complete list of servers for
+ * each delayed change, that would be most of the traffic between failure domains. */
 static void
 fetch_begin (FrontPeers *peers, const Peer *peer, StoreTable table)
 {
@@ -55,7 +56,7 @@
   fetch->asked_ms = clock_boot_ms ();
   fetch->channel = front_channel_new (peers->front->base, &source, on_fetched, fetch);
   front_store_format_news_path (&path, table, since, false);
-  front_channel_request (fetch->channel, path.data, NULL, FETCH_MS);
+  front_channel_request (fetch->channel, path.data, NULL, FETCH_TIMEOUT_MS);
   buffer_free (&path);
 }
 
@@ -69,10 +70,9 @@
     }
 }
 
-/* One of the peers that know more than we do, another one each time: the one that knows most may be
- * the one that has just died. */
+/* A random one of the peers that are ahead: the one with the newest rows may have just died. */
 static const Peer *
-informed_peer (const FrontPeers *peers, StoreTable table, bool near_only, int64_t now_ms)
+find_peer_ahead (const FrontPeers *peers, StoreTable table, bool same_domain_only, int64_t now_ms)
 {
   unsigned start = peers->count ? (unsigned)(id_random_u64 () % peers->count) : 0;
 
@@ -80,42 +80,44 @@
     {
       const Peer *peer = &peers->list[(start + i) % peers->count];
 
-      if (peer_is_alive (peer, now_ms) && (!near_only || peer->domain == peers->own_domain)
+      if (peer_is_alive (peer, now_ms) && (!same_domain_only || peer->domain == peers->own_domain)
           && front_store_is_behind (peers->front->store, table, peer->newest[table]))
         return peer;
     }
   return NULL;
 }
 
-/* Bytes between failure domains have a price; the whole domain may be cut off, though. */
+/* Prefers the same failure domain, as traffic between domains has a cost. The whole domain may be
+ * cut off, though. */
 static const Peer *
-nearest_informed_peer (const FrontPeers *peers, StoreTable table, int64_t now_ms)
+choose_peer_ahead (const FrontPeers *peers, StoreTable table, int64_t now_ms)
 {
-  const Peer *near = informed_peer (peers, table, true, now_ms);
+  const Peer *same_domain_peer = find_peer_ahead (peers, table, true, now_ms);
 
-  return near ? near : informed_peer (peers, table, false, now_ms);
+  return same_domain_peer ? same_domain_peer : find_peer_ahead (peers, table, false, now_ms);
 }
 
-/* A peer that knows more for longer than the store takes to tell us: we are cut off from the store,
- * or our connection to it is silent. */
+/* Fetches rows if a peer is ahead for longer than the store takes to report a change: this front is
+ * cut off from the store, or its connection is dead. */
 void
 peers_fetch_missing (FrontPeers *peers, StoreTable table, int64_t now_ms)
 {
-  const Peer *best = nearest_informed_peer (peers, table, now_ms);
+  const Peer *ahead = choose_peer_ahead (peers, table, now_ms);
 
   fetch_clear (&peers->fetches[table]);
-  /* Over one link the same rows from two fronts would take twice as long. */
+  /* Two transfers of the same rows over one link would each take twice as long. */
   if (front_store_is_receiving (peers->front->store, table))
     return;
-  if (front_store_is_loading (peers->front->store, table) && now_ms - peers->started_ms < LOAD_MS)
+  if (front_store_is_loading (peers->front->store, table)
+      && now_ms - peers->started_ms < LOCAL_ONLY_MS)
     return;
-  if (!best)
+  if (!ahead)
     peers->ahead_since_ms[table] = 0;
   else if (peers->ahead_since_ms[table] == 0)
     peers->ahead_since_ms[table] = now_ms;
-  if (!best || now_ms - peers->ahead_since_ms[table] < AHEAD_MS)
+  if (!ahead || now_ms - peers->ahead_since_ms[table] < AHEAD_MS)
     return;
-  front_store_hint (peers->front->store, table, best->newest[table], now_ms);
+  front_store_hint (peers->front->store, table, ahead->newest[table], now_ms);
   if (!peers->fetches[table].channel)
-    fetch_begin (peers, best, table);
+    fetch_begin (peers, ahead, table);
 }
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -1,5 +1,5 @@
 /**
- * What the files of front_peers*.c share.
+ * Declarations shared by front_peers*.c.
  */
 #ifndef FRONT_PEERS_PRIVATE_H
 #define FRONT_PEERS_PRIVATE_H
@@ -9,35 +9,35 @@
 #include "front_peers.h"
 #include "front_store.h"
 
-#define PEERS_MAX 512 /**< fronts remembered; the target is 360 */
+#define PEERS_MAX 512 /**< fronts kept; the target is 360 */
 
-_Static_assert(PEER_TABLES == STORE_STATUS + 1, "a message tells of the first tables");
+_Static_assert(PEER_TABLES == STORE_STATUS + 1, "a message reports the first PEER_TABLES tables");
 
 typedef struct
 {
   struct sockaddr_in address;
-  uint64_t incarnation; /* 0: it never told us anything itself */
+  uint64_t incarnation; /* 0: no message received from it */
   uint32_t domain;      /* hash; 0: not known */
-  int64_t heard_ms;     /* by us or another front */
+  int64_t heard_ms;     /* last message from it, to this front or to another one */
   int64_t alive_ms;     /* how long it counts as alive after that */
   int64_t sent_ms;
-  int64_t
-      request_failed_ms; /* when it gave no good answer to a question for rows; 0: it never did */
-  bool is_registered;    /* it is on the store's list of fronts */
+  int64_t request_failed_ms; /* when a request for rows to it failed; 0: none did */
+  bool is_registered;        /* on the store's list of fronts */
   int64_t newest[PEER_TABLES];
 } Peer;
 
-/* What is being fetched of one table; a peer that doesn't answer for one holds up no other. */
+/* A fetch of one table's rows. Each table has its own, so that a peer that doesn't answer for one
+ * delays no other. */
 typedef struct
 {
   FrontPeers *peers;
   StoreTable table;
-  FrontChannel *channel; /* NULL: nothing */
+  FrontChannel *channel; /* NULL: no fetch in progress */
   struct sockaddr_in source;
   int64_t asked_ms;
-  int64_t since;  /* version whose successors are asked for; 0: all rows are */
-  bool needs_all; /* the changes since our version are not known any more */
-  bool done;      /* the channel is to be freed outside of its own call */
+  int64_t since;  /* version after which changes are requested; 0: all rows are */
+  bool needs_all; /* the peer no longer has the changes since our version */
+  bool done;      /* the channel has to be freed, but not within its own callback */
 } Fetch;
 
 struct FrontPeers
@@ -50,77 +50,78 @@
   uint16_t control_port; /* the same at all fronts; network order */
   unsigned count;
   Peer list[PEERS_MAX];
-  unsigned next_peer;       /* where the next round of messages begins */
-  bool is_sessions_turn;    /* this round tells of sessions in place of members */
-  unsigned next_member;     /* where the next list of members begins */
-  unsigned next_domain;     /* where the next list of failure domains' sums begins */
-  double work_credit_bytes; /* that may be sent for notes of work */
-  int64_t work_ms;          /* as of then */
-  unsigned next_work;       /* where the next note of work begins */
-  double remote_credit;     /* messages to other failure domains that may be sent, below one */
+  unsigned next_peer;       /* first peer considered in the next round */
+  bool is_sessions_turn;    /* this round's message lists sessions instead of members */
+  unsigned next_member;     /* first peer in the next message's list of members */
+  unsigned next_domain;     /* first domain in the next message's list of sums */
+  double work_credit_bytes; /* bytes that may be spent on work messages */
+  int64_t work_ms;          /* time at which work_credit_bytes was computed */
+  unsigned next_work;       /* first peer considered for the next work message */
+  double remote_credit;     /* fraction of a message to other failure domains that is left over */
   int64_t round_ms;
   int64_t started_ms;
-  bool is_registered;                  /* we are on the store's list of fronts */
-  int64_t ahead_since_ms[PEER_TABLES]; /* since when some peer knows more; 0: none does */
+  bool is_registered;                  /* this front is on the store's list */
+  int64_t ahead_since_ms[PEER_TABLES]; /* since when some peer is ahead; 0: none is */
   Fetch fetches[PEER_TABLES];
 };
 
-#define COLLECTORS 2 /* of each failure domain; one may have died just now */
+#define COLLECTORS 2 /* of each failure domain; one may have just died */
 
-/* Neighbours that hear from all of their failure domain in each round, so that its evidence is
- * together at one place within one round, however many fronts it has. */
+/* Fronts that receive a message from all others of their failure domain in each round, so that the
+ * domain's evidence is complete in one place within one round, however many fronts it has. */
 typedef struct
 {
-  unsigned count; /* without ourselves */
+  unsigned count; /* without this front */
   Peer *peers[COLLECTORS];
-  bool is_self; /* we are one, too */
+  bool is_self; /* this front is one as well */
 } Collectors;
 
 /* front_peers_rank.c */
-/* Place of a front in the order for a subject: the highest comes first. */
+/* Order of the fronts for a subject: the highest hash comes first. */
 uint64_t peers_rank_hash (const struct sockaddr_in *address, uint64_t subject);
-/* It lives, in our failure domain. */
+/* True if the peer is alive and in the same failure domain. */
 bool peers_is_neighbour (const FrontPeers *peers, const Peer *peer, int64_t now_ms);
 void peers_find_collectors (FrontPeers *peers, int64_t now_ms, Collectors *out);
-/* Living fronts of our failure domain, ourselves included. */
+/* Number of living fronts of the same failure domain, this one included. */
 unsigned peers_neighbour_count (const FrontPeers *peers, int64_t now_ms);
 
 /* front_peers.c */
 bool peer_is_alive (const Peer *peer, int64_t now_ms);
 Peer *peer_find (FrontPeers *peers, uint32_t ip);
-/* The entry of this address, made if there is none; NULL: it is our own, or there is no room. */
+/* The entry of this address, created if there is none; NULL if the address is our own or the table
+ * is full. */
 Peer *peer_add (FrontPeers *peers, uint32_t ip);
 
 bool peers_is_large (const FrontPeers *peers);
-/* True while a roll-out runs, whose evidence is told more often. */
+/* True while a roll-out runs, when messages are sent more often. */
 bool peers_has_rollout (const FrontPeers *peers);
 
-/* front_peers_receive.c: what another front has told. */
+/* front_peers_receive.c: applies a message of another front. */
 void
 peers_receive_message (FrontPeers *peers, Peer *peer, const PeerMessage *message, int64_t now_ms);
 
-/* front_peers_work.c: false if the bytes are no note of work. */
+/* front_peers_work.c: false if the data is not a work message. */
 bool peers_receive_work (FrontPeers *peers, const void *data, size_t len, int64_t now_ms);
 
-#define PEERS_PER_ROUND_MAX 16 /* that are told at once, at most */
+#define PEERS_PER_ROUND_MAX 16 /* peers that a round's message is sent to, at most */
 
-/* front_peers_send.c: whom to tell in this round: the collectors of the own failure domain, other
- * living peers in turn, and now and then those that don't answer. Returns their number. */
+/* front_peers_send.c: chooses the peers of this round: the collectors of the own failure domain,
+ * other living peers in turn, and at intervals those that don't answer. Returns their number. */
 unsigned peers_choose_recipients (FrontPeers *peers, Peer **chosen, int64_t now_ms);
-/* Adds our own failure domain's sum, and some of the others in turn. */
+/* Adds the sum of our own failure domain, and some of the others in turn. */
 void peers_domains_fill (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out);
-/* How many held sessions this round's message tells of, at most. */
+/* Limit on the held sessions in this round's message. */
 unsigned peers_sessions_max (const FrontPeers *peers);
-/* Leaves out of the message what doesn't fit; returns its bytes. */
+/* Encodes the message and leaves out what doesn't fit; returns the bytes written. */
 size_t peers_encode (PeerMessage *message, void *out, size_t size);
-/* Tells them how things stand here. */
+/* Sends this round's message. */
 void peers_send_round (FrontPeers *peers, int64_t now_ms);
-/* True if a front that knows so many others is to be answered at once. */
+/* True if the peer, which knows so many living fronts, has just started and is due an answer. */
 bool peers_is_starting (const FrontPeers *peers, const Peer *peer, uint32_t alive, int64_t now_ms);
-/* Answers a front that hardly knows anybody yet: tells of its own failure domain. */
+/* Answers a front that has just started with the members of its failure domain. */
 void peers_answer_starting (FrontPeers *peers, Peer *peer, int64_t now_ms);
 
-/* front_peers_fetch.c: gets rows that others know and we don't. */
+/* front_peers_fetch.c: fetches the table's rows from a peer if it is ahead for too long. */
 void peers_fetch_missing (FrontPeers *peers, StoreTable table, int64_t now_ms);
 
 #endif
--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -1,17 +1,19 @@
-/* An order of the living fronts on which all agree without asking: rendezvous hashing. */
+/* Ranks the living fronts by rendezvous hashing, so that all agree on an order without
+ * communication. */
 #include "front_peers_private.h"
 #include "util_id.h"
 
-/* Fronts of each failure domain that register with the store, so that one that starts and knows
- * nobody finds somebody; four may be lost at one moment. */
+/* Fronts of each failure domain that register with the store, so that one that starts without
+ * knowing any other finds one; four may be lost at one moment. */
 #define REGISTRARS        5
 #define REGISTRAR_SUBJECT 0x72656731u
-#define DOMAINS_MOST      16 /* told apart; the target has 6 */
-/* Sets the order of collectors apart from those of followers. */
+#define DOMAINS_MAX       16 /* domains that are told apart; the target has 6 */
+/* Makes the order of collectors differ from that of followers. */
 #define COLLECTOR_SUBJECT 0x636f6c6cu
 
-/* Milliseconds: longer than a failure domain is cut off, or a VM takes to come back. */
-#define REMEMBERED_MS 60000
+/* Milliseconds that a front is counted after its last message: longer than a failure domain is cut
+ * off, or a VM takes to restart. */
+#define COUNTED_MS 60000
 unsigned
 front_peers_alive (const FrontPeers *peers, int64_t now_ms)
 {
@@ -31,11 +33,11 @@
   for (unsigned i = 0; i < peers->count; i++)
     {
       const Peer *peer = &peers->list[i];
-      bool heard = peer->heard_ms != 0 && now_ms - peer->heard_ms < REMEMBERED_MS;
-      bool near = peer->domain == peers->own_domain;
+      bool heard = peer->heard_ms != 0 && now_ms - peer->heard_ms < COUNTED_MS;
+      bool same_domain = peer->domain == peers->own_domain;
 
-      view->registered += near && peer->is_registered;
-      view->neighbours += near && (heard || peer->is_registered);
+      view->registered += same_domain && peer->is_registered;
+      view->neighbours += same_domain && (heard || peer->is_registered);
       view->fronts += heard || peer->is_registered;
     }
 }
@@ -62,7 +64,7 @@
   return count;
 }
 
-/* Puts a candidate, NULL being ourselves, at its place among the best. */
+/* Inserts a candidate into the best ones, ordered by hash; NULL stands for this front. */
 static void
 collector_insert (Peer *best[COLLECTORS], uint64_t hashes[COLLECTORS], Peer *peer, uint64_t hash)
 {
@@ -115,9 +117,9 @@
   return false;
 }
 
-/* How many living neighbours come before us for the subject. */
+/* Number of living fronts of the same domain that come before this one for the subject. */
 static unsigned
-rank_near (const FrontPeers *peers, uint64_t subject, int64_t now_ms)
+rank_in_domain (const FrontPeers *peers, uint64_t subject, int64_t now_ms)
 {
   uint64_t own = peers_rank_hash (&peers->own, subject);
   unsigned before = 0;
@@ -135,7 +137,7 @@
 bool
 front_peers_is_registrar (const FrontPeers *peers, int64_t now_ms)
 {
-  return rank_near (peers, REGISTRAR_SUBJECT, now_ms) < REGISTRARS;
+  return rank_in_domain (peers, REGISTRAR_SUBJECT, now_ms) < REGISTRARS;
 }
 
 unsigned
@@ -159,11 +161,12 @@
   return id_hash (&domain, sizeof domain, subject);
 }
 
-/* Failure domains with living fronts, ours included, and how many come before ours. */
+/* Number of failure domains with living fronts, ours included; *before: those that come before
+ * ours. */
 static unsigned
 count_domains (const FrontPeers *peers, uint64_t subject, int64_t now_ms, unsigned *before)
 {
-  uint32_t seen[DOMAINS_MOST];
+  uint32_t seen[DOMAINS_MAX];
   unsigned count = 0;
 
   *before = 0;
@@ -176,7 +179,7 @@
         continue;
       while (j < count && seen[j] != peer->domain)
         j++;
-      if (j < count || count == DOMAINS_MOST)
+      if (j < count || count == DOMAINS_MAX)
         continue;
       seen[count++] = peer->domain;
       *before += domain_hash (peer->domain, subject) > domain_hash (peers->own_domain, subject);
@@ -184,16 +187,17 @@
   return count + 1;
 }
 
-/* By failure domain and then within it: after a start a front knows its neighbours soon, but all of
- * 300 fronts only after many rounds, and ten of them acted where three were to. */
+/* Selects by failure domain first and then within it. After its start a front soon knows its own
+ * domain, but all of 300 fronts only after many rounds; ranked over all of them, ten acted where
+ * three should. */
 bool
-front_peers_is_selected (const FrontPeers *peers, uint64_t subject, unsigned few, int64_t now_ms)
+front_peers_is_selected (const FrontPeers *peers, uint64_t subject, unsigned count, int64_t now_ms)
 {
-  unsigned before, part;
+  unsigned before, domain_share;
   unsigned domains = count_domains (peers, subject, now_ms, &before);
 
-  if (before >= few)
+  if (before >= count)
     return false;
-  part = (few - 1 - before) / domains + 1;
-  return rank_near (peers, subject, now_ms) < part;
+  domain_share = (count - 1 - before) / domains + 1;
+  return rank_in_domain (peers, subject, now_ms) < domain_share;
 }
--- a/src/front_peers_receive.c
+++ b/src/front_peers_receive.c
@@ -1,4 +1,4 @@
-/* What other fronts tell. */
+/* Applies messages of other fronts. */
 #include "front_log.h"
 #include "front_peers_private.h"
 #include <arpa/inet.h>
@@ -18,33 +18,33 @@
 }
 
 static void
-take_rollout (FrontPeers *peers,
-              const PeerMessage *message,
-              const PeerRollout *told,
-              int64_t now_ms)
+receive_rollout (FrontPeers *peers,
+                 const PeerMessage *message,
+                 const PeerRollout *report,
+                 int64_t now_ms)
 {
   Front *front = peers->front;
-  FrontRollout *rollout = rollout_find (front, told->service);
-  RolloutNews news = {
-    .is_bad = told->is_bad != 0,
-    .old_busy_ms = told->old_busy_age_ms == PEER_NEVER ? 0 : now_ms - told->old_busy_age_ms,
+  FrontRollout *rollout = rollout_find (front, report->service);
+  RolloutNews update = {
+    .is_bad = report->is_bad != 0,
+    .old_busy_ms = report->old_busy_age_ms == PEER_NEVER ? 0 : now_ms - report->old_busy_age_ms,
     .neighbour = message->domain == peers->own_domain ? message->incarnation : 0,
-    .evidence = told->evidence,
-    .domain_count = told->domain_count,
-    .domains = told->domains,
+    .evidence = report->evidence,
+    .domain_count = report->domain_count,
+    .domains = report->domains,
   };
 
-  /* News of another order than ours says nothing of this one. */
-  if (!rollout || !rollout->ordered || rollout->order.row_version != told->order)
+  /* Reports on another order don't apply to this one. */
+  if (!rollout || !rollout->ordered || rollout->order.row_version != report->order)
     return;
-  front_rollout_news (rollout, &news);
-  for (uint32_t i = 0; i < told->session_count; i++)
-    front_rollouts_hold_session (front->rollouts, rollout, &told->sessions[i], now_ms);
+  front_rollout_news (rollout, &update);
+  for (uint32_t i = 0; i < report->session_count; i++)
+    front_rollouts_hold_session (front->rollouts, rollout, &report->sessions[i], now_ms);
 }
 
-/* A front that another one heard lives, though it may never tell us anything itself. */
+/* A front that another one heard from is alive, even if it never sends to this one. */
 static void
-take_member (FrontPeers *peers, const PeerMember *member, int64_t now_ms)
+receive_member (FrontPeers *peers, const PeerMember *member, int64_t now_ms)
 {
   Peer *peer = peer_add (peers, htonl (member->ip));
   int64_t heard_ms = now_ms - member->age_ms;
@@ -71,18 +71,18 @@
       front_log_text (line, "peer", ip);
       front_log_text (line, "state", peer->incarnation ? "restarted" : "heard");
       front_log_end (line);
-      peer->sent_ms = 0; /* what was told went to the process before */
+      peer->sent_ms = 0; /* earlier messages went to the previous process */
     }
   peer->incarnation = message->incarnation;
   peer->heard_ms = now_ms;
   peer->domain = message->domain;
   memcpy (peer->newest, message->newest, sizeof peer->newest);
   for (uint32_t i = 0; i < message->rollout_count; i++)
-    take_rollout (peers, message, &message->rollouts[i], now_ms);
+    receive_rollout (peers, message, &message->rollouts[i], now_ms);
   for (uint32_t i = 0; i < message->death_count; i++)
     quarantine_add (front->quarantine, &message->deaths[i], now_ms);
   for (uint32_t i = 0; i < message->member_count; i++)
-    take_member (peers, &message->members[i], now_ms);
+    receive_member (peers, &message->members[i], now_ms);
   if (peers_is_starting (peers, peer, message->alive, now_ms))
     peers_answer_starting (peers, peer, now_ms);
 }
--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -1,4 +1,4 @@
-/* What this front tells others, and whom. */
+/* Composes this front's messages and chooses their recipients. */
 #include "front_counter.h"
 #include "front_peers_private.h"
 #include "front_request.h"
@@ -7,27 +7,28 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define PROBE_MS       2500 /* between messages to an address that doesn't answer */
-#define PROBE_ALONE_MS 150  /* the same while nobody answers: they may be starting, too */
-/* Held sessions in a message that tells of members, too. Sessions and members take turns, as both
- * don't fit: with 24 in each message one in eight of 186 sessions was unknown to a front of 300
- * after 4 s, and moved to the new version in its midst; with 64 in each second one it is less
- * than one in sixty. */
+#define PROBE_MS 2500 /* milliseconds between messages to an address that doesn't answer */
+/* The same while no other front answers: they may be starting as well. */
+#define PROBE_ALONE_MS 150
+/* Held sessions in a message that also lists members. Sessions and members alternate, as both don't
+ * fit: with 24 in each message one in eight of 186 sessions was unknown to a front of 300 after 4
+ * s, and moved to the new version in its middle; with 64 in every second one it is less than one in
+ * sixty. */
 #define SESSIONS_BESIDE_MEMBERS 24
-#define GREET_MS                300 /* between answers to one that starts */
-/* A front that knows less than this part of those that we know has just started. */
-#define NEWCOMER_PART 4
-#define NEAR_FANOUT   4 /* peers of the own failure domain told at a time, collectors included */
-#define FAR_FANOUT    3 /* others */
-#define BOOT_FANOUT   6 /* while hardly anybody is known */
-/* Messages to other failure domains that one of them sends in a round, all its fronts together but
- * for the collectors: bytes between domains have a price, and what one front has heard it tells all
- * its neighbours. Beside three of each front this takes 14% off all bytes between the domains of 69
- * fronts, callers' requests included. */
-#define FAR_A_DOMAIN 12.0
-
-_Static_assert(NEAR_FANOUT + FAR_FANOUT + BOOT_FANOUT <= PEERS_PER_ROUND_MAX,
-               "all that are chosen fit");
+#define ANSWER_STARTING_MS      300 /* milliseconds between answers to a front that starts */
+/* A front that knows less than 1/STARTING_FRACTION of the fronts known here has just started. */
+#define STARTING_FRACTION   4
+#define SAME_DOMAIN_FANOUT  4 /* peers of the own failure domain in a round, collectors included */
+#define OTHER_DOMAIN_FANOUT 3 /* peers of other failure domains in a round */
+#define PROBE_FANOUT        6 /* peers that are not known to be alive in a round */
+/* Messages to other failure domains that all fronts of one domain together send in a round, those
+ * of collectors not counted. Traffic between domains has a cost, and what one front receives it
+ * passes on within its domain. Compared with three of each front this saves 14% of all bytes
+ * between the domains of 69 fronts, callers' requests included. */
+#define OTHER_DOMAIN_MESSAGES_PER_DOMAIN 12.0
+
+_Static_assert(SAME_DOMAIN_FANOUT + OTHER_DOMAIN_FANOUT + PROBE_FANOUT <= PEERS_PER_ROUND_MAX,
+               "the chosen peers fit into one round");
 
 static void
 member_add (PeerMessage *message, const Peer *peer, int64_t now_ms)
@@ -39,7 +40,7 @@
   };
 }
 
-/* Tells of some living fronts, others the next time. */
+/* Lists some living fronts; the next message continues after them. */
 static void
 members_fill (FrontPeers *peers, PeerMessage *message, int64_t now_ms)
 {
@@ -56,7 +57,7 @@
   peers->next_member = start + i;
 }
 
-/* Tells of the living fronts of one failure domain, beginning at a random one. */
+/* Lists living fronts of one failure domain, beginning at a random one. */
 static void
 members_fill_domain (const FrontPeers *peers, PeerMessage *message, uint32_t domain, int64_t now_ms)
 {
@@ -135,23 +136,23 @@
       = (uint32_t)quarantine_news (front->quarantine, message->deaths, PEER_DEATHS_MAX, now_ms);
 }
 
-/* How many fronts of each kind may still be told in a round. */
+/* Messages that may still be sent in a round, by kind of recipient. */
 typedef struct
 {
-  unsigned near;
-  unsigned far;
-  unsigned boot;
-  int64_t probe_ms; /* between messages to one that doesn't answer */
+  unsigned same_domain;
+  unsigned other_domain;
+  unsigned probes;
+  int64_t probe_ms; /* milliseconds between messages to a front that doesn't answer */
 } Quota;
 
 static unsigned
-far_quota (FrontPeers *peers, bool is_collector, int64_t now_ms)
+other_domain_quota (FrontPeers *peers, bool is_collector, int64_t now_ms)
 {
-  double share = FAR_A_DOMAIN / peers_neighbour_count (peers, now_ms);
+  double share = OTHER_DOMAIN_MESSAGES_PER_DOMAIN / peers_neighbour_count (peers, now_ms);
   unsigned quota;
 
-  if (is_collector || share >= FAR_FANOUT)
-    return FAR_FANOUT;
+  if (is_collector || share >= OTHER_DOMAIN_FANOUT)
+    return OTHER_DOMAIN_FANOUT;
   peers->remote_credit += share;
   quota = (unsigned)peers->remote_credit;
   peers->remote_credit -= quota;
@@ -159,7 +160,7 @@
 }
 
 static bool
-take_one (unsigned *quota)
+use_one (unsigned *quota)
 {
   if (*quota == 0)
     return false;
@@ -179,11 +180,11 @@
 }
 
 static bool
-is_told (const FrontPeers *peers, const Peer *peer, Quota *quota, int64_t now_ms)
+is_due (const FrontPeers *peers, const Peer *peer, Quota *quota, int64_t now_ms)
 {
   if (!peer_is_alive (peer, now_ms))
-    return now_ms - peer->sent_ms >= quota->probe_ms && take_one (&quota->boot);
-  return take_one (peer->domain == peers->own_domain ? &quota->near : &quota->far);
+    return now_ms - peer->sent_ms >= quota->probe_ms && use_one (&quota->probes);
+  return use_one (peer->domain == peers->own_domain ? &quota->same_domain : &quota->other_domain);
 }
 
 unsigned
@@ -191,28 +192,28 @@
 {
   Collectors collectors;
   bool is_alone = front_peers_alive (peers, now_ms) == 1;
-  Quota quota = { .boot = BOOT_FANOUT, .probe_ms = is_alone ? PROBE_ALONE_MS : PROBE_MS };
+  Quota quota = { .probes = PROBE_FANOUT, .probe_ms = is_alone ? PROBE_ALONE_MS : PROBE_MS };
   unsigned count = 0;
 
   peers_find_collectors (peers, now_ms, &collectors);
-  quota.near = NEAR_FANOUT - collectors.count;
-  quota.far = far_quota (peers, collectors.is_self, now_ms);
+  quota.same_domain = SAME_DOMAIN_FANOUT - collectors.count;
+  quota.other_domain = other_domain_quota (peers, collectors.is_self, now_ms);
   for (unsigned i = 0; i < collectors.count; i++)
     chosen[count++] = collectors.peers[i];
   for (unsigned i = 0; i < peers->count; i++)
     {
       Peer *peer = &peers->list[(peers->next_peer + i) % peers->count];
 
-      if (!is_collector (&collectors, peer) && is_told (peers, peer, &quota, now_ms))
+      if (!is_collector (&collectors, peer) && is_due (peers, peer, &quota, now_ms))
         chosen[count++] = peer;
     }
   if (peers->count > 0)
-    peers->next_peer = (peers->next_peer + NEAR_FANOUT) % peers->count;
+    peers->next_peer = (peers->next_peer + SAME_DOMAIN_FANOUT) % peers->count;
   return count;
 }
 
 static void
-tell_one (FrontPeers *peers, Peer *peer, const unsigned char *data, size_t len, int64_t now_ms)
+send_to (FrontPeers *peers, Peer *peer, const unsigned char *data, size_t len, int64_t now_ms)
 {
   peer->sent_ms = now_ms;
   sendto (peers->fd, data, len, 0, (struct sockaddr *)&peer->address, sizeof peer->address);
@@ -220,16 +221,16 @@
 }
 
 static void
-tell_some (FrontPeers *peers, const unsigned char *data, size_t len, int64_t now_ms)
+send_to_chosen (FrontPeers *peers, const unsigned char *data, size_t len, int64_t now_ms)
 {
   Peer *chosen[PEERS_PER_ROUND_MAX];
   unsigned count = peers_choose_recipients (peers, chosen, now_ms);
 
   for (unsigned i = 0; i < count; i++)
-    tell_one (peers, chosen[i], data, len, now_ms);
+    send_to (peers, chosen[i], data, len, now_ms);
 }
 
-/* Drops half of the sessions of the first roll-out that has some. */
+/* Drops half of the sessions of the first roll-out that has any. */
 static bool
 sessions_shorten (PeerMessage *message)
 {
@@ -243,7 +244,8 @@
   return false;
 }
 
-/* Each message begins its list of failure domains at another one. */
+/* Drops the last failure domain of the first roll-out with several; each message's list begins at
+ * another one. */
 static bool
 domains_shorten (PeerMessage *message)
 {
@@ -257,7 +259,7 @@
   return false;
 }
 
-/* Leaves out what will be told in later messages anyway; false if nothing is left. */
+/* Drops something that later messages will contain; false if nothing is left to drop. */
 static bool
 message_shorten (PeerMessage *message)
 {
@@ -308,7 +310,7 @@
   message_fill (peers, &message, now_ms);
   if (!has_many_sessions (&message))
     members_fill (peers, &message, now_ms);
-  tell_some (peers, data, peers_encode (&message, data, sizeof data), now_ms);
+  send_to_chosen (peers, data, peers_encode (&message, data, sizeof data), now_ms);
 }
 
 bool
@@ -316,12 +318,13 @@
 {
   unsigned known = front_peers_alive (peers, now_ms) - 1;
 
-  return (alive == 0 || alive * NEWCOMER_PART < known) && now_ms - peer->sent_ms >= GREET_MS;
+  return (alive == 0 || alive * STARTING_FRACTION < known)
+         && now_ms - peer->sent_ms >= ANSWER_STARTING_MS;
 }
 
-/* Three hundred fronts start at one moment and each knows the same three addresses. Told in turn
- * as usual it would take them some ten seconds to hear of their neighbours, and all that time each
- * would take itself for the first of its failure domain and ask the store. */
+/* When three hundred fronts start at one moment, each knows the same three addresses. By regular
+ * rounds alone they would need some ten seconds to learn of the fronts of their domain; in that
+ * time each would consider itself the first of the domain and poll the store. */
 void
 peers_answer_starting (FrontPeers *peers, Peer *peer, int64_t now_ms)
 {
@@ -330,5 +333,5 @@
 
   message_fill (peers, &message, now_ms);
   members_fill_domain (peers, &message, peer->domain, now_ms);
-  tell_one (peers, peer, data, peers_encode (&message, data, sizeof data), now_ms);
+  send_to (peers, peer, data, peers_encode (&message, data, sizeof data), now_ms);
 }
--- a/src/front_peers_source.c
+++ b/src/front_peers_source.c
@@ -1,15 +1,15 @@
-/* Which other front is asked for rows. */
+/* Chooses the front that rows are requested from. */
 #include "front_peers_private.h"
 
 /* Fronts of each failure domain that follow a table at the store; the others ask one of these. If
- * one of the two is frozen or cut off, the half of the domain that asks the other one hears of the
- * change at once, and the rest of the domain by its messages. Each more asks the store for each
- * change once more. */
+ * one of the two is frozen or cut off, the half of the domain that follows the other one learns of
+ * a change at once, and tells the rest by messages. Each additional follower costs one more call to
+ * the store for each change. */
 #define FOLLOWERS 2
-/* Milliseconds until a front is asked for rows again that gave no good answer; it may be frozen for
- * seconds. One that refuses connections while everybody starts is about to start, too. */
-#define FAILED_MS       3000
-#define FAILED_START_MS 40
+/* Milliseconds until a front whose request failed is asked again; it may be frozen for seconds.
+ * While all fronts start, one that refuses connections is about to listen. */
+#define FAILED_RETRY_MS       3000
+#define FAILED_RETRY_START_MS 40
 
 static bool
 has_failed (const Peer *peer, int64_t for_ms, int64_t now_ms)
@@ -20,10 +20,10 @@
 static bool
 is_usable (const FrontPeers *peers, const Peer *peer, int64_t now_ms)
 {
-  return peers_is_neighbour (peers, peer, now_ms) && !has_failed (peer, FAILED_MS, now_ms);
+  return peers_is_neighbour (peers, peer, now_ms) && !has_failed (peer, FAILED_RETRY_MS, now_ms);
 }
 
-/* How many neighbours come before this hash and can be asked. */
+/* Number of fronts of the same domain that come before this hash and can be asked. */
 static unsigned
 usable_before (const FrontPeers *peers, uint64_t hash, uint64_t table, int64_t now_ms)
 {
@@ -38,7 +38,7 @@
   return before;
 }
 
-/* Each front asks the one that its own address picks among several, so that they share the load. */
+/* Each front's own address decides which of several fronts it asks, so that they share the load. */
 static uint64_t
 choice_hash (const FrontPeers *peers, const Peer *peer, uint64_t table)
 {
@@ -55,8 +55,8 @@
   return true;
 }
 
-/* Only fronts that come before us are asked, so that no two ask each other, whatever each of them
- * knows. */
+/* Asks only fronts that come before this one, so that no two ask each other, whichever fronts each
+ * of them knows. */
 bool
 front_peers_ranked_source (const FrontPeers *peers,
                            uint64_t table,
@@ -83,12 +83,12 @@
   return source_set (peers, best, address);
 }
 
-/* It told us that it has rows of the table; or it is registered and nothing is known of it since
- * we started: then it asks the store, if it has nothing yet. */
+/* True if the peer reported rows of the table; or if it is registered and was not heard of since
+ * our start, as it then requests the rows from the store if it has none. */
 static bool
 is_informed (const FrontPeers *peers, const Peer *peer, uint64_t table, int64_t now_ms)
 {
-  if (peer->domain != peers->own_domain || has_failed (peer, FAILED_START_MS, now_ms))
+  if (peer->domain != peers->own_domain || has_failed (peer, FAILED_RETRY_START_MS, now_ms))
     return false;
   if (peer_is_alive (peer, now_ms) && peer->newest[table] > 0)
     return true;
@@ -96,11 +96,12 @@
          && (peer->heard_ms == 0 || peer_is_alive (peer, now_ms));
 }
 
-/* The informed neighbour that our address picks among those that come after this hash. */
+/* Of the informed fronts of the domain with at least this hash, the one that our address selects.
+ */
 static bool
 pick_informed (const FrontPeers *peers,
                uint64_t table,
-               uint64_t above,
+               uint64_t hash_min,
                int64_t now_ms,
                struct sockaddr_in *address)
 {
@@ -113,7 +114,7 @@
       uint64_t hash = choice_hash (peers, peer, table);
 
       if (!is_informed (peers, peer, table, now_ms) || (best && hash <= best_hash)
-          || peers_rank_hash (&peer->address, table) < above)
+          || peers_rank_hash (&peer->address, table) < hash_min)
         continue;
       best = peer;
       best_hash = hash;
@@ -130,7 +131,7 @@
   return pick_informed (peers, table, 0, now_ms, address);
 }
 
-/* Where only one other can be asked, both are to ask the store: the other may be cut off from it.
+/* With a single other front to ask, both poll the store, as the other one may be cut off from it.
  */
 bool
 front_peers_informed_source_before (const FrontPeers *peers,
--- a/src/front_row.h
+++ b/src/front_row.h
@@ -1,5 +1,5 @@
 /**
- * A row of the platform's store.
+ * Rows of the platform's store.
  */
 #ifndef FRONT_ROW_H
 #define FRONT_ROW_H
@@ -11,18 +11,19 @@
   char *key;
   char *value; /**< NUL-terminated; NULL if the row was removed */
   size_t value_len;
-  int64_t version; /**< of the transaction that wrote it; rises over all rows of the store */
+  int64_t
+      version; /**< of the transaction that wrote the row; increases across all rows of the store */
   bool removed;
 } StoreRow;
 
-/** An answer of the store. */
+/** Rows that the store or another front returned. */
 typedef struct
 {
   unsigned count;
   StoreRow *rows;
-  bool has_more;    /**< there are rows behind the last one */
+  bool has_more;    /**< there are rows after the last one */
   int64_t version;  /**< newest version of the store */
-  int64_t clock_ms; /**< the store's steady clock; 0: not told */
+  int64_t clock_ms; /**< the store's monotonic clock; 0: not given */
 } StoreAnswer;
 
 void store_answer_clear (StoreAnswer *answer);
--- a/src/front_socket.c
+++ b/src/front_socket.c
@@ -6,10 +6,10 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define MS_PER_S     1000
-#define PORT_MAX     65535
-#define KEEP_PROBES  2 /* unanswered, until the connection is given up */
-#define KEEP_EVERY_S 1
+#define MS_PER_S             1000
+#define PORT_MAX             65535
+#define KEEPALIVE_PROBES     2 /* unanswered probes after which the connection is closed */
+#define KEEPALIVE_INTERVAL_S 1
 
 bool
 front_socket_parse_address (const char *text, struct sockaddr_in *out)
@@ -32,13 +32,13 @@
 void
 front_socket_set_options (evutil_socket_t fd, int timeout_ms)
 {
-  int on = 1, every = KEEP_EVERY_S, probes = KEEP_PROBES;
+  int on = 1, interval_s = KEEPALIVE_INTERVAL_S, probes = KEEPALIVE_PROBES;
 
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &every, sizeof every);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof every);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &interval_s, sizeof interval_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
 }
 
--- a/src/front_socket.h
+++ b/src/front_socket.h
@@ -1,5 +1,5 @@
 /**
- * Sockets of the event loop.
+ * Socket options and connections of the event loop.
  */
 #ifndef FRONT_SOCKET_H
 #define FRONT_SOCKET_H
@@ -9,14 +9,15 @@
 #include <netinet/in.h>
 #include <stdbool.h>
 
-/** Reads "IP:PORT". */
+/** Parses "IP:PORT". */
 bool front_socket_parse_address (const char *text, struct sockaddr_in *out);
-/** No delay, and a peer that stops answering is noticed after timeout_ms though no reset comes. */
+/** Disables Nagle's algorithm, and sets keep-alive so that a silent peer is noticed after
+ *  timeout_ms. */
 void front_socket_set_options (evutil_socket_t fd, int timeout_ms);
-/** Starts to connect; NULL if no descriptor is to be had. The connection is watched. */
+/** Starts to connect, with the options above; NULL if no socket can be opened. */
 struct bufferevent *
 front_socket_connect (struct event_base *base, const struct sockaddr_in *address, int timeout_ms);
-/** Feeds an answer with all bytes that have come. */
+/** Feeds all received bytes to the reply's parser. */
 void front_socket_feed_reply (struct bufferevent *bev, HttpReply *reply);
 
 #endif
--- a/src/front_store.c
+++ b/src/front_store.c
@@ -1,4 +1,4 @@
-/* The link to the store as the rest of the process sees it. */
+/* The interface of the store client to the rest of the process. */
 #include "front_peers.h"
 #include "front_socket.h"
 #include "front_store_private.h"
@@ -7,10 +7,10 @@
 #include "wire_store.h"
 #include <stdlib.h>
 
-/* Milliseconds. */
-/* Until the list of fronts is read once more by one that knows nobody, doubling. */
-#define LIST_AGAIN_MS      3000
-#define LIST_AGAIN_MOST_MS 30000
+/* Interval at which a front that knows no other reads the list of fronts again; it doubles up to
+ * the maximum. */
+#define LIST_INTERVAL_MS     3000
+#define LIST_INTERVAL_MAX_MS 30000
 
 bool
 front_store_is_behind (const FrontStore *store, StoreTable table, int64_t newest_elsewhere)
@@ -23,7 +23,8 @@
 {
   const FrontTable *rows = &store->watches[table].table;
 
-  /* Of an empty table no change was seen, but it is known that there is nothing. */
+  /* No change of an empty table was ever seen, yet it was read: 1 distinguishes it from an unread
+   * one. */
   return rows->newest == 0 && rows->version != 0 ? 1 : rows->newest;
 }
 
@@ -126,8 +127,9 @@
   return since == 0 ? rows->version != 0 : rows->newest > since;
 }
 
-/* A front that found nobody when it started was the first, or all that were listed have died: it
- * must not stay alone with what it knows of bad versions and crashed servers. */
+/* A front that found no other when it started was the first one, or all listed ones had died. It
+ * reads the list again, so that it doesn't stay without what others know of bad versions and
+ * crashed servers. */
 void
 store_member_list_tick (FrontStore *store, int64_t now_ms)
 {
@@ -137,8 +139,8 @@
       || front_peers_alive (store->front->peers, now_ms) > 1)
     return;
   store->list_interval_ms *= 2;
-  if (store->list_interval_ms > LIST_AGAIN_MOST_MS)
-    store->list_interval_ms = LIST_AGAIN_MOST_MS;
+  if (store->list_interval_ms > LIST_INTERVAL_MAX_MS)
+    store->list_interval_ms = LIST_INTERVAL_MAX_MS;
   store->list_next_ms = now_ms + store->list_interval_ms;
   list->loaded = false;
   store_watch_poll (list);
@@ -156,8 +158,8 @@
   store->front = front;
   store->address = address;
   store->started_ms = clock_boot_ms ();
-  store->list_interval_ms = LIST_AGAIN_MS;
-  store->list_next_ms = store->started_ms + LIST_AGAIN_MS;
+  store->list_interval_ms = LIST_INTERVAL_MS;
+  store->list_next_ms = store->started_ms + LIST_INTERVAL_MS;
   store->writer = front_channel_new (front->base, &address, store_on_written, store);
   for (unsigned i = 0; i < STORE_TABLES; i++)
     store_watch_init (&store->watches[i], store, (StoreTable)i);
--- a/src/front_store_apply.c
+++ b/src/front_store_apply.c
@@ -1,4 +1,4 @@
-/* What rows of the store change in this process. */
+/* Applies changed rows of the store to the state of this process. */
 #include "front_control.h"
 #include "front_log.h"
 #include "front_member.h"
@@ -27,7 +27,7 @@
       front_log_end (line);
       return;
     }
-  /* Versions only rise while a process lives, whichever way they come. */
+  /* An older version may arrive from another source; a process never goes back to it. */
   if (front->config && config->version <= front->config->version)
     {
       front_config_unref (config);
@@ -65,8 +65,8 @@
   front_log_end (line);
 }
 
-/* The row's being there is the order: a failure domain that is to get nothing must not get work for
- * the sake of a text that can't be read. */
+/* The row's existence is the order, whatever its value: an unreadable value must not send work to a
+ * failure domain that is being evacuated. */
 static void
 apply_evacuation (Front *front, const StoreRow *row)
 {
@@ -140,7 +140,7 @@
                                 &entry)
            || !front_servers_set (front->servers, &entry, now_ms, &changed))
     {
-      /* Not the server's own writing. A living server's next report brings it back. */
+      /* Not written by the server itself. A living server's next report restores the entry. */
       log_server (row->key, "unreadable", NULL, row->version);
       front_servers_remove (front->servers, row->key, now_ms, 0);
     }
@@ -201,9 +201,9 @@
   front_log_end (line);
 }
 
-/* Statuses may have been read before the orders that they belong to. */
+/* A status may have been read before the roll-out order that it belongs to. */
 static void
-statuses_again (FrontStore *store)
+statuses_reapply (FrontStore *store)
 {
   TableEntry *entry;
 
@@ -221,11 +221,12 @@
   if (id == STORE_SERVERS)
     front->servers_known = true;
   if (id == STORE_OPERATOR)
-    statuses_again (store);
+    statuses_reapply (store);
   if (id == STORE_MEMBERS)
     store_poll_waiting (store);
   front_open (front, clock_boot_ms ());
-  /* Fronts that start wait for these rows: a tick later is a tenth of a second of refusals. */
+  /* Starting fronts may be waiting for these rows; waiting for the next tick would mean a tenth of
+   * a second of refused requests. */
   if (front->control)
     front_control_tick (front->control, clock_boot_ms ());
 }
--- a/src/front_store_news.c
+++ b/src/front_store_news.c
@@ -1,4 +1,4 @@
-/* What fronts ask each other for rows, and give. */
+/* Requests for rows between fronts: their URL paths, and decoding of the answers. */
 #include "front_compress.h"
 #include "front_store.h"
 #include "util_span.h"
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -1,5 +1,5 @@
 /**
- * What the files of front_store*.c share.
+ * Declarations shared by front_store*.c.
  */
 #ifndef FRONT_STORE_PRIVATE_H
 #define FRONT_STORE_PRIVATE_H
@@ -8,16 +8,17 @@
 #include "front_store.h"
 #include "front_table.h"
 
-/** Milliseconds after which an answer that hasn't begun is lost. */
+/** Milliseconds until a request fails if its answer has not begun. */
 #define STORE_ANSWER_MS 3000
-/** After the store's return living servers are listed again within two seconds. */
+/** Milliseconds after the store's return by which living servers are listed again: two seconds and
+ *  a margin. */
 #define STORE_RELIST_MS 2200
 
 #define STORE_HTTP_OK       200
 #define STORE_HTTP_CONFLICT 412
 #define STORE_HTTP_GONE     410
 
-/** Follows one table: reads all rows, then asks for changes again and again. */
+/** Follows one table: reads all rows, then polls for changes. */
 typedef struct Watch
 {
   FrontStore *store;
@@ -26,16 +27,16 @@
   FrontChannel *channel;
   struct event *poll_timer;
   StoreAnswer pages;    /* rows of the pages read so far */
-  char *last_key;       /* last key of these */
-  bool loaded;          /* all rows were read from the store; changes are asked for */
-  bool lost;            /* the last question had no good answer */
-  unsigned failures;    /* in a row that failed */
+  char *last_key;       /* key of the last of these */
+  bool loaded;          /* all rows were read; changes are polled for */
+  bool lost;            /* the last request to the store failed */
+  unsigned failures;    /* failed requests to the store in a row */
   int64_t recovered_ms; /* when the store answered again after an error */
   int64_t asked_ms;
-  bool asked_peer;           /* the open question went to another front */
-  bool is_short_poll;        /* the open question is a sentinel's */
-  struct sockaddr_in source; /* which one */
-  unsigned peer_failures;    /* questions to other fronts that failed, in a row */
+  bool asked_peer;           /* the last request went to another front */
+  bool is_short_poll;        /* the pending request is a sentinel's short poll */
+  struct sockaddr_in source; /* the front that was asked last */
+  unsigned peer_failures;    /* failed requests to other fronts in a row */
 } Watch;
 
 struct FrontStore
@@ -45,59 +46,59 @@
   Watch watches[STORE_TABLES];
   FrontChannel *writer;
   int64_t started_ms;
-  int64_t list_next_ms;     /* when the list of fronts is read again, should we still be alone */
-  int64_t list_interval_ms; /* until the time after that */
-  FrontRollout *writing;    /* the roll-out whose status is being written; NULL: none */
+  int64_t list_next_ms;     /* when the list of fronts is read again if no other is known */
+  int64_t list_interval_ms; /* until the read after that */
+  FrontRollout *writing;    /* roll-out whose status is being written; NULL: none */
   FrontRolloutState writing_state;
   int64_t writing_started_ms;
-  bool settled;            /* FRONT_SETTLED_MS are over */
-  bool registering;        /* our address is being written */
-  int64_t clock_offset_ms; /* the store's clock less ours */
+  bool settled;            /* FRONT_SETTLED_MS have passed since the start */
+  bool registering;        /* our own address is being written */
+  int64_t clock_offset_ms; /* the store's clock minus ours */
   int64_t write_next_ms;
 };
 
-/* front_store_apply.c: a row that is new, changed or gone, by table. */
+/* front_store_apply.c: apply a row that is new, changed or removed, by table. */
 void store_apply_operator (void *user, const StoreRow *row);
 void store_apply_server (void *user, const StoreRow *row);
 void store_apply_status (void *user, const StoreRow *row);
 void store_apply_member (void *user, const StoreRow *row);
-/* What follows from the news of a table as a whole. */
+/* Updates what depends on the table as a whole, after its changed rows were applied. */
 void store_apply_end (FrontStore *store, StoreTable id);
 
 /* front_store_watch.c */
 void store_watch_init (Watch *watch, FrontStore *store, StoreTable id);
 void store_watch_clear (Watch *watch);
 void store_watch_poll (Watch *watch);
-/* Forgets the open question and asks another one, unless its answer is arriving. */
+/* Cancels the pending request and sends a new one, unless its answer is arriving. */
 void store_watch_restart_poll (Watch *watch);
 /* Another front knows the table up to this version. */
 void store_watch_hint (Watch *watch, int64_t version, int64_t now_ms);
-/* Another front gave rows: all, or those changed since a version. */
+/* Applies rows from another front: all, or those changed since a version. */
 void store_watch_apply_peer_rows (Watch *watch, int64_t since, StoreAnswer *answer);
-/* Asks again in so many milliseconds. */
+/* Polls in so many milliseconds. */
 void store_watch_schedule_poll (Watch *watch, int64_t ms);
 
 /* front_store.c */
-/* Who is registered is known now: tables that waited for that are asked for at once. */
+/* The list of fronts was read: polls the tables that waited for it. */
 void store_poll_waiting (FrontStore *store);
-/* Questions that a front asked before it knew its rank are asked anew, of whom they belong to. */
+/* Once the front knows its rank, restarts polls that went to another front, as their source may be
+ * a different one now. */
 void store_settle_tick (FrontStore *store, int64_t now_ms);
-/* One that has become a sentinel, as another died, doesn't wait for the end of its long question.
- */
+/* Replaces the long poll by a short one if we have become a sentinel because another one died. */
 void store_sentinel_tick (Watch *watch, int64_t now_ms);
-/* Reads the list of fronts again while nobody is known. */
+/* Reads the list of fronts again while no other front is known. */
 void store_member_list_tick (FrontStore *store, int64_t now_ms);
 
-/* front_store_source.c: whom a question goes to. */
+/* front_store_source.c: where the next request goes. */
 typedef enum
 {
   SOURCE_STORE,
-  SOURCE_PEER,     /* watch->source */
-  SOURCE_UNDECIDED /* nobody yet */
+  SOURCE_PEER,     /* the front at watch->source */
+  SOURCE_UNDECIDED /* decide again after BOOTSTRAP_RETRY_MS */
 } StoreSource;
 
 StoreSource store_choose_source (Watch *watch, int64_t now_ms);
-/* We are one of the few whose questions at the store are short. */
+/* True if we are one of the few fronts that poll the store at short intervals. */
 bool store_is_sentinel (const Watch *watch, int64_t now_ms);
 
 /* front_store_write.c */
--- a/src/front_store_source.c
+++ b/src/front_store_source.c
@@ -1,17 +1,19 @@
-/* Whom a question for rows goes to: the store, or another front that passes them on. */
+/* Chooses where rows are requested from: the store, or another front that follows it. */
 #include "front_bootstrap.h"
 #include "front_peers.h"
 #include "front_store_private.h"
 
-/* In a row, until the store is asked: several neighbours may have died at one moment. */
-#define PEER_FAILURES_MOST 4
+/* Failed requests to other fronts in a row after which the store is asked: several fronts of the
+ * domain may have died at one moment. */
+#define PEER_FAILURES_MAX 4
 
-/* A store may fall silent without any connection ending, and what was asked before its return is
- * never answered; keep-alive doesn't show it. So that not all fronts wait for the end of long
- * questions, a few of them, whichever are first by rank, ask short ones of the tables that callers
- * depend on: with three, one may be stopped and one frozen. They learn of a change within the two
- * times of front_store.c, tell it with their next message, and the others ask anew. It costs two
- * calls a second and front, whatever the number of fronts. */
+/* A store may hang without closing its connections, and requests from before its return are never
+ * answered; keep-alive doesn't show this. Instead of all fronts waiting for their long polls to
+ * time out, a few sentinels, the first by rank, use short polls for the tables that callers depend
+ * on. With three, one may be stopped and another frozen. They learn of a change within
+ * SENTINEL_WAIT_MS + SENTINEL_ANSWER_MS, announce it in their next message, and the other fronts
+ * restart their polls. This costs two calls a second for each sentinel, however many fronts there
+ * are. */
 #define SENTINELS 3
 
 static bool
@@ -31,10 +33,10 @@
                                      now_ms);
 }
 
-/* A front that has just started doesn't know yet who lives, and would take itself for the first by
- * rank: it asks one that is likely to follow the store. */
+/* A front that has just started doesn't know all living fronts yet, and would place itself first by
+ * rank; it asks a front that probably follows the store. */
 static StoreSource
-aim_ranked (Watch *watch, int64_t now_ms)
+choose_by_rank (Watch *watch, int64_t now_ms)
 {
   const FrontStore *store = watch->store;
 
@@ -48,9 +50,9 @@
              : SOURCE_STORE;
 }
 
-/* The table is to be read as a whole. */
+/* For a table that has to be read completely. */
 static StoreSource
-aim_start (Watch *watch, int64_t now_ms)
+choose_at_start (Watch *watch, int64_t now_ms)
 {
   FrontStore *store = watch->store;
   FrontPeers *peers = store->front->peers;
@@ -73,16 +75,16 @@
     case BOOTSTRAP_ASK_INFORMED:
       return SOURCE_PEER;
     case BOOTSTRAP_ASK_RANKED:
-      return aim_ranked (watch, now_ms);
+      return choose_by_rank (watch, now_ms);
     default:
       return SOURCE_STORE;
     }
 }
 
-/* The store doesn't remember the changes since our version. It says so to all that follow it at one
- * moment; if they asked each other, nobody would read what has changed. */
+/* The store no longer has the changes since our version. It tells all followers so at one moment;
+ * if they then asked each other, nobody would read what has changed. */
 static bool
-is_forgotten (const Watch *watch)
+is_history_lost (const Watch *watch)
 {
   return !watch->loaded && watch->table.version != 0;
 }
@@ -90,11 +92,11 @@
 StoreSource
 store_choose_source (Watch *watch, int64_t now_ms)
 {
-  if (watch->id == STORE_MEMBERS || watch->last_key || is_forgotten (watch))
+  if (watch->id == STORE_MEMBERS || watch->last_key || is_history_lost (watch))
     return SOURCE_STORE;
   if (!watch->loaded)
-    return aim_start (watch, now_ms);
-  if (store_is_sentinel (watch, now_ms) || watch->peer_failures >= PEER_FAILURES_MOST)
+    return choose_at_start (watch, now_ms);
+  if (store_is_sentinel (watch, now_ms) || watch->peer_failures >= PEER_FAILURES_MAX)
     return SOURCE_STORE;
-  return aim_ranked (watch, now_ms);
+  return choose_by_rank (watch, now_ms);
 }
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -1,4 +1,4 @@
-/* Follows one table: whom it asks is decided in front_store_source.c. */
+/* Follows one table. front_store_source.c decides where each request goes. */
 #include "front_bootstrap.h"
 #include "front_counter.h"
 #include "front_log.h"
@@ -16,25 +16,26 @@
 #define MS_PER_S  1000
 #define US_PER_MS 1000
 
-/* Milliseconds. */
-#define AGAIN_FIRST_MS 120 /* until the next try after an error, doubling */
-#define AGAIN_MOST_MS  1000
-#define HINT_MS        700 /* a question is asked anew no more often than this */
-/* Between an answer of the store and the next question for changes of the servers: a roll-out or a
- * release changes them several times a second, each call has a price, and a server that leaves goes
- * on serving for two seconds. Longer than this a front would hear of a change from others first and
- * fetch it from another failure domain (AHEAD_MS of front_peers_fetch.c). */
-#define SERVERS_PAUSE_MS 300
-/* Until the rows of a whole table begin to come, from another front and from the store: a front
- * that starts waits so long for an answer that is lost. The store's may take a second when it is
- * slow. */
+/* Milliseconds until a retry after an error; doubles up to the maximum. */
+#define RETRY_MIN_MS     120
+#define RETRY_MAX_MS     1000
+#define HINT_INTERVAL_MS 700 /* least milliseconds from a request to its restart by a hint */
+/* Milliseconds between an answer of the store and the next poll for changes of servers. A roll-out
+ * or a release changes them several times a second, each call has a cost, and a leaving server goes
+ * on serving for two seconds. With a longer pause a front would hear of a change from others first
+ * and fetch it from another failure domain (AHEAD_MS of front_peers_fetch.c). */
+#define SERVERS_POLL_DELAY_MS 300
+/* Milliseconds until the answer with a complete table begins, from another front and from the
+ * store: a starting front loses this time if an answer is lost. The store may take a second when it
+ * is slow. */
 #define PEER_LOAD_MS  1000
 #define STORE_LOAD_MS 1500
-/* For a connection to another front, a hundred times the way there and back within a failure
- * domain. After a loss of power that neighbour may not have started yet, and the system's own wait
- * for a connection is a second. */
+/* Milliseconds to connect to another front, a hundred times the round trip within a failure domain.
+ * After a power loss that front may not run yet, and the kernel retries a connection only after a
+ * second. */
 #define PEER_CONNECT_MS 100
-/* That the store holds a sentinel's question, and until its answer begins after that. */
+/* Milliseconds that the store holds a sentinel's short poll, and until the answer has to begin
+ * after that. */
 #define SENTINEL_WAIT_MS   1000
 #define SENTINEL_ANSWER_MS 500
 
@@ -42,7 +43,7 @@
 {
   const char *name;
   TableChangeCallback change;
-  bool followed; /* false: read once */
+  bool followed; /* false: read only once */
 } TableKind;
 
 static const TableKind kinds[STORE_TABLES] = {
@@ -78,23 +79,24 @@
   evtimer_add (watch->poll_timer, &wait);
 }
 
-/* Fronts that lose the store at one moment must not all come back at one: the wait is random. */
+/* Waits a random time, so that fronts that lost the store at one moment don't all return at one
+ * moment. */
 static void
 watch_failed (Watch *watch, int status)
 {
-  int64_t most_ms = AGAIN_FIRST_MS << (watch->failures < 4 ? watch->failures : 4);
+  int64_t wait_max_ms = RETRY_MIN_MS << (watch->failures < 4 ? watch->failures : 4);
 
   watch->failures++;
   front_counter_add (FRONT_COUNTER_STORE_ERRORS);
   lost_set (watch, true, status);
-  if (most_ms > AGAIN_MOST_MS)
-    most_ms = AGAIN_MOST_MS;
-  store_watch_schedule_poll (watch,
-                             most_ms / 2 + (int64_t)(id_random_u64 () % (uint64_t)(most_ms / 2)));
+  if (wait_max_ms > RETRY_MAX_MS)
+    wait_max_ms = RETRY_MAX_MS;
+  store_watch_schedule_poll (
+      watch, wait_max_ms / 2 + (int64_t)(id_random_u64 () % (uint64_t)(wait_max_ms / 2)));
 }
 
 static void
-pages_drop (Watch *watch)
+pages_clear (Watch *watch)
 {
   store_answer_clear (&watch->pages);
   free (watch->last_key);
@@ -119,7 +121,7 @@
 }
 
 static void
-load_take (Watch *watch, StoreAnswer *answer)
+load_page (Watch *watch, StoreAnswer *answer)
 {
   bool more = answer->has_more && answer->count > 0;
 
@@ -127,7 +129,7 @@
   if (more)
     return;
   front_table_apply_snapshot (&watch->table, &watch->pages, kinds[watch->id].change, watch->store);
-  pages_drop (watch);
+  pages_clear (watch);
   watch->loaded = true;
   store_apply_end (watch->store, watch->id);
 }
@@ -175,7 +177,7 @@
                                watch->channel);
 }
 
-/* Another one is asked. */
+/* Requests the rows from another source. */
 static void
 peer_failed (Watch *watch)
 {
@@ -199,7 +201,8 @@
 
   if (status == STORE_HTTP_GONE && !watch->asked_peer)
     {
-      watch->loaded = false; /* the changes since our version are forgotten: read all rows */
+      watch->loaded
+          = false; /* the store no longer has the changes since our version: read all rows */
       store_watch_poll (watch);
       return;
     }
@@ -220,7 +223,7 @@
   if (answer.clock_ms != 0)
     watch->store->clock_offset_ms = answer.clock_ms - clock_boot_ms ();
   if (!watch->loaded)
-    load_take (watch, &answer);
+    load_page (watch, &answer);
   else
     {
       front_table_apply_changes (&watch->table, &answer, kinds[watch->id].change, watch->store);
@@ -228,14 +231,14 @@
     }
   store_answer_clear (&answer);
   if (watch->loaded && watch->id == STORE_SERVERS && !watch->asked_peer)
-    store_watch_schedule_poll (watch, SERVERS_PAUSE_MS);
+    store_watch_schedule_poll (watch, SERVERS_POLL_DELAY_MS);
   else if (kinds[watch->id].followed || !watch->loaded)
     store_watch_poll (watch);
 }
 
-/* A front that stays unready shows by these lines whom it waits for. */
+/* Shows which source a front that stays unready waits for. */
 static void
-log_asked (const Watch *watch)
+log_rows_asked (const Watch *watch)
 {
   FrontLine *line = front_log_begin (FRONT_EVENT_ROWS_ASKED);
 
@@ -247,7 +250,7 @@
 }
 
 static void
-ask_peer (Watch *watch)
+poll_peer (Watch *watch)
 {
   Buffer path = { 0 };
 
@@ -260,7 +263,7 @@
 }
 
 static void
-ask_store (Watch *watch)
+poll_store (Watch *watch)
 {
   int wait_ms, answer_ms;
   Buffer path = { 0 };
@@ -295,15 +298,15 @@
   watch->asked_peer = aim == SOURCE_PEER;
   watch->is_short_poll = false;
   if (!watch->loaded)
-    log_asked (watch);
+    log_rows_asked (watch);
   if (watch->asked_peer)
-    ask_peer (watch);
+    poll_peer (watch);
   else
-    ask_store (watch);
+    poll_store (watch);
 }
 
 static void
-on_again (evutil_socket_t fd UNUSED, short what UNUSED, void *user)
+on_poll_timer (evutil_socket_t fd UNUSED, short what UNUSED, void *user)
 {
   Watch *watch = user;
 
@@ -317,21 +320,21 @@
   if (front_channel_is_receiving (watch->channel))
     return;
   front_channel_cancel (watch->channel);
-  pages_drop (watch);
+  pages_clear (watch);
   store_watch_poll (watch);
 }
 
 void
 store_watch_hint (Watch *watch, int64_t version, int64_t now_ms)
 {
-  /* What is arriving, of rows or of pages, would be sent from its begin again. */
+  /* A transfer in progress would have to start again from the beginning. */
   if (front_channel_is_receiving (watch->channel) || !watch->loaded
-      || !front_table_is_behind (&watch->table, version) || now_ms - watch->asked_ms < HINT_MS
-      || !front_channel_is_pending (watch->channel))
+      || !front_table_is_behind (&watch->table, version)
+      || now_ms - watch->asked_ms < HINT_INTERVAL_MS || !front_channel_is_pending (watch->channel))
     return;
   front_channel_cancel (watch->channel);
-  pages_drop (watch);
-  /* Whom we asked is behind, too: somebody else is asked next. */
+  pages_clear (watch);
+  /* The source that was asked lacks the change as well: choose another one. */
   rows_failed (watch);
   if (watch->asked_peer)
     peer_failed (watch);
@@ -339,17 +342,17 @@
     store_watch_poll (watch);
 }
 
-/* What is being read of the whole table isn't needed any more: its changes are asked for. */
+/* The complete read in progress is no longer needed: polls for changes instead. */
 static void
-load_end (Watch *watch)
+load_cancel (Watch *watch)
 {
   watch->loaded = true;
-  pages_drop (watch);
+  pages_clear (watch);
   front_channel_cancel (watch->channel);
   store_watch_schedule_poll (watch, 0);
 }
 
-/* What a peer passes on is as good as the store's own rows: it read them there. */
+/* Rows from another front are as good as the store's own, as it read them there. */
 void
 store_watch_apply_peer_rows (Watch *watch, int64_t since, StoreAnswer *answer)
 {
@@ -361,7 +364,7 @@
     front_table_apply_changes (&watch->table, answer, kinds[watch->id].change, watch->store);
   store_apply_end (watch->store, watch->id);
   if (!watch->loaded)
-    load_end (watch);
+    load_cancel (watch);
 }
 
 void
@@ -372,13 +375,13 @@
   watch->recovered_ms = -STORE_RELIST_MS;
   front_table_init (&watch->table);
   watch->channel = front_channel_new (store->front->base, &store->address, on_answer, watch);
-  watch->poll_timer = evtimer_new (store->front->base, on_again, watch);
+  watch->poll_timer = evtimer_new (store->front->base, on_poll_timer, watch);
 }
 
 void
 store_watch_clear (Watch *watch)
 {
-  pages_drop (watch);
+  pages_clear (watch);
   front_channel_free (watch->channel);
   event_free (watch->poll_timer);
   front_table_clear (&watch->table);
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -1,4 +1,4 @@
-/* What this process writes to the store: its address, and how roll-outs stand. */
+/* Writes to the store: this front's address, and the status of roll-outs. */
 #include "front_counter.h"
 #include "front_log.h"
 #include "front_member.h"
@@ -8,7 +8,7 @@
 #include "wire_rollout.h"
 #include "wire_store.h"
 
-#define TURN_MS 300 /* between two fronts' attempts at the same write */
+#define RANK_DELAY_MS 300 /* delay between two fronts' attempts at the same write */
 
 static void
 write_row (FrontStore *store,
@@ -75,7 +75,7 @@
       else if (status == STORE_HTTP_OK && store->writing)
         front_rollouts_status (store->writing, store->writing->order.target, store->writing_state,
                                answer.version, 0);
-      else if (store->writing) /* another front was first; its row comes with the answer */
+      else if (store->writing) /* another front wrote first; the answer contains its row */
         front_table_apply_changes (&store->watches[STORE_STATUS].table,
                                    &(StoreAnswer){ .count = answer.count, .rows = answer.rows },
                                    store_apply_status, store);
@@ -83,7 +83,7 @@
     }
   else
     {
-      store->write_next_ms = clock_boot_ms () + TURN_MS;
+      store->write_next_ms = clock_boot_ms () + RANK_DELAY_MS;
       front_counter_add (FRONT_COUNTER_STORE_ERRORS);
     }
   store->registering = false;
@@ -120,7 +120,7 @@
   {
     unsigned rank = front_peers_rank (front->peers, rollout->service_hash, now_ms);
 
-    if (!rollout->has_verdict || now_ms - rollout->verdict_ms < (int64_t)rank * TURN_MS)
+    if (!rollout->has_verdict || now_ms - rollout->verdict_ms < (int64_t)rank * RANK_DELAY_MS)
       continue;
     write_status (store, rollout);
     return;
--- a/src/front_table.c
+++ b/src/front_table.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REMOVED_MOST 512 /* removals kept; a roll-out of a large site removes some hundred */
+/* Removals kept; a roll-out at a large site removes some hundred servers. */
+#define REMOVED_MAX 512
 
 void
 front_table_init (FrontTable *table)
@@ -74,7 +75,7 @@
 }
 
 static void
-forget_removals (FrontTable *table, int64_t up_to)
+drop_removals (FrontTable *table, int64_t up_to)
 {
   TableEntry *entry, *next;
 
@@ -108,7 +109,7 @@
 }
 
 static void
-row_take (FrontTable *table, StoreRow *row, TableChangeCallback change, void *user)
+row_apply (FrontTable *table, StoreRow *row, TableChangeCallback change, void *user)
 {
   TableEntry *entry = find (table, row->key);
 
@@ -147,14 +148,14 @@
                            void *user)
 {
   for (unsigned i = 0; i < answer->count; i++)
-    row_take (table, &answer->rows[i], change, user);
-  if (table->removed_count > REMOVED_MOST)
-    forget_removals (table, (oldest_removal (table) + table->newest) / 2);
+    row_apply (table, &answer->rows[i], change, user);
+  if (table->removed_count > REMOVED_MAX)
+    drop_removals (table, (oldest_removal (table) + table->newest) / 2);
   version_raise (table, answer->version);
 }
 
 static void
-mark_found (FrontTable *table, const StoreAnswer *answer)
+mark_in_snapshot (FrontTable *table, const StoreAnswer *answer)
 {
   TableEntry *entry;
 
@@ -167,17 +168,17 @@
     }
 }
 
-/* The row is not among all rows of a later version. That doesn't tell when it was removed, so it is
- * no newest change. */
+/* Removes a row that is missing in a complete read of a later version. The version of the removal
+ * itself is not known, so it doesn't count as the newest change. */
 static void
-row_gone (FrontTable *table,
-          TableEntry *entry,
-          StoreRow *gone,
-          TableChangeCallback change,
-          void *user)
+row_remove (FrontTable *table,
+            TableEntry *entry,
+            StoreRow *removal,
+            TableChangeCallback change,
+            void *user)
 {
-  change (user, gone);
-  row_put (table, entry, gone);
+  change (user, removal);
+  row_put (table, entry, removal);
 }
 
 void
@@ -188,15 +189,15 @@
 {
   TableEntry *entry, *next;
 
-  mark_found (table, answer);
+  mark_in_snapshot (table, answer);
   cds_list_for_each_entry_safe (entry, next, &table->entries, node)
   {
-    StoreRow gone
+    StoreRow removal
         = { .key = memory_strdup (entry->row.key), .version = answer->version, .removed = true };
 
     if (!entry->row.removed && entry->row.version <= answer->version && !entry->in_snapshot)
-      row_gone (table, entry, &gone, change, user);
-    free (gone.key);
+      row_remove (table, entry, &removal, change, user);
+    free (removal.key);
   }
   front_table_apply_changes (table, answer, change, user);
 }
--- a/src/front_work_message.c
+++ b/src/front_work_message.c
@@ -2,7 +2,7 @@
 #include <rpc/xdr.h>
 #include <string.h>
 
-#define MAGIC 0x4c484257u /* "LHBW"; rises with any change of the form */
+#define MAGIC 0x4c484257u /* "LHBW"; to be incremented with any change of the format */
 
 static bool_t
 xdr_message (XDR *xdr, WorkMessage *message)
--- a/src/front_work_message.h
+++ b/src/front_work_message.h
@@ -1,6 +1,6 @@
 /**
- * What a front tells others the moment it sends prompts to backend servers: how long these will
- * read. One datagram, encoded by XDR.
+ * Message that a front sends to others when it sends prompts to backend servers: how long these
+ * will be processed. One datagram, encoded by XDR.
  */
 #ifndef FRONT_WORK_MESSAGE_H
 #define FRONT_WORK_MESSAGE_H
@@ -15,8 +15,10 @@
 typedef struct
 {
   uint64_t server;  /**< FrontServer.hash */
-  uint32_t read_ms; /**< reading that was sent there since the last note of it */
-  uint32_t running; /**< requests, each counted by its model's share, in hundredths; the same */
+  uint32_t read_ms; /**< prompt processing, in milliseconds, sent there since the last entry for
+                       this server */
+  uint32_t running; /**< requests sent there since then, each counted by its model's share, in
+                       hundredths */
 } WorkEntry;
 
 typedef struct
@@ -26,9 +28,9 @@
   WorkEntry entries[WORK_ENTRIES_MAX];
 } WorkMessage;
 
-/** Bytes written; 0 if they don't fit. */
+/** Returns the bytes written; 0 if they don't fit. */
 size_t work_message_encode (const WorkMessage *message, void *out, size_t size);
-/** False if the bytes are no message of this kind. */
+/** False if the data is not such a message. */
 bool work_message_decode (WorkMessage *message, const void *data, size_t len);
 
 #endif
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -1,5 +1,5 @@
-/** Who asks the store when many fronts start: src/front_bootstrap.c, front_peers_rank.c and the
- * choice of whom to tell, played in steps of 10 ms without a network. */
+/** Which fronts ask the store when many start: src/front_bootstrap.c, front_peers_rank.c and the
+ *  choice of recipients, simulated in steps of 10 ms without a network. */
 #include "front_bootstrap.h"
 #include "front_peers_private.h"
 #include "suite.h"
@@ -8,22 +8,22 @@
 #include <arpa/inet.h>
 #include <stdlib.h>
 
-#define FRONTS     300
-#define DOMAINS    6
-#define SEEDS      3
-#define STEP_MS    10
-#define JITTER_MS  300 /* all VMs start within this */
-#define BEAT_MS    500
-#define ALONE_MS   200
-#define LOAD_MS    1000 /* until a question to a front that is silent has failed */
-#define LOST_MS    1500 /* the same for a question to the store */
-#define ANSWER_MS  10   /* of the store, or of a front that has the rows */
-#define FIRST_IP   0x0a000001u
-#define TABLE      ((uint64_t)STORE_SERVERS)
-#define ORIGIN_MS  1000000
-#define GIVE_UP_MS 20000
-/* The most calls that a start is to cost: reading the list of fronts, and one more. */
-#define CALLS_A_START 2
+#define FRONTS           300
+#define DOMAINS          6
+#define SEEDS            3
+#define STEP_MS          10
+#define JITTER_MS        300 /* all VMs start within this time */
+#define ROUND_MS         500
+#define ROUND_ALONE_MS   200
+#define PEER_TIMEOUT_MS  1000 /* until a request to a front that doesn't answer fails */
+#define STORE_TIMEOUT_MS 1500 /* the same for a request to the store */
+#define ANSWER_MS        10   /* of the store, or of a front that has the rows */
+#define FIRST_IP         0x0a000001u
+#define TABLE            ((uint64_t)STORE_SERVERS)
+#define ORIGIN_MS        1000000
+#define END_MS           20000
+/* Most calls to the store for each start: reading the list of fronts, and one more. */
+#define CALLS_PER_START 2
 
 typedef enum
 {
@@ -35,12 +35,12 @@
 typedef struct
 {
   FrontPeers peers;
-  int64_t start_ms; /* not yet started before; -1: never starts */
-  int64_t dies_ms;  /* 0: it doesn't */
+  int64_t start_ms; /* doesn't run before this time; -1: never starts */
+  int64_t dies_ms;  /* 0: never */
   bool list_known;
   int64_t list_ms; /* when the list of fronts arrives */
   bool has_table;
-  int64_t known_ms; /* since when */
+  int64_t known_ms; /* time since which it has the table */
   Asks asks;
   unsigned asked; /* number of the front that is asked */
   int64_t until_ms;
@@ -49,13 +49,13 @@
 
 typedef struct
 {
-  unsigned registered[FRONTS]; /* bit: the store lists it */
+  unsigned registered[FRONTS]; /* nonzero: the store lists it */
   unsigned list_calls;
   unsigned table_calls;
-  int64_t silent_until_ms; /* the store answers nothing before */
-  unsigned lost_every;     /* each so many-th answer of the store is lost; 0: none */
+  int64_t silent_until_ms; /* the store doesn't answer before this time */
+  unsigned lost_every;     /* every so many-th answer of the store is lost; 0: none */
   Node nodes[FRONTS];
-} World;
+} Site;
 
 static uint32_t
 address_of (unsigned number)
@@ -75,14 +75,14 @@
   return 1 + number % DOMAINS;
 }
 
-static World *
-world_new (void)
+static Site *
+site_new (void)
 {
-  World *world = memory_alloc (sizeof *world);
+  Site *site = memory_alloc (sizeof *site);
 
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      Node *node = &world->nodes[i];
+      Node *node = &site->nodes[i];
 
       node->peers.own.sin_addr.s_addr = address_of (i);
       node->peers.own_domain = domain_of (i);
@@ -91,15 +91,15 @@
       for (unsigned j = 0; j < SEEDS; j++)
         peer_add (&node->peers, address_of (j * 50));
     }
-  return world;
+  return site;
 }
 
-/* The first three of each failure domain, as found by whoever starts now. */
+/* Registers the first three fronts of each failure domain. */
 static void
-all_registered (World *world)
+register_fronts (Site *site)
 {
   for (unsigned i = 0; i < DOMAINS * 3; i++)
-    world->registered[i] = 1;
+    site->registered[i] = 1;
 }
 
 static bool
@@ -110,7 +110,7 @@
 }
 
 static void
-heard (Node *node, unsigned from, int64_t newest, int64_t now_ms)
+note_alive (Node *node, unsigned from, int64_t newest, int64_t now_ms)
 {
   Peer *peer = peer_add (&node->peers, address_of (from));
 
@@ -122,79 +122,81 @@
     peer->newest[TABLE] = newest;
 }
 
-/* Tells of up to 40 others that the sender knows; of one failure domain only if domain isn't 0. */
+/* Sends a list of up to 40 others that the sender knows; only those of one failure domain if domain
+ * isn't 0. */
 static void
-tell_members (const Node *from, Node *to, uint32_t domain, unsigned start, int64_t now_ms)
+send_members (const Node *from, Node *to, uint32_t domain, unsigned start, int64_t now_ms)
 {
-  unsigned told = 0;
+  unsigned sent = 0;
 
-  for (unsigned i = 0; i < from->peers.count && told < PEER_MEMBERS_MAX; i++)
+  for (unsigned i = 0; i < from->peers.count && sent < PEER_MEMBERS_MAX; i++)
     {
       const Peer *peer = &from->peers.list[(start + i) % from->peers.count];
 
       if (!peer_is_alive (peer, now_ms) || (domain != 0 && peer->domain != domain))
         continue;
-      told++;
-      heard (to, number_of (&peer->address), 0, now_ms);
+      sent++;
+      note_alive (to, number_of (&peer->address), 0, now_ms);
     }
 }
 
 static void
-tell (World *world, unsigned from, unsigned to, int64_t now_ms)
+send_message (Site *site, unsigned from, unsigned to, int64_t now_ms)
 {
-  Node *sender = &world->nodes[from], *receiver = &world->nodes[to];
+  Node *sender = &site->nodes[from], *receiver = &site->nodes[to];
   uint32_t alive = front_peers_alive (&sender->peers, now_ms) - 1;
 
   if (!runs (receiver, now_ms))
     return;
-  heard (receiver, from, sender->has_table, now_ms);
-  tell_members (sender, receiver, 0, sender->peers.next_member, now_ms);
+  note_alive (receiver, from, sender->has_table, now_ms);
+  send_members (sender, receiver, 0, sender->peers.next_member, now_ms);
   if (!peers_is_starting (&receiver->peers, peer_find (&receiver->peers, address_of (from)), alive,
                           now_ms))
     return;
-  heard (sender, to, receiver->has_table, now_ms);
-  tell_members (receiver, sender, domain_of (from), from, now_ms);
+  note_alive (sender, to, receiver->has_table, now_ms);
+  send_members (receiver, sender, domain_of (from), from, now_ms);
 }
 
 static void
-beat (World *world, unsigned number, int64_t now_ms)
+send_round (Site *site, unsigned number, int64_t now_ms)
 {
-  Node *node = &world->nodes[number];
+  Node *node = &site->nodes[number];
   bool alone = front_peers_alive (&node->peers, now_ms) == 1;
   Peer *chosen[PEERS_PER_ROUND_MAX];
   unsigned count;
 
-  if (now_ms - node->peers.round_ms < (alone ? ALONE_MS : BEAT_MS))
+  if (now_ms - node->peers.round_ms < (alone ? ROUND_ALONE_MS : ROUND_MS))
     return;
   node->peers.round_ms = now_ms;
   count = peers_choose_recipients (&node->peers, chosen, now_ms);
   for (unsigned i = 0; i < count; i++)
     {
       chosen[i]->sent_ms = now_ms;
-      tell (world, number, number_of (&chosen[i]->address), now_ms);
+      send_message (site, number, number_of (&chosen[i]->address), now_ms);
     }
   node->peers.next_member += PEER_MEMBERS_MAX;
 }
 
-/* When the store's answer to a question asked now arrives; far away if it is lost. */
+/* Time at which the store's answer to a request sent now arrives, or at which the request fails if
+ * the answer is lost. */
 static int64_t
-store_answers (const World *world, unsigned calls, int64_t now_ms)
+store_answer_time (const Site *site, unsigned calls, int64_t now_ms)
 {
-  if (world->lost_every != 0 && calls % world->lost_every == 0)
-    return now_ms + LOST_MS;
-  return (world->silent_until_ms > now_ms ? now_ms + LOST_MS : now_ms) + ANSWER_MS;
+  if (site->lost_every != 0 && calls % site->lost_every == 0)
+    return now_ms + STORE_TIMEOUT_MS;
+  return (site->silent_until_ms > now_ms ? now_ms + STORE_TIMEOUT_MS : now_ms) + ANSWER_MS;
 }
 
 static void
-list_read (World *world, Node *node, int64_t now_ms)
+read_list (Site *site, Node *node, int64_t now_ms)
 {
   if (node->list_known)
     return;
   if (node->list_ms == 0)
-    node->list_ms = store_answers (world, ++world->list_calls, now_ms);
+    node->list_ms = store_answer_time (site, ++site->list_calls, now_ms);
   if (now_ms < node->list_ms)
     return;
-  if (world->silent_until_ms > now_ms)
+  if (site->silent_until_ms > now_ms)
     {
       node->list_ms = 0;
       return;
@@ -202,7 +204,7 @@
   node->list_known = true;
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      if (world->registered[i])
+      if (site->registered[i])
         {
           char text[INET_ADDRSTRLEN];
           struct in_addr ip = { .s_addr = address_of (i) };
@@ -214,7 +216,7 @@
 }
 
 static void
-ask (World *world, Node *node, int64_t now_ms)
+ask (Site *site, Node *node, int64_t now_ms)
 {
   struct sockaddr_in source = { 0 };
   BootstrapView view = {
@@ -234,12 +236,13 @@
                                                                             : BOOTSTRAP_ASK_STORE;
   node->asks = step == BOOTSTRAP_ASK_STORE ? ASKS_STORE : ASKS_FRONT;
   node->asked = number_of (&source);
-  node->until_ms = step == BOOTSTRAP_ASK_STORE ? store_answers (world, ++world->table_calls, now_ms)
-                                               : now_ms + LOAD_MS;
+  node->until_ms = step == BOOTSTRAP_ASK_STORE
+                       ? store_answer_time (site, ++site->table_calls, now_ms)
+                       : now_ms + PEER_TIMEOUT_MS;
 }
 
 static void
-learn (Node *node, int64_t now_ms)
+on_rows (Node *node, int64_t now_ms)
 {
   node->has_table = true;
   node->known_ms = now_ms;
@@ -247,7 +250,7 @@
 }
 
 static void
-fail (Node *node, int64_t now_ms)
+on_failure (Node *node, int64_t now_ms)
 {
   struct sockaddr_in source = { .sin_addr.s_addr = address_of (node->asked) };
 
@@ -260,179 +263,179 @@
 }
 
 static void
-wait_for_answer (World *world, Node *node, int64_t now_ms)
+wait_for_answer (Site *site, Node *node, int64_t now_ms)
 {
-  const Node *asked = &world->nodes[node->asked];
+  const Node *asked = &site->nodes[node->asked];
 
   if (node->asks == ASKS_STORE && now_ms >= node->until_ms)
     {
-      if (world->silent_until_ms > now_ms)
-        fail (node, now_ms);
+      if (site->silent_until_ms > now_ms)
+        on_failure (node, now_ms);
       else
-        learn (node, now_ms);
+        on_rows (node, now_ms);
     }
   if (node->asks != ASKS_FRONT)
     return;
-  /* Connections to one that doesn't run are refused, or end. */
+  /* Connections to a front that doesn't run are refused or closed. */
   if (runs (asked, now_ms) && asked->has_table && asked->known_ms + ANSWER_MS <= now_ms)
-    learn (node, now_ms);
+    on_rows (node, now_ms);
   else if (!runs (asked, now_ms) || now_ms >= node->until_ms)
-    fail (node, now_ms);
+    on_failure (node, now_ms);
 }
 
 static void
-step (World *world, int64_t now_ms)
+step (Site *site, int64_t now_ms)
 {
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      Node *node = &world->nodes[i];
+      Node *node = &site->nodes[i];
 
       if (!runs (node, now_ms))
         continue;
-      beat (world, i, now_ms);
-      list_read (world, node, now_ms);
+      send_round (site, i, now_ms);
+      read_list (site, node, now_ms);
       if (node->asks != ASKS_NOBODY)
-        wait_for_answer (world, node, now_ms);
+        wait_for_answer (site, node, now_ms);
       if (!node->has_table && node->asks == ASKS_NOBODY)
-        ask (world, node, now_ms);
+        ask (site, node, now_ms);
     }
 }
 
 static bool
-all_know (const World *world, int64_t now_ms)
+all_have_table (const Site *site, int64_t now_ms)
 {
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      if (runs (&world->nodes[i], now_ms) && !world->nodes[i].has_table)
+      if (runs (&site->nodes[i], now_ms) && !site->nodes[i].has_table)
         return false;
     }
   return now_ms > ORIGIN_MS + JITTER_MS;
 }
 
-/* Milliseconds from the last start until all have the table. */
+/* Milliseconds from the last start until all fronts have the table. */
 static int64_t
-play (World *world)
+simulate (Site *site)
 {
   int64_t now_ms = ORIGIN_MS;
 
-  while (!all_know (world, now_ms) && now_ms < ORIGIN_MS + GIVE_UP_MS)
+  while (!all_have_table (site, now_ms) && now_ms < ORIGIN_MS + END_MS)
     {
       now_ms += STEP_MS;
-      step (world, now_ms);
+      step (site, now_ms);
     }
   return now_ms - ORIGIN_MS - JITTER_MS;
 }
 
-/* Story: a site of 300 fronts starts for the first time. Each knows three addresses and takes
-   itself for the first of its failure domain, so each reads every table, some of them again and
-   again, and writes its address: 13 calls a start, 3,800 before the first request. */
+/* A site of 300 fronts starts for the first time, and each front knows three addresses. If each
+ * considered itself the first of its failure domain, it would read every table, some of them
+ * repeatedly, and register: 13 calls a start, 3,800 before the first request. */
 static void
 test_first_start (void)
 {
-  World *world = world_new ();
+  Site *site = site_new ();
 
-  CU_ASSERT (play (world) <= 3000);
-  CU_ASSERT_EQUAL (world->list_calls, FRONTS);
-  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_A_START * FRONTS);
-  free (world);
+  CU_ASSERT (simulate (site) <= 3000);
+  CU_ASSERT_EQUAL (site->list_calls, FRONTS);
+  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
+  free (site);
 }
 
-/* Story: all VMs lose power at one moment and are back within 300 ms of each other, in any order.
-   Callers are waiting: each front is to have all tables within half a second, without 300 reading
-   each of them. */
+/* All VMs lose power at one moment and are back within 300 ms of each other, in any order. Callers
+ * are waiting: each front has to have all tables within half a second, without 300 reads of each.
+ */
 static void
-test_all_start_again (void)
+test_all_restart (void)
 {
-  World *world = world_new ();
+  Site *site = site_new ();
 
-  all_registered (world);
-  CU_ASSERT (play (world) <= 500);
-  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_A_START * FRONTS);
-  free (world);
+  register_fronts (site);
+  CU_ASSERT (simulate (site) <= 500);
+  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
+  free (site);
 }
 
-/* Story: the same, and in one failure domain none of the three that are registered comes back. */
+/* The same, and in one failure domain none of the three registered fronts comes back. */
 static void
-test_registered_are_gone (void)
+test_registered_fronts_missing (void)
 {
-  World *world = world_new ();
+  Site *site = site_new ();
 
-  all_registered (world);
+  register_fronts (site);
   for (unsigned i = 0; i < 3; i++)
-    world->nodes[(size_t)i * DOMAINS].start_ms = -1;
-  CU_ASSERT (play (world) <= 1000);
-  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_A_START * FRONTS);
-  free (world);
+    site->nodes[(size_t)i * DOMAINS].start_ms = -1;
+  CU_ASSERT (simulate (site) <= 1000);
+  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
+  free (site);
 }
 
-/* Story: the same, and the registered ones die again 20 ms after they came, while others wait for
-   their answers. */
+/* The same, and the registered fronts of one domain die 20 ms after their start, while others wait
+ * for their answers. */
 static void
-test_registered_die_in_the_middle (void)
+test_registered_fronts_die_meanwhile (void)
 {
-  World *world = world_new ();
+  Site *site = site_new ();
 
-  all_registered (world);
+  register_fronts (site);
   for (unsigned i = 0; i < 3; i++)
     {
-      Node *node = &world->nodes[(size_t)i * DOMAINS];
+      Node *node = &site->nodes[(size_t)i * DOMAINS];
 
       node->dies_ms = node->start_ms + (int64_t)2 * ANSWER_MS;
     }
-  CU_ASSERT (play (world) <= 1500);
-  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_A_START * FRONTS);
-  free (world);
+  CU_ASSERT (simulate (site) <= 1500);
+  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
+  free (site);
 }
 
-/* Story: each third answer of the store is lost, the list of fronts among them; who gets none asks
-   again after 1.5 s. The others serve meanwhile, and nobody waits longer than twice that and a
-   moment. */
+/* Every third answer of the store is lost, the list of fronts included; a front without an answer
+ * asks again after 1.5 s. No front may wait longer than twice that and a margin; the others serve
+ * meanwhile. */
 static void
 test_lost_answers (void)
 {
-  World *world = world_new ();
+  Site *site = site_new ();
 
-  all_registered (world);
-  world->lost_every = 3;
-  CU_ASSERT (play (world) <= 3500);
-  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_A_START * FRONTS);
-  free (world);
+  register_fronts (site);
+  site->lost_every = 3;
+  CU_ASSERT (simulate (site) <= 3500);
+  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
+  free (site);
 }
 
-/* Story: the store is silent for the first 3 s. Once it answers, all have the table soon. */
+/* The store doesn't answer for the first 3 s. Once it does, all fronts get the table soon. */
 static void
 test_silent_store (void)
 {
-  World *world = world_new ();
+  Site *site = site_new ();
 
-  all_registered (world);
-  world->silent_until_ms = ORIGIN_MS + 3000;
-  CU_ASSERT (play (world) <= 3000 + 3500);
-  free (world);
+  register_fronts (site);
+  site->silent_until_ms = ORIGIN_MS + 3000;
+  CU_ASSERT (simulate (site) <= 3000 + 3500);
+  free (site);
 }
 
-/* Story: one front of 300 is killed and starts again beside the others. It asks a neighbour, not
-   the store. */
+/* One front of 300 is killed and starts again while the others run. It has to ask a front of its
+ * domain, not the store. */
 static void
-test_one_starts_again (void)
+test_one_restarts (void)
 {
-  World *world = world_new ();
+  Site *site = site_new ();
 
-  all_registered (world);
+  register_fronts (site);
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      world->nodes[i].has_table = i != FRONTS - 1;
-      world->nodes[i].list_known = i != FRONTS - 1;
+      site->nodes[i].has_table = i != FRONTS - 1;
+      site->nodes[i].list_known = i != FRONTS - 1;
     }
-  CU_ASSERT (play (world) <= 100);
-  CU_ASSERT_EQUAL (world->list_calls, 1);
-  CU_ASSERT_EQUAL (world->table_calls, 0);
-  free (world);
+  CU_ASSERT (simulate (site) <= 100);
+  CU_ASSERT_EQUAL (site->list_calls, 1);
+  CU_ASSERT_EQUAL (site->table_calls, 0);
+  free (site);
 }
 
-/* The states of a start, each with what a front knows in it. */
+/* Each state of a starting front and the step that follows. */
 static void
-test_steps (void)
+test_step_for_each_state (void)
 {
   static const struct
   {
@@ -459,14 +462,14 @@
 }
 
 static const SuiteCase cases[] = {
-  { "steps", test_steps },
+  { "step_for_each_state", test_step_for_each_state },
   { "first_start", test_first_start },
-  { "all_start_again", test_all_start_again },
-  { "registered_are_gone", test_registered_are_gone },
-  { "registered_die_in_the_middle", test_registered_die_in_the_middle },
+  { "all_restart", test_all_restart },
+  { "registered_fronts_missing", test_registered_fronts_missing },
+  { "registered_fronts_die_meanwhile", test_registered_fronts_die_meanwhile },
   { "lost_answers", test_lost_answers },
   { "silent_store", test_silent_store },
-  { "one_starts_again", test_one_starts_again },
+  { "one_restarts", test_one_restarts },
 };
 
 int
--- a/tests/test_front_channel.c
+++ b/tests/test_front_channel.c
@@ -1,5 +1,5 @@
-/** How long a question waits for its answer: src/front_channel.c, over loopback connections to a
- * server that answers piece by piece. */
+/** Time-outs of requests: src/front_channel.c, over loopback connections to a server that sends its
+ *  answer in pieces. */
 #include "front_channel.h"
 #include "front_socket.h"
 #include "suite.h"
@@ -12,26 +12,26 @@
 
 #define PIECE_BYTES ((size_t)2000)
 #define PIECES      24U
-/* Of an answer that is larger than any that is taken. */
+/* of an answer that is larger than the limit */
 #define LARGE_PIECE_BYTES ((size_t)2 << 20)
 #define LARGE_PIECES      12
 #define PIECE_US          50000 /* between two pieces */
-#define WAIT_MS           300 /* that the question waits; the whole answer takes four times as long */
+#define TIMEOUT_MS        300 /* time-out of the request; the complete answer takes four times as long */
 #define US_PER_MS         1000
-#define GIVE_UP_S         20 /* for a test whose answer or failure never comes */
+#define GIVE_UP_S         20 /* ends a test in which the callback is never called */
 
-/* A server of one connection. */
+/* A server of one connection, and the result of the request to it. */
 typedef struct
 {
   struct event_base *base;
   struct evconnlistener *listener;
   struct bufferevent *bev;
   struct event *timer;
-  unsigned pieces;      /* sent so far */
-  unsigned pieces_most; /* after these it sends nothing more */
+  unsigned pieces;     /* sent so far */
+  unsigned pieces_max; /* nothing is sent after these */
   size_t piece_bytes;
-  size_t length;     /* as the answer's head tells it */
-  bool has_answered; /* the asker's callback was called */
+  size_t length;     /* Content-Length of the answer */
+  bool has_answered; /* the request's callback was called */
   int status;
   size_t len;
   size_t received;
@@ -45,7 +45,7 @@
   static const char piece[LARGE_PIECE_BYTES];
   Server *server = user;
 
-  if (server->pieces == server->pieces_most)
+  if (server->pieces == server->pieces_max)
     return;
   server->pieces++;
   bufferevent_write (server->bev, piece, server->piece_bytes);
@@ -53,12 +53,12 @@
 }
 
 static void
-on_asked (struct bufferevent *bev, void *user)
+on_request (struct bufferevent *bev, void *user)
 {
   struct evbuffer *input = bufferevent_get_input (bev);
 
   evbuffer_drain (input, evbuffer_get_length (input));
-  if (((Server *)user)->pieces_most > 0)
+  if (((Server *)user)->pieces_max > 0)
     evbuffer_add_printf (bufferevent_get_output (bev),
                          "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n",
                          ((Server *)user)->length);
@@ -75,7 +75,7 @@
   Server *server = user;
 
   server->bev = bufferevent_socket_new (server->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  bufferevent_setcb (server->bev, on_asked, NULL, NULL, server);
+  bufferevent_setcb (server->bev, on_request, NULL, NULL, server);
   bufferevent_enable (server->bev, EV_READ | EV_WRITE);
 }
 
@@ -91,12 +91,12 @@
   event_base_loopbreak (server->base);
 }
 
-/* Asks a server that sends so many pieces of this size and then nothing more. */
+/* Sends a request to a server that answers with so many pieces of this size and then stops. */
 static Server
-ask (unsigned pieces_most, size_t piece_bytes, size_t length)
+request_pieces (unsigned pieces_max, size_t piece_bytes, size_t length)
 {
   static const struct timeval give_up = { .tv_sec = GIVE_UP_S };
-  Server server = { .pieces_most = pieces_most, .piece_bytes = piece_bytes, .length = length };
+  Server server = { .pieces_max = pieces_max, .piece_bytes = piece_bytes, .length = length };
   char text[32];
   struct sockaddr_in address;
 
@@ -109,7 +109,7 @@
                                              (struct sockaddr *)&address, sizeof address);
   CU_ASSERT_PTR_NOT_NULL_FATAL (server.listener);
   server.channel = front_channel_new (server.base, &address, on_answer, &server);
-  front_channel_request (server.channel, "/rows", NULL, WAIT_MS);
+  front_channel_request (server.channel, "/rows", NULL, TIMEOUT_MS);
   event_base_loopexit (server.base, &give_up);
   event_base_dispatch (server.base);
   front_channel_free (server.channel);
@@ -121,14 +121,13 @@
   return server;
 }
 
-/* Story: callers meet the routes of an older configuration for seconds, though neighbours know the
-   new one. A large configuration comes over a slow link and takes longer than its question waits.
-   The question is given up while the answer arrives, asked anew, and given up again: the front
-   never gets the rows, and what is sent for nothing slows those that others ask for. */
+/* An answer that takes longer than the request's time-out must not be abandoned while it arrives.
+ * Over a slow link a large configuration would be requested and abandoned again and again: callers
+ * would be served by the old one for seconds, and the wasted bytes slow other transfers. */
 static void
-test_slow_link (void)
+test_slow_answer_is_received (void)
 {
-  Server server = ask (PIECES, PIECE_BYTES, PIECES * PIECE_BYTES);
+  Server server = request_pieces (PIECES, PIECE_BYTES, PIECES * PIECE_BYTES);
 
   CU_ASSERT (server.has_answered);
   CU_ASSERT_EQUAL (server.status, 200);
@@ -136,45 +135,46 @@
 }
 
 static void
-test_silent_server (void)
+test_silent_server_fails_request (void)
 {
-  Server server = ask (0, PIECE_BYTES, PIECE_BYTES);
+  Server server = request_pieces (0, PIECE_BYTES, PIECE_BYTES);
 
   CU_ASSERT (server.has_answered);
   CU_ASSERT_EQUAL (server.status, 0);
   CU_ASSERT_EQUAL (server.received, 0);
 }
 
-/* Story: the front that gives its rows is frozen in the middle of them. Its connection stays, and a
-   question that waited as long as it is open would keep the asker from asking another one. */
+/* A front that freezes in the middle of its answer keeps its connection open. The request must
+ * fail, so that the rows can be requested elsewhere. */
 static void
-test_server_stops_in_the_middle (void)
+test_stalled_answer_fails_request (void)
 {
-  Server server = ask (PIECES / 2, PIECE_BYTES, PIECES * PIECE_BYTES);
+  Server server = request_pieces (PIECES / 2, PIECE_BYTES, PIECES * PIECE_BYTES);
 
   CU_ASSERT (server.has_answered);
   CU_ASSERT_EQUAL (server.status, 0);
   CU_ASSERT (server.received >= PIECE_BYTES);
 }
 
-/* Story: the link of the front that gives its rows hardly moves, a byte now and then. Others have
-   the rows, too; who waited for each byte would wait for hours. */
+/* A transfer that makes hardly any progress, a byte now and then, must be abandoned: it would take
+ * hours, and other fronts have the rows as well. */
 static void
-test_server_trickles (void)
+test_trickling_answer_fails_request (void)
 {
-  Server server = ask (PIECES * PIECE_BYTES, 1, PIECES * PIECE_BYTES);
+  Server server = request_pieces (PIECES * PIECE_BYTES, 1, PIECES * PIECE_BYTES);
 
   CU_ASSERT (server.has_answered);
   CU_ASSERT_EQUAL (server.status, 0);
   CU_ASSERT (server.pieces < PIECES * PIECE_BYTES);
 }
 
-/* Story: something else answers at a front's address, with bytes that don't end. They arrive as
-   fast as can be, and the front that waits for the last one is killed for its memory. */
+/* Another program at a front's address sends bytes without end. The request must fail before they
+ * use up the memory of the VM. */
 static void
-test_answer_without_end (void)
+test_endless_answer_fails_request (void)
 {
-  Server server = ask (LARGE_PIECES, LARGE_PIECE_BYTES, LARGE_PIECES * LARGE_PIECE_BYTES);
+  Server server
+      = request_pieces (LARGE_PIECES, LARGE_PIECE_BYTES, LARGE_PIECES * LARGE_PIECE_BYTES);
 
   CU_ASSERT (server.has_answered);
   CU_ASSERT_EQUAL (server.status, 0);
@@ -182,11 +182,11 @@
 }
 
 static const SuiteCase cases[] = {
-  { "slow_link", test_slow_link },
-  { "silent_server", test_silent_server },
-  { "server_stops_in_the_middle", test_server_stops_in_the_middle },
-  { "server_trickles", test_server_trickles },
-  { "answer_without_end", test_answer_without_end },
+  { "slow_answer_is_received", test_slow_answer_is_received },
+  { "silent_server_fails_request", test_silent_server_fails_request },
+  { "stalled_answer_fails_request", test_stalled_answer_fails_request },
+  { "trickling_answer_fails_request", test_trickling_answer_fails_request },
+  { "endless_answer_fails_request", test_endless_answer_fails_request },
 };
 
 int
--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -1,5 +1,5 @@
-/** What fronts give each other, packed, and the row by which one registers: src/front_compress.c,
- * front_store_news.c, front_member.c. */
+/** Compressed rows between fronts, and the row by which a front registers: src/front_compress.c,
+ *  front_store_news.c, front_member.c. */
 #include "front_compress.h"
 #include "front_member.h"
 #include "front_store.h"
@@ -10,18 +10,19 @@
 #include <sodium.h>
 #include <string.h>
 
-#define SERVERS     300
-#define PACKED_MOST 20000 /* bytes: 25 neighbours get so much in 0.2 s over a link of 20 Mbit/s */
+#define SERVERS 300
+/* Bytes: 25 fronts of a domain get this in 0.2 s over a link of 20 Mbit/s. */
+#define COMPRESSED_MAX 20000
 
-/* A configuration that is to reach all fronts of a failure domain, from one of them, in half of the
- * three seconds that a change may take. */
-#define ROUTES          4200
-#define NEIGHBOURS      13
-#define LINK_BYTES_S    1250000 /* 10 Mbit/s */
-#define NEWS_S          1.5
-#define CONFIG_MOST     ((size_t)(LINK_BYTES_S * NEWS_S / NEIGHBOURS))
-#define NAME_BYTES      6
-#define ROUTE_NAME_MOST (2 * NAME_BYTES + 1)
+/* A configuration that has to reach all fronts of a failure domain, from one of them, in half of
+ * the three seconds that a change may take. */
+#define ROUTES           4200
+#define NEIGHBOURS       13
+#define LINK_BYTES_S     1250000 /* 10 Mbit/s */
+#define TRANSFER_MAX_S   1.5
+#define CONFIG_MAX_BYTES ((size_t)(LINK_BYTES_S * TRANSFER_MAX_S / NEIGHBOURS))
+#define NAME_BYTES       6
+#define ROUTE_NAME_SIZE  (2 * NAME_BYTES + 1)
 
 static FrontTable table;
 
@@ -30,9 +31,9 @@
 {
 }
 
-/* The rows of 300 servers, packed. */
+/* The rows of 300 servers, compressed. */
 static Buffer
-packed_rows (void)
+compressed_rows (void)
 {
   StoreAnswer answer = { .count = SERVERS, .version = 900 };
   Buffer text = { 0 };
@@ -63,19 +64,19 @@
 static void
 test_round_trip (void)
 {
-  Buffer packed = packed_rows ();
+  Buffer compressed = compressed_rows ();
   StoreAnswer answer;
 
-  CU_ASSERT (packed.len <= PACKED_MOST);
-  CU_ASSERT_FATAL (front_store_decode_peer_answer (packed.data, packed.len, &answer));
+  CU_ASSERT (compressed.len <= COMPRESSED_MAX);
+  CU_ASSERT_FATAL (front_store_decode_peer_answer (compressed.data, compressed.len, &answer));
   CU_ASSERT_EQUAL (answer.count, SERVERS);
   CU_ASSERT_EQUAL (answer.version, 900);
   store_answer_clear (&answer);
-  buffer_free (&packed);
+  buffer_free (&compressed);
   front_table_clear (&table);
 }
 
-/* As an operator writes it; names are random, which packs worst. */
+/* As an operator writes it; the names are random, which compresses worst. */
 static Buffer
 configuration (void)
 {
@@ -87,7 +88,7 @@
   buffer_add_string (&text, "{\"Version\":7,\"Routes\":[");
   for (unsigned i = 0; i < ROUTES; i++)
     {
-      char hex[ROUTE_NAME_MOST];
+      char hex[ROUTE_NAME_SIZE];
 
       sodium_bin2hex (hex, sizeof hex, names[i], NAME_BYTES);
       buffer_printf (&text,
@@ -100,10 +101,9 @@
   return text;
 }
 
-/* Story: a configuration grows by some thousand routes. The front of a failure domain that reads it
-   at the store passes it on to a dozen neighbours over one link of 10 Mbit/s, and the last of them
-   has it seconds after it had to be in force: the rows of each were as long as the store writes
-   them. */
+/* A configuration grows by some thousand routes. The front of a failure domain that reads it from
+ * the store sends it to a dozen others over one link of 10 Mbit/s. Uncompressed, the last of them
+ * would get it seconds after it had to be in force. */
 static void
 test_large_configuration (void)
 {
@@ -118,9 +118,9 @@
   front_table_apply_changes (&table, &answer, ignore, NULL);
   store_answer_clear (&answer);
   wire_store_encode (&text, &table, 0);
-  CU_ASSERT (text.len > CONFIG_MOST);
+  CU_ASSERT (text.len > CONFIG_MAX_BYTES);
   CU_ASSERT (front_compress (&text));
-  CU_ASSERT (text.len <= CONFIG_MOST);
+  CU_ASSERT (text.len <= CONFIG_MAX_BYTES);
   CU_ASSERT_FATAL (front_store_decode_peer_answer (text.data, text.len, &answer));
   CU_ASSERT_EQUAL (answer.count, 1);
   store_answer_clear (&answer);
@@ -128,28 +128,28 @@
   front_table_clear (&table);
 }
 
-/* Story: a front dies while it gives its rows, or something else answers at its address. What came
-   is no answer; half a list of servers would look as if the others had gone. */
+/* A front dies while it sends rows, or another program answers at its address. Such an answer must
+ * be rejected: in half a list of servers the others would look removed. */
 static void
-test_damaged (void)
+test_damaged_data_is_rejected (void)
 {
-  Buffer packed = packed_rows ();
+  Buffer compressed = compressed_rows ();
   StoreAnswer answer;
 
-  for (size_t len = 0; len < packed.len; len += 97)
-    CU_ASSERT_FALSE (front_store_decode_peer_answer (packed.data, len, &answer));
-  buffer_add (&packed, "more", 4);
-  CU_ASSERT_FALSE (front_store_decode_peer_answer (packed.data, packed.len, &answer));
-  packed.data[packed.len / 2] ^= 1;
-  CU_ASSERT_FALSE (front_store_decode_peer_answer (packed.data, packed.len - 4, &answer));
+  for (size_t len = 0; len < compressed.len; len += 97)
+    CU_ASSERT_FALSE (front_store_decode_peer_answer (compressed.data, len, &answer));
+  buffer_add (&compressed, "more", 4);
+  CU_ASSERT_FALSE (front_store_decode_peer_answer (compressed.data, compressed.len, &answer));
+  compressed.data[compressed.len / 2] ^= 1;
+  CU_ASSERT_FALSE (front_store_decode_peer_answer (compressed.data, compressed.len - 4, &answer));
   CU_ASSERT_FALSE (front_store_decode_peer_answer ("<html>", 6, &answer));
-  buffer_free (&packed);
+  buffer_free (&compressed);
   front_table_clear (&table);
 }
 
-/* Story: a few bytes unpack to gigabytes, and the front is killed for its memory. */
+/* A few bytes that decompress to gigabytes must not use up the memory of the VM. */
 static void
-test_too_much (void)
+test_decompressed_size_is_limited (void)
 {
   Buffer text = { 0 }, out = { 0 };
   char zeros[4096] = { 0 };
@@ -164,7 +164,7 @@
 }
 
 static void
-test_member (void)
+test_member_row (void)
 {
   static const char *const odd[] = { "",
                                      "front-1",
@@ -187,9 +187,11 @@
 }
 
 static const SuiteCase cases[] = {
-  { "round_trip", test_round_trip }, { "large_configuration", test_large_configuration },
-  { "damaged", test_damaged },       { "too_much", test_too_much },
-  { "member", test_member },
+  { "round_trip", test_round_trip },
+  { "large_configuration", test_large_configuration },
+  { "damaged_data_is_rejected", test_damaged_data_is_rejected },
+  { "decompressed_size_is_limited", test_decompressed_size_is_limited },
+  { "member_row", test_member_row },
 };
 
 int
--- a/tests/test_front_events.c
+++ b/tests/test_front_events.c
@@ -1,4 +1,4 @@
-/** Cutting event streams at their events: src/front_events.c. */
+/** Splitting streams into events: src/front_events.c. */
 #include "front_events.h"
 #include "suite.h"
 #include <string.h>
@@ -14,7 +14,7 @@
   front_events_init (&events);
 }
 
-/* Takes more bytes and checks all that has been passed on so far. */
+/* Adds input and checks all output so far. */
 static void
 check (const char *more, const char *passed_on)
 {
@@ -23,10 +23,11 @@
   CU_ASSERT_STRING_EQUAL (output.data ? output.data : "", passed_on);
 }
 
-/* Story: an engine stops in the middle of an event. The half event was passed on, the stream goes
-   on at another engine, and the caller joins two halves to one event. */
+/* Only complete events are forwarded. If an engine stops in the middle of an event and the first
+ * part of it was forwarded, the caller joins two parts of different events when the stream resumes
+ * at another engine. */
 static void
-test_whole_events_only (void)
+test_only_complete_events (void)
 {
   begin ();
   check ("id: 0\ndata: a\n\nid: 1\nda", "id: 0\ndata: a\n\n");
@@ -38,7 +39,7 @@
   CU_ASSERT_EQUAL (input.len, 0);
 }
 
-/* Story: a resumed stream repeats an event that the caller has. */
+/* A resumed stream may repeat events that the caller has; they are dropped. */
 static void
 test_repeated_events (void)
 {
@@ -49,8 +50,8 @@
   CU_ASSERT (!events.gap);
 }
 
-/* Story: a resumed stream begins behind an event that never came; passed on, the caller's answer
-   lacks a piece and looks whole. */
+/* A resumed stream that skips an event must be reported. If it were forwarded, the caller's answer
+ * would lack a part and yet look complete. */
 static void
 test_missing_event (void)
 {
@@ -61,7 +62,7 @@
 }
 
 static void
-test_forms (void)
+test_line_endings_and_fields (void)
 {
   begin ();
   check (": comment\n\n", ": comment\n\n");
@@ -74,10 +75,10 @@
 }
 
 static const SuiteCase cases[] = {
-  { "whole_events_only", test_whole_events_only },
+  { "only_complete_events", test_only_complete_events },
   { "repeated_events", test_repeated_events },
   { "missing_event", test_missing_event },
-  { "forms", test_forms },
+  { "line_endings_and_fields", test_line_endings_and_fields },
 };
 
 int
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -1,4 +1,4 @@
-/** Reading callers' requests and servers' answers: src/http_head.c, http_intake.c, http_reply.c. */
+/** Parsing callers' requests and servers' answers: src/http_head.c, http_intake.c, http_reply.c. */
 #include "http_intake.h"
 #include "http_reply.h"
 #include "suite.h"
@@ -6,7 +6,7 @@
 
 static const HttpIntakeLimits limits = { .head_max = 1000, .body_max = 100 };
 
-/* Feeds the text byte by byte, as a slow caller would, and returns the last result. */
+/* Feeds the text byte by byte, as from a slow caller, and returns the last result. */
 static IntakeResult
 feed (HttpIntake *intake, const char *text, size_t len, size_t *taken)
 {
@@ -25,7 +25,7 @@
   return result;
 }
 
-/* The status with which a text is refused; 0: it was taken, or more is awaited. */
+/* The status with which a text is refused; 0: it is accepted or incomplete. */
 static int
 refused (const char *text, size_t len)
 {
@@ -46,7 +46,7 @@
 #define REFUSED(text) refused (text, sizeof (text) - 1)
 
 static void
-test_whole_request (void)
+test_complete_request (void)
 {
   static const char text[]
       = "POST /a/b?c=%20 HTTP/1.1\r\nHost: x.example:80\r\nContent-Length: 3\r\n"
@@ -65,8 +65,9 @@
   http_intake_reset (&intake);
 }
 
-/* Story: Java's own HTTP client offers HTTP/2 with each first request (Upgrade: h2c). A server may
-   ignore the offer. Refused, all its callers get 400 whenever head and body come in two packets. */
+/* Java's HTTP client offers HTTP/2 with each first request (Upgrade: h2c). A server may ignore the
+ * offer. If it were refused, such callers would get 400 whenever head and body arrive in two
+ * packets. */
 static void
 test_upgrade_offer (void)
 {
@@ -98,9 +99,9 @@
   http_intake_reset (&intake);
 }
 
-/* Story: a caller's request holds a second one that only some parsers see, by a length and chunks,
-   two lengths, a folded line, a bare line feed. Passed on, an engine runs a request that nobody
-   sent. Each is refused before any byte is passed on. */
+/* Request smuggling: a request contains a second one that only some parsers see, by a length and
+ * chunks, two lengths, a folded line or a bare line feed. If it were forwarded, an engine would run
+ * a request that nobody sent. Each is refused before any byte is forwarded. */
 static void
 test_smuggled_requests (void)
 {
@@ -137,7 +138,7 @@
 }
 
 static void
-test_too_large (void)
+test_too_large_requests (void)
 {
   char text[2000];
   int len = snprintf (text, sizeof text, "GET / HTTP/1.1\r\nHost: x\r\nA: %01100d\r\n\r\n", 0);
@@ -151,7 +152,7 @@
 }
 
 static void
-test_next_request (void)
+test_pipelined_requests (void)
 {
   static const char text[] = "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n";
   HttpIntake intake;
@@ -192,10 +193,10 @@
   http_reply_clear (&reply);
 }
 
-/* Story: an engine dies in the middle of its answer. Whether the bytes so far are the whole answer
-   shows only by its framing; a cut one that passes for whole reaches the caller as a success. */
+/* An engine dies in the middle of its answer. Only the framing shows whether the answer is
+ * complete; an incomplete one must not reach the caller as a success. */
 static void
-test_whole_or_cut (void)
+test_complete_or_truncated_replies (void)
 {
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false, true, false, 3);
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false, false, false, 2);
@@ -210,7 +211,7 @@
 }
 
 static void
-test_spoiled_answers (void)
+test_malformed_replies (void)
 {
   check_reply ("SSH-2.0-x\r\n\r\n", false, false, true, 0);
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", false, false,
@@ -220,7 +221,7 @@
 }
 
 static void
-test_surplus_and_interim (void)
+test_surplus_and_interim_replies (void)
 {
   HttpReply reply = reply_of ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Made\r\n"
                               "Content-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\n",
@@ -249,16 +250,16 @@
 }
 
 static const SuiteCase cases[] = {
-  { "whole_request", test_whole_request },
+  { "complete_request", test_complete_request },
   { "upgrade_offer", test_upgrade_offer },
   { "chunked_request", test_chunked_request },
   { "smuggled_requests", test_smuggled_requests },
   { "malformed_requests", test_malformed_requests },
-  { "too_large", test_too_large },
-  { "next_request", test_next_request },
-  { "whole_or_cut", test_whole_or_cut },
-  { "spoiled_answers", test_spoiled_answers },
-  { "surplus_and_interim", test_surplus_and_interim },
+  { "too_large_requests", test_too_large_requests },
+  { "pipelined_requests", test_pipelined_requests },
+  { "complete_or_truncated_replies", test_complete_or_truncated_replies },
+  { "malformed_replies", test_malformed_replies },
+  { "surplus_and_interim_replies", test_surplus_and_interim_replies },
   { "hop_fields", test_hop_fields },
 };
 
--- a/tests/test_front_log.c
+++ b/tests/test_front_log.c
@@ -1,4 +1,4 @@
-/** Log lines: src/front_log.c. Standard output is a pipe while lines are written. */
+/** Log lines: src/front_log.c. Standard output is redirected to a pipe while lines are written. */
 #include "front_log.h"
 #include "suite.h"
 #include <fcntl.h>
@@ -26,7 +26,7 @@
   front_log_init ("vm-1");
 }
 
-/* What was written since the last call; NULL-terminated. */
+/* Returns what was written since the last call. */
 static const char *
 output_read (void)
 {
@@ -53,9 +53,9 @@
   return json_object_object_get_ex (line, name, &value) ? json_object_get_string (value) : "";
 }
 
-/* Whatever bytes a caller sends stand in the line so that any reader of JSON gets them back. */
+/* Any bytes that a caller sends must be escaped so that a JSON parser returns them unchanged. */
 static void
-test_hostile_values (void)
+test_escaped_values (void)
 {
   static const char hostile[] = "a\"},{\"b\\\n\t\001\x7f\xc3\xa9";
   struct json_object *line;
@@ -80,10 +80,10 @@
   json_object_put (line);
 }
 
-/* Story: nobody reads the logs, and the pipe is full. Writing must not block, and the first line
-   that gets through tells how many did not. */
+/* When nobody reads the log and the pipe is full, writing must not block, and the first line that
+ * is written again reports how many were lost. */
 static void
-test_full_pipe (void)
+test_full_pipe_loses_lines (void)
 {
   struct json_object *line;
   char block[4096];
@@ -106,9 +106,9 @@
   json_object_put (line);
 }
 
-/* A line that is too long for one write is left out and counted, not cut. */
+/* A line that is too long for one atomic write is omitted and counted, not truncated. */
 static void
-test_long_line (void)
+test_long_line_is_omitted (void)
 {
   char *value = calloc (1, 5001);
   struct json_object *line;
@@ -129,9 +129,9 @@
   json_object_put (line);
 }
 
-/* Each kind has a rate of its own: a flood of one leaves the lines of the others in. */
+/* Each event has its own rate limit: a flood of one must not suppress the lines of others. */
 static void
-test_flood_of_one_kind (void)
+test_rate_limit_per_event (void)
 {
   unsigned answered = 0, failed = 0;
   FrontLine *out;
@@ -154,10 +154,10 @@
 }
 
 static const SuiteCase cases[] = {
-  { "hostile_values", test_hostile_values },
-  { "full_pipe", test_full_pipe },
-  { "long_line", test_long_line },
-  { "flood_of_one_kind", test_flood_of_one_kind },
+  { "escaped_values", test_escaped_values },
+  { "full_pipe_loses_lines", test_full_pipe_loses_lines },
+  { "long_line_is_omitted", test_long_line_is_omitted },
+  { "rate_limit_per_event", test_rate_limit_per_event },
 };
 
 int
--- a/tests/test_front_peer_message.c
+++ b/tests/test_front_peer_message.c
@@ -1,4 +1,4 @@
-/** The datagram between fronts: src/front_peer_message.c. */
+/** Encoding of the datagram between fronts: src/front_peer_message.c. */
 #include "front_peer_message.h"
 #include "suite.h"
 #include "util_id.h"
@@ -63,7 +63,7 @@
 }
 
 static void
-test_too_small (void)
+test_buffer_too_small (void)
 {
   PeerMessage in = full_message ();
   unsigned char data[64];
@@ -71,10 +71,10 @@
   CU_ASSERT_EQUAL (peer_message_encode (&in, data, sizeof data), 0);
 }
 
-/* Story: a stray datagram, a cut one or one of another release arrives; nothing of it is used and
-   nothing beyond the arrays is written. */
+/* Stray datagrams, truncated ones and those of another release must be rejected, without writing
+ * beyond the arrays. */
 static void
-test_bad_bytes (void)
+test_malformed_messages (void)
 {
   PeerMessage in = full_message (), out;
   unsigned char data[PEER_MESSAGE_MAX], copy[PEER_MESSAGE_MAX];
@@ -104,8 +104,8 @@
 
 static const SuiteCase cases[] = {
   { "round_trip", test_round_trip },
-  { "too_small", test_too_small },
-  { "bad_bytes", test_bad_bytes },
+  { "buffer_too_small", test_buffer_too_small },
+  { "malformed_messages", test_malformed_messages },
 };
 
 int
