--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -1,5 +1,5 @@
-/** How news spreads among many fronts: src/front_peers_send.c, front_peers_rank.c,
- * front_rollouts_judge.c, without a network. */
+/** How fast information spreads among many fronts: src/front_peers_send.c, front_peers_rank.c,
+ *  front_rollouts_judge.c, without a network. */
 #include "front_peers_private.h"
 #include "suite.h"
 #include "util_id.h"
@@ -10,29 +10,31 @@
 #include <string.h>
 
 #define FRONTS_MAX     360
-#define ROUND_MS       400 /* between messages at a large site during a roll-out */
+#define ROUND_MS       400 /* interval of messages at a large site during a roll-out */
 #define NOW            1000000
-#define HOLDING_FRONTS 300 /* that tell each other of held sessions */
+#define HOLDING_FRONTS 300 /* fronts that exchange held sessions */
 #define SESSION_MS     9500
-#define OLDEST_MS      1200 /* of word of a busy front: three rounds */
+/* Most milliseconds since the last known request on the old version: three rounds. */
+#define AGE_MAX_MS 1200
 
-/** One front, as far as news goes. */
+/** The state of one front that messages change. */
 typedef struct
 {
   FrontPeers peers;
-  FrontSessions *sessions; /* NULL where sessions don't matter */
+  FrontSessions *sessions; /* NULL where a test uses no sessions */
   FrontRollouts *rollouts;
   FrontRollout *rollout;
 } Node;
 
-/** All fronts; every loss-th message is lost, as the last of a burst on a full link. */
+/** All fronts. Of the messages sent, every loss-th is lost, as the last of a burst on a congested
+ *  link; 0: none. */
 typedef struct
 {
   unsigned count;
   unsigned domains;
   unsigned loss;
-  unsigned sent; /* messages */
-  unsigned far;  /* of these, between failure domains */
+  unsigned sent;             /* messages */
+  unsigned to_other_domains; /* of these, to other failure domains */
   Node nodes[FRONTS_MAX];
 } Net;
 
@@ -48,7 +50,7 @@
   return ntohl (peer->address.sin_addr.s_addr) - 0x0a000001u;
 }
 
-/* In the first hundredth of all, so in the share of any roll-out. */
+/* In the first hundredth of the hash range, so included in any roll-out's share. */
 static uint64_t
 session_of (unsigned number)
 {
@@ -98,7 +100,7 @@
 }
 
 static void
-all_live (Net *net, int64_t now_ms)
+mark_all_alive (Net *net, int64_t now_ms)
 {
   for (unsigned i = 0; i < net->count; i++)
     {
@@ -119,12 +121,12 @@
     front_rollouts_hold_session (receiver->rollouts, receiver->rollout, &news[i], now_ms);
 }
 
-/* One message from a front to another. */
+/* Delivers one message from a front to another. */
 static void
 deliver (Net *net, unsigned from, unsigned to, int64_t now_ms)
 {
   FrontRollout *rollout = net->nodes[from].rollout;
-  PeerRollout told = { 0 };
+  PeerRollout message = { 0 };
   RolloutNews news = {
     .is_bad = rollout->is_bad,
     .old_busy_ms = rollout->old_busy_ms,
@@ -132,18 +134,18 @@
     .evidence = rollout->evidence,
   };
 
-  peers_domains_fill (&net->nodes[from].peers, rollout, &told);
-  news.domain_count = told.domain_count;
-  news.domains = told.domains;
+  peers_domains_fill (&net->nodes[from].peers, rollout, &message);
+  news.domain_count = message.domain_count;
+  news.domains = message.domains;
   front_rollout_news (net->nodes[to].rollout, &news);
   if (net->nodes[from].sessions)
     deliver_sessions (net, from, to, now_ms);
 }
 
 static void
-round_play (Net *net, int64_t now_ms)
+play_round (Net *net, int64_t now_ms)
 {
-  all_live (net, now_ms);
+  mark_all_alive (net, now_ms);
   for (unsigned i = 0; i < net->count; i++)
     {
       Peer *chosen[PEERS_PER_ROUND_MAX];
@@ -156,7 +158,7 @@
           unsigned to = number_of (chosen[j]);
 
           net->sent++;
-          net->far += domain_of (net, to) != domain_of (net, i);
+          net->to_other_domains += domain_of (net, to) != domain_of (net, i);
           if (net->loss == 0 || net->sent % net->loss != 0)
             deliver (net, i, to, now_ms);
         }
@@ -184,7 +186,7 @@
   return count;
 }
 
-/* Rounds until each front knows each front's answers. */
+/* Number of rounds until each front knows every front's answers. */
 static unsigned
 rounds_until_all_know (Net *net)
 {
@@ -195,15 +197,15 @@
   while (fronts_that_know (net, net->count) < net->count && rounds < 100)
     {
       rounds++;
-      round_play (net, NOW + (int64_t)rounds * ROUND_MS);
+      play_round (net, NOW + (int64_t)rounds * ROUND_MS);
     }
   return rounds;
 }
 
-/* Story: a version is bad for a few requests of each of 360 fronts. Told directly only, the counts
-   of one front, told to 7 others a round, reach each other one after 51 rounds, and the version
-   does harm meanwhile. Through the sums of failure domains all know all after 10 rounds (4 s),
-   though each tenth message is lost; the bound is that and a third. */
+/* A version is bad for a few requests of each of 360 fronts. If each front reported only its own
+ * counts, to 7 others a round, each would know all of them after 51 rounds, and the version would
+ * do harm meanwhile. Through the sums of failure domains all know all counts after 10 rounds (4 s),
+ * though every tenth message is lost; the bound is that and a third. */
 static void
 test_evidence_of_360_fronts (void)
 {
@@ -231,10 +233,10 @@
     }
 }
 
-/* A round costs a front at most 7 messages, and all fronts of a failure domain together 20 to other
-   domains, however many they are: bytes between domains have a price. */
+/* A front sends at most 7 messages a round, and all fronts of a failure domain together 20 to other
+ * domains, however many fronts there are: traffic between domains has a cost. */
 static void
-test_messages_a_round (void)
+test_messages_per_round (void)
 {
   static const unsigned counts[] = { 30, 100, 360 };
 
@@ -243,18 +245,18 @@
       Net *net = net_new (counts[i], 4, 0);
 
       for (unsigned round = 1; round <= 10; round++)
-        round_play (net, NOW + (int64_t)round * ROUND_MS);
+        play_round (net, NOW + (int64_t)round * ROUND_MS);
       CU_ASSERT (net->sent <= counts[i] * 7 * 10);
-      CU_ASSERT (net->far <= 4 * 20 * 10);
+      CU_ASSERT (net->to_other_domains <= 4 * 20 * 10);
       net_free (net);
     }
 }
 
-/* Story: one of 360 fronts streams on the old version for seconds. The roll-out is reported
-   completed once nobody has heard of such a request for a while, and its engines stop; so word of
-   this front must be fresh everywhere as long as the request runs: at most three rounds old. */
+/* One of 360 fronts streams on the old version for seconds. The roll-out is reported as completed,
+ * and its old engines stop, once no front has reported such a request for a while. So while the
+ * request runs, what all fronts know of it must be at most three rounds old. */
 static void
-test_word_of_a_busy_front (void)
+test_age_of_old_version_reports (void)
 {
   Net *net = net_new (360, 6, 10);
   int64_t oldest_ms = 0;
@@ -264,7 +266,7 @@
       int64_t now_ms = NOW + (int64_t)round * ROUND_MS;
 
       net->nodes[77].rollout->old_busy_ms = now_ms;
-      round_play (net, now_ms);
+      play_round (net, now_ms);
       for (unsigned i = 0; i < net->count && round > 10; i++)
         {
           int64_t age_ms = now_ms - net->nodes[i].rollout->old_busy_ms;
@@ -272,13 +274,13 @@
           oldest_ms = age_ms > oldest_ms ? age_ms : oldest_ms;
         }
     }
-  CU_ASSERT (oldest_ms <= OLDEST_MS);
+  CU_ASSERT (oldest_ms <= AGE_MAX_MS);
   net_free (net);
 }
 
-/* The front that finds a version bad: all others know after two rounds; the bound is one more. */
+/* When one front finds a version bad, all others know after two rounds; the bound is one more. */
 static void
-test_word_of_a_bad_version (void)
+test_spread_of_a_bad_version (void)
 {
   Net *net = net_new (360, 6, 10);
   unsigned rounds = 0, known = 1;
@@ -287,7 +289,7 @@
   while (known < net->count && rounds < 50)
     {
       rounds++;
-      round_play (net, NOW + (int64_t)rounds * ROUND_MS);
+      play_round (net, NOW + (int64_t)rounds * ROUND_MS);
       known = 0;
       for (unsigned i = 0; i < net->count; i++)
         known += net->nodes[i].rollout->is_bad;
@@ -296,9 +298,9 @@
   net_free (net);
 }
 
-/* Each front holds its sessions among these on the old version. */
+/* Distributes sessions over the fronts, which hold them on the old version. */
 static unsigned
-sessions_hold (Net *net, unsigned count)
+hold_sessions (Net *net, unsigned count)
 {
   for (unsigned i = 0; i < net->count; i++)
     {
@@ -323,9 +325,9 @@
   return count;
 }
 
-/* Of all pairs of a front and a held session, the part in which it is not known there. */
+/* Of all pairs of a front and a held session, the share in which the front doesn't know of it. */
 static double
-sessions_unknown (const Net *net, unsigned count, int64_t now_ms)
+share_unknown (const Net *net, unsigned count, int64_t now_ms)
 {
   unsigned unknown = 0;
 
@@ -337,30 +339,30 @@
   return (double)unknown / net->count / count;
 }
 
-/* Story: 9,300 sessions go on over the order of a roll-out at 300 fronts, 186 of them in the share
-   that begins on the new version. Four seconds after the order sessions begin there; one that a
-   front hasn't heard of moves in its midst. With twice the share, and 2.5 s, four to five did on a
-   calm day. At most three may, which is 0.016 of one request of each. */
+/* 9,300 sessions continue during a roll-out at 300 fronts, 186 of them in the share that starts on
+ * the new version. Four seconds after the order new sessions start there; a session that a front
+ * doesn't know of changes its version in its middle. With twice the share, and 2.5 s, four to five
+ * sessions did so at low load. At most three may, which is 0.016 of one request of each. */
 static void
 test_sessions_held_at_300_fronts (void)
 {
   Net *net = net_new (HOLDING_FRONTS, 6, 10);
-  unsigned count = sessions_hold (net, 186);
+  unsigned count = hold_sessions (net, 186);
 
   for (unsigned round = 1; round <= 4000 / ROUND_MS; round++)
-    round_play (net, NOW + (int64_t)round * ROUND_MS);
-  CU_ASSERT (sessions_unknown (net, count, NOW + 4000) <= 0.016);
-  printf ("unknown %f\n", sessions_unknown (net, count, NOW + 4000));
+    play_round (net, NOW + (int64_t)round * ROUND_MS);
+  CU_ASSERT (share_unknown (net, count, NOW + 4000) <= 0.016);
+  printf ("unknown %f\n", share_unknown (net, count, NOW + 4000));
   for (unsigned i = 0; i < net->count; i++)
     front_sessions_free (net->nodes[i].sessions);
   net_free (net);
 }
 
-/* Story: two services with eight routes each are rolled out at once over three failure domains. All
-   that is to be told doesn't fit one packet; a message that can't be written is no message, and no
-   front would hear of any other. */
+/* Two services with eight routes each are rolled out at once over three failure domains, which is
+ * more than fits one packet. A message that can't be encoded would not be sent, and no front would
+ * learn of any other. */
 static void
-test_full_message (void)
+test_oversized_message_is_shortened (void)
 {
   unsigned char data[PEER_MESSAGE_MAX];
   PeerMessage message = { .incarnation = 1, .rollout_count = PEER_ROLLOUTS_MAX }, out;
@@ -392,11 +394,11 @@
 static const SuiteCase cases[] = {
   { "evidence_of_360_fronts", test_evidence_of_360_fronts },
   { "evidence_of_smaller_sites", test_evidence_of_smaller_sites },
-  { "messages_a_round", test_messages_a_round },
-  { "word_of_a_busy_front", test_word_of_a_busy_front },
-  { "word_of_a_bad_version", test_word_of_a_bad_version },
+  { "messages_per_round", test_messages_per_round },
+  { "age_of_old_version_reports", test_age_of_old_version_reports },
+  { "spread_of_a_bad_version", test_spread_of_a_bad_version },
   { "sessions_held_at_300_fronts", test_sessions_held_at_300_fronts },
-  { "full_message", test_full_message },
+  { "oversized_message_is_shortened", test_oversized_message_is_shortened },
 };
 
 int
--- a/tests/test_front_store_source.c
+++ b/tests/test_front_store_source.c
@@ -1,5 +1,5 @@
-/** Whom a question for rows goes to: src/front_store_source.c and front_peers_rank.c, for all
- * fronts of a site at once, without a network. */
+/** Where fronts request rows: src/front_store_source.c and front_peers_rank.c, for all fronts of a
+ *  site at once, without a network. */
 #include "front_peers_private.h"
 #include "front_store_private.h"
 #include "suite.h"
@@ -11,9 +11,9 @@
 
 #define NOW        1000000
 #define FIRST_IP   0x0a000001u
-#define YOUNG_MS   1000
+#define STARTED_MS 1000
 #define SETTLED_MS 60000
-#define VERSION    50 /* of the store, when a front last heard of it */
+#define VERSION    50 /* of the store, as known to all fronts */
 
 typedef struct
 {
@@ -29,7 +29,7 @@
   Node *nodes;
 } Site;
 
-/* Each knows all others, and all have the rows of each table. */
+/* Each front knows all others, and all have the rows of each table. */
 static Site *
 site_new (unsigned count, unsigned domains, int64_t age_ms)
 {
@@ -87,9 +87,9 @@
   return &site->nodes[number].store.watches[STORE_SERVERS];
 }
 
-/* The front that this one asks; count if it asks the store. */
+/* Number of the front that this one polls; site->count if it polls the store. */
 static unsigned
-asked_by (Site *site, unsigned number)
+polled_by (Site *site, unsigned number)
 {
   Watch *watch = watch_of (site, number);
 
@@ -99,18 +99,18 @@
 }
 
 static unsigned
-ask_the_store (Site *site)
+count_polling_store (Site *site)
 {
   unsigned asking = 0;
 
   for (unsigned i = 0; i < site->count; i++)
-    asking += asked_by (site, i) == site->count;
+    asking += polled_by (site, i) == site->count;
   return asking;
 }
 
-/* Fronts whose question leads to the store, through whomever. */
+/* Number of fronts whose poll reaches the store, directly or through others. */
 static unsigned
-reach_the_store (Site *site)
+count_reaching_store (Site *site)
 {
   unsigned reaching = 0;
 
@@ -119,73 +119,73 @@
       unsigned at = i;
 
       for (unsigned hops = 0; at < site->count && hops < site->count; hops++)
-        at = asked_by (site, at);
+        at = polled_by (site, at);
       reaching += at == site->count;
     }
   return reaching;
 }
 
-/* Three hundred fronts: two of each failure domain ask the store, the others one of these. */
+/* At 300 fronts two of each failure domain poll the store, and the others poll one of these. */
 static void
-test_followers (void)
+test_two_followers_per_domain (void)
 {
   Site *site = site_new (300, 6, SETTLED_MS);
 
-  CU_ASSERT_EQUAL (reach_the_store (site), 300);
-  CU_ASSERT (ask_the_store (site) >= 12);
-  CU_ASSERT (ask_the_store (site) <= 12 + 3); /* sentinels ask it, too */
+  CU_ASSERT_EQUAL (count_reaching_store (site), 300);
+  CU_ASSERT (count_polling_store (site) >= 12);
+  CU_ASSERT (count_polling_store (site) <= 12 + 3); /* sentinels poll the store as well */
   site_free (site);
 }
 
-/* Story: 300 fronts start at one moment and have their first rows, each from another one. Each
-   asked for changes of one that it knew to have them, some of them each other: no news came until
-   they had lived for four seconds, and a quarter of the requests was refused as the servers
-   changed. */
+/* Fronts that start together must not poll each other in a circle. 300 fronts that had just got
+ * their rows each polled a front known to have them, some of them each other: no change arrived
+ * until they were four seconds old, and a quarter of the requests was refused as the servers
+ * changed. */
 static void
-test_young_fronts_wait_for_no_circle (void)
+test_starting_fronts_form_no_cycle (void)
 {
-  Site *site = site_new (300, 6, YOUNG_MS);
+  Site *site = site_new (300, 6, STARTED_MS);
 
-  CU_ASSERT_EQUAL (reach_the_store (site), 300);
-  CU_ASSERT (ask_the_store (site) <= 60);
+  CU_ASSERT_EQUAL (count_reaching_store (site), 300);
+  CU_ASSERT (count_polling_store (site) <= 60);
   site_free (site);
 }
 
-/* Story: the store turns one of two fronts of a failure domain away. Had the other one asked it for
-   changes, both would learn of a leaving server from another failure domain only. */
+/* Where a failure domain has two fronts, both poll the store. If one polled the other, and the
+ * store refused that one, both would learn of a leaving server from another failure domain only. */
 static void
-test_two_fronts_ask_the_store (void)
+test_both_of_two_fronts_poll_store (void)
 {
-  Site *site = site_new (4, 2, YOUNG_MS);
+  Site *site = site_new (4, 2, STARTED_MS);
 
-  CU_ASSERT_EQUAL (ask_the_store (site), 4);
+  CU_ASSERT_EQUAL (count_polling_store (site), 4);
   site_free (site);
 }
 
-/* Story: the store drops its history, and tells all that ask for changes at one moment. They took
-   themselves for fronts that start and asked each other; for six seconds nobody asked the store,
-   and a revoked key was accepted. */
+/* The store drops its history and tells all that poll for changes at one moment. Treated as
+ * starting fronts, they asked each other; for six seconds nobody asked the store, and a revoked key
+ * was accepted. */
 static void
-test_forgotten_history (void)
+test_all_poll_store_after_lost_history (void)
 {
   Site *site = site_new (300, 6, SETTLED_MS);
 
   for (unsigned i = 0; i < site->count; i++)
     watch_of (site, i)->loaded = false;
-  CU_ASSERT_EQUAL (ask_the_store (site), 300);
+  CU_ASSERT_EQUAL (count_polling_store (site), 300);
   site_free (site);
 }
 
-/* Story: the two fronts of each failure domain that follow the store lose power at one moment.
-   Those that asked them find no answer and ask two others, which ask the store: not all 300 do. */
+/* The two followers of each failure domain lose power at one moment. The fronts that polled them
+ * choose two other fronts, which poll the store; not all 300 may do so. */
 static void
-test_followers_die (void)
+test_followers_are_replaced (void)
 {
   Site *site = site_new (300, 6, SETTLED_MS);
   bool follows[300];
 
   for (unsigned i = 0; i < site->count; i++)
-    follows[i] = asked_by (site, i) == site->count;
+    follows[i] = polled_by (site, i) == site->count;
   for (unsigned i = 0; i < site->count; i++)
     {
       for (unsigned j = 0; j < site->count; j++)
@@ -196,13 +196,13 @@
                 &(struct sockaddr_in){ .sin_addr.s_addr = htonl (FIRST_IP + j) }, NOW);
         }
     }
-  CU_ASSERT (ask_the_store (site) <= 2 * (12 + 3));
-  CU_ASSERT_EQUAL (reach_the_store (site), 300);
+  CU_ASSERT (count_polling_store (site) <= 2 * (12 + 3));
+  CU_ASSERT_EQUAL (count_reaching_store (site), 300);
   site_free (site);
 }
 
 static unsigned
-sentinels (Site *site)
+count_sentinels (Site *site)
 {
   unsigned count = 0;
 
@@ -211,33 +211,34 @@
   return count;
 }
 
-/* Three of all fronts, however many failure domains there are; none among those that have just
-   started. Fewer only where the chosen failure domains have too few. */
+/* There are three sentinels among all fronts, however many failure domains there are, and none
+ * among fronts that have just started. There are fewer only where the selected failure domains have
+ * too few fronts. */
 static void
-test_sentinels (void)
+test_sentinel_count (void)
 {
   static const struct
   {
     unsigned fronts, domains;
     int64_t age_ms;
-    unsigned sentinels;
+    unsigned count_sentinels;
   } sites[] = {
     { 300, 6, SETTLED_MS, 3 }, { 69, 4, SETTLED_MS, 3 }, { 9, 4, SETTLED_MS, 3 },
     { 8, 2, SETTLED_MS, 3 },   { 5, 1, SETTLED_MS, 3 },  { 1, 1, SETTLED_MS, 1 },
-    { 300, 6, YOUNG_MS, 0 },
+    { 300, 6, STARTED_MS, 0 },
   };
 
   for (size_t i = 0; i < SUITE_COUNT (sites); i++)
     {
       Site *site = site_new (sites[i].fronts, sites[i].domains, sites[i].age_ms);
 
-      CU_ASSERT_EQUAL (sentinels (site), sites[i].sentinels);
+      CU_ASSERT_EQUAL (count_sentinels (site), sites[i].count_sentinels);
       site_free (site);
     }
 }
 
 static unsigned
-registrars (Site *site)
+count_registrars (Site *site)
 {
   unsigned count = 0;
 
@@ -246,19 +247,19 @@
   return count;
 }
 
-/* Five fronts of each failure domain write their address, or all where there are fewer. */
+/* Five fronts of each failure domain register, or all where there are fewer. */
 static void
-test_registrars (void)
+test_registrar_count (void)
 {
   Site *large = site_new (300, 6, SETTLED_MS), *small = site_new (9, 3, SETTLED_MS);
 
-  CU_ASSERT_EQUAL (registrars (large), 30);
-  CU_ASSERT_EQUAL (registrars (small), 9);
+  CU_ASSERT_EQUAL (count_registrars (large), 30);
+  CU_ASSERT_EQUAL (count_registrars (small), 9);
   site_free (large);
   site_free (small);
 }
 
-/* The list of fronts names us, somebody that we know, and nobody. */
+/* The list of fronts may contain this front, known fronts and invalid addresses. */
 static void
 test_listed_addresses (void)
 {
@@ -280,13 +281,13 @@
 }
 
 static const SuiteCase cases[] = {
-  { "followers", test_followers },
-  { "young_fronts_wait_for_no_circle", test_young_fronts_wait_for_no_circle },
-  { "two_fronts_ask_the_store", test_two_fronts_ask_the_store },
-  { "forgotten_history", test_forgotten_history },
-  { "followers_die", test_followers_die },
-  { "sentinels", test_sentinels },
-  { "registrars", test_registrars },
+  { "two_followers_per_domain", test_two_followers_per_domain },
+  { "starting_fronts_form_no_cycle", test_starting_fronts_form_no_cycle },
+  { "both_of_two_fronts_poll_store", test_both_of_two_fronts_poll_store },
+  { "all_poll_store_after_lost_history", test_all_poll_store_after_lost_history },
+  { "followers_are_replaced", test_followers_are_replaced },
+  { "sentinel_count", test_sentinel_count },
+  { "registrar_count", test_registrar_count },
   { "listed_addresses", test_listed_addresses },
 };
 
--- a/tests/test_front_watch.c
+++ b/tests/test_front_watch.c
@@ -1,5 +1,5 @@
-/** When a question for rows is given up for another one: src/front_store_watch.c and
- * front_peers_fetch.c, with a store on loopback that sends what the test tells it to. */
+/** When a request for rows is abandoned for another one: src/front_store_watch.c and
+ *  front_peers_fetch.c, with a store on loopback that the test controls. */
 #include "front_peers_private.h"
 #include "front_socket.h"
 #include "front_store_private.h"
@@ -12,10 +12,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define KNOWN   50 /* version of the rows that the front has */
-#define NEWER   90 /* version that a neighbour knows */
-#define LATE_MS 5000
-#define LISTEN  8
+#define OWN_VERSION  50 /* version of the rows that the front has */
+#define PEER_VERSION 90 /* version that a front of the same domain has */
+#define LATER_MS     5000
+#define LISTEN       8
 
 typedef struct
 {
@@ -24,7 +24,7 @@
   FrontPeers peers;
   Watch *watch;
   int listener;
-  int connection; /* of the open question; -1: none yet */
+  int connection; /* of the pending request; -1: none yet */
 } Node;
 
 static int
@@ -40,7 +40,8 @@
   return fd;
 }
 
-/* A front that follows the operator's table at the store, and one neighbour that knows more. */
+/* A front that follows the operator's table at the store, and another front of its domain that is
+ * ahead. */
 static Node *
 node_new (int64_t age_ms)
 {
@@ -61,11 +62,11 @@
   node->watch = &node->store.watches[STORE_OPERATOR];
   store_watch_init (node->watch, &node->store, STORE_OPERATOR);
   node->watch->loaded = true;
-  node->watch->table.version = KNOWN;
+  node->watch->table.version = OWN_VERSION;
   peer = peer_add (&node->peers, htonl (INADDR_LOOPBACK));
   peer->domain = 1;
-  peer->heard_ms = clock_boot_ms () + LATE_MS;
-  peer->newest[STORE_OPERATOR] = NEWER;
+  peer->heard_ms = clock_boot_ms () + LATER_MS;
+  peer->newest[STORE_OPERATOR] = PEER_VERSION;
   return node;
 }
 
@@ -109,7 +110,7 @@
   CU_ASSERT_FATAL (suite_wait (is_asked, node));
 }
 
-/* The store has begun to answer. */
+/* Polls the store, which begins to answer. */
 static void
 ask_and_receive (Node *node)
 {
@@ -120,38 +121,38 @@
   CU_ASSERT_FATAL (suite_wait (is_receiving, node));
 }
 
-/* Story: a configuration of some thousand routes arrives over a busy link. Neighbours that have it
-   already say so, and the front drops the half that has come and asks somebody else for all of it:
-   callers meet the routes of the version before for as long as that goes on. */
+/* A configuration of some thousand routes arrives over a congested link, while other fronts that
+ * have it report its version. The transfer must not be cancelled and started again elsewhere:
+ * callers would be served by the previous routes all that time. */
 static void
-test_neighbour_knows_more (void)
+test_hint_keeps_transfer (void)
 {
   Node *node = node_new (0);
 
   ask_and_receive (node);
-  store_watch_hint (node->watch, NEWER, clock_boot_ms () + LATE_MS);
+  store_watch_hint (node->watch, PEER_VERSION, clock_boot_ms () + LATER_MS);
   CU_ASSERT (front_channel_is_receiving (node->watch->channel));
   CU_ASSERT_EQUAL (node->watch->peer_failures, 0);
   node_free (node);
 }
 
-/* Story: what a store was asked before it fell silent is never answered. The front drops such a
-   question when neighbours know more. */
+/* A request that the store received before it hung is never answered. It must be sent again when
+ * other fronts are ahead. */
 static void
-test_silent_store (void)
+test_hint_restarts_unanswered_poll (void)
 {
   Node *node = node_new (0);
 
   ask (node);
-  node->watch->asked_ms -= LATE_MS;
-  store_watch_hint (node->watch, NEWER, clock_boot_ms ());
+  node->watch->asked_ms -= LATER_MS;
+  store_watch_hint (node->watch, PEER_VERSION, clock_boot_ms ());
   CU_ASSERT (front_channel_is_pending (node->watch->channel));
-  CU_ASSERT (clock_boot_ms () - node->watch->asked_ms < LATE_MS);
+  CU_ASSERT (clock_boot_ms () - node->watch->asked_ms < LATER_MS);
   node_free (node);
 }
 
-/* Story: the same rows come twice over one link, from the store and from a neighbour that has them,
-   and each takes twice as long. */
+/* While rows arrive from the store, the same rows must not be fetched from another front over the
+ * same link: each transfer would take twice as long. */
 static void
 test_no_second_transfer (void)
 {
@@ -160,7 +161,7 @@
 
   ask_and_receive (node);
   peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms);
-  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms + LATE_MS);
+  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms + LATER_MS);
   CU_ASSERT_PTR_NULL (node->peers.fetches[STORE_OPERATOR].channel);
   node_free (node);
 }
@@ -174,10 +175,10 @@
   return front_channel_is_slow (node->watch->channel);
 }
 
-/* Story: the store or a neighbour is frozen while its rows arrive. Another front has them, and is
-   asked before the connection shows that it is dead. */
+/* The store or a front freezes in the middle of its rows. Another front that has them must be asked
+ * before the connection is found to be dead. */
 static void
-test_transfer_stops (void)
+test_stalled_transfer_is_fetched_elsewhere (void)
 {
   Node *node = node_new (0);
   int64_t now_ms = clock_boot_ms ();
@@ -185,17 +186,16 @@
   ask_and_receive (node);
   CU_ASSERT_FATAL (suite_wait (is_slow, node));
   peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms);
-  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms + LATE_MS);
+  peers_fetch_missing (&node->peers, STORE_OPERATOR, now_ms + LATER_MS);
   CU_ASSERT_PTR_NOT_NULL (node->peers.fetches[STORE_OPERATOR].channel);
   CU_ASSERT (front_channel_is_receiving (node->watch->channel));
   node_free (node);
 }
 
-/* Story: a front has learned who lives while rows arrive from a neighbour, and drops them to ask
-   the one whom the rows belong to; or it has become one of those that ask the store short
-   questions. */
+/* A front that learns which fronts are alive while rows arrive, and so has another source now or
+ * has become a sentinel, must not cancel the transfer. */
 static void
-test_place_found_meanwhile (void)
+test_new_role_keeps_transfer (void)
 {
   Node *node = node_new (2 * (int64_t)FRONT_SETTLED_MS);
 
@@ -210,11 +210,11 @@
 }
 
 static const SuiteCase cases[] = {
-  { "neighbour_knows_more", test_neighbour_knows_more },
-  { "silent_store", test_silent_store },
+  { "hint_keeps_transfer", test_hint_keeps_transfer },
+  { "hint_restarts_unanswered_poll", test_hint_restarts_unanswered_poll },
   { "no_second_transfer", test_no_second_transfer },
-  { "transfer_stops", test_transfer_stops },
-  { "place_found_meanwhile", test_place_found_meanwhile },
+  { "stalled_transfer_is_fetched_elsewhere", test_stalled_transfer_is_fetched_elsewhere },
+  { "new_role_keeps_transfer", test_new_role_keeps_transfer },
 };
 
 int
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -1,5 +1,5 @@
-/** The platform's formats: platform/ wire_call.c, wire_config.c, wire_rollout.c, wire_server.c,
- *  wire_store.c; and rows as a table: src/front_table.c. */
+/** The platform's formats: platform/wire_call.c, wire_config.c, wire_rollout.c, wire_server.c,
+ *  wire_store.c; and the table of rows: src/front_table.c. */
 #include "suite.h"
 #include "util_unused.h"
 #include "wire_call.h"
@@ -54,10 +54,10 @@
   front_config_unref (config);
 }
 
-/* Figures of servers that have just started: absent, broken or beyond all reason they bound
- * nothing. */
+/* Values for servers that have just started: if absent, malformed or far out of range they impose
+ * no limit. */
 static void
-test_config_cold_servers (void)
+test_config_of_cold_servers (void)
 {
   static const struct
   {
@@ -150,8 +150,8 @@
   http_intake_reset (&intake);
 }
 
-/* Story: a caller sends fields that are the router's to set, its key among them; passed on, an
-   engine reserves memory for it or books the work to another team. */
+/* Fields that only the router may set, and the caller's key, must not be forwarded: an engine would
+ * reserve memory for the caller or charge the work to another team. */
 static void
 test_call_encode (void)
 {
@@ -275,11 +275,11 @@
   CU_ASSERT (!wire_server_decode ("i-1", span_of ("{"), &entry));
 }
 
-/* One field of a good entry, put another way. */
+/* One field of a valid entry with another value. */
 typedef struct
 {
   const char *field;
-  const char *value; /* NULL: it is missing */
+  const char *value; /* NULL: the field is missing */
   bool good;
 } Change;
 
@@ -311,10 +311,10 @@
   snprintf (out + len, size - len, "}");
 }
 
-/* What an operator would see: requests sent to a place that no server has, or four billion of them
- * to one, since somebody else wrote into the table of servers and its row was believed. */
+/* Another program may write into the table of servers. If such a row were believed, requests would
+ * go to an address without a server, or four billion of them to one server. */
 static void
-test_entry_of_another_writer (void)
+test_invalid_server_entries (void)
 {
   static const Change changes_made[] = {
     { "State", "\"ready\"", true },
@@ -365,7 +365,7 @@
 static char changes[400];
 
 static void
-note (void *user UNUSED, const StoreRow *row)
+record_change (void *user UNUSED, const StoreRow *row)
 {
   size_t len = strlen (changes);
 
@@ -374,54 +374,55 @@
 }
 
 static void
-take (FrontTable *table, bool snapshot, const char *text, const char *expected)
+apply (FrontTable *table, bool snapshot, const char *text, const char *expected)
 {
   StoreAnswer answer;
 
   changes[0] = '\0';
   CU_ASSERT (wire_store_decode (text, strlen (text), &answer));
   if (snapshot)
-    front_table_apply_snapshot (table, &answer, note, NULL);
+    front_table_apply_snapshot (table, &answer, record_change, NULL);
   else
-    front_table_apply_changes (table, &answer, note, NULL);
+    front_table_apply_changes (table, &answer, record_change, NULL);
   store_answer_clear (&answer);
   CU_ASSERT_STRING_EQUAL (changes, expected);
 }
 
-/* Story: a front that the store turns away learns from another one; an older copy of a row comes
-   after a newer one and must not undo it. */
+/* A front that the store refuses learns of rows from another front; an older copy of a row that
+ * arrives after a newer one must not replace it. */
 static void
-test_table (void)
+test_table_keeps_newer_rows (void)
 {
   FrontTable table, other;
   Buffer out = { 0 };
 
   front_table_init (&table);
   front_table_init (&other);
-  take (&table, true,
-        "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"MQ==\",\"Ver\":5},{\"Key\":\"b\",\"Value\":\"Mg==\","
-        "\"Ver\":6}],\"Ver\":9}",
-        "a=1 b=2 ");
+  apply (
+      &table, true,
+      "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"MQ==\",\"Ver\":5},{\"Key\":\"b\",\"Value\":\"Mg==\","
+      "\"Ver\":6}],\"Ver\":9}",
+      "a=1 b=2 ");
   CU_ASSERT_EQUAL (table.version, 9);
   CU_ASSERT_EQUAL (table.newest, 6);
-  take (&table, false, "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"Mw==\",\"Ver\":12}],\"Ver\":12}",
-        "a=3 ");
-  take (&table, false, "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"MQ==\",\"Ver\":5}],\"Ver\":12}", "");
+  apply (&table, false, "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"Mw==\",\"Ver\":12}],\"Ver\":12}",
+         "a=3 ");
+  apply (&table, false, "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"MQ==\",\"Ver\":5}],\"Ver\":12}", "");
   CU_ASSERT_STRING_EQUAL (front_table_find (&table, "a")->value, "3");
   wire_store_encode (&out, &table, 0);
-  take (&other, true, out.data, "a=3 b=2 ");
+  apply (&other, true, out.data, "a=3 b=2 ");
   CU_ASSERT_EQUAL (other.version, 12);
-  /* All rows as of a version: what is missing is gone, but not what is newer than that. */
-  take (&table, true, "{\"Rows\":[{\"Key\":\"c\",\"Value\":\"MQ==\",\"Ver\":8}],\"Ver\":11}",
-        "-b= c=1 ");
-  take (&table, false, "{\"Rows\":[{\"Key\":\"a\",\"Tombstone\":true,\"Ver\":15}],\"Ver\":15}",
-        "-a= ");
+  /* In a complete read, missing rows count as removed, except those newer than its version. */
+  apply (&table, true, "{\"Rows\":[{\"Key\":\"c\",\"Value\":\"MQ==\",\"Ver\":8}],\"Ver\":11}",
+         "-b= c=1 ");
+  apply (&table, false, "{\"Rows\":[{\"Key\":\"a\",\"Tombstone\":true,\"Ver\":15}],\"Ver\":15}",
+         "-a= ");
   CU_ASSERT_PTR_NULL (front_table_find (&table, "a"));
   CU_ASSERT_EQUAL (table.newest, 15);
-  /* Another front hears of the changes since what it knows, the removal among them. */
+  /* Another front gets the changes since its own version, the removal included. */
   buffer_clear (&out);
   wire_store_encode (&out, &table, 12);
-  take (&other, false, out.data, "-a= ");
+  apply (&other, false, out.data, "-a= ");
   CU_ASSERT_PTR_NULL (front_table_find (&other, "a"));
   CU_ASSERT (front_table_has_changes_since (&table, 1));
   buffer_free (&out);
@@ -429,18 +430,18 @@
   front_table_clear (&other);
 }
 
-/* Story: the store forgets its history while a server leaves. A front reads all rows anew and never
-   sees the removal, whose version others tell of. It took itself for behind, fetched the same rows
-   ten times a second and dropped its connection to the store each time. */
+/* The store drops its history while a server leaves. A front then reads all rows and never sees the
+ * removal, whose version others report. When it considered itself behind, it fetched the same rows
+ * ten times a second and dropped its connection to the store each time. */
 static void
-test_whole_table_is_not_behind (void)
+test_complete_read_is_not_behind (void)
 {
   FrontTable table;
 
   front_table_init (&table);
   CU_ASSERT (front_table_is_behind (&table, 1));
-  take (&table, true, "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"MQ==\",\"Ver\":5}],\"Ver\":20}",
-        "a=1 ");
+  apply (&table, true, "{\"Rows\":[{\"Key\":\"a\",\"Value\":\"MQ==\",\"Ver\":5}],\"Ver\":20}",
+         "a=1 ");
   CU_ASSERT_EQUAL (table.newest, 5);
   CU_ASSERT (!front_table_is_behind (&table, 15));
   CU_ASSERT (front_table_is_behind (&table, 21));
@@ -469,16 +470,16 @@
 
 static const SuiteCase cases[] = {
   { "config", test_config },
-  { "config_cold_servers", test_config_cold_servers },
+  { "config_of_cold_servers", test_config_of_cold_servers },
   { "bad_config", test_bad_config },
   { "call_decode", test_call_decode },
   { "call_encode", test_call_encode },
   { "reply", test_reply },
   { "rollout", test_rollout },
   { "server", test_server },
-  { "entry_of_another_writer", test_entry_of_another_writer },
-  { "table", test_table },
-  { "whole_table_is_not_behind", test_whole_table_is_not_behind },
+  { "invalid_server_entries", test_invalid_server_entries },
+  { "table_keeps_newer_rows", test_table_keeps_newer_rows },
+  { "complete_read_is_not_behind", test_complete_read_is_not_behind },
   { "write", test_write },
 };
 
