--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -11,7 +11,7 @@
 #define ANNOUNCE_MIN_MS 10.0
 /* Fronts that are told, those of the same failure domain first, as they use the same servers. */
 #define RECIPIENTS_MAX 24
-#define SHARE_UNITS    100.0 /* of WorkEntry.running */
+#define SHARE_UNITS    100.0 /* of WorkReport.running */
 /* Bytes per second for work messages, UDP and IP headers included. A front of 80 needs 7,200 at 6
  * requests a second; one of 360 with 28 would need 32,000, but its control traffic has to stay
  * within 14,000, of which other messages take 4,700, or 12,600 during a roll-out with many fronts.
@@ -81,10 +81,10 @@
   server->untold_share += share;
   if (server->untold_ms < ANNOUNCE_MIN_MS || !may_send (peers, now_ms))
     return;
-  message.entries[0]
-      = (WorkEntry){ .server = server->hash,
-                     .read_ms = (uint32_t)lround (server->untold_ms),
-                     .running = (uint32_t)lround (server->untold_share * SHARE_UNITS) };
+  message.reports[0]
+      = (WorkReport){ .server = server->hash,
+                      .read_ms = (uint32_t)lround (server->untold_ms),
+                      .running = (uint32_t)lround (server->untold_share * SHARE_UNITS) };
   server->untold_ms = 0;
   server->untold_share = 0;
   len = work_message_encode (&message, data, sizeof data);
@@ -95,15 +95,15 @@
 }
 
 static void
-apply_entry (Front *front, const WorkEntry *entry, int64_t now_ms)
+apply_report (Front *front, const WorkReport *report, int64_t now_ms)
 {
   FrontServer *server;
 
   cds_list_for_each_entry (server, front_servers_list (front->servers), node)
   {
-    if (server->hash != entry->server)
+    if (server->hash != report->server)
       continue;
-    front_others_add (&server->others, entry->read_ms, entry->running / SHARE_UNITS, now_ms);
+    front_others_add (&server->others, report->read_ms, report->running / SHARE_UNITS, now_ms);
     return;
   }
 }
@@ -118,6 +118,6 @@
   if (message.incarnation == peers->front->incarnation)
     return true;
   for (uint32_t i = 0; i < message.count; i++)
-    apply_entry (peers->front, &message.entries[i], now_ms);
+    apply_report (peers->front, &message.reports[i], now_ms);
   return true;
 }
--- a/src/front_work_message.c
+++ b/src/front_work_message.c
@@ -10,13 +10,13 @@
   uint32_t magic = MAGIC;
 
   if (!xdr_uint32_t (xdr, &magic) || magic != MAGIC || !xdr_uint64_t (xdr, &message->incarnation)
-      || !xdr_uint32_t (xdr, &message->count) || message->count > WORK_ENTRIES_MAX)
+      || !xdr_uint32_t (xdr, &message->count) || message->count > WORK_REPORTS_MAX)
     return FALSE;
   for (uint32_t i = 0; i < message->count; i++)
     {
-      if (!xdr_uint64_t (xdr, &message->entries[i].server)
-          || !xdr_uint32_t (xdr, &message->entries[i].read_ms)
-          || !xdr_uint32_t (xdr, &message->entries[i].running))
+      if (!xdr_uint64_t (xdr, &message->reports[i].server)
+          || !xdr_uint32_t (xdr, &message->reports[i].read_ms)
+          || !xdr_uint32_t (xdr, &message->reports[i].running))
         return FALSE;
     }
   return TRUE;
--- a/src/front_work_message.h
+++ b/src/front_work_message.h
@@ -9,23 +9,23 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define WORK_ENTRIES_MAX 16
-#define WORK_MESSAGE_MAX (16 + 16 * WORK_ENTRIES_MAX) /**< bytes */
+#define WORK_REPORTS_MAX 16
+#define WORK_MESSAGE_MAX (16 + 16 * WORK_REPORTS_MAX) /**< bytes */
 
 typedef struct
 {
   uint64_t server;  /**< FrontServer.hash */
-  uint32_t read_ms; /**< prompt processing, in milliseconds, sent there since the last entry for
+  uint32_t read_ms; /**< prompt processing, in milliseconds, sent there since the last report on
                        this server */
   uint32_t running; /**< requests sent there since then, each counted by its model's share, in
                        hundredths */
-} WorkEntry;
+} WorkReport;
 
 typedef struct
 {
   uint64_t incarnation; /**< of the sender */
   uint32_t count;
-  WorkEntry entries[WORK_ENTRIES_MAX];
+  WorkReport reports[WORK_REPORTS_MAX];
 } WorkMessage;
 
 /** Returns the bytes written; 0 if they don't fit. */
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -55,7 +55,7 @@
   int64_t silent_until_ms; /* the store doesn't answer before this time */
   unsigned lost_every;     /* every so many-th answer of the store is lost; 0: none */
   Node nodes[FRONTS];
-} Site;
+} World;
 
 static uint32_t
 address_of (unsigned number)
@@ -75,14 +75,14 @@
   return 1 + number % DOMAINS;
 }
 
-static Site *
-site_new (void)
+static World *
+world_new (void)
 {
-  Site *site = memory_alloc (sizeof *site);
+  World *world = memory_alloc (sizeof *world);
 
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      Node *node = &site->nodes[i];
+      Node *node = &world->nodes[i];
 
       node->peers.own.sin_addr.s_addr = address_of (i);
       node->peers.own_domain = domain_of (i);
@@ -91,15 +91,15 @@
       for (unsigned j = 0; j < SEEDS; j++)
         peer_add (&node->peers, address_of (j * 50));
     }
-  return site;
+  return world;
 }
 
 /* Registers the first three fronts of each failure domain. */
 static void
-register_fronts (Site *site)
+register_fronts (World *world)
 {
   for (unsigned i = 0; i < DOMAINS * 3; i++)
-    site->registered[i] = 1;
+    world->registered[i] = 1;
 }
 
 static bool
@@ -141,9 +141,9 @@
 }
 
 static void
-send_message (Site *site, unsigned from, unsigned to, int64_t now_ms)
+send_message (World *world, unsigned from, unsigned to, int64_t now_ms)
 {
-  Node *sender = &site->nodes[from], *receiver = &site->nodes[to];
+  Node *sender = &world->nodes[from], *receiver = &world->nodes[to];
   uint32_t alive = front_peers_alive (&sender->peers, now_ms) - 1;
 
   if (!runs (receiver, now_ms))
@@ -158,9 +158,9 @@
 }
 
 static void
-send_round (Site *site, unsigned number, int64_t now_ms)
+send_round (World *world, unsigned number, int64_t now_ms)
 {
-  Node *node = &site->nodes[number];
+  Node *node = &world->nodes[number];
   bool alone = front_peers_alive (&node->peers, now_ms) == 1;
   Peer *chosen[PEERS_PER_ROUND_MAX];
   unsigned count;
@@ -172,7 +172,7 @@
   for (unsigned i = 0; i < count; i++)
     {
       chosen[i]->sent_ms = now_ms;
-      send_message (site, number, number_of (&chosen[i]->address), now_ms);
+      send_message (world, number, number_of (&chosen[i]->address), now_ms);
     }
   node->peers.next_member += PEER_MEMBERS_MAX;
 }
@@ -180,23 +180,23 @@
 /* Time at which the store's answer to a request sent now arrives, or at which the request fails if
  * the answer is lost. */
 static int64_t
-store_answer_time (const Site *site, unsigned calls, int64_t now_ms)
+store_answer_time (const World *world, unsigned calls, int64_t now_ms)
 {
-  if (site->lost_every != 0 && calls % site->lost_every == 0)
+  if (world->lost_every != 0 && calls % world->lost_every == 0)
     return now_ms + STORE_TIMEOUT_MS;
-  return (site->silent_until_ms > now_ms ? now_ms + STORE_TIMEOUT_MS : now_ms) + ANSWER_MS;
+  return (world->silent_until_ms > now_ms ? now_ms + STORE_TIMEOUT_MS : now_ms) + ANSWER_MS;
 }
 
 static void
-read_list (Site *site, Node *node, int64_t now_ms)
+read_list (World *world, Node *node, int64_t now_ms)
 {
   if (node->list_known)
     return;
   if (node->list_ms == 0)
-    node->list_ms = store_answer_time (site, ++site->list_calls, now_ms);
+    node->list_ms = store_answer_time (world, ++world->list_calls, now_ms);
   if (now_ms < node->list_ms)
     return;
-  if (site->silent_until_ms > now_ms)
+  if (world->silent_until_ms > now_ms)
     {
       node->list_ms = 0;
       return;
@@ -204,7 +204,7 @@
   node->list_known = true;
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      if (site->registered[i])
+      if (world->registered[i])
         {
           char text[INET_ADDRSTRLEN];
           struct in_addr ip = { .s_addr = address_of (i) };
@@ -216,7 +216,7 @@
 }
 
 static void
-ask (Site *site, Node *node, int64_t now_ms)
+ask (World *world, Node *node, int64_t now_ms)
 {
   struct sockaddr_in source = { 0 };
   BootstrapView view = {
@@ -237,7 +237,7 @@
   node->asks = step == BOOTSTRAP_ASK_STORE ? ASKS_STORE : ASKS_FRONT;
   node->asked = number_of (&source);
   node->until_ms = step == BOOTSTRAP_ASK_STORE
-                       ? store_answer_time (site, ++site->table_calls, now_ms)
+                       ? store_answer_time (world, ++world->table_calls, now_ms)
                        : now_ms + PEER_TIMEOUT_MS;
 }
 
@@ -263,13 +263,13 @@
 }
 
 static void
-wait_for_answer (Site *site, Node *node, int64_t now_ms)
+wait_for_answer (World *world, Node *node, int64_t now_ms)
 {
-  const Node *asked = &site->nodes[node->asked];
+  const Node *asked = &world->nodes[node->asked];
 
   if (node->asks == ASKS_STORE && now_ms >= node->until_ms)
     {
-      if (site->silent_until_ms > now_ms)
+      if (world->silent_until_ms > now_ms)
         on_failure (node, now_ms);
       else
         on_rows (node, now_ms);
@@ -284,29 +284,29 @@
 }
 
 static void
-step (Site *site, int64_t now_ms)
+step (World *world, int64_t now_ms)
 {
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      Node *node = &site->nodes[i];
+      Node *node = &world->nodes[i];
 
       if (!runs (node, now_ms))
         continue;
-      send_round (site, i, now_ms);
-      read_list (site, node, now_ms);
+      send_round (world, i, now_ms);
+      read_list (world, node, now_ms);
       if (node->asks != ASKS_NOBODY)
-        wait_for_answer (site, node, now_ms);
+        wait_for_answer (world, node, now_ms);
       if (!node->has_table && node->asks == ASKS_NOBODY)
-        ask (site, node, now_ms);
+        ask (world, node, now_ms);
     }
 }
 
 static bool
-all_have_table (const Site *site, int64_t now_ms)
+all_have_table (const World *world, int64_t now_ms)
 {
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      if (runs (&site->nodes[i], now_ms) && !site->nodes[i].has_table)
+      if (runs (&world->nodes[i], now_ms) && !world->nodes[i].has_table)
         return false;
     }
   return now_ms > ORIGIN_MS + JITTER_MS;
@@ -314,14 +314,14 @@
 
 /* Milliseconds from the last start until all fronts have the table. */
 static int64_t
-simulate (Site *site)
+simulate (World *world)
 {
   int64_t now_ms = ORIGIN_MS;
 
-  while (!all_have_table (site, now_ms) && now_ms < ORIGIN_MS + END_MS)
+  while (!all_have_table (world, now_ms) && now_ms < ORIGIN_MS + END_MS)
     {
       now_ms += STEP_MS;
-      step (site, now_ms);
+      step (world, now_ms);
     }
   return now_ms - ORIGIN_MS - JITTER_MS;
 }
@@ -332,12 +332,12 @@
 static void
 test_first_start (void)
 {
-  Site *site = site_new ();
+  World *world = world_new ();
 
-  CU_ASSERT (simulate (site) <= 3000);
-  CU_ASSERT_EQUAL (site->list_calls, FRONTS);
-  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
-  free (site);
+  CU_ASSERT (simulate (world) <= 3000);
+  CU_ASSERT_EQUAL (world->list_calls, FRONTS);
+  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_PER_START * FRONTS);
+  free (world);
 }
 
 /* All VMs lose power at one moment and are back within 300 ms of each other, in any order. Callers
@@ -346,26 +346,26 @@
 static void
 test_all_restart (void)
 {
-  Site *site = site_new ();
+  World *world = world_new ();
 
-  register_fronts (site);
-  CU_ASSERT (simulate (site) <= 500);
-  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
-  free (site);
+  register_fronts (world);
+  CU_ASSERT (simulate (world) <= 500);
+  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_PER_START * FRONTS);
+  free (world);
 }
 
 /* The same, and in one failure domain none of the three registered fronts comes back. */
 static void
 test_registered_fronts_missing (void)
 {
-  Site *site = site_new ();
+  World *world = world_new ();
 
-  register_fronts (site);
+  register_fronts (world);
   for (unsigned i = 0; i < 3; i++)
-    site->nodes[(size_t)i * DOMAINS].start_ms = -1;
-  CU_ASSERT (simulate (site) <= 1000);
-  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
-  free (site);
+    world->nodes[(size_t)i * DOMAINS].start_ms = -1;
+  CU_ASSERT (simulate (world) <= 1000);
+  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_PER_START * FRONTS);
+  free (world);
 }
 
 /* The same, and the registered fronts of one domain die 20 ms after their start, while others wait
@@ -373,18 +373,18 @@
 static void
 test_registered_fronts_die_meanwhile (void)
 {
-  Site *site = site_new ();
+  World *world = world_new ();
 
-  register_fronts (site);
+  register_fronts (world);
   for (unsigned i = 0; i < 3; i++)
     {
-      Node *node = &site->nodes[(size_t)i * DOMAINS];
+      Node *node = &world->nodes[(size_t)i * DOMAINS];
 
       node->dies_ms = node->start_ms + (int64_t)2 * ANSWER_MS;
     }
-  CU_ASSERT (simulate (site) <= 1500);
-  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
-  free (site);
+  CU_ASSERT (simulate (world) <= 1500);
+  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_PER_START * FRONTS);
+  free (world);
 }
 
 /* Every third answer of the store is lost, the list of fronts included; a front without an answer
@@ -393,25 +393,25 @@
 static void
 test_lost_answers (void)
 {
-  Site *site = site_new ();
+  World *world = world_new ();
 
-  register_fronts (site);
-  site->lost_every = 3;
-  CU_ASSERT (simulate (site) <= 3500);
-  CU_ASSERT (site->list_calls + 3 * site->table_calls <= CALLS_PER_START * FRONTS);
-  free (site);
+  register_fronts (world);
+  world->lost_every = 3;
+  CU_ASSERT (simulate (world) <= 3500);
+  CU_ASSERT (world->list_calls + 3 * world->table_calls <= CALLS_PER_START * FRONTS);
+  free (world);
 }
 
 /* The store doesn't answer for the first 3 s. Once it does, all fronts get the table soon. */
 static void
 test_silent_store (void)
 {
-  Site *site = site_new ();
+  World *world = world_new ();
 
-  register_fronts (site);
-  site->silent_until_ms = ORIGIN_MS + 3000;
-  CU_ASSERT (simulate (site) <= 3000 + 3500);
-  free (site);
+  register_fronts (world);
+  world->silent_until_ms = ORIGIN_MS + 3000;
+  CU_ASSERT (simulate (world) <= 3000 + 3500);
+  free (world);
 }
 
 /* One front of 300 is killed and starts again while the others run. It has to ask a front of its
@@ -419,18 +419,18 @@
 static void
 test_one_restarts (void)
 {
-  Site *site = site_new ();
+  World *world = world_new ();
 
-  register_fronts (site);
+  register_fronts (world);
   for (unsigned i = 0; i < FRONTS; i++)
     {
-      site->nodes[i].has_table = i != FRONTS - 1;
-      site->nodes[i].list_known = i != FRONTS - 1;
+      world->nodes[i].has_table = i != FRONTS - 1;
+      world->nodes[i].list_known = i != FRONTS - 1;
     }
-  CU_ASSERT (simulate (site) <= 100);
-  CU_ASSERT_EQUAL (site->list_calls, 1);
-  CU_ASSERT_EQUAL (site->table_calls, 0);
-  free (site);
+  CU_ASSERT (simulate (world) <= 100);
+  CU_ASSERT_EQUAL (world->list_calls, 1);
+  CU_ASSERT_EQUAL (world->table_calls, 0);
+  free (world);
 }
 
 /* Each state of a starting front and the step that follows. */
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -138,7 +138,7 @@
 }
 
 static void
-test_too_large_requests (void)
+test_too_large (void)
 {
   char text[2000];
   int len = snprintf (text, sizeof text, "GET / HTTP/1.1\r\nHost: x\r\nA: %01100d\r\n\r\n", 0);
@@ -255,7 +255,7 @@
   { "chunked_request", test_chunked_request },
   { "smuggled_requests", test_smuggled_requests },
   { "malformed_requests", test_malformed_requests },
-  { "too_large_requests", test_too_large_requests },
+  { "too_large", test_too_large },
   { "pipelined_requests", test_pipelined_requests },
   { "complete_or_truncated_replies", test_complete_or_truncated_replies },
   { "malformed_replies", test_malformed_replies },
--- a/tests/test_front_store_source.c
+++ b/tests/test_front_store_source.c
@@ -221,7 +221,7 @@
   {
     unsigned fronts, domains;
     int64_t age_ms;
-    unsigned count_sentinels;
+    unsigned sentinels;
   } sites[] = {
     { 300, 6, SETTLED_MS, 3 }, { 69, 4, SETTLED_MS, 3 }, { 9, 4, SETTLED_MS, 3 },
     { 8, 2, SETTLED_MS, 3 },   { 5, 1, SETTLED_MS, 3 },  { 1, 1, SETTLED_MS, 1 },
@@ -232,7 +232,7 @@
     {
       Site *site = site_new (sites[i].fronts, sites[i].domains, sites[i].age_ms);
 
-      CU_ASSERT_EQUAL (count_sentinels (site), sites[i].count_sentinels);
+      CU_ASSERT_EQUAL (count_sentinels (site), sites[i].sentinels);
       site_free (site);
     }
 }
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -391,7 +391,7 @@
 /* A front that the store refuses learns of rows from another front; an older copy of a row that
  * arrives after a newer one must not replace it. */
 static void
-test_table_keeps_newer_rows (void)
+test_table (void)
 {
   FrontTable table, other;
   Buffer out = { 0 };
@@ -478,7 +478,7 @@
   { "rollout", test_rollout },
   { "server", test_server },
   { "invalid_server_entries", test_invalid_server_entries },
-  { "table_keeps_newer_rows", test_table_keeps_newer_rows },
+  { "table", test_table },
   { "complete_read_is_not_behind", test_complete_read_is_not_behind },
   { "write", test_write },
 };
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -58,7 +58,7 @@
 test_message (void)
 {
   WorkMessage message
-      = { .incarnation = 5, .count = 2, .entries = { { 11, 250, 300 }, { 12, 30, 5 } } };
+      = { .incarnation = 5, .count = 2, .reports = { { 11, 250, 300 }, { 12, 30, 5 } } };
   WorkMessage read;
   unsigned char data[WORK_MESSAGE_MAX];
   size_t len = work_message_encode (&message, data, sizeof data);
@@ -66,14 +66,14 @@
   CU_ASSERT (len > 0);
   CU_ASSERT (work_message_decode (&read, data, len));
   CU_ASSERT_EQUAL (read.count, 2);
-  CU_ASSERT_EQUAL (read.entries[1].server, 12);
-  CU_ASSERT_EQUAL (read.entries[1].read_ms, 30);
-  CU_ASSERT_EQUAL (read.entries[1].running, 5);
+  CU_ASSERT_EQUAL (read.reports[1].server, 12);
+  CU_ASSERT_EQUAL (read.reports[1].read_ms, 30);
+  CU_ASSERT_EQUAL (read.reports[1].running, 5);
   for (size_t i = 0; i < len; i++)
     CU_ASSERT (!work_message_decode (&read, data, i));
-  data[15] = WORK_ENTRIES_MAX + 1; /* the count's last byte */
+  data[15] = WORK_REPORTS_MAX + 1; /* the count's last byte */
   CU_ASSERT (!work_message_decode (&read, data, len));
-  message.count = WORK_ENTRIES_MAX;
+  message.count = WORK_REPORTS_MAX;
   CU_ASSERT (work_message_encode (&message, data, sizeof data) <= WORK_MESSAGE_MAX);
 }
 
