--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -16,11 +16,11 @@
 typedef struct
 {
   struct sockaddr_in address;
-  uint64_t incarnation; /* 0: no message received from it */
-  uint32_t domain;      /* hash; 0: not known */
-  int64_t heard_ms;     /* last message from it, to this front or to another one */
-  int64_t alive_ms;     /* how long it counts as alive after that */
-  int64_t sent_ms;
+  uint64_t incarnation;      /* 0: no message received from it */
+  uint32_t domain;           /* hash; 0: not known */
+  int64_t heard_ms;          /* last message from it, to this front or to another one */
+  int64_t alive_ms;          /* how long it counts as alive after that */
+  int64_t sent_ms;           /* last message to it */
   int64_t request_failed_ms; /* when a request for rows to it failed; 0: none did */
   bool is_registered;        /* on the store's list of fronts */
   int64_t newest[PEER_TABLES];
--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -14,6 +14,7 @@
 /* Milliseconds that a front is counted after its last message: longer than a failure domain is cut
  * off, or a VM takes to restart. */
 #define COUNTED_MS 60000
+
 unsigned
 front_peers_alive (const FrontPeers *peers, int64_t now_ms)
 {
--- a/src/front_row.h
+++ b/src/front_row.h
@@ -11,8 +11,7 @@
   char *key;
   char *value; /**< NUL-terminated; NULL if the row was removed */
   size_t value_len;
-  int64_t
-      version; /**< of the transaction that wrote the row; increases across all rows of the store */
+  int64_t version; /**< of the transaction that wrote the row; increases over the whole store */
   bool removed;
 } StoreRow;
 
--- a/src/front_store.c
+++ b/src/front_store.c
@@ -113,7 +113,7 @@
   const Watch *watch = &store->watches[table];
 
   if (watch->table.version == 0
-      || (since != 0 && !front_table_has_changes_since (&watch->table, since)))
+      || (since != 0 && !front_table_keeps_changes_since (&watch->table, since)))
     return false;
   wire_store_encode (out, &watch->table, since);
   return true;
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -15,8 +15,8 @@
 #define STORE_RELIST_MS 2200
 
 #define STORE_HTTP_OK       200
-#define STORE_HTTP_CONFLICT 412
-#define STORE_HTTP_GONE     410
+#define STORE_HTTP_CONFLICT 412 /* the row has another version than expected */
+#define STORE_HTTP_GONE     410 /* the changes since the version were dropped */
 
 /** Follows one table: reads all rows, then polls for changes. */
 typedef struct Watch
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -201,8 +201,8 @@
 
   if (status == STORE_HTTP_GONE && !watch->asked_peer)
     {
-      watch->loaded
-          = false; /* the store no longer has the changes since our version: read all rows */
+      /* The store no longer has the changes since our version: read all rows. */
+      watch->loaded = false;
       store_watch_poll (watch);
       return;
     }
@@ -287,15 +287,15 @@
 store_watch_poll (Watch *watch)
 {
   int64_t now_ms = clock_boot_ms ();
-  StoreSource aim = store_choose_source (watch, now_ms);
+  StoreSource source = store_choose_source (watch, now_ms);
 
-  if (aim == SOURCE_UNDECIDED)
+  if (source == SOURCE_UNDECIDED)
     {
       store_watch_schedule_poll (watch, BOOTSTRAP_RETRY_MS);
       return;
     }
   watch->asked_ms = now_ms;
-  watch->asked_peer = aim == SOURCE_PEER;
+  watch->asked_peer = source == SOURCE_PEER;
   watch->is_short_poll = false;
   if (!watch->loaded)
     log_rows_asked (watch);
--- a/src/front_table.c
+++ b/src/front_table.c
@@ -129,7 +129,7 @@
 }
 
 bool
-front_table_has_changes_since (const FrontTable *table, int64_t since)
+front_table_keeps_changes_since (const FrontTable *table, int64_t since)
 {
   return since >= table->removals_dropped_to;
 }
--- a/src/front_table.h
+++ b/src/front_table.h
@@ -50,7 +50,7 @@
  *  all changes up to its version, though it shows none of the removals. */
 bool front_table_is_behind (const FrontTable *table, int64_t newest_elsewhere);
 /** True if all changes since a version, removals included, are still kept. */
-bool front_table_has_changes_since (const FrontTable *table, int64_t since);
+bool front_table_keeps_changes_since (const FrontTable *table, int64_t since);
 /** NULL if there is no such row. */
 const StoreRow *front_table_find (const FrontTable *table, const char *key);
 
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -21,7 +21,7 @@
 #define FIRST_IP         0x0a000001u
 #define TABLE            ((uint64_t)STORE_SERVERS)
 #define ORIGIN_MS        1000000
-#define END_MS           20000
+#define END_MS           20000 /* of the simulation, whatever its state */
 /* Most calls to the store for each start: reading the list of fronts, and one more. */
 #define CALLS_PER_START 2
 
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -424,7 +424,7 @@
   wire_store_encode (&out, &table, 12);
   apply (&other, false, out.data, "-a= ");
   CU_ASSERT_PTR_NULL (front_table_find (&other, "a"));
-  CU_ASSERT (front_table_has_changes_since (&table, 1));
+  CU_ASSERT (front_table_keeps_changes_since (&table, 1));
   buffer_free (&out);
   front_table_clear (&table);
   front_table_clear (&other);
