--- a/src/front_main.c
+++ b/src/front_main.c
@@ -19,12 +19,12 @@
 #include <syslog.h>
 
 /* Period of time-outs, roll-outs and messages; far below any of their limits. */
-#define TICK_MS           100
-#define MS_PER_S          1000
-#define NS_PER_MS         1000000
-#define US_PER_MS         1000L
-#define SETTINGS_CHECK_MS 2000
-#define BACKLOG           1024 /* all callers of a failure domain may connect at once */
+#define TICK_INTERVAL_MS           100
+#define MS_PER_S                   1000
+#define NS_PER_MS                  1000000
+#define US_PER_MS                  1000L
+#define SETTINGS_CHECK_INTERVAL_MS 2000
+#define BACKLOG                    1024 /* all callers of a failure domain may connect at once */
 /* The load balancer needs two failed health checks to send callers elsewhere. */
 #define STOP_MIN_MS    2500
 #define STOP_MARGIN_MS 400 /* margin before the process would be killed */
@@ -154,7 +154,7 @@
   struct stat found;
   int64_t changed_ms;
 
-  if (now_ms - self->settings_checked_ms < SETTINGS_CHECK_MS)
+  if (now_ms - self->settings_checked_ms < SETTINGS_CHECK_INTERVAL_MS)
     return;
   self->settings_checked_ms = now_ms;
   if (stat (self->settings_file, &found) != 0)
@@ -182,7 +182,7 @@
 static void
 timers_start (Main *self)
 {
-  struct timeval every = { .tv_usec = TICK_MS * US_PER_MS };
+  struct timeval every = { .tv_usec = TICK_INTERVAL_MS * US_PER_MS };
 
   self->tick = event_new (self->front.base, -1, EV_PERSIST, on_tick, self);
   event_add (self->tick, &every);
@@ -193,7 +193,8 @@
   event_add (self->signals[1], NULL);
 }
 
-/* Starts all parts. Returns the name of the first one that failed, or NULL. */
+/* Starts all parts. Returns the name of the first one whose endpoint is not valid or can't be
+ * bound; NULL: all were started. */
 static const char *
 parts_start (Main *self)
 {
@@ -271,7 +272,7 @@
   failed_part = parts_start (self);
   if (failed_part)
     {
-      fprintf (stderr, "lovage-front: can't start: %s\n", failed_part);
+      fprintf (stderr, "lovage-front: can't start: bad or occupied endpoint for %s\n", failed_part);
       return 1;
     }
   event_base_dispatch (self->front.base);
--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -8,13 +8,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define ROUND_MS 500 /* milliseconds between rounds of messages */
+#define ROUND_INTERVAL_MS 500 /* milliseconds between rounds of messages */
 /* No other front is known: one that starts should become useful soon. */
-#define ROUND_ALONE_MS   200
-#define ROUND_ROLLOUT_MS 200 /* during a roll-out: its verdict needs the evidence of all fronts */
+#define ROUND_INTERVAL_ALONE_MS 200
+/* During a roll-out: its verdict needs the evidence of all fronts. */
+#define ROUND_INTERVAL_ROLLOUT_MS 200
 /* The same with many peers: five messages of 900 bytes in a round have to stay below 14 KB/s. */
-#define ROUND_ROLLOUT_LARGE_MS 400
-#define LARGE_PEERS            100
+#define ROUND_INTERVAL_ROLLOUT_LARGE_MS 400
+#define LARGE_PEERS                     100
 /* Milliseconds without a message, to any front, after which a peer counts as dead. */
 #define ALIVE_MS 3500
 /* Added to that for each peer above LARGE_PEERS: a message reports 40 peers at most, so that
@@ -163,11 +164,12 @@
 void
 front_peers_tick (FrontPeers *peers, int64_t now_ms)
 {
-  int64_t rollout_round_ms = peers_is_large (peers) ? ROUND_ROLLOUT_LARGE_MS : ROUND_ROLLOUT_MS;
-  int64_t interval_ms = peers_has_rollout (peers) ? rollout_round_ms : ROUND_MS;
+  int64_t rollout_interval_ms
+      = peers_is_large (peers) ? ROUND_INTERVAL_ROLLOUT_LARGE_MS : ROUND_INTERVAL_ROLLOUT_MS;
+  int64_t interval_ms = peers_has_rollout (peers) ? rollout_interval_ms : ROUND_INTERVAL_MS;
 
   if (front_peers_alive (peers, now_ms) == 1)
-    interval_ms = ROUND_ALONE_MS;
+    interval_ms = ROUND_INTERVAL_ALONE_MS;
   if (now_ms - peers->round_ms >= interval_ms)
     {
       peers->round_ms = now_ms;
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -58,7 +58,7 @@
   int64_t work_ms;          /* time at which work_credit_bytes was computed */
   unsigned next_work;       /* first peer considered for the next work message */
   double remote_credit;     /* fraction of a message to other failure domains that is left over */
-  int64_t round_ms;
+  int64_t round_ms;         /* last round of messages */
   int64_t started_ms;
   bool is_registered;                  /* this front is on the store's list */
   int64_t ahead_since_ms[PEER_TABLES]; /* since when some peer is ahead; 0: none is */
--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -7,15 +7,16 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define PROBE_MS 2500 /* milliseconds between messages to an address that doesn't answer */
+/* Milliseconds between messages to an address that doesn't answer. */
+#define PROBE_INTERVAL_MS 2500
 /* The same while no other front answers: they may be starting as well. */
-#define PROBE_ALONE_MS 150
+#define PROBE_INTERVAL_ALONE_MS 150
 /* Held sessions in a message that also lists members. Sessions and members alternate, as both don't
  * fit: with 24 in each message one in eight of 186 sessions was unknown to a front of 300 after 4
  * s, and moved to the new version in its middle; with 64 in every second one it is less than one in
  * sixty. */
 #define SESSIONS_BESIDE_MEMBERS 24
-#define ANSWER_STARTING_MS      300 /* milliseconds between answers to a front that starts */
+#define ANSWER_INTERVAL_MS      300 /* milliseconds between answers to a front that starts */
 /* A front that knows less than 1/STARTING_FRACTION of the fronts known here has just started. */
 #define STARTING_FRACTION   4
 #define SAME_DOMAIN_FANOUT  4 /* peers of the own failure domain in a round, collectors included */
@@ -142,7 +143,7 @@
   unsigned same_domain;
   unsigned other_domain;
   unsigned probes;
-  int64_t probe_ms; /* milliseconds between messages to a front that doesn't answer */
+  int64_t probe_interval_ms; /* milliseconds between messages to a front that doesn't answer */
 } Quota;
 
 static unsigned
@@ -183,7 +184,7 @@
 is_due (const FrontPeers *peers, const Peer *peer, Quota *quota, int64_t now_ms)
 {
   if (!peer_is_alive (peer, now_ms))
-    return now_ms - peer->sent_ms >= quota->probe_ms && use_one (&quota->probes);
+    return now_ms - peer->sent_ms >= quota->probe_interval_ms && use_one (&quota->probes);
   return use_one (peer->domain == peers->own_domain ? &quota->same_domain : &quota->other_domain);
 }
 
@@ -192,7 +193,8 @@
 {
   Collectors collectors;
   bool is_alone = front_peers_alive (peers, now_ms) == 1;
-  Quota quota = { .probes = PROBE_FANOUT, .probe_ms = is_alone ? PROBE_ALONE_MS : PROBE_MS };
+  Quota quota = { .probes = PROBE_FANOUT,
+                  .probe_interval_ms = is_alone ? PROBE_INTERVAL_ALONE_MS : PROBE_INTERVAL_MS };
   unsigned count = 0;
 
   peers_find_collectors (peers, now_ms, &collectors);
@@ -319,7 +321,7 @@
   unsigned known = front_peers_alive (peers, now_ms) - 1;
 
   return (alive == 0 || alive * STARTING_FRACTION < known)
-         && now_ms - peer->sent_ms >= ANSWER_STARTING_MS;
+         && now_ms - peer->sent_ms >= ANSWER_INTERVAL_MS;
 }
 
 /* When three hundred fronts start at one moment, each knows the same three addresses. By regular
--- a/src/front_store.c
+++ b/src/front_store.c
@@ -135,13 +135,13 @@
 {
   Watch *list = &store->watches[STORE_MEMBERS];
 
-  if (now_ms < store->list_next_ms || front_channel_is_pending (list->channel)
+  if (now_ms < store->next_list_at_ms || front_channel_is_pending (list->channel)
       || front_peers_alive (store->front->peers, now_ms) > 1)
     return;
   store->list_interval_ms *= 2;
   if (store->list_interval_ms > LIST_INTERVAL_MAX_MS)
     store->list_interval_ms = LIST_INTERVAL_MAX_MS;
-  store->list_next_ms = now_ms + store->list_interval_ms;
+  store->next_list_at_ms = now_ms + store->list_interval_ms;
   list->loaded = false;
   store_watch_poll (list);
 }
@@ -159,7 +159,7 @@
   store->address = address;
   store->started_ms = clock_boot_ms ();
   store->list_interval_ms = LIST_INTERVAL_MS;
-  store->list_next_ms = store->started_ms + LIST_INTERVAL_MS;
+  store->next_list_at_ms = store->started_ms + LIST_INTERVAL_MS;
   store->writer = front_channel_new (front->base, &address, store_on_written, store);
   for (unsigned i = 0; i < STORE_TABLES; i++)
     store_watch_init (&store->watches[i], store, (StoreTable)i);
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -26,13 +26,13 @@
   FrontTable table;
   FrontChannel *channel;
   struct event *poll_timer;
-  StoreAnswer pages;    /* rows of the pages read so far */
-  char *last_key;       /* key of the last of these */
-  bool loaded;          /* all rows were read; changes are polled for */
-  bool lost;            /* the last request to the store failed */
-  unsigned failures;    /* failed requests to the store in a row */
-  int64_t recovered_ms; /* when the store answered again after an error */
-  int64_t asked_ms;
+  StoreAnswer pages;         /* rows of the pages read so far */
+  char *last_key;            /* key of the last of these */
+  bool loaded;               /* all rows were read; changes are polled for */
+  bool lost;                 /* the last request to the store failed */
+  unsigned failures;         /* failed requests to the store in a row */
+  int64_t recovered_ms;      /* when the store answered again after an error */
+  int64_t asked_ms;          /* last request */
   bool asked_peer;           /* the last request went to another front */
   bool is_short_poll;        /* the pending request is a sentinel's short poll */
   struct sockaddr_in source; /* the front that was asked last */
@@ -46,15 +46,15 @@
   Watch watches[STORE_TABLES];
   FrontChannel *writer;
   int64_t started_ms;
-  int64_t list_next_ms;     /* when the list of fronts is read again if no other is known */
+  int64_t next_list_at_ms;  /* when the list of fronts is read again if no other is known */
   int64_t list_interval_ms; /* until the read after that */
   FrontRollout *writing;    /* roll-out whose status is being written; NULL: none */
   FrontRolloutState writing_state;
   int64_t writing_started_ms;
-  bool settled;            /* FRONT_SETTLED_MS have passed since the start */
-  bool registering;        /* our own address is being written */
-  int64_t clock_offset_ms; /* the store's clock minus ours */
-  int64_t write_next_ms;
+  bool settled;             /* FRONT_SETTLED_MS have passed since the start */
+  bool registering;         /* our own address is being written */
+  int64_t clock_offset_ms;  /* the store's clock minus ours */
+  int64_t next_write_at_ms; /* after a failed write */
 };
 
 /* front_store_apply.c: apply a row that is new, changed or removed, by table. */
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -83,7 +83,7 @@
     }
   else
     {
-      store->write_next_ms = clock_boot_ms () + RANK_DELAY_MS;
+      store->next_write_at_ms = clock_boot_ms () + RANK_DELAY_MS;
       front_counter_add (FRONT_COUNTER_STORE_ERRORS);
     }
   store->registering = false;
@@ -114,7 +114,7 @@
     store_sentinel_tick (&store->watches[i], now_ms);
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
       front_rollout_judge (rollout, now_ms);
-  if (front_channel_is_pending (store->writer) || now_ms < store->write_next_ms)
+  if (front_channel_is_pending (store->writer) || now_ms < store->next_write_at_ms)
     return;
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
   {
