--- a/src/front_events.c
+++ b/src/front_events.c
@@ -10,7 +10,7 @@
   *events = (FrontEvents){ .last_id = NO_ID };
 }
 
-/* Length of the first event with its empty line; 0 if its end is not there yet. */
+/* Length of the first event with its empty line; 0 if the event is incomplete. */
 static size_t
 event_length (const char *data, size_t len)
 {
@@ -44,7 +44,7 @@
 }
 
 void
-front_events_take (FrontEvents *events, Buffer *input, Buffer *output)
+front_events_forward (FrontEvents *events, Buffer *input, Buffer *output)
 {
   size_t taken = 0, len;
 
--- a/src/front_socket.c
+++ b/src/front_socket.c
@@ -6,13 +6,13 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define MS_PER_S     1000
-#define PORT_MAX     65535
-#define KEEP_PROBES  2 /* unanswered, until the connection is given up */
-#define KEEP_EVERY_S 1
+#define MS_PER_S             1000
+#define PORT_MAX             65535
+#define KEEPALIVE_PROBES     2 /* unanswered probes after which the connection is closed */
+#define KEEPALIVE_INTERVAL_S 1
 
 bool
-front_socket_address (const char *text, struct sockaddr_in *out)
+front_socket_parse_address (const char *text, struct sockaddr_in *out)
 {
   Span port = span_of (text);
   Span host = span_cut (&port, ':');
@@ -30,15 +30,15 @@
 }
 
 void
-front_socket_watch (evutil_socket_t fd, int timeout_ms)
+front_socket_set_options (evutil_socket_t fd, int timeout_ms)
 {
-  int on = 1, every = KEEP_EVERY_S, probes = KEEP_PROBES;
+  int on = 1, interval_s = KEEPALIVE_INTERVAL_S, probes = KEEPALIVE_PROBES;
 
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &every, sizeof every);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof every);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &interval_s, sizeof interval_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
 }
 
@@ -50,7 +50,7 @@
 
   if (fd < 0)
     return NULL;
-  front_socket_watch (fd, timeout_ms);
+  front_socket_set_options (fd, timeout_ms);
   bev = bufferevent_socket_new (base, fd, BEV_OPT_CLOSE_ON_FREE);
   if (!bev)
     {
@@ -64,7 +64,7 @@
 }
 
 void
-front_socket_read (struct bufferevent *bev, HttpReply *reply)
+front_socket_feed_reply (struct bufferevent *bev, HttpReply *reply)
 {
   struct evbuffer *input = bufferevent_get_input (bev);
   size_t len;
--- a/src/front_store.c
+++ b/src/front_store.c
@@ -1,4 +1,4 @@
-/* The link to the store as the rest of the process sees it. */
+/* The interface of the store client to the rest of the process. */
 #include "front_peers.h"
 #include "front_socket.h"
 #include "front_store_private.h"
@@ -7,10 +7,10 @@
 #include "wire_store.h"
 #include <stdlib.h>
 
-/* Milliseconds. */
-/* Until the list of fronts is read once more by one that knows nobody, doubling. */
-#define LIST_AGAIN_MS      3000
-#define LIST_AGAIN_MOST_MS 30000
+/* Interval at which a front that knows no other reads the list of fronts again; it doubles up to
+ * the maximum. */
+#define LIST_INTERVAL_MS     3000
+#define LIST_INTERVAL_MAX_MS 30000
 
 bool
 front_store_is_behind (const FrontStore *store, StoreTable table, int64_t newest_elsewhere)
@@ -23,7 +23,8 @@
 {
   const FrontTable *rows = &store->watches[table].table;
 
-  /* Of an empty table no change was seen, but it is known that there is nothing. */
+  /* No change of an empty table was ever seen, yet it was read: 1 distinguishes it from an unread
+   * one. */
   return rows->newest == 0 && rows->version != 0 ? 1 : rows->newest;
 }
 
@@ -34,20 +35,20 @@
 }
 
 void
-store_waiting_ask (FrontStore *store)
+store_poll_waiting (FrontStore *store)
 {
   for (unsigned i = 0; i < STORE_TABLES; i++)
     {
       Watch *watch = &store->watches[i];
 
       if (watch->id != STORE_MEMBERS && !watch->loaded && !watch->lost
-          && !front_channel_is_open (watch->channel))
-        store_watch_ask (watch);
+          && !front_channel_is_pending (watch->channel))
+        store_watch_poll (watch);
     }
 }
 
 void
-store_settle (FrontStore *store, int64_t now_ms)
+store_settle_tick (FrontStore *store, int64_t now_ms)
 {
   if (store->settled || now_ms - store->started_ms < FRONT_SETTLED_MS)
     return;
@@ -56,17 +57,17 @@
     {
       Watch *watch = &store->watches[i];
 
-      if (watch->loaded && watch->asked_peer && front_channel_is_open (watch->channel))
-        store_watch_ask_anew (watch);
+      if (watch->loaded && watch->asked_peer && front_channel_is_pending (watch->channel))
+        store_watch_restart_poll (watch);
     }
 }
 
 void
 store_sentinel_tick (Watch *watch, int64_t now_ms)
 {
-  if (front_channel_is_open (watch->channel) && !watch->asked_short
+  if (front_channel_is_pending (watch->channel) && !watch->is_short_poll
       && store_is_sentinel (watch, now_ms))
-    store_watch_ask_anew (watch);
+    store_watch_restart_poll (watch);
 }
 
 void
@@ -76,9 +77,12 @@
 }
 
 void
-front_store_take (FrontStore *store, StoreTable table, int64_t since, StoreAnswer *answer)
+front_store_apply_peer_rows (FrontStore *store,
+                             StoreTable table,
+                             int64_t since,
+                             StoreAnswer *answer)
 {
-  store_watch_take (&store->watches[table], since, answer);
+  store_watch_apply_peer_rows (&store->watches[table], since, answer);
 }
 
 int64_t
@@ -104,40 +108,42 @@
 }
 
 bool
-front_store_give (const FrontStore *store, StoreTable table, int64_t since, Buffer *out)
+front_store_encode_rows (const FrontStore *store, StoreTable table, int64_t since, Buffer *out)
 {
   const Watch *watch = &store->watches[table];
 
-  if (watch->table.version == 0 || (since != 0 && !front_table_remembers (&watch->table, since)))
+  if (watch->table.version == 0
+      || (since != 0 && !front_table_keeps_changes_since (&watch->table, since)))
     return false;
   wire_store_encode (out, &watch->table, since);
   return true;
 }
 
 bool
-front_store_has_news (const FrontStore *store, StoreTable table, int64_t since)
+front_store_has_changes (const FrontStore *store, StoreTable table, int64_t since)
 {
   const FrontTable *rows = &store->watches[table].table;
 
   return since == 0 ? rows->version != 0 : rows->newest > since;
 }
 
-/* A front that found nobody when it started was the first, or all that were listed have died: it
- * must not stay alone with what it knows of bad versions and crashed servers. */
+/* A front that found no other when it started was the first one, or all listed ones had died. It
+ * reads the list again, so that it doesn't stay without what others know of bad versions and
+ * crashed servers. */
 void
-store_list_tick (FrontStore *store, int64_t now_ms)
+store_member_list_tick (FrontStore *store, int64_t now_ms)
 {
   Watch *list = &store->watches[STORE_MEMBERS];
 
-  if (now_ms < store->list_again_ms || front_channel_is_open (list->channel)
+  if (now_ms < store->next_list_at_ms || front_channel_is_pending (list->channel)
       || front_peers_alive (store->front->peers, now_ms) > 1)
     return;
-  store->list_wait_ms *= 2;
-  if (store->list_wait_ms > LIST_AGAIN_MOST_MS)
-    store->list_wait_ms = LIST_AGAIN_MOST_MS;
-  store->list_again_ms = now_ms + store->list_wait_ms;
+  store->list_interval_ms *= 2;
+  if (store->list_interval_ms > LIST_INTERVAL_MAX_MS)
+    store->list_interval_ms = LIST_INTERVAL_MAX_MS;
+  store->next_list_at_ms = now_ms + store->list_interval_ms;
   list->loaded = false;
-  store_watch_ask (list);
+  store_watch_poll (list);
 }
 
 FrontStore *
@@ -146,19 +152,19 @@
   FrontStore *store;
   struct sockaddr_in address;
 
-  if (!front_socket_address (front->settings.store, &address))
+  if (!front_socket_parse_address (front->settings.store, &address))
     return NULL;
   store = memory_alloc (sizeof *store);
   store->front = front;
   store->address = address;
   store->started_ms = clock_boot_ms ();
-  store->list_wait_ms = LIST_AGAIN_MS;
-  store->list_again_ms = store->started_ms + LIST_AGAIN_MS;
-  store->writer = front_channel_new (front->base, &address, store_written, store);
+  store->list_interval_ms = LIST_INTERVAL_MS;
+  store->next_list_at_ms = store->started_ms + LIST_INTERVAL_MS;
+  store->writer = front_channel_new (front->base, &address, store_on_written, store);
   for (unsigned i = 0; i < STORE_TABLES; i++)
     store_watch_init (&store->watches[i], store, (StoreTable)i);
   for (unsigned i = 0; i < STORE_TABLES; i++)
-    store_watch_ask (&store->watches[i]);
+    store_watch_poll (&store->watches[i]);
   return store;
 }
 
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -1,4 +1,4 @@
-/* Follows one table: whom it asks is decided in front_store_source.c. */
+/* Follows one table. front_store_source.c decides where each request goes. */
 #include "front_bootstrap.h"
 #include "front_counter.h"
 #include "front_log.h"
@@ -16,33 +16,34 @@
 #define MS_PER_S  1000
 #define US_PER_MS 1000
 
-/* Milliseconds. */
-#define AGAIN_FIRST_MS 120 /* until the next try after an error, doubling */
-#define AGAIN_MOST_MS  1000
-#define HINT_MS        700 /* a question is asked anew no more often than this */
-/* Between an answer of the store and the next question for changes of the servers: a roll-out or a
- * release changes them several times a second, each call has a price, and a server that leaves goes
- * on serving for two seconds. Longer than this a front would hear of a change from others first and
- * fetch it from another failure domain (AHEAD_MS of front_peers_fetch.c). */
-#define SERVERS_PAUSE_MS 300
-/* Until the rows of a whole table begin to come, from another front and from the store: a front
- * that starts waits so long for an answer that is lost. The store's may take a second when it is
- * slow. */
+/* Milliseconds until a retry after an error; doubles up to the maximum. */
+#define RETRY_MIN_MS     120
+#define RETRY_MAX_MS     1000
+#define HINT_INTERVAL_MS 700 /* least milliseconds from a request to its restart by a hint */
+/* Milliseconds between an answer of the store and the next poll for changes of servers. A roll-out
+ * or a release changes them several times a second, each call has a cost, and a leaving server goes
+ * on serving for two seconds. With a longer pause a front would hear of a change from others first
+ * and fetch it from another failure domain (AHEAD_MS of front_peers_fetch.c). */
+#define SERVERS_POLL_DELAY_MS 300
+/* Milliseconds until the answer with a complete table begins, from another front and from the
+ * store: a starting front loses this time if an answer is lost. The store may take a second when it
+ * is slow. */
 #define PEER_LOAD_MS  1000
 #define STORE_LOAD_MS 1500
-/* For a connection to another front, a hundred times the way there and back within a failure
- * domain. After a loss of power that neighbour may not have started yet, and the system's own wait
- * for a connection is a second. */
+/* Milliseconds to connect to another front, a hundred times the round trip within a failure domain.
+ * After a power loss that front may not run yet, and the kernel retries a connection only after a
+ * second. */
 #define PEER_CONNECT_MS 100
-/* That the store holds a sentinel's question, and until its answer begins after that. */
+/* Milliseconds that the store holds a sentinel's short poll, and until the answer has to begin
+ * after that. */
 #define SENTINEL_WAIT_MS   1000
 #define SENTINEL_ANSWER_MS 500
 
 typedef struct
 {
   const char *name;
-  TableChange change;
-  bool followed; /* false: read once */
+  TableChangeCallback change;
+  bool followed; /* false: read only once */
 } TableKind;
 
 static const TableKind kinds[STORE_TABLES] = {
@@ -62,7 +63,7 @@
     return;
   watch->lost = lost;
   if (!lost)
-    watch->back_ms = clock_boot_ms ();
+    watch->recovered_ms = clock_boot_ms ();
   line = front_log_begin (lost ? FRONT_EVENT_STORE_LOST : FRONT_EVENT_STORE_BACK);
   front_log_text (line, "table", kinds[watch->id].name);
   front_log_number (line, "status", status);
@@ -71,33 +72,35 @@
 }
 
 void
-store_watch_later (Watch *watch, int64_t ms)
+store_watch_schedule_poll (Watch *watch, int64_t ms)
 {
   struct timeval wait = { .tv_sec = ms / MS_PER_S, .tv_usec = ms % MS_PER_S * US_PER_MS };
 
-  evtimer_add (watch->again, &wait);
+  evtimer_add (watch->poll_timer, &wait);
 }
 
-/* Fronts that lose the store at one moment must not all come back at one: the wait is random. */
+/* Waits a random time, so that fronts that lost the store at one moment don't all return at one
+ * moment. */
 static void
 watch_failed (Watch *watch, int status)
 {
-  int64_t most_ms = AGAIN_FIRST_MS << (watch->tries < 4 ? watch->tries : 4);
+  int64_t wait_max_ms = RETRY_MIN_MS << (watch->failures < 4 ? watch->failures : 4);
 
-  watch->tries++;
+  watch->failures++;
   front_counter_add (FRONT_COUNTER_STORE_ERRORS);
   lost_set (watch, true, status);
-  if (most_ms > AGAIN_MOST_MS)
-    most_ms = AGAIN_MOST_MS;
-  store_watch_later (watch, most_ms / 2 + (int64_t)(id_random_u64 () % (uint64_t)(most_ms / 2)));
+  if (wait_max_ms > RETRY_MAX_MS)
+    wait_max_ms = RETRY_MAX_MS;
+  store_watch_schedule_poll (
+      watch, wait_max_ms / 2 + (int64_t)(id_random_u64 () % (uint64_t)(wait_max_ms / 2)));
 }
 
 static void
-pages_drop (Watch *watch)
+pages_clear (Watch *watch)
 {
   store_answer_clear (&watch->pages);
-  free (watch->after);
-  watch->after = NULL;
+  free (watch->last_key);
+  watch->last_key = NULL;
 }
 
 static void
@@ -113,20 +116,20 @@
   free (page->rows);
   page->rows = NULL;
   page->count = 0;
-  free (watch->after);
-  watch->after = all->count ? memory_strdup (all->rows[all->count - 1].key) : NULL;
+  free (watch->last_key);
+  watch->last_key = all->count ? memory_strdup (all->rows[all->count - 1].key) : NULL;
 }
 
 static void
-load_take (Watch *watch, StoreAnswer *answer)
+load_page (Watch *watch, StoreAnswer *answer)
 {
-  bool more = answer->more && answer->count > 0;
+  bool more = answer->has_more && answer->count > 0;
 
   pages_add (watch, answer);
   if (more)
     return;
-  front_table_snapshot (&watch->table, &watch->pages, kinds[watch->id].change, watch->store);
-  pages_drop (watch);
+  front_table_apply_snapshot (&watch->table, &watch->pages, kinds[watch->id].change, watch->store);
+  pages_clear (watch);
   watch->loaded = true;
   store_apply_end (watch->store, watch->id);
 }
@@ -149,11 +152,11 @@
 }
 
 void
-front_store_rows_failed (const FrontStore *store,
-                         StoreTable table,
-                         const struct sockaddr_in *source,
-                         int64_t asked_ms,
-                         const FrontChannel *channel)
+front_store_log_rows_failed (const FrontStore *store,
+                             StoreTable table,
+                             const struct sockaddr_in *source,
+                             int64_t asked_ms,
+                             const FrontChannel *channel)
 {
   FrontLine *line = front_log_begin (FRONT_EVENT_ROWS_FAILED);
 
@@ -170,23 +173,23 @@
 static void
 rows_failed (const Watch *watch)
 {
-  front_store_rows_failed (watch->store, watch->id, asked_source (watch), watch->asked_ms,
-                           watch->channel);
+  front_store_log_rows_failed (watch->store, watch->id, asked_source (watch), watch->asked_ms,
+                               watch->channel);
 }
 
-/* Another one is asked. */
+/* Requests the rows from another source. */
 static void
 peer_failed (Watch *watch)
 {
   watch->peer_failures++;
-  front_peers_failed (watch->store->front->peers, &watch->source, clock_boot_ms ());
-  store_watch_ask (watch);
+  front_peers_mark_failed (watch->store->front->peers, &watch->source, clock_boot_ms ());
+  store_watch_poll (watch);
 }
 
 static bool
 answer_decode (const Watch *watch, const char *text, size_t len, StoreAnswer *answer)
 {
-  return watch->asked_peer ? front_store_unpack (text, len, answer)
+  return watch->asked_peer ? front_store_decode_peer_answer (text, len, answer)
                            : wire_store_decode (text, len, answer);
 }
 
@@ -196,13 +199,14 @@
   Watch *watch = user;
   StoreAnswer answer;
 
-  if (status == STORE_GONE && !watch->asked_peer)
+  if (status == STORE_HTTP_GONE && !watch->asked_peer)
     {
-      watch->loaded = false; /* the changes since our version are forgotten: read all rows */
-      store_watch_ask (watch);
+      /* The store no longer has the changes since our version: read all rows. */
+      watch->loaded = false;
+      store_watch_poll (watch);
       return;
     }
-  if (status != STORE_GOOD || !answer_decode (watch, text, len, &answer))
+  if (status != STORE_HTTP_OK || !answer_decode (watch, text, len, &answer))
     {
       if (watch->asked_peer || front_channel_received (watch->channel) > 0)
         rows_failed (watch);
@@ -212,29 +216,29 @@
         watch_failed (watch, status);
       return;
     }
-  watch->tries = 0;
+  watch->failures = 0;
   watch->peer_failures = 0;
   if (!watch->asked_peer)
     lost_set (watch, false, status);
   if (answer.clock_ms != 0)
-    watch->store->clock_ms = answer.clock_ms - clock_boot_ms ();
+    watch->store->clock_offset_ms = answer.clock_ms - clock_boot_ms ();
   if (!watch->loaded)
-    load_take (watch, &answer);
+    load_page (watch, &answer);
   else
     {
-      front_table_changes (&watch->table, &answer, kinds[watch->id].change, watch->store);
+      front_table_apply_changes (&watch->table, &answer, kinds[watch->id].change, watch->store);
       store_apply_end (watch->store, watch->id);
     }
   store_answer_clear (&answer);
   if (watch->loaded && watch->id == STORE_SERVERS && !watch->asked_peer)
-    store_watch_later (watch, SERVERS_PAUSE_MS);
+    store_watch_schedule_poll (watch, SERVERS_POLL_DELAY_MS);
   else if (kinds[watch->id].followed || !watch->loaded)
-    store_watch_ask (watch);
+    store_watch_poll (watch);
 }
 
-/* A front that stays unready shows by these lines whom it waits for. */
+/* Shows which source a front that stays unready waits for. */
 static void
-log_asked (const Watch *watch)
+log_rows_asked (const Watch *watch)
 {
   FrontLine *line = front_log_begin (FRONT_EVENT_ROWS_ASKED);
 
@@ -246,121 +250,121 @@
 }
 
 static void
-ask_peer (Watch *watch)
+poll_peer (Watch *watch)
 {
   Buffer path = { 0 };
 
-  front_channel_aim (watch->channel, &watch->source);
-  front_channel_connect_within (watch->channel, PEER_CONNECT_MS);
-  front_store_news_path (&path, watch->id, watch->table.version, true);
-  front_channel_ask (watch->channel, path.data, NULL,
-                     watch->loaded ? STORE_ANSWER_MS + FRONT_NEWS_WAIT_MS : PEER_LOAD_MS);
+  front_channel_set_address (watch->channel, &watch->source);
+  front_channel_set_connect_timeout (watch->channel, PEER_CONNECT_MS);
+  front_store_format_news_path (&path, watch->id, watch->table.version, true);
+  front_channel_request (watch->channel, path.data, NULL,
+                         watch->loaded ? STORE_ANSWER_MS + FRONT_LONG_POLL_MS : PEER_LOAD_MS);
   buffer_free (&path);
 }
 
 static void
-ask_store (Watch *watch)
+poll_store (Watch *watch)
 {
   int wait_ms, answer_ms;
   Buffer path = { 0 };
 
-  watch->asked_short = store_is_sentinel (watch, watch->asked_ms);
-  wait_ms = watch->asked_short ? SENTINEL_WAIT_MS : FRONT_NEWS_WAIT_MS;
-  answer_ms = watch->asked_short ? SENTINEL_ANSWER_MS : STORE_ANSWER_MS;
+  watch->is_short_poll = store_is_sentinel (watch, watch->asked_ms);
+  wait_ms = watch->is_short_poll ? SENTINEL_WAIT_MS : FRONT_LONG_POLL_MS;
+  answer_ms = watch->is_short_poll ? SENTINEL_ANSWER_MS : STORE_ANSWER_MS;
   front_counter_add (FRONT_COUNTER_STORE_CALLS);
-  front_channel_aim (watch->channel, &watch->store->address);
-  front_channel_connect_within (watch->channel, 0);
+  front_channel_set_address (watch->channel, &watch->store->address);
+  front_channel_set_connect_timeout (watch->channel, 0);
   if (watch->loaded)
-    wire_feed_path (&path, kinds[watch->id].name, watch->table.version, wait_ms);
+    wire_changes_path (&path, kinds[watch->id].name, watch->table.version, wait_ms);
   else
-    wire_rows_path (&path, kinds[watch->id].name, watch->after);
-  front_channel_ask (watch->channel, path.data, NULL,
-                     watch->loaded ? answer_ms + wait_ms : STORE_LOAD_MS);
+    wire_snapshot_path (&path, kinds[watch->id].name, watch->last_key);
+  front_channel_request (watch->channel, path.data, NULL,
+                         watch->loaded ? answer_ms + wait_ms : STORE_LOAD_MS);
   buffer_free (&path);
 }
 
 void
-store_watch_ask (Watch *watch)
+store_watch_poll (Watch *watch)
 {
   int64_t now_ms = clock_boot_ms ();
-  Aim aim = store_aim (watch, now_ms);
+  StoreSource source = store_choose_source (watch, now_ms);
 
-  if (aim == AIM_LATER)
+  if (source == SOURCE_UNDECIDED)
     {
-      store_watch_later (watch, START_LOOK_MS);
+      store_watch_schedule_poll (watch, BOOTSTRAP_RETRY_MS);
       return;
     }
   watch->asked_ms = now_ms;
-  watch->asked_peer = aim == AIM_PEER;
-  watch->asked_short = false;
+  watch->asked_peer = source == SOURCE_PEER;
+  watch->is_short_poll = false;
   if (!watch->loaded)
-    log_asked (watch);
+    log_rows_asked (watch);
   if (watch->asked_peer)
-    ask_peer (watch);
+    poll_peer (watch);
   else
-    ask_store (watch);
+    poll_store (watch);
 }
 
 static void
-on_again (evutil_socket_t fd UNUSED, short what UNUSED, void *user)
+on_poll_timer (evutil_socket_t fd UNUSED, short what UNUSED, void *user)
 {
   Watch *watch = user;
 
-  if (!front_channel_is_open (watch->channel))
-    store_watch_ask (watch);
+  if (!front_channel_is_pending (watch->channel))
+    store_watch_poll (watch);
 }
 
 void
-store_watch_ask_anew (Watch *watch)
+store_watch_restart_poll (Watch *watch)
 {
   if (front_channel_is_receiving (watch->channel))
     return;
-  front_channel_drop (watch->channel);
-  pages_drop (watch);
-  store_watch_ask (watch);
+  front_channel_cancel (watch->channel);
+  pages_clear (watch);
+  store_watch_poll (watch);
 }
 
 void
 store_watch_hint (Watch *watch, int64_t version, int64_t now_ms)
 {
-  /* What is arriving, of rows or of pages, would be sent from its begin again. */
+  /* A transfer in progress would have to start again from the beginning. */
   if (front_channel_is_receiving (watch->channel) || !watch->loaded
-      || !front_table_is_behind (&watch->table, version) || now_ms - watch->asked_ms < HINT_MS
-      || !front_channel_is_open (watch->channel))
+      || !front_table_is_behind (&watch->table, version)
+      || now_ms - watch->asked_ms < HINT_INTERVAL_MS || !front_channel_is_pending (watch->channel))
     return;
-  front_channel_drop (watch->channel);
-  pages_drop (watch);
-  /* Whom we asked is behind, too: somebody else is asked next. */
+  front_channel_cancel (watch->channel);
+  pages_clear (watch);
+  /* The source that was asked lacks the change as well: choose another one. */
   rows_failed (watch);
   if (watch->asked_peer)
     peer_failed (watch);
   else
-    store_watch_ask (watch);
+    store_watch_poll (watch);
 }
 
-/* What is being read of the whole table isn't needed any more: its changes are asked for. */
+/* The complete read in progress is no longer needed: polls for changes instead. */
 static void
-load_end (Watch *watch)
+load_cancel (Watch *watch)
 {
   watch->loaded = true;
-  pages_drop (watch);
-  front_channel_drop (watch->channel);
-  store_watch_later (watch, 0);
+  pages_clear (watch);
+  front_channel_cancel (watch->channel);
+  store_watch_schedule_poll (watch, 0);
 }
 
-/* What a peer passes on is as good as the store's own rows: it read them there. */
+/* Rows from another front are as good as the store's own, as it read them there. */
 void
-store_watch_take (Watch *watch, int64_t since, StoreAnswer *answer)
+store_watch_apply_peer_rows (Watch *watch, int64_t since, StoreAnswer *answer)
 {
   if (answer->version <= watch->table.version)
     return;
   if (since == 0)
-    front_table_snapshot (&watch->table, answer, kinds[watch->id].change, watch->store);
+    front_table_apply_snapshot (&watch->table, answer, kinds[watch->id].change, watch->store);
   else
-    front_table_changes (&watch->table, answer, kinds[watch->id].change, watch->store);
+    front_table_apply_changes (&watch->table, answer, kinds[watch->id].change, watch->store);
   store_apply_end (watch->store, watch->id);
   if (!watch->loaded)
-    load_end (watch);
+    load_cancel (watch);
 }
 
 void
@@ -368,17 +372,17 @@
 {
   watch->store = store;
   watch->id = id;
-  watch->back_ms = -STORE_RELIST_MS;
+  watch->recovered_ms = -STORE_RELIST_MS;
   front_table_init (&watch->table);
   watch->channel = front_channel_new (store->front->base, &store->address, on_answer, watch);
-  watch->again = evtimer_new (store->front->base, on_again, watch);
+  watch->poll_timer = evtimer_new (store->front->base, on_poll_timer, watch);
 }
 
 void
 store_watch_clear (Watch *watch)
 {
-  pages_drop (watch);
+  pages_clear (watch);
   front_channel_free (watch->channel);
-  event_free (watch->again);
+  event_free (watch->poll_timer);
   front_table_clear (&watch->table);
 }
--- a/src/front_table.c
+++ b/src/front_table.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REMOVED_MOST 512 /* removals kept; a roll-out of a large site removes some hundred */
+/* Removals kept; a roll-out at a large site removes some hundred servers. */
+#define REMOVED_MAX 512
 
 void
 front_table_init (FrontTable *table)
@@ -74,7 +75,7 @@
 }
 
 static void
-forget_removals (FrontTable *table, int64_t up_to)
+drop_removals (FrontTable *table, int64_t up_to)
 {
   TableEntry *entry, *next;
 
@@ -85,7 +86,7 @@
     table->removed_count--;
     entry_free (entry);
   }
-  table->forgotten = up_to;
+  table->removals_dropped_to = up_to;
 }
 
 /* Moves the row's key and value into the table. */
@@ -108,7 +109,7 @@
 }
 
 static void
-row_take (FrontTable *table, StoreRow *row, TableChange change, void *user)
+row_apply (FrontTable *table, StoreRow *row, TableChangeCallback change, void *user)
 {
   TableEntry *entry = find (table, row->key);
 
@@ -128,9 +129,9 @@
 }
 
 bool
-front_table_remembers (const FrontTable *table, int64_t since)
+front_table_keeps_changes_since (const FrontTable *table, int64_t since)
 {
-  return since >= table->forgotten;
+  return since >= table->removals_dropped_to;
 }
 
 static void
@@ -141,52 +142,62 @@
 }
 
 void
-front_table_changes (FrontTable *table, StoreAnswer *answer, TableChange change, void *user)
+front_table_apply_changes (FrontTable *table,
+                           StoreAnswer *answer,
+                           TableChangeCallback change,
+                           void *user)
 {
   for (unsigned i = 0; i < answer->count; i++)
-    row_take (table, &answer->rows[i], change, user);
-  if (table->removed_count > REMOVED_MOST)
-    forget_removals (table, (oldest_removal (table) + table->newest) / 2);
+    row_apply (table, &answer->rows[i], change, user);
+  if (table->removed_count > REMOVED_MAX)
+    drop_removals (table, (oldest_removal (table) + table->newest) / 2);
   version_raise (table, answer->version);
 }
 
 static void
-mark_found (FrontTable *table, const StoreAnswer *answer)
+mark_in_snapshot (FrontTable *table, const StoreAnswer *answer)
 {
   TableEntry *entry;
 
-  cds_list_for_each_entry (entry, &table->entries, node) entry->is_found = false;
+  cds_list_for_each_entry (entry, &table->entries, node) entry->in_snapshot = false;
   for (unsigned i = 0; i < answer->count; i++)
     {
       entry = find (table, answer->rows[i].key);
       if (entry)
-        entry->is_found = true;
+        entry->in_snapshot = true;
     }
 }
 
-/* The row is not among all rows of a later version. That doesn't tell when it was removed, so it is
- * no newest change. */
+/* Removes a row that is missing in a complete read of a later version. The version of the removal
+ * itself is not known, so it doesn't count as the newest change. */
 static void
-row_gone (FrontTable *table, TableEntry *entry, StoreRow *gone, TableChange change, void *user)
+row_remove (FrontTable *table,
+            TableEntry *entry,
+            StoreRow *removal,
+            TableChangeCallback change,
+            void *user)
 {
-  change (user, gone);
-  row_put (table, entry, gone);
+  change (user, removal);
+  row_put (table, entry, removal);
 }
 
 void
-front_table_snapshot (FrontTable *table, StoreAnswer *answer, TableChange change, void *user)
+front_table_apply_snapshot (FrontTable *table,
+                            StoreAnswer *answer,
+                            TableChangeCallback change,
+                            void *user)
 {
   TableEntry *entry, *next;
 
-  mark_found (table, answer);
+  mark_in_snapshot (table, answer);
   cds_list_for_each_entry_safe (entry, next, &table->entries, node)
   {
-    StoreRow gone
+    StoreRow removal
         = { .key = memory_strdup (entry->row.key), .version = answer->version, .removed = true };
 
-    if (!entry->row.removed && entry->row.version <= answer->version && !entry->is_found)
-      row_gone (table, entry, &gone, change, user);
-    free (gone.key);
+    if (!entry->row.removed && entry->row.version <= answer->version && !entry->in_snapshot)
+      row_remove (table, entry, &removal, change, user);
+    free (removal.key);
   }
-  front_table_changes (table, answer, change, user);
+  front_table_apply_changes (table, answer, change, user);
 }
