--- a/src/front_main.c
+++ b/src/front_main.c
@@ -48,10 +48,10 @@
 const char *argp_program_version = "lovage-front 0.1";
 
 static const QuarantineSettings quarantine_settings = {
-  .servers = 3,       /* two may die by coincidence during one caller's retries */
-  .memory_ms = 60000, /* callers retry such a request within seconds */
-  .outage_ms = 1000,  /* servers of one rack die together */
-  .same_ms = 3000,    /* a dead server restarts within seconds, under another id */
+  .servers = 3,          /* two may die by coincidence during one caller's retries */
+  .retention_ms = 60000, /* callers retry such a request within seconds */
+  .outage_ms = 1000,     /* servers of one rack die together */
+  .same_death_ms = 3000, /* a dead server restarts within seconds, under another id */
   .hold_ms = 60000,
 };
 
--- a/src/front_peer_message.h
+++ b/src/front_peer_message.h
@@ -34,7 +34,7 @@
   uint32_t domain_count;
   RolloutDomain domains[PEER_DOMAINS_MAX];
   uint32_t session_count;
-  SessionNews sessions[PEER_SESSIONS_MAX]; /**< held on the old version */
+  SessionUpdate sessions[PEER_SESSIONS_MAX]; /**< held on the old version */
 } PeerRollout;
 
 /** Another front, as the sender knows it. */
--- a/src/front_peers_receive.c
+++ b/src/front_peers_receive.c
@@ -25,10 +25,10 @@
 {
   Front *front = peers->front;
   FrontRollout *rollout = rollout_find (front, report->service);
-  RolloutNews update = {
+  RolloutUpdate update = {
     .is_bad = report->is_bad != 0,
     .old_busy_ms = report->old_busy_age_ms == PEER_NEVER ? 0 : now_ms - report->old_busy_age_ms,
-    .neighbour = message->domain == peers->own_domain ? message->incarnation : 0,
+    .peer = message->domain == peers->own_domain ? message->incarnation : 0,
     .evidence = report->evidence,
     .domain_count = report->domain_count,
     .domains = report->domains,
@@ -37,7 +37,7 @@
   /* Reports on another order don't apply to this one. */
   if (!rollout || !rollout->ordered || rollout->order.row_version != report->order)
     return;
-  front_rollout_news (rollout, &update);
+  front_rollout_merge (rollout, &update);
   for (uint32_t i = 0; i < report->session_count; i++)
     front_rollouts_hold_session (front->rollouts, rollout, &report->sessions[i], now_ms);
 }
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -77,16 +77,16 @@
   unsigned sent;
   size_t len;
 
-  server->untold_ms += read_ms;
-  server->untold_share += share;
-  if (server->untold_ms < ANNOUNCE_MIN_MS || !may_send (peers, now_ms))
+  server->unreported_ms += read_ms;
+  server->unreported_share += share;
+  if (server->unreported_ms < ANNOUNCE_MIN_MS || !may_send (peers, now_ms))
     return;
   message.reports[0]
       = (WorkReport){ .server = server->hash,
-                      .read_ms = (uint32_t)lround (server->untold_ms),
-                      .running = (uint32_t)lround (server->untold_share * SHARE_UNITS) };
-  server->untold_ms = 0;
-  server->untold_share = 0;
+                      .read_ms = (uint32_t)lround (server->unreported_ms),
+                      .running = (uint32_t)lround (server->unreported_share * SHARE_UNITS) };
+  server->unreported_ms = 0;
+  server->unreported_share = 0;
   len = work_message_encode (&message, data, sizeof data);
   sent = send_to_peers (peers, data, len, true, RECIPIENTS_MAX, now_ms);
   sent += send_to_peers (peers, data, len, false, RECIPIENTS_MAX - sent, now_ms);
@@ -103,7 +103,8 @@
   {
     if (server->hash != report->server)
       continue;
-    front_others_add (&server->others, report->read_ms, report->running / SHARE_UNITS, now_ms);
+    front_peer_load_add (&server->peer_load, report->read_ms, report->running / SHARE_UNITS,
+                         now_ms);
     return;
   }
 }
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -113,7 +113,7 @@
   for (unsigned i = 0; i < STORE_TABLES; i++)
     store_sentinel_tick (&store->watches[i], now_ms);
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
-      front_rollout_judge (rollout, now_ms);
+      front_rollout_update_verdict (rollout, now_ms);
   if (front_channel_is_pending (store->writer) || now_ms < store->next_write_at_ms)
     return;
   cds_list_for_each_entry (rollout, front_rollouts_list (front->rollouts), node)
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -127,7 +127,7 @@
 {
   FrontRollout *rollout = net->nodes[from].rollout;
   PeerRollout message = { 0 };
-  RolloutNews news = {
+  RolloutUpdate news = {
     .is_bad = rollout->is_bad,
     .old_busy_ms = rollout->old_busy_ms,
     .peer = domain_of (net, from) == domain_of (net, to) ? from + 1 : 0,
@@ -137,7 +137,7 @@
   peers_domains_fill (&net->nodes[from].peers, rollout, &message);
   news.domain_count = message.domain_count;
   news.domains = message.domains;
-  front_rollout_news (net->nodes[to].rollout, &news);
+  front_rollout_merge (net->nodes[to].rollout, &news);
   if (net->nodes[from].sessions)
     deliver_sessions (net, from, to, now_ms);
 }
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -71,7 +71,7 @@
   CU_ASSERT_EQUAL (read.reports[1].running, 5);
   for (size_t i = 0; i < len; i++)
     CU_ASSERT (!work_message_decode (&read, data, i));
-  data[15] = WORK_NOTES_MAX + 1; /* last byte of the count */
+  data[15] = WORK_REPORTS_MAX + 1; /* last byte of the count */
   CU_ASSERT (!work_message_decode (&read, data, len));
   message.count = WORK_REPORTS_MAX;
   CU_ASSERT (work_message_encode (&message, data, sizeof data) <= WORK_MESSAGE_MAX);
@@ -194,7 +194,7 @@
     {
       FrontServer *server = &servers[i % SERVERS];
 
-      front_peers_tell_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_PER_S);
+      front_peers_send_work (peers, server, READ_MS, 1, NOW + i * 1000 / REQUESTS_PER_S);
     }
   for (unsigned i = 0; i < SERVERS; i++)
     unreported += servers[i].unreported_ms;
