--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -38,7 +38,7 @@
       bool same_domain = peer->domain == peers->own_domain;
 
       view->registered += same_domain && peer->is_registered;
-      view->neighbours += same_domain && (heard || peer->is_registered);
+      view->domain_fronts += same_domain && (heard || peer->is_registered);
       view->fronts += heard || peer->is_registered;
     }
 }
