--- a/src/steward_api_status.c
+++ b/src/steward_api_status.c
@@ -19,7 +19,7 @@
   Json *obj = json_object_new_object ();
   char address[ADDRESS_SIZE], incarnation[24];
   int64_t age_ms;
-  StewardMemberState state = steward_cluster_member (s, m, now, &age_ms);
+  StewardMemberState state = steward_cluster_member_state (s, m, now, &age_ms);
 
   snprintf (address, sizeof address, "%s:%d", m->address, m->port);
   snprintf (incarnation, sizeof incarnation, "%016" PRIx64, m->incarnation);
--- a/src/steward_brake.c
+++ b/src/steward_brake.c
@@ -19,7 +19,7 @@
   (void)steward_audit_queue_add (
       &s->audit, &(StewardAuditEntry){
                      .who = brake->by, .action = "brake", .to = label, .detail = brake->why });
-  steward_heartbeat_tell_brakes (s);
+  steward_heartbeat_broadcast_brakes (s);
   steward_table_wake (s->table);
   return result;
 }
--- a/src/steward_brakes.c
+++ b/src/steward_brakes.c
@@ -82,7 +82,7 @@
 }
 
 bool
-steward_brakes_behind (StewardBrakes *b)
+steward_brakes_unwritten (StewardBrakes *b)
 {
   bool behind;
 
@@ -93,7 +93,7 @@
 }
 
 void
-steward_brakes_from (const rpc_brake *from, ClusterBrake *out)
+steward_brakes_decode (const rpc_brake *from, ClusterBrake *out)
 {
   *out = (ClusterBrake){ .since = from->since };
   copy_text (out->model, sizeof out->model, from->model_name);
@@ -103,14 +103,14 @@
 }
 
 size_t
-steward_brakes_take (StewardBrakes *b, const rpc_brake *brakes, size_t count)
+steward_brakes_merge (StewardBrakes *b, const rpc_brake *brakes, size_t count)
 {
   size_t added = 0;
 
   for (size_t i = 0; i < count; i++)
     {
       ClusterBrake brake;
-      steward_brakes_from (&brakes[i], &brake);
+      steward_brakes_decode (&brakes[i], &brake);
       added += steward_brakes_add (b, &brake) == CLUSTER_BRAKE_ADDED;
     }
   return added;
@@ -177,7 +177,7 @@
 }
 
 void
-steward_brakes_config (StewardBrakes *b, const Config *config)
+steward_brakes_apply_config (StewardBrakes *b, const Config *config)
 {
   pthread_mutex_lock (&b->lock);
   for (size_t i = 0; i < config->version_count; i++)
--- a/src/steward_brakes.h
+++ b/src/steward_brakes.h
@@ -21,7 +21,7 @@
 } StewardBrakes;
 
 /** Most brakes in one datagram. */
-#define STEWARD_BRAKES_SHARE 64
+#define STEWARD_BRAKES_PER_MESSAGE 64
 
 void steward_brakes_init (StewardBrakes *b);
 void steward_brakes_clear (StewardBrakes *b);
@@ -31,17 +31,17 @@
 /** Adds one that is raised here, by our gate or an operator: we see to it that the table has it. */
 ClusterBrakeResult steward_brakes_raise (StewardBrakes *b, const ClusterBrake *brake);
 /** Reads a brake of a message. */
-void steward_brakes_from (const rpc_brake *from, ClusterBrake *out);
+void steward_brakes_decode (const rpc_brake *from, ClusterBrake *out);
 /** True if one that was raised here isn't known to be in the table. */
-bool steward_brakes_behind (StewardBrakes *b);
+bool steward_brakes_unwritten (StewardBrakes *b);
 /** Adds those of a message; returns how many were new. */
-size_t steward_brakes_take (StewardBrakes *b, const rpc_brake *brakes, size_t count);
+size_t steward_brakes_merge (StewardBrakes *b, const rpc_brake *brakes, size_t count);
 uint64_t steward_brakes_digest (StewardBrakes *b);
 /** A share of the set, at most max, a different one each time if there are more; freed with
  *  xdr_free of the message that it goes into. */
 void steward_brakes_fill (StewardBrakes *b, size_t max, rpc_brake **out, u_int *count);
 /** A new configuration: forgets what it releases and versions that are no more. */
-void steward_brakes_config (StewardBrakes *b, const Config *config);
+void steward_brakes_apply_config (StewardBrakes *b, const Config *config);
 /** [{"version","since","by","why"}], the caller's. */
 struct json_object *steward_brakes_json (StewardBrakes *b);
 
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -47,7 +47,7 @@
   bool applied;
 
   pthread_mutex_lock (&s->cluster.lock);
-  number = steward_gates_lowest (&s->gates, newest, clock_boot_ms ());
+  number = steward_gates_lowest_number (&s->gates, newest, clock_boot_ms ());
   applied = cluster_state_apply (s->cluster.state, number);
   INVARIANT (cluster_state_number (s->cluster.state) <= newest, "applied=\"%lld\" newest=\"%lld\"",
              (long long)cluster_state_number (s->cluster.state), (long long)newest);
@@ -188,7 +188,7 @@
 }
 
 void
-steward_cluster_changed (Steward *s)
+steward_cluster_notify (Steward *s)
 {
   pthread_mutex_lock (&s->cluster.lock);
   pthread_cond_broadcast (&s->cluster.changed);
@@ -261,7 +261,10 @@
 }
 
 StewardMemberState
-steward_cluster_member (const Steward *s, const ClusterMember *m, int64_t now, int64_t *age_ms)
+steward_cluster_member_state (const Steward *s,
+                              const ClusterMember *m,
+                              int64_t now,
+                              int64_t *age_ms)
 {
   const ClusterKnown *k = cluster_state_known (s->cluster.state, m->incarnation);
   int64_t grant_ms = s->settings.grant_ms;
@@ -300,7 +303,7 @@
   const ClusterView *view = cluster_state_view (s->cluster.state);
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       live += state != STEWARD_MEMBER_DEAD;
       self |= state == STEWARD_MEMBER_SELF;
     }
@@ -309,7 +312,7 @@
 }
 
 bool
-steward_cluster_first (Steward *s, int64_t now)
+steward_cluster_is_first_alive (Steward *s, int64_t now)
 {
   bool first = false;
   int64_t age_ms;
@@ -318,7 +321,7 @@
   const ClusterView *view = cluster_state_view (s->cluster.state);
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       if (state == STEWARD_MEMBER_SELF || state == STEWARD_MEMBER_ALIVE)
         {
           first = state == STEWARD_MEMBER_SELF;
@@ -341,14 +344,14 @@
     return (StewardSuspicion){ 0 };
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       silent[i] = state == STEWARD_MEMBER_SUSPECT || state == STEWARD_MEMBER_DEAD;
     }
   return steward_suspicion_judge (view, silent, cluster_view_find (view, s->incarnation));
 }
 
 void
-steward_cluster_suspect (Steward *s, int64_t now)
+steward_cluster_update_suspicion (Steward *s, int64_t now)
 {
   StewardSuspicion *kept = &s->cluster.suspicion;
   StewardSuspicion found;
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -45,7 +45,7 @@
 /** True once a planned stop has begun: nobody waits any longer. */
 bool steward_cluster_leaving (Steward *s);
 /** Wakes those who wait. */
-void steward_cluster_changed (Steward *s);
+void steward_cluster_notify (Steward *s);
 
 int64_t steward_cluster_number (Steward *s);
 int64_t steward_cluster_wanted_number (Steward *s);
@@ -58,15 +58,17 @@
 size_t steward_cluster_live (Steward *s, int64_t now);
 /** True if we are the first member of the view that is alive: the one that does at once what any
  *  may do. */
-bool steward_cluster_first (Steward *s, int64_t now);
+bool steward_cluster_is_first_alive (Steward *s, int64_t now);
 
 /** Looks anew at who is silent, and logs what changed. */
-void steward_cluster_suspect (Steward *s, int64_t now);
+void steward_cluster_update_suspicion (Steward *s, int64_t now);
 
 /** State of the member at that place of the view; *age_ms receives the age of its news, -1 if there
  *  is none. The lock is held by the caller. */
-StewardMemberState
-steward_cluster_member (const Steward *s, const ClusterMember *m, int64_t now, int64_t *age_ms);
+StewardMemberState steward_cluster_member_state (const Steward *s,
+                                                 const ClusterMember *m,
+                                                 int64_t now,
+                                                 int64_t *age_ms);
 const char *steward_member_state_name (StewardMemberState state);
 
 #endif
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -9,9 +9,9 @@
 #define DEATH_BYTES  16
 #define FLIGHT_BYTES 8
 
-const StewardDeathsRoom steward_deaths_heartbeat
+const StewardDeathsLimits steward_deaths_heartbeat_limits
     = { .count = LOVAGE_DEATHS_MAX, .bytes = 512, .older = 1 };
-const StewardDeathsRoom steward_deaths_grant
+const StewardDeathsLimits steward_deaths_grant_limits
     = { .count = LOVAGE_DEATHS_MAX, .bytes = SIZE_MAX, .older = LOVAGE_DEATHS_MAX };
 
 void
@@ -29,7 +29,7 @@
 }
 
 bool
-steward_deaths_take (StewardDeaths *d, const rpc_death *deaths, size_t count, int64_t now_ms)
+steward_deaths_merge (StewardDeaths *d, const rpc_death *deaths, size_t count, int64_t now_ms)
 {
   bool news = false;
 
@@ -49,9 +49,9 @@
 }
 
 bool
-steward_deaths_may_tell (StewardDeaths *d, size_t others, int64_t now_ms)
+steward_deaths_may_broadcast (StewardDeaths *d, size_t others, int64_t now_ms)
 {
-  int64_t pause_ms = (int64_t)others * 1000 / STEWARD_DEATHS_TOLD_PER_S;
+  int64_t pause_ms = (int64_t)others * 1000 / STEWARD_DEATHS_BROADCASTS_PER_S;
   bool may;
 
   pthread_mutex_lock (&d->lock);
@@ -65,7 +65,7 @@
 /** A message's part that is being filled. */
 typedef struct
 {
-  StewardDeathsRoom left;
+  StewardDeathsLimits left;
   rpc_death *out;
   u_int count;
 } Share;
@@ -106,7 +106,7 @@
 
 void
 steward_deaths_fill (StewardDeaths *d,
-                     const StewardDeathsRoom *room,
+                     const StewardDeathsLimits *room,
                      int64_t now_ms,
                      rpc_death **out,
                      u_int *count)
--- a/src/steward_deaths.h
+++ b/src/steward_deaths.h
@@ -13,7 +13,7 @@
 #define STEWARD_DEATHS_FRESH_MS INT64_C (20000)
 
 /** Most members told of deaths at once, in a second. */
-#define STEWARD_DEATHS_TOLD_PER_S 100
+#define STEWARD_DEATHS_BROADCASTS_PER_S 100
 
 /** What one message may carry. */
 typedef struct
@@ -21,13 +21,13 @@
   size_t count;
   size_t bytes; /**< of all; one death is carried whatever its size */
   size_t older; /**< of those that are not fresh any more */
-} StewardDeathsRoom;
+} StewardDeathsLimits;
 
 /** Of an answer to a heartbeat: with 360 members one steward sends and receives 9 of them a second.
  *  One that was cut off while a death was fresh learns of it in turn with the older ones. */
-extern const StewardDeathsRoom steward_deaths_heartbeat;
+extern const StewardDeathsLimits steward_deaths_heartbeat_limits;
 /** Of a grant, which stays on its VM. */
-extern const StewardDeathsRoom steward_deaths_grant;
+extern const StewardDeathsLimits steward_deaths_grant_limits;
 
 typedef struct
 {
@@ -42,14 +42,14 @@
 void steward_deaths_clear (StewardDeaths *d);
 
 /** Takes deaths of a message; true if some were news. The same news twice changes nothing. */
-bool steward_deaths_take (StewardDeaths *d, const rpc_death *deaths, size_t count, int64_t now_ms);
+bool steward_deaths_merge (StewardDeaths *d, const rpc_death *deaths, size_t count, int64_t now_ms);
 /** True if that many other members may be told at once, now. Where a whole pool dies they may not
  * be told again soon: the heartbeats carry what is left. */
-bool steward_deaths_may_tell (StewardDeaths *d, size_t others, int64_t now_ms);
+bool steward_deaths_may_broadcast (StewardDeaths *d, size_t others, int64_t now_ms);
 /** What to tell now, newest first; where a message has no room for all, the next goes on with the
  *  others. Freed with xdr_free of the message that it goes into. */
 void steward_deaths_fill (StewardDeaths *d,
-                          const StewardDeathsRoom *room,
+                          const StewardDeathsLimits *room,
                           int64_t now_ms,
                           rpc_death **out,
                           u_int *count);
--- a/src/steward_duty.c
+++ b/src/steward_duty.c
@@ -53,8 +53,8 @@
   ClusterLeaseOptions lease = { .holder = d->holder,
                                 .lease_ms = STEWARD_DUTY_LEASE_MS,
                                 .renew_ms = STEWARD_DUTY_RENEW_MS,
-                                .flight_ms = STEWARD_DUTY_FLIGHT_MS,
-                                .read_ms = STEWARD_DUTY_READ_MS };
+                                .flight_ms = STEWARD_DUTY_ORDER_TIMEOUT_MS,
+                                .read_ms = STEWARD_DUTY_READ_INTERVAL_MS };
   cluster_lease_init (&d->lease, &lease);
   pthread_mutex_init (&d->lock, NULL);
   return d;
@@ -70,11 +70,11 @@
 }
 
 int64_t
-steward_duty_read_ms (size_t members)
+steward_duty_read_interval_ms (size_t members)
 {
   int64_t least = (int64_t)members * 1000 / READS_PER_S;
 
-  return least > STEWARD_DUTY_READ_MS ? least : STEWARD_DUTY_READ_MS;
+  return least > STEWARD_DUTY_READ_INTERVAL_MS ? least : STEWARD_DUTY_READ_INTERVAL_MS;
 }
 
 static bool
@@ -116,7 +116,7 @@
   int64_t received_at = d->options.clock_ms ();
 
   platform_row_clear (&found);
-  d->read_at = sent_at + steward_duty_read_ms (members);
+  d->read_at = sent_at + steward_duty_read_interval_ms (members);
   pthread_mutex_lock (&d->lock);
   if (good)
     cluster_lease_read (&d->lease, sent_at, received_at, &row);
@@ -217,7 +217,7 @@
 
 /* Without this a successor would wait for the lease to lapse. */
 void
-steward_duty_give_back (StewardDuty *d)
+steward_duty_release (StewardDuty *d)
 {
   char from[NUMBER_SIZE], detail[ROW_SIZE];
   StewardAuditEntry entry
--- a/src/steward_duty.h
+++ b/src/steward_duty.h
@@ -10,8 +10,8 @@
 #define STEWARD_DUTY_LEASE_MS INT64_C (8000)
 #define STEWARD_DUTY_RENEW_MS INT64_C (2500)
 /** No order to an engine takes longer to arrive: its timeout. */
-#define STEWARD_DUTY_FLIGHT_MS INT64_C (2000)
-#define STEWARD_DUTY_READ_MS   INT64_C (1000)
+#define STEWARD_DUTY_ORDER_TIMEOUT_MS INT64_C (2000)
+#define STEWARD_DUTY_READ_INTERVAL_MS INT64_C (1000)
 
 typedef struct
 {
@@ -32,7 +32,7 @@
  *  seldom each one that does not hold the duty reads. */
 void steward_duty_step (StewardDuty *d, size_t members);
 /** Gives the duty back, for a planned stop; no order may be sent from now on. */
-void steward_duty_give_back (StewardDuty *d);
+void steward_duty_release (StewardDuty *d);
 
 /** Whether an order may be sent now; from any thread, directly before each order. */
 bool steward_duty_may_order (StewardDuty *d);
@@ -47,6 +47,6 @@
 
 /** Time between reads of one of so many members, so that all together read a bounded number of
  *  times a second. */
-int64_t steward_duty_read_ms (size_t members);
+int64_t steward_duty_read_interval_ms (size_t members);
 
 #endif
--- a/src/steward_evidence.c
+++ b/src/steward_evidence.c
@@ -23,7 +23,7 @@
 }
 
 int64_t
-steward_evidence_pace_ms (size_t members)
+steward_evidence_interval_ms (size_t members)
 {
   int64_t least = (int64_t)members * PACE_MEMBER_MS;
 
@@ -66,7 +66,7 @@
 }
 
 void
-steward_evidence_config (StewardEvidence *e, const Config *config)
+steward_evidence_apply_config (StewardEvidence *e, const Config *config)
 {
   EvidenceRollout *next = memory_array (EVIDENCE_ROLLOUTS_MAX, sizeof *next);
   size_t count = 0;
--- a/src/steward_evidence.h
+++ b/src/steward_evidence.h
@@ -59,7 +59,7 @@
 void steward_evidence_clear (StewardEvidence *e);
 /** Follows a configuration: counts for the roll-outs that are open in it, and forgets others. One
  *  that goes back to an earlier stage, or to other versions, is counted anew. */
-void steward_evidence_config (StewardEvidence *e, const Config *config);
+void steward_evidence_apply_config (StewardEvidence *e, const Config *config);
 /** Adds a gate's report. */
 void steward_evidence_add (StewardEvidence *e, const rpc_evidence *reports, size_t count);
 /** Copies what is counted to out, room for EVIDENCE_ROLLOUTS_MAX; returns how many. */
@@ -75,6 +75,6 @@
 /** Time between writes, and between reads by the duty's holder: with many members both grow, so
  *  that all rows together stay within the holder's share of the network and the service's writes.
  */
-int64_t steward_evidence_pace_ms (size_t members);
+int64_t steward_evidence_interval_ms (size_t members);
 
 #endif
--- a/src/steward_gates.c
+++ b/src/steward_gates.c
@@ -77,11 +77,11 @@
 }
 
 bool
-steward_gates_ask (StewardGates *g,
-                   uint64_t incarnation,
-                   int64_t number,
-                   unsigned in_flight,
-                   int64_t now)
+steward_gates_record_ask (StewardGates *g,
+                          uint64_t incarnation,
+                          int64_t number,
+                          unsigned in_flight,
+                          int64_t now)
 {
   StewardGate *gate;
 
@@ -109,7 +109,7 @@
 }
 
 void
-steward_gates_grant (StewardGates *g, uint64_t incarnation, int64_t number, int64_t until)
+steward_gates_record_grant (StewardGates *g, uint64_t incarnation, int64_t number, int64_t until)
 {
   StewardGate *gate;
 
@@ -123,7 +123,7 @@
 }
 
 int64_t
-steward_gates_lowest (StewardGates *g, int64_t newest, int64_t now)
+steward_gates_lowest_number (StewardGates *g, int64_t newest, int64_t now)
 {
   int64_t lowest = newest;
 
@@ -140,7 +140,7 @@
 }
 
 int64_t
-steward_gates_end (StewardGates *g)
+steward_gates_grants_end (StewardGates *g)
 {
   int64_t end;
 
--- a/src/steward_gates.h
+++ b/src/steward_gates.h
@@ -37,19 +37,20 @@
 void steward_gates_init (StewardGates *g, int64_t inherited_until);
 void steward_gates_clear (StewardGates *g);
 /** A gate asks. False if there is no room: it gets no grant. */
-bool steward_gates_ask (StewardGates *g,
-                        uint64_t incarnation,
-                        int64_t number,
-                        unsigned in_flight,
-                        int64_t now);
+bool steward_gates_record_ask (StewardGates *g,
+                               uint64_t incarnation,
+                               int64_t number,
+                               unsigned in_flight,
+                               int64_t now);
 /** A grant for this number (usable under it and higher ones) is about to be given; it lasts no
  *  longer than until. */
-void steward_gates_grant (StewardGates *g, uint64_t incarnation, int64_t number, int64_t until);
+void
+steward_gates_record_grant (StewardGates *g, uint64_t incarnation, int64_t number, int64_t until);
 /** The lowest number under which a gate may still take new work; newest if there is none lower; 0
  *  while that isn't known. */
-int64_t steward_gates_lowest (StewardGates *g, int64_t newest, int64_t now);
+int64_t steward_gates_lowest_number (StewardGates *g, int64_t newest, int64_t now);
 /** When the last grant of any gate ends; a time that has passed if there is none. */
-int64_t steward_gates_end (StewardGates *g);
+int64_t steward_gates_grants_end (StewardGates *g);
 /** Incarnations of gates heard of within the last seconds; returns how many. */
 size_t steward_gates_alive (StewardGates *g, int64_t now, uint64_t *out, size_t max);
 /** Requests in progress at gates heard of within the last seconds. */
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -57,7 +57,7 @@
   double pair = PAIR_BYTES + PAIR_BYTES_A_MEMBER * (double)members;
   double rate = STEWARD_HEARTBEAT_BYTES_PER_S / (2 * pair);
 
-  return rate < STEWARD_ASKS_PER_S ? rate : STEWARD_ASKS_PER_S;
+  return rate < STEWARD_HEARTBEAT_ASKS_PER_S_MAX ? rate : STEWARD_HEARTBEAT_ASKS_PER_S_MAX;
 }
 
 /* Where we are reached is in the view, unless we are not in it yet, or the receiver may not have
@@ -90,14 +90,14 @@
   registered = is_registered (s);
   cluster_state_ask (s->cluster.state, nonce == 0 ? 1 : nonce, clock_boot_ms (), ask);
   pthread_mutex_unlock (&s->cluster.lock);
-  steward_message_from (ask, &message);
+  steward_message_encode (ask, &message);
   add_address (s, &message, registered && !peer->silent);
   message.brakes_digest = steward_brakes_digest (&s->brakes);
   if (with == WITH_BRAKES)
-    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_SHARE, &message.brakes.brakes_val,
+    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_PER_MESSAGE, &message.brakes.brakes_val,
                          &message.brakes.brakes_len);
   if (with == WITH_DEATHS)
-    steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat, clock_boot_ms (),
+    steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat_limits, clock_boot_ms (),
                          &message.deaths.deaths_val, &message.deaths.deaths_len);
   counter_add (COUNTER_STEWARD_HEARTBEATS, 1);
   (void)rpc_server_send (s->rpc, &peer->address, LOVAGE_HEARTBEAT_ASK, (xdrproc_t)xdr_rpc_heartbeat,
@@ -120,7 +120,7 @@
 {
   int64_t age_ms;
 
-  return steward_cluster_member (s, m, clock_boot_ms (), &age_ms) != STEWARD_MEMBER_ALIVE;
+  return steward_cluster_member_state (s, m, clock_boot_ms (), &age_ms) != STEWARD_MEMBER_ALIVE;
 }
 
 /* The other members in an order of our own, the same at each beat, so that asking in turn reaches
@@ -181,7 +181,7 @@
     send_ask (h->s, &peers[h->turn++ % count], WITH_NOTHING);
   free (peers);
   steward_cluster_apply (h->s);
-  steward_cluster_suspect (h->s, clock_boot_ms ());
+  steward_cluster_update_suspicion (h->s, clock_boot_ms ());
 }
 
 static void
@@ -196,25 +196,25 @@
 }
 
 void
-steward_heartbeat_ask_behind (Steward *s, int64_t number)
+steward_heartbeat_ask_lagging (Steward *s, int64_t number)
 {
   ask_all (s, number, WITH_NOTHING);
 }
 
 void
-steward_heartbeat_tell_brakes (Steward *s)
+steward_heartbeat_broadcast_brakes (Steward *s)
 {
   ask_all (s, 0, WITH_BRAKES);
 }
 
 void
-steward_heartbeat_tell_deaths (Steward *s)
+steward_heartbeat_broadcast_deaths (Steward *s)
 {
   ClusterView *view = steward_cluster_view (s);
   size_t members = view->count;
 
   free (view);
-  if (members > 1 && steward_deaths_may_tell (&s->deaths, members - 1, clock_boot_ms ()))
+  if (members > 1 && steward_deaths_may_broadcast (&s->deaths, members - 1, clock_boot_ms ()))
     ask_all (s, 0, WITH_DEATHS);
 }
 
@@ -309,15 +309,15 @@
 {
   rpc_heartbeat message;
 
-  steward_message_from (answer, &message);
+  steward_message_encode (answer, &message);
   message.gates.gates_val = memory_array (LOVAGE_GATES_MAX, sizeof *message.gates.gates_val);
   message.gates.gates_len = (u_int)steward_gates_alive (&s->gates, clock_boot_ms (),
                                                         message.gates.gates_val, LOVAGE_GATES_MAX);
   message.brakes_digest = steward_brakes_digest (&s->brakes);
   if (ask->brakes_digest != message.brakes_digest)
-    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_SHARE, &message.brakes.brakes_val,
+    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_PER_MESSAGE, &message.brakes.brakes_val,
                          &message.brakes.brakes_len);
-  steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat, clock_boot_ms (),
+  steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat_limits, clock_boot_ms (),
                        &message.deaths.deaths_val, &message.deaths.deaths_len);
   counter_add (COUNTER_STEWARD_HEARTBEATS, 1);
   (void)rpc_server_send (s->rpc, to, LOVAGE_HEARTBEAT_ANSWER, (xdrproc_t)xdr_rpc_heartbeat,
@@ -339,13 +339,13 @@
 }
 
 bool
-steward_heartbeat_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+steward_heartbeat_handle_ask (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_heartbeat *message = arg;
   ClusterHeartbeat *ask = memory_alloc (sizeof *ask);
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
-  bool good = steward_message_to (message, ask) && ask->incarnation == peer->sender;
+  bool good = steward_message_decode (message, ask) && ask->incarnation == peer->sender;
   struct sockaddr_in to;
   bool answers = false;
 
@@ -359,10 +359,10 @@
         cluster_heartbeat_pack (s->cluster.state, answer);
       answers = answers && find_asker (s, message, &to);
       pthread_mutex_unlock (&s->cluster.lock);
-      (void)steward_brakes_take (&s->brakes, message->brakes.brakes_val,
-                                 message->brakes.brakes_len);
-      (void)steward_deaths_take (&s->deaths, message->deaths.deaths_val, message->deaths.deaths_len,
-                                 clock_boot_ms ());
+      (void)steward_brakes_merge (&s->brakes, message->brakes.brakes_val,
+                                  message->brakes.brakes_len);
+      (void)steward_deaths_merge (&s->deaths, message->deaths.deaths_val,
+                                  message->deaths.deaths_len, clock_boot_ms ());
       if (answers)
         answer_ask (s, &to, message, answer);
       after_news (s);
@@ -373,26 +373,26 @@
 }
 
 bool
-steward_heartbeat_answered (void *context, const RpcPeer *peer, const void *arg, void *result)
+steward_heartbeat_handle_answer (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_heartbeat *message = arg;
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
-  bool good = steward_message_to (message, answer) && answer->incarnation == peer->sender;
+  bool good = steward_message_decode (message, answer) && answer->incarnation == peer->sender;
 
   (void)result;
   if (good)
     {
       pthread_mutex_lock (&s->cluster.lock);
       (void)cluster_state_take_answer (s->cluster.state, answer, clock_boot_ms ());
-      steward_remote_gates_heard (&s->remote_gates, answer->incarnation, message->gates.gates_val,
-                                  message->gates.gates_len, clock_boot_ms ());
+      steward_remote_gates_update (&s->remote_gates, answer->incarnation, message->gates.gates_val,
+                                   message->gates.gates_len, clock_boot_ms ());
       pthread_cond_broadcast (&s->cluster.changed);
       pthread_mutex_unlock (&s->cluster.lock);
-      (void)steward_brakes_take (&s->brakes, message->brakes.brakes_val,
-                                 message->brakes.brakes_len);
-      (void)steward_deaths_take (&s->deaths, message->deaths.deaths_val, message->deaths.deaths_len,
-                                 clock_boot_ms ());
+      (void)steward_brakes_merge (&s->brakes, message->brakes.brakes_val,
+                                  message->brakes.brakes_len);
+      (void)steward_deaths_merge (&s->deaths, message->deaths.deaths_val,
+                                  message->deaths.deaths_len, clock_boot_ms ());
       after_news (s);
     }
   free (answer);
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -139,7 +139,7 @@
 static void
 wait_for_grants_end (Steward *s)
 {
-  int64_t left = steward_gates_end (&s->gates) - clock_boot_ms ();
+  int64_t left = steward_gates_grants_end (&s->gates) - clock_boot_ms ();
 
   INVARIANT (left <= s->settings.grant_ms, "left=\"%lld\"", (long long)left);
   if (left > 0)
--- a/src/steward_message.c
+++ b/src/steward_message.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 void
-steward_message_from (ClusterHeartbeat *h, rpc_heartbeat *out)
+steward_message_encode (ClusterHeartbeat *h, rpc_heartbeat *out)
 {
   *out = (rpc_heartbeat){ .nonce = h->nonce,
                           .incarnation = h->incarnation,
@@ -40,7 +40,7 @@
 }
 
 bool
-steward_message_to (const rpc_heartbeat *message, ClusterHeartbeat *out)
+steward_message_decode (const rpc_heartbeat *message, ClusterHeartbeat *out)
 {
   if (message->incarnation == 0)
     return false;
--- a/src/steward_orders.c
+++ b/src/steward_orders.c
@@ -277,7 +277,7 @@
 }
 
 bool
-steward_orders_stated (StewardOrders *o, const Config *config, unsigned version)
+steward_orders_sent (StewardOrders *o, const Config *config, unsigned version)
 {
   int64_t fence = steward_duty_fence (o->duty);
   bool stated = fence > 0;
--- a/src/steward_orders.h
+++ b/src/steward_orders.h
@@ -17,6 +17,6 @@
 void steward_orders_stop (StewardOrders *o);
 /** Whether every engine that serves the version was told so by this holder since that
  *  configuration, be it that the engine took the order or not. */
-bool steward_orders_stated (StewardOrders *o, const Config *config, unsigned version);
+bool steward_orders_sent (StewardOrders *o, const Config *config, unsigned version);
 
 #endif
--- a/src/steward_orders_call.c
+++ b/src/steward_orders_call.c
@@ -47,7 +47,7 @@
                           .body_len = strlen (text),
                           .connect_timeout_ms = CONNECT_MS,
                           .read_timeout_ms = READ_MS,
-                          .total_timeout_ms = (int)STEWARD_DUTY_FLIGHT_MS,
+                          .total_timeout_ms = (int)STEWARD_DUTY_ORDER_TIMEOUT_MS,
                           .answer_max = ANSWER_MAX,
                           .may_finish = still_held,
                           .context = duty };
@@ -67,7 +67,7 @@
                           .path = "/v1/load",
                           .connect_timeout_ms = CONNECT_MS,
                           .read_timeout_ms = READ_MS,
-                          .total_timeout_ms = (int)STEWARD_DUTY_FLIGHT_MS,
+                          .total_timeout_ms = (int)STEWARD_DUTY_ORDER_TIMEOUT_MS,
                           .answer_max = ANSWER_MAX };
   Buffer answer = { 0 };
   StatusCode code = exchange (&request, "order.read_back", &answer, st);
--- a/src/steward_publish.c
+++ b/src/steward_publish.c
@@ -10,7 +10,7 @@
     return false;
   config = steward_document_config (&s->document);
   if (config != NULL)
-    steward_brakes_config (&s->brakes, config);
+    steward_brakes_apply_config (&s->brakes, config);
   config_unref (config);
   steward_cluster_apply (s);
   return true;
--- a/src/steward_remote_gates.c
+++ b/src/steward_remote_gates.c
@@ -17,11 +17,11 @@
 }
 
 void
-steward_remote_gates_heard (StewardRemoteGates *remote,
-                            uint64_t steward,
-                            const uint64_t *gates,
-                            size_t count,
-                            int64_t now)
+steward_remote_gates_update (StewardRemoteGates *remote,
+                             uint64_t steward,
+                             const uint64_t *gates,
+                             size_t count,
+                             int64_t now)
 {
   for (size_t i = 0; i < count; i++)
     if (gates[i] != 0)
--- a/src/steward_remote_gates.h
+++ b/src/steward_remote_gates.h
@@ -25,11 +25,11 @@
 } StewardRemoteGates;
 
 /** A steward told of its gates. */
-void steward_remote_gates_heard (StewardRemoteGates *remote,
-                                 uint64_t steward,
-                                 const uint64_t *gates,
-                                 size_t count,
-                                 int64_t now);
+void steward_remote_gates_update (StewardRemoteGates *remote,
+                                  uint64_t steward,
+                                  const uint64_t *gates,
+                                  size_t count,
+                                  int64_t now);
 /** The entry of a gate, or NULL. */
 const StewardRemoteGate *steward_remote_gates_find (const StewardRemoteGates *remote,
                                                     uint64_t gate);
--- a/src/steward_removal.c
+++ b/src/steward_removal.c
@@ -55,7 +55,7 @@
   int64_t age_ms;
 
   pthread_mutex_lock (&s->cluster.lock);
-  state = steward_cluster_member (s, m, now, &age_ms);
+  state = steward_cluster_member_state (s, m, now, &age_ms);
   pthread_mutex_unlock (&s->cluster.lock);
   return state == STEWARD_MEMBER_DEAD;
 }
@@ -71,7 +71,7 @@
 
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       if (state == STEWARD_MEMBER_SELF || !is_listed (vms, view->members[i].vm))
         continue;
       others++;
@@ -96,12 +96,12 @@
 
 /* A list without ourselves is not about us, or is broken: nobody is judged by it. */
 size_t
-steward_removal_judge (StewardRemoval *r,
-                       Steward *s,
-                       const ClusterView *view,
-                       const PlatformVms *vms,
-                       int64_t now,
-                       uint64_t **dead)
+steward_removal_select (StewardRemoval *r,
+                        Steward *s,
+                        const ClusterView *view,
+                        const PlatformVms *vms,
+                        int64_t now,
+                        uint64_t **dead)
 {
   StewardRemoval *next = steward_removal_new ();
   size_t count = 0;
@@ -137,10 +137,10 @@
   *dead = NULL;
   if (now < r->read_at)
     return 0;
-  r->read_at = now + STEWARD_LIST_MS;
+  r->read_at = now + STEWARD_LIST_INTERVAL_MS;
   if (s->platform->ops->vm_list (s->platform, STEWARD_TABLE_TIMEOUT_MS, &vms, NULL) != STATUS_OK)
     return 0;
-  count = steward_removal_judge (r, s, view, &vms, now, dead);
+  count = steward_removal_select (r, s, view, &vms, now, dead);
   platform_vms_clear (&vms);
   return count;
 }
--- a/src/steward_removal.h
+++ b/src/steward_removal.h
@@ -11,7 +11,7 @@
 /** The assumed lag of the list: a VM that is missing for longer, and silent, no longer runs. */
 #define STEWARD_LIST_LAG_MS INT64_C (30000)
 /** Between reads of the list. */
-#define STEWARD_LIST_MS 5000
+#define STEWARD_LIST_INTERVAL_MS 5000
 
 typedef struct StewardRemoval StewardRemoval;
 
@@ -25,11 +25,11 @@
                             int64_t now,
                             uint64_t **dead);
 /** The pure part: what a list read at now shows. */
-size_t steward_removal_judge (StewardRemoval *r,
-                              Steward *s,
-                              const ClusterView *view,
-                              const PlatformVms *vms,
-                              int64_t now,
-                              uint64_t **dead);
+size_t steward_removal_select (StewardRemoval *r,
+                               Steward *s,
+                               const ClusterView *view,
+                               const PlatformVms *vms,
+                               int64_t now,
+                               uint64_t **dead);
 
 #endif
--- a/src/steward_rollout.c
+++ b/src/steward_rollout.c
@@ -88,12 +88,12 @@
 {
   if (config->number != r->number)
     {
-      steward_evidence_config (&r->s->evidence, config);
+      steward_evidence_apply_config (&r->s->evidence, config);
       r->number = config->number;
       r->unwritten = true;
     }
   r->open_count = steward_evidence_copy (&r->s->evidence, r->open);
-  rollout_set_follow (&r->own, r->open, r->open_count, config->team_count,
+  rollout_set_update (&r->own, r->open, r->open_count, config->team_count,
                       steward_cluster_members (r->s), now);
 }
 
@@ -108,7 +108,7 @@
       RolloutDecision decision;
       if (rollout == NULL || w == NULL)
         continue;
-      rollout_watch_take (w, r->row.key, &r->open[i]);
+      rollout_watch_add_totals (w, r->row.key, &r->open[i]);
       decision = rollout_watch_decide (w, rollout->stage, now);
       if (decision.verdict == ROLLOUT_BRAKE)
         raise_brake (r, config, rollout, decision.why);
@@ -132,7 +132,7 @@
   r->unwritten |= steward_evidence_changed (&r->s->evidence);
   if (!r->unwritten)
     return;
-  r->write_at = now + steward_evidence_pace_ms (steward_cluster_members (r->s));
+  r->write_at = now + steward_evidence_interval_ms (steward_cluster_members (r->s));
   text = steward_evidence_text (r->s->self.vm, r->open, r->open_count);
   r->unwritten = evidence_row_write (&r->row, r->s->platform, text, NULL) != STATUS_OK;
   free (text);
@@ -141,14 +141,14 @@
 static bool
 take_totals (void *context, const char *key, const EvidenceRollout *totals)
 {
-  return rollout_set_take (context, key, totals);
+  return rollout_set_add_totals (context, key, totals);
 }
 
 /* Without open roll-outs the rows are read to be deleted: one may be written late. */
 static void
 merge_rows (StewardRollout *r, int64_t now)
 {
-  int64_t pace_ms = steward_evidence_pace_ms (steward_cluster_members (r->s));
+  int64_t pace_ms = steward_evidence_interval_ms (steward_cluster_members (r->s));
 
   if (now < r->merge_at || !table_is_up (r))
     return;
@@ -188,11 +188,11 @@
   decision = rollout_watch_decide (w, rollout->stage, now);
   if (decision.verdict == ROLLOUT_BRAKE)
     raise_brake (r, config, rollout, decision.why);
-  RolloutLook look
+  RolloutStepInput look
       = { .verdict = decision.verdict,
           .braked = is_stopped (r->s, config, rollout->to),
           .accepted = steward_cluster_progress (r->s, config->number, clock_boot_ms ()).accepted,
-          .ordered = steward_orders_stated (r->orders, config, rollout->to) };
+          .ordered = steward_orders_sent (r->orders, config, rollout->to) };
   step = rollout_step_due (rollout, &look);
   if (step == ROLLOUT_STEP_NONE || now < r->step_at)
     return false;
@@ -211,7 +211,7 @@
       r->merge_at = 0;
       return;
     }
-  rollout_set_follow (&r->merged, r->open, r->open_count, config->team_count, 1, now);
+  rollout_set_update (&r->merged, r->open, r->open_count, config->team_count, 1, now);
   merge_rows (r, now);
   for (size_t i = 0; i < r->open_count; i++)
     if (drive (r, config, &r->open[i], now))
@@ -286,7 +286,7 @@
   pthread_mutex_unlock (&r->lock);
   pthread_join (r->thread, NULL);
   steward_orders_stop (r->orders);
-  steward_duty_give_back (r->duty);
+  steward_duty_release (r->duty);
   steward_duty_free (r->duty);
   rollout_set_clear (&r->own);
   rollout_set_clear (&r->merged);
--- a/src/steward_rollout_set.c
+++ b/src/steward_rollout_set.c
@@ -4,7 +4,7 @@
 rollout_set_find (const RolloutSet *set, const EvidenceRollout *rollout)
 {
   for (size_t i = 0; i < set->count; i++)
-    if (rollout_watch_is (set->watches[i], rollout))
+    if (rollout_watch_matches (set->watches[i], rollout))
       return set->watches[i];
   return NULL;
 }
@@ -13,7 +13,7 @@
 is_wanted (const RolloutWatch *w, const EvidenceRollout *rollouts, size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (rollout_watch_is (w, &rollouts[i]))
+    if (rollout_watch_matches (w, &rollouts[i]))
       return true;
   return false;
 }
@@ -32,7 +32,7 @@
 }
 
 void
-rollout_set_follow (RolloutSet *set,
+rollout_set_update (RolloutSet *set,
                     const EvidenceRollout *rollouts,
                     size_t count,
                     size_t teams,
@@ -52,11 +52,11 @@
 }
 
 bool
-rollout_set_take (RolloutSet *set, const char *source, const EvidenceRollout *totals)
+rollout_set_add_totals (RolloutSet *set, const char *source, const EvidenceRollout *totals)
 {
   RolloutWatch *w = rollout_set_find (set, totals);
 
   if (w != NULL)
-    rollout_watch_take (w, source, totals);
+    rollout_watch_add_totals (w, source, totals);
   return w != NULL;
 }
--- a/src/steward_rollout_set.h
+++ b/src/steward_rollout_set.h
@@ -14,7 +14,7 @@
 } RolloutSet;
 
 /** Makes tests for these roll-outs, keeps those that are there, drops the others. */
-void rollout_set_follow (RolloutSet *set,
+void rollout_set_update (RolloutSet *set,
                          const EvidenceRollout *rollouts,
                          size_t count,
                          size_t teams,
@@ -22,7 +22,7 @@
                          int64_t now);
 void rollout_set_clear (RolloutSet *set);
 /** Gives a steward's totals to the test that they belong to; false if there is none. */
-bool rollout_set_take (RolloutSet *set, const char *source, const EvidenceRollout *totals);
+bool rollout_set_add_totals (RolloutSet *set, const char *source, const EvidenceRollout *totals);
 /** NULL if there is none. */
 RolloutWatch *rollout_set_find (const RolloutSet *set, const EvidenceRollout *rollout);
 
--- a/src/steward_rollout_step.c
+++ b/src/steward_rollout_step.c
@@ -5,7 +5,7 @@
 typedef struct json_object Json;
 
 RolloutStep
-rollout_step_due (const ConfigRollout *rollout, const RolloutLook *look)
+rollout_step_due (const ConfigRollout *rollout, const RolloutStepInput *look)
 {
   if (rollout->state != ROLLOUT_RUNNING)
     return ROLLOUT_STEP_NONE;
--- a/src/steward_rollout_step.h
+++ b/src/steward_rollout_step.h
@@ -22,9 +22,9 @@
   bool braked;   /**< a brake binds the new version */
   bool accepted; /**< the configuration in which the roll-out stands is accepted */
   bool ordered;  /**< the engines that serve the new version were told of it */
-} RolloutLook;
+} RolloutStepInput;
 
-RolloutStep rollout_step_due (const ConfigRollout *rollout, const RolloutLook *look);
+RolloutStep rollout_step_due (const ConfigRollout *rollout, const RolloutStepInput *look);
 /** The step's merge patch, against the configuration in which the roll-out stands: of the same
  *  step made twice the second finds another head. Freed with free. */
 char *rollout_step_patch (const Config *config, const ConfigRollout *rollout, RolloutStep step);
--- a/src/steward_rollout_submit.c
+++ b/src/steward_rollout_submit.c
@@ -19,7 +19,7 @@
     {
       config = steward_document_config (&s->document);
       if (config != NULL)
-        steward_brakes_config (&s->brakes, config);
+        steward_brakes_apply_config (&s->brakes, config);
       config_unref (config);
       steward_cluster_apply (s);
     }
--- a/src/steward_rollout_table.c
+++ b/src/steward_rollout_table.c
@@ -51,7 +51,7 @@
 
 /* True if all that the row names is open. */
 static bool
-take_row (const PlatformRow *row, EvidenceRollout *space, EvidenceTake take, void *context)
+take_row (const PlatformRow *row, EvidenceRollout *space, EvidenceHandler take, void *context)
 {
   size_t count = steward_evidence_parse (row->value, space);
   bool open = count > 0;
@@ -82,7 +82,7 @@
 }
 
 StatusCode
-evidence_rows_read (Platform *p, EvidenceTake take, void *context, Status *st)
+evidence_rows_read (Platform *p, EvidenceHandler take, void *context, Status *st)
 {
   EvidenceRollout *space = memory_array (EVIDENCE_ROLLOUTS_MAX, sizeof *space);
   const PlatformRow *ended[DELETES_MAX];
--- a/src/steward_rollout_table.h
+++ b/src/steward_rollout_table.h
@@ -22,11 +22,11 @@
  *  after a later one, so that the row's totals never fall. */
 StatusCode evidence_row_write (EvidenceRow *row, Platform *p, const char *text, Status *st);
 /** Takes a row's totals of one roll-out; false if that roll-out is not open. */
-typedef bool (*EvidenceTake) (void *context, const char *key, const EvidenceRollout *totals);
+typedef bool (*EvidenceHandler) (void *context, const char *key, const EvidenceRollout *totals);
 
 /** Reads all rows, gives each roll-out in them, and deletes the rows that name one which is not
  *  open: it would count as evidence of a later one of the same versions. A row that was written
  *  meanwhile stays, and a steward whose row is gone writes it again with all its totals. */
-StatusCode evidence_rows_read (Platform *p, EvidenceTake take, void *context, Status *st);
+StatusCode evidence_rows_read (Platform *p, EvidenceHandler take, void *context, Status *st);
 
 #endif
--- a/src/steward_rollout_watch.c
+++ b/src/steward_rollout_watch.c
@@ -59,7 +59,7 @@
 }
 
 bool
-rollout_watch_is (const RolloutWatch *w, const EvidenceRollout *rollout)
+rollout_watch_matches (const RolloutWatch *w, const EvidenceRollout *rollout)
 {
   return strcmp (w->rollout.model, rollout->model) == 0
          && strcmp (w->rollout.from, rollout->from) == 0
@@ -131,12 +131,12 @@
 }
 
 void
-rollout_watch_take (RolloutWatch *w, const char *source, const EvidenceRollout *totals)
+rollout_watch_add_totals (RolloutWatch *w, const char *source, const EvidenceRollout *totals)
 {
   Source *s;
 
   /* Totals from before the roll-out opened are of an earlier one of the same versions. */
-  if (!rollout_watch_is (w, totals) || totals->since <= w->rollout.after)
+  if (!rollout_watch_matches (w, totals) || totals->since <= w->rollout.after)
     return;
   s = source_of (w, source);
   /* It began to count anew: its totals are all new. */
--- a/src/steward_rollout_watch.h
+++ b/src/steward_rollout_watch.h
@@ -19,9 +19,9 @@
 rollout_watch_new (const EvidenceRollout *rollout, size_t teams, size_t stewards, int64_t now);
 void rollout_watch_free (RolloutWatch *w);
 /** Whether the watch is of this roll-out. */
-bool rollout_watch_is (const RolloutWatch *w, const EvidenceRollout *rollout);
+bool rollout_watch_matches (const RolloutWatch *w, const EvidenceRollout *rollout);
 /** Takes the totals of a steward. Those of another roll-out are left alone. */
-void rollout_watch_take (RolloutWatch *w, const char *source, const EvidenceRollout *totals);
+void rollout_watch_add_totals (RolloutWatch *w, const char *source, const EvidenceRollout *totals);
 /** Tests what was taken; stage is the one in force. */
 RolloutDecision rollout_watch_decide (RolloutWatch *w, size_t stage, int64_t now);
 /** Callers that may have been given the new version; one that several reports count is counted in
--- a/src/steward_rows.c
+++ b/src/steward_rows.c
@@ -74,7 +74,7 @@
   r->wrote_pending = !next->established;
   steward_rows_adopt (r);
   /* Members learn the number by our asks, and we learn that they know it. */
-  steward_heartbeat_ask_behind (s, INT64_MAX);
+  steward_heartbeat_ask_lagging (s, INT64_MAX);
   return true;
 }
 
@@ -148,7 +148,8 @@
 {
   int64_t waited = now - r->unsettled_at;
 
-  return cause || waited > TURN_MS || (waited > FIRST_TURN_MS && steward_cluster_first (r->s, now));
+  return cause || waited > TURN_MS
+         || (waited > FIRST_TURN_MS && steward_cluster_is_first_alive (r->s, now));
 }
 
 static void
@@ -163,7 +164,7 @@
 }
 
 void
-steward_rows_change (StewardRows *r, int64_t accept_soon, int64_t now)
+steward_rows_write_due (StewardRows *r, int64_t accept_soon, int64_t now)
 {
   if (!r->row.known || now < r->write_at)
     return;
@@ -177,6 +178,6 @@
     accept_number (r, now);
   if (r->row.known && !r->row.view.established && our_turn (r, r->wrote_pending, now))
     establish (r, now);
-  if (r->row.known && steward_cluster_first (r->s, now))
+  if (r->row.known && steward_cluster_is_first_alive (r->s, now))
     remove_dead (r, now);
 }
--- a/src/steward_rows.h
+++ b/src/steward_rows.h
@@ -25,6 +25,6 @@
 void steward_rows_adopt (StewardRows *r);
 /** Makes the writes that are due and ours to make. accept_soon: a number that was made durable
  * here. */
-void steward_rows_change (StewardRows *r, int64_t accept_soon, int64_t now);
+void steward_rows_write_due (StewardRows *r, int64_t accept_soon, int64_t now);
 
 #endif
--- a/src/steward_rpc.c
+++ b/src/steward_rpc.c
@@ -19,8 +19,8 @@
 #define RESULT(type) .result_proc = (xdrproc_t)xdr_##type, .result_size = sizeof (type)
 
 static const RpcProcedure procedures[] = {
-  { LOVAGE_HEARTBEAT_ASK, ARG (rpc_heartbeat), .handle = steward_heartbeat_asked },
-  { LOVAGE_HEARTBEAT_ANSWER, ARG (rpc_heartbeat), .handle = steward_heartbeat_answered },
+  { LOVAGE_HEARTBEAT_ASK, ARG (rpc_heartbeat), .handle = steward_heartbeat_handle_ask },
+  { LOVAGE_HEARTBEAT_ANSWER, ARG (rpc_heartbeat), .handle = steward_heartbeat_handle_answer },
   { LOVAGE_GRANT, ARG (rpc_grant_ask), RESULT (rpc_grant), .handle = grant_asked },
   { LOVAGE_CONFIG_GET, ARG (rpc_number), RESULT (rpc_document), .handle = document_asked },
   { LOVAGE_BILL_COPY, ARG (rpc_bill_copy), RESULT (rpc_bill_copy_result), .handle = bills_sent },
@@ -55,7 +55,7 @@
   grant = steward_cluster_grant_now (s, now);
   left = *number > 0 ? cluster_grant_left (&grant, now) : 0;
   if (left > 0)
-    steward_gates_grant (&s->gates, gate, *number, now + left);
+    steward_gates_record_grant (&s->gates, gate, *number, now + left);
   pthread_mutex_unlock (&s->cluster.lock);
   return left;
 }
@@ -66,7 +66,7 @@
   for (u_int i = 0; i < ask->raised.raised_len; i++)
     {
       ClusterBrake brake;
-      steward_brakes_from (&ask->raised.raised_val[i], &brake);
+      steward_brakes_decode (&ask->raised.raised_val[i], &brake);
       (void)steward_brake_raise (s, &brake);
     }
 }
@@ -93,7 +93,7 @@
     {
       const ClusterMember *m = &view->members[(first + i) % view->count];
       if (strcmp (m->failure_domain, s->self.failure_domain) != 0
-          && steward_cluster_member (s, m, now, &age_ms) == STEWARD_MEMBER_ALIVE)
+          && steward_cluster_member_state (s, m, now, &age_ms) == STEWARD_MEMBER_ALIVE)
         add_peer (grant, m);
     }
 }
@@ -124,17 +124,18 @@
     return false;
   take_brakes (s, ask);
   steward_evidence_add (&s->evidence, ask->evidence.evidence_val, ask->evidence.evidence_len);
-  if (steward_deaths_take (&s->deaths, ask->deaths.deaths_val, ask->deaths.deaths_len, now))
-    steward_heartbeat_tell_deaths (s);
+  if (steward_deaths_merge (&s->deaths, ask->deaths.deaths_val, ask->deaths.deaths_len, now))
+    steward_heartbeat_broadcast_deaths (s);
   (void)steward_cluster_grant (s, now);
-  bool known = steward_gates_ask (&s->gates, ask->incarnation, ask->number, ask->in_flight, now);
+  bool known
+      = steward_gates_record_ask (&s->gates, ask->incarnation, ask->number, ask->in_flight, now);
   if (known)
     left = give_grant (s, ask->incarnation, now, &grant->number);
   grant->grant_ms = ask->stopping ? 0 : (u_int)left;
   fill_members (s, now, grant);
   steward_brakes_fill (&s->brakes, CLUSTER_BRAKES_MAX, &grant->brakes.brakes_val,
                        &grant->brakes.brakes_len);
-  steward_deaths_fill (&s->deaths, &steward_deaths_grant, now, &grant->deaths.deaths_val,
+  steward_deaths_fill (&s->deaths, &steward_deaths_grant_limits, now, &grant->deaths.deaths_val,
                        &grant->deaths.deaths_len);
   counter_add (left > 0 ? COUNTER_STEWARD_GRANTS : COUNTER_STEWARD_GRANTS_REFUSED, 1);
   steward_cluster_apply (s);
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -18,7 +18,7 @@
 
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       if (state != STEWARD_MEMBER_SELF && state != STEWARD_MEMBER_ALIVE)
         return false;
     }
@@ -39,11 +39,12 @@
   /* The steward was replaced; the one in its place tells of the gate if it still runs. */
   if (index < 0)
     return !all_heard (s, now);
-  return steward_cluster_member (s, &view->members[index], now, &age_ms) != STEWARD_MEMBER_ALIVE;
+  return steward_cluster_member_state (s, &view->members[index], now, &age_ms)
+         != STEWARD_MEMBER_ALIVE;
 }
 
 bool
-steward_settle_alive (Steward *s, uint64_t gate, int64_t now)
+steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now)
 {
   const StewardRemoteGate *entry;
   uint64_t own[STEWARD_GATES_MAX];
@@ -66,7 +67,7 @@
 static bool
 gate_alive (void *context, uint64_t gate)
 {
-  return steward_settle_alive (context, gate, clock_boot_ms ());
+  return steward_settle_gate_alive (context, gate, clock_boot_ms ());
 }
 
 void
@@ -79,7 +80,7 @@
     if (bill_replica_flush (s->bills, s->platform, gate_alive, s, now, &written, NULL) != STATUS_OK)
       return;
   while (written > 0);
-  if (now < s->recover_at || !steward_cluster_first (s, now))
+  if (now < s->recover_at || !steward_cluster_is_first_alive (s, now))
     return;
   s->recover_at = now + RECOVER_MS;
   (void)bill_recover_objects (s->platform, gate_alive, s, &recovery, NULL);
--- a/src/steward_settle.h
+++ b/src/steward_settle.h
@@ -12,7 +12,7 @@
 #define STEWARD_GATE_GONE_MS INT64_C (60000)
 
 /** Whether a gate may still write its records itself; when unsure, true. */
-bool steward_settle_alive (Steward *s, uint64_t gate, int64_t now);
+bool steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now);
 /** One pass; recovery from the object store only if this member is the first of the view. */
 void steward_settle (Steward *s, int64_t now);
 /**
--- a/src/steward_submit.c
+++ b/src/steward_submit.c
@@ -200,7 +200,7 @@
 static StewardSubmitOutcome
 settle (Attempt *a, StewardSubmitResult *out)
 {
-  int64_t end = clock_boot_ms () + STEWARD_SUBMIT_MS;
+  int64_t end = clock_boot_ms () + STEWARD_SUBMIT_TIMEOUT_MS;
   bool doubtful = false;
 
   do
@@ -286,7 +286,7 @@
 void
 steward_submit (Platform *p, const StewardSubmission *submission, StewardSubmitResult *out)
 {
-  int64_t end = clock_boot_ms () + STEWARD_SUBMIT_MS;
+  int64_t end = clock_boot_ms () + STEWARD_SUBMIT_TIMEOUT_MS;
 
   *out = (StewardSubmitResult){ 0 };
   /* An acceptance between our read and our write changes the head row without a new number. */
--- a/src/steward_submit.h
+++ b/src/steward_submit.h
@@ -10,7 +10,7 @@
 #include <json-c/json.h>
 
 /** How long a submission goes on settling a lost reply. */
-#define STEWARD_SUBMIT_MS 5000
+#define STEWARD_SUBMIT_TIMEOUT_MS 5000
 
 typedef enum
 {
--- a/src/steward_table.c
+++ b/src/steward_table.c
@@ -40,7 +40,7 @@
 };
 
 int64_t
-steward_table_poll_ms (int64_t poll_ms, size_t members)
+steward_table_poll_interval_ms (int64_t poll_ms, size_t members)
 {
   int64_t least = (int64_t)members * 1000 / POLLS_PER_S;
 
@@ -107,7 +107,9 @@
   if (t->rows.row.known && now < t->view_at && !steward_cluster_wants_view (s))
     return true;
   t->view_at
-      = now + VIEW_POLLS * steward_table_poll_ms (s->settings.poll_ms, steward_cluster_members (s));
+      = now
+        + VIEW_POLLS
+              * steward_table_poll_interval_ms (s->settings.poll_ms, steward_cluster_members (s));
   code = steward_view_read (s->platform, TIMEOUT, &t->rows.row, &st);
   if (code == STATUS_INVALID)
     log_msg (MSG_STEWARD_VIEW_BAD, "error=\"%s\"", log_quote (st.message, quoted, sizeof quoted));
@@ -133,7 +135,7 @@
   Steward *s = t->s;
 
   (void)steward_audit_queue_flush (&s->audit, s->platform, TIMEOUT, NULL);
-  if (!t->brakes_read || now >= t->brakes_at || steward_brakes_behind (&s->brakes))
+  if (!t->brakes_read || now >= t->brakes_at || steward_brakes_unwritten (&s->brakes))
     {
       t->brakes_at = now + BRAKES_SYNC_MS * (int64_t)(1 + steward_cluster_members (s) / 16);
       t->brakes_read = steward_brakes_sync (&s->brakes, s->platform, TIMEOUT, NULL) == STATUS_OK;
@@ -147,7 +149,8 @@
 {
   Steward *s = t->s;
 
-  t->poll_at = now + steward_table_poll_ms (s->settings.poll_ms, steward_cluster_members (s));
+  t->poll_at
+      = now + steward_table_poll_interval_ms (s->settings.poll_ms, steward_cluster_members (s));
   if (!read_head (t))
     {
       t->rows.row.known = false;
@@ -158,7 +161,7 @@
   if (!read_view (t, now))
     return;
   steward_rows_adopt (&t->rows);
-  steward_rows_change (&t->rows, accept_cause (t), now);
+  steward_rows_write_due (&t->rows, accept_cause (t), now);
   write_waiting (t, now);
 }
 
@@ -175,7 +178,7 @@
   else
     {
       steward_rows_adopt (&t->rows);
-      steward_rows_change (&t->rows, accept_cause (t), now);
+      steward_rows_write_due (&t->rows, accept_cause (t), now);
     }
 }
 
--- a/src/steward_table.h
+++ b/src/steward_table.h
@@ -15,6 +15,6 @@
 void steward_table_accept_soon (StewardTable *t, int64_t number);
 /** Time between reads of the head row: with many members it grows, so that all together stay within
  *  a fixed share of the reads that the service gives. */
-int64_t steward_table_poll_ms (int64_t poll_ms, size_t members);
+int64_t steward_table_poll_interval_ms (int64_t poll_ms, size_t members);
 
 #endif
--- a/src/steward_wait.c
+++ b/src/steward_wait.c
@@ -43,7 +43,7 @@
 {
   if (now < w->ask_at)
     return;
-  steward_heartbeat_ask_behind (w->s, w->number);
+  steward_heartbeat_ask_lagging (w->s, w->number);
   w->ask_at = now + w->ask_ms;
   w->ask_ms = 2 * w->ask_ms < ASK_LIMIT_MS ? 2 * w->ask_ms : ASK_LIMIT_MS;
 }
--- a/tests/test_steward_deaths.c
+++ b/tests/test_steward_deaths.c
@@ -20,7 +20,7 @@
 } Message;
 
 static Message
-message_of (StewardDeaths *d, const StewardDeathsRoom *room, int64_t now)
+message_of (StewardDeaths *d, const StewardDeathsLimits *room, int64_t now)
 {
   Message m = { NULL, 0 };
 
@@ -37,11 +37,11 @@
 }
 
 static void
-tell (StewardDeaths *from, StewardDeaths *to, const StewardDeathsRoom *room, int64_t now)
+tell (StewardDeaths *from, StewardDeaths *to, const StewardDeathsLimits *room, int64_t now)
 {
   Message m = message_of (from, room, now);
 
-  steward_deaths_take (to, m.deaths, m.count, now);
+  steward_deaths_merge (to, m.deaths, m.count, now);
   clear (&m);
 }
 
@@ -55,7 +55,7 @@
     list[i] = flight + i;
   death.flights.flights_len = flights;
   death.flights.flights_val = list;
-  steward_deaths_take (d, &death, 1, NOW);
+  steward_deaths_merge (d, &death, 1, NOW);
 }
 
 static size_t
@@ -78,8 +78,8 @@
   steward_deaths_init (&second);
   add (&first, 11, 900, 77, 1);
   add (&first, 12, 300, 77, 3);
-  tell (&first, &second, &steward_deaths_heartbeat, NOW);
-  Message m = message_of (&second, &steward_deaths_grant, NOW + 200);
+  tell (&first, &second, &steward_deaths_heartbeat_limits, NOW);
+  Message m = message_of (&second, &steward_deaths_grant_limits, NOW + 200);
   CU_ASSERT_EQUAL_FATAL (m.count, 2);
   CU_ASSERT_EQUAL (m.deaths[0].server, 12);
   CU_ASSERT_EQUAL (m.deaths[0].age_ms, 500);
@@ -115,12 +115,12 @@
   add (&first, 11, 0, 77, 2);
   for (int64_t now = NOW; now < NOW + 10000; now += 250)
     {
-      tell (&first, &second, &steward_deaths_heartbeat, now);
-      tell (&second, &first, &steward_deaths_heartbeat, now + 100);
+      tell (&first, &second, &steward_deaths_heartbeat_limits, now);
+      tell (&second, &first, &steward_deaths_heartbeat_limits, now + 100);
     }
   CU_ASSERT_EQUAL (known (&first, NOW + 10000), 1);
   CU_ASSERT_EQUAL (known (&second, NOW + 10000), 1);
-  Message m = message_of (&first, &steward_deaths_grant, NOW + 10000);
+  Message m = message_of (&first, &steward_deaths_grant_limits, NOW + 10000);
   CU_ASSERT_EQUAL_FATAL (m.count, 1);
   CU_ASSERT_EQUAL (m.deaths[0].age_ms, 10000);
   CU_ASSERT_EQUAL (m.deaths[0].flights.flights_len, 2);
@@ -138,7 +138,7 @@
   steward_deaths_init (&d);
   add (&d, 11, 100, 77, 2);
   add (&d, 11, 400, 90, 3);
-  Message m = message_of (&d, &steward_deaths_grant, NOW);
+  Message m = message_of (&d, &steward_deaths_grant_limits, NOW);
   CU_ASSERT_EQUAL_FATAL (m.count, 1);
   CU_ASSERT_EQUAL (m.deaths[0].flights.flights_len, 5);
   clear (&m);
@@ -146,7 +146,7 @@
 }
 
 static unsigned
-rounds_until_all_told (StewardDeaths *d, const StewardDeathsRoom *room, int64_t now)
+rounds_until_all_told (StewardDeaths *d, const StewardDeathsLimits *room, int64_t now)
 {
   bool told[DEATHS + 1] = { false };
   unsigned count = 0, rounds = 0;
@@ -179,13 +179,14 @@
   steward_deaths_init (&d);
   for (uint64_t server = 1; server <= DEATHS; server++)
     add (&d, server, (uint32_t)server, 77 + server, 1);
-  CU_ASSERT_EQUAL (rounds_until_all_told (&d, &steward_deaths_grant, NOW), 3);
-  CU_ASSERT_EQUAL (rounds_until_all_told (&d, &steward_deaths_heartbeat, NOW), 3);
+  CU_ASSERT_EQUAL (rounds_until_all_told (&d, &steward_deaths_grant_limits, NOW), 3);
+  CU_ASSERT_EQUAL (rounds_until_all_told (&d, &steward_deaths_heartbeat_limits, NOW), 3);
   /* Then they are not fresh any more: one in each heartbeat, and all in turn. */
   CU_ASSERT_EQUAL (
-      rounds_until_all_told (&d, &steward_deaths_heartbeat, NOW + STEWARD_DEATHS_FRESH_MS), DEATHS);
-  CU_ASSERT_EQUAL (rounds_until_all_told (&d, &steward_deaths_grant, NOW + STEWARD_DEATHS_FRESH_MS),
-                   3);
+      rounds_until_all_told (&d, &steward_deaths_heartbeat_limits, NOW + STEWARD_DEATHS_FRESH_MS),
+      DEATHS);
+  CU_ASSERT_EQUAL (
+      rounds_until_all_told (&d, &steward_deaths_grant_limits, NOW + STEWARD_DEATHS_FRESH_MS), 3);
   steward_deaths_clear (&d);
 }
 
@@ -200,7 +201,7 @@
     add (&d, server, 0, 1000 * server, QUARANTINE_FLIGHT_MAX);
   for (unsigned i = 0; i < DEATHS; i++)
     {
-      Message m = message_of (&d, &steward_deaths_heartbeat, NOW);
+      Message m = message_of (&d, &steward_deaths_heartbeat_limits, NOW);
       rpc_heartbeat heartbeat = { .address = (char *)"" };
       u_long empty = xdr_sizeof ((xdrproc_t)xdr_rpc_heartbeat, &heartbeat);
       heartbeat.deaths.deaths_val = m.deaths;
@@ -226,11 +227,11 @@
   add (&first, 11, 0, 77, 1);
   for (now = NOW; now < NOW + 2 * MEMORY_MS; now += 2000)
     {
-      Message m = message_of (&first, &steward_deaths_heartbeat, now);
-      steward_deaths_take (&second, m.deaths, m.count, now + 1000);
+      Message m = message_of (&first, &steward_deaths_heartbeat_limits, now);
+      steward_deaths_merge (&second, m.deaths, m.count, now + 1000);
       clear (&m);
-      m = message_of (&second, &steward_deaths_heartbeat, now + 1000);
-      steward_deaths_take (&first, m.deaths, m.count, now + 2000);
+      m = message_of (&second, &steward_deaths_heartbeat_limits, now + 1000);
+      steward_deaths_merge (&first, m.deaths, m.count, now + 2000);
       clear (&m);
       if (now == NOW + MEMORY_MS / 2)
         CU_ASSERT_EQUAL (known (&second, now), 1);
@@ -250,7 +251,7 @@
   steward_deaths_init (&d);
   add (&d, 0, 0, 77, 1);
   add (&d, 11, (uint32_t)MEMORY_MS + 1, 77, 1);
-  Message m = message_of (&d, &steward_deaths_grant, NOW);
+  Message m = message_of (&d, &steward_deaths_grant_limits, NOW);
   CU_ASSERT_EQUAL (m.count, 0);
   CU_ASSERT_PTR_NULL (m.deaths);
   steward_deaths_clear (&d);
@@ -270,16 +271,16 @@
   int64_t told = 0;
 
   steward_deaths_init (&d);
-  CU_ASSERT_TRUE (steward_deaths_take (&d, &death, 1, NOW));
-  CU_ASSERT_FALSE (steward_deaths_take (&d, &death, 1, NOW + 250));
+  CU_ASSERT_TRUE (steward_deaths_merge (&d, &death, 1, NOW));
+  CU_ASSERT_FALSE (steward_deaths_merge (&d, &death, 1, NOW + 250));
   flight = 78;
-  CU_ASSERT_TRUE (steward_deaths_take (&d, &death, 1, NOW + 250));
-  CU_ASSERT_TRUE (steward_deaths_may_tell (&d, 2, NOW));
-  CU_ASSERT_FALSE (steward_deaths_may_tell (&d, 2, NOW + 10));
-  CU_ASSERT_TRUE (steward_deaths_may_tell (&d, 2, NOW + 30));
+  CU_ASSERT_TRUE (steward_deaths_merge (&d, &death, 1, NOW + 250));
+  CU_ASSERT_TRUE (steward_deaths_may_broadcast (&d, 2, NOW));
+  CU_ASSERT_FALSE (steward_deaths_may_broadcast (&d, 2, NOW + 10));
+  CU_ASSERT_TRUE (steward_deaths_may_broadcast (&d, 2, NOW + 30));
   for (int64_t now = NOW + 30; now < NOW + 10030; now += 10)
-    told += steward_deaths_may_tell (&d, 359, now) ? 359 : 0;
-  CU_ASSERT (told > 0 && told / 10 <= STEWARD_DEATHS_TOLD_PER_S);
+    told += steward_deaths_may_broadcast (&d, 359, now) ? 359 : 0;
+  CU_ASSERT (told > 0 && told / 10 <= STEWARD_DEATHS_BROADCASTS_PER_S);
   steward_deaths_clear (&d);
 }
 
--- a/tests/test_steward_duty.c
+++ b/tests/test_steward_duty.c
@@ -109,8 +109,8 @@
   CU_ASSERT_FALSE (steward_duty_may_order (a));
   CU_ASSERT_EQUAL (steward_duty_fence (b), 2);
   CU_ASSERT (now - died_at >= STEWARD_DUTY_LEASE_MS - STEWARD_DUTY_RENEW_MS);
-  CU_ASSERT (now - died_at
-             <= STEWARD_DUTY_LEASE_MS + STEWARD_DUTY_FLIGHT_MS + 2 * STEWARD_DUTY_READ_MS);
+  CU_ASSERT (now - died_at <= STEWARD_DUTY_LEASE_MS + STEWARD_DUTY_ORDER_TIMEOUT_MS
+                                  + 2 * STEWARD_DUTY_READ_INTERVAL_MS);
   CU_ASSERT_EQUAL (audit_entries (p, "to", "2"), 1);
   steward_duty_free (a);
   steward_duty_free (b);
@@ -170,13 +170,13 @@
 
   now = 1000;
   run_for (5000, a, b);
-  steward_duty_give_back (a);
+  steward_duty_release (a);
   CU_ASSERT_FALSE (steward_duty_may_order (a));
-  run_for (STEWARD_DUTY_FLIGHT_MS + 2 * STEWARD_DUTY_READ_MS, b, NULL);
+  run_for (STEWARD_DUTY_ORDER_TIMEOUT_MS + 2 * STEWARD_DUTY_READ_INTERVAL_MS, b, NULL);
   CU_ASSERT_EQUAL (steward_duty_fence (b), 2);
   CU_ASSERT_EQUAL (audit_entries (p, "action", "duty"), 3);
   /* One that holds nothing gives nothing back. */
-  steward_duty_give_back (a);
+  steward_duty_release (a);
   CU_ASSERT_EQUAL (audit_entries (p, "action", "duty"), 3);
   steward_duty_free (a);
   steward_duty_free (b);
@@ -204,8 +204,8 @@
 static void
 test_read_pace (void)
 {
-  CU_ASSERT_EQUAL (steward_duty_read_ms (3), STEWARD_DUTY_READ_MS);
-  CU_ASSERT_EQUAL (steward_duty_read_ms (360), 7200);
+  CU_ASSERT_EQUAL (steward_duty_read_interval_ms (3), STEWARD_DUTY_READ_INTERVAL_MS);
+  CU_ASSERT_EQUAL (steward_duty_read_interval_ms (360), 7200);
 }
 
 typedef struct
--- a/tests/test_steward_gates.c
+++ b/tests/test_steward_gates.c
@@ -18,10 +18,10 @@
 test_grant_in_use_holds_the_number_back (void)
 {
   start ();
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 4, 0, 100));
-  steward_gates_grant (&gates, GATE, 4, 3100);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 5, 200), 4);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 5, 3100), 5);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 4, 0, 100));
+  steward_gates_record_grant (&gates, GATE, 4, 3100);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 5, 200), 4);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 5, 3100), 5);
   steward_gates_clear (&gates);
 }
 
@@ -34,12 +34,12 @@
 test_grant_of_a_number_being_fetched_holds_the_next_back (void)
 {
   start ();
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 0, 0, 100));
-  steward_gates_grant (&gates, GATE, 1, 3100);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 1, 150), 1);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 2, 200), 1);
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 2, 0, 300));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 2, 300), 2);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 0, 0, 100));
+  steward_gates_record_grant (&gates, GATE, 1, 3100);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 1, 150), 1);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 2, 200), 1);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 2, 0, 300));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 2, 300), 2);
   steward_gates_clear (&gates);
 }
 
@@ -48,13 +48,13 @@
 test_lowest_of_two_later_grants_counts (void)
 {
   start ();
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 1, 0, 100));
-  steward_gates_grant (&gates, GATE, 3, 3200);
-  steward_gates_grant (&gates, GATE, 2, 3100);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 4, 200), 2);
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 2, 0, 300));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 4, 300), 2);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 4, 3200), 4);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 1, 0, 100));
+  steward_gates_record_grant (&gates, GATE, 3, 3200);
+  steward_gates_record_grant (&gates, GATE, 2, 3100);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 4, 200), 2);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 2, 0, 300));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 4, 300), 2);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 4, 3200), 4);
   steward_gates_clear (&gates);
 }
 
@@ -68,11 +68,11 @@
 test_replaced_steward_waits_for_its_predecessors_gate (void)
 {
   steward_gates_init (&gates, 3000);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 17, 10), 0);
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 15, 0, 200));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 17, 200), 15);
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 17, 0, 450));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 17, 450), 17);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 17, 10), 0);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 15, 0, 200));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 17, 200), 15);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 17, 0, 450));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 17, 450), 17);
   steward_gates_clear (&gates);
 }
 
@@ -81,8 +81,8 @@
 test_replaced_steward_without_gate_waits_for_the_grants_end (void)
 {
   steward_gates_init (&gates, 3000);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 17, 2999), 0);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&gates, 17, 3000), 17);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 17, 2999), 0);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 17, 3000), 17);
   steward_gates_clear (&gates);
 }
 
@@ -90,12 +90,12 @@
 test_end_is_that_of_the_last_grant (void)
 {
   steward_gates_init (&gates, 1000);
-  CU_ASSERT_EQUAL (steward_gates_end (&gates), 1000);
-  CU_ASSERT_TRUE (steward_gates_ask (&gates, GATE, 4, 0, 1100));
-  steward_gates_grant (&gates, GATE, 4, 4100);
-  CU_ASSERT_EQUAL (steward_gates_end (&gates), 4100);
-  steward_gates_grant (&gates, GATE, 5, 4300);
-  CU_ASSERT_EQUAL (steward_gates_end (&gates), 4300);
+  CU_ASSERT_EQUAL (steward_gates_grants_end (&gates), 1000);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 4, 0, 1100));
+  steward_gates_record_grant (&gates, GATE, 4, 4100);
+  CU_ASSERT_EQUAL (steward_gates_grants_end (&gates), 4100);
+  steward_gates_record_grant (&gates, GATE, 5, 4300);
+  CU_ASSERT_EQUAL (steward_gates_grants_end (&gates), 4300);
   steward_gates_clear (&gates);
 }
 
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -29,14 +29,14 @@
   StewardGates g;
 
   steward_gates_init (&g, 0);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 0), 5);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 4, 0, 100));
-  steward_gates_grant (&g, 77, 4, 3100);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 200), 4);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 3099), 4);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 3100), 5);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 5, 0, 300));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 300), 5);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 0), 5);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 4, 0, 100));
+  steward_gates_record_grant (&g, 77, 4, 3100);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 200), 4);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 3099), 4);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 3100), 5);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 5, 0, 300));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 300), 5);
   steward_gates_clear (&g);
 }
 
@@ -48,12 +48,12 @@
   StewardGates g;
 
   steward_gates_init (&g, 0);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 0, 0, 100));
-  steward_gates_grant (&g, 77, 5, 3100);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 200), 5);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 5, 0, 350));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 6, 400), 5);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 6, 3100), 6);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 0, 0, 100));
+  steward_gates_record_grant (&g, 77, 5, 3100);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 200), 5);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 5, 0, 350));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 6, 400), 5);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 6, 3100), 6);
   steward_gates_clear (&g);
 }
 
@@ -67,13 +67,13 @@
   steward_gates_init (&g, 0);
   for (uint64_t i = 1; i <= STEWARD_GATES_MAX; i++)
     {
-      CU_ASSERT_TRUE (steward_gates_ask (&g, i, 1, 1, 0));
-      steward_gates_grant (&g, i, 1, 3000);
+      CU_ASSERT_TRUE (steward_gates_record_ask (&g, i, 1, 1, 0));
+      steward_gates_record_grant (&g, i, 1, 3000);
     }
-  CU_ASSERT_FALSE (steward_gates_ask (&g, 100, 1, 1, 2999));
-  CU_ASSERT_FALSE (steward_gates_ask (&g, 0, 1, 1, 2999));
+  CU_ASSERT_FALSE (steward_gates_record_ask (&g, 100, 1, 1, 2999));
+  CU_ASSERT_FALSE (steward_gates_record_ask (&g, 0, 1, 1, 2999));
   CU_ASSERT_EQUAL (steward_gates_in_flight (&g, 2999), STEWARD_GATES_MAX);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 100, 1, 1, 3000));
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 100, 1, 1, 3000));
   CU_ASSERT_EQUAL (steward_gates_alive (&g, 5500, alive, STEWARD_GATES_MAX), 1);
   CU_ASSERT_EQUAL (alive[0], 100);
   steward_gates_clear (&g);
@@ -106,10 +106,10 @@
   CU_ASSERT_EQUAL (steward_brakes_raise (&a, &brake), CLUSTER_BRAKE_ADDED);
   CU_ASSERT_EQUAL (steward_brakes_raise (&a, &brake), CLUSTER_BRAKE_KNOWN);
   CU_ASSERT_NOT_EQUAL (steward_brakes_sync (&a, p, TIMEOUT_MS, NULL), STATUS_OK);
-  CU_ASSERT_TRUE (steward_brakes_behind (&a));
+  CU_ASSERT_TRUE (steward_brakes_unwritten (&a));
   fake_platform_fault (p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (steward_brakes_sync (&a, p, TIMEOUT_MS, NULL), STATUS_OK);
-  CU_ASSERT_FALSE (steward_brakes_behind (&a));
+  CU_ASSERT_FALSE (steward_brakes_unwritten (&a));
   CU_ASSERT_EQUAL (steward_brakes_sync (&b, p, TIMEOUT_MS, NULL), STATUS_OK);
   CU_ASSERT_NOT_EQUAL (steward_brakes_digest (&a), 0);
   CU_ASSERT_EQUAL (steward_brakes_digest (&a), steward_brakes_digest (&b));
@@ -150,7 +150,7 @@
 
   steward_brakes_init (&a);
   steward_brakes_init (&b);
-  for (int i = 0; i < 3 * STEWARD_BRAKES_SHARE / 2; i++)
+  for (int i = 0; i < 3 * STEWARD_BRAKES_PER_MESSAGE / 2; i++)
     {
       snprintf (version, sizeof version, "v%d", i);
       ClusterBrake brake = brake_of (version, 1);
@@ -159,10 +159,10 @@
   for (int round = 0; round < 2; round++)
     {
       message = (rpc_heartbeat){ 0 };
-      steward_brakes_fill (&a, STEWARD_BRAKES_SHARE, &message.brakes.brakes_val,
+      steward_brakes_fill (&a, STEWARD_BRAKES_PER_MESSAGE, &message.brakes.brakes_val,
                            &message.brakes.brakes_len);
-      CU_ASSERT_EQUAL (message.brakes.brakes_len, STEWARD_BRAKES_SHARE);
-      (void)steward_brakes_take (&b, message.brakes.brakes_val, message.brakes.brakes_len);
+      CU_ASSERT_EQUAL (message.brakes.brakes_len, STEWARD_BRAKES_PER_MESSAGE);
+      (void)steward_brakes_merge (&b, message.brakes.brakes_val, message.brakes.brakes_len);
       steward_message_clear (&message);
     }
   CU_ASSERT_EQUAL (steward_brakes_digest (&a), steward_brakes_digest (&b));
@@ -277,8 +277,8 @@
                            .news_count = 1 };
   h->news[0]
       = (ClusterNews){ .incarnation = 9, .number = 4, .view = 2, .age_ms = CLUSTER_AGE_UNKNOWN };
-  steward_message_from (h, &message);
-  CU_ASSERT_TRUE (steward_message_to (&message, back));
+  steward_message_encode (h, &message);
+  CU_ASSERT_TRUE (steward_message_decode (&message, back));
   CU_ASSERT_EQUAL (back->nonce, 1);
   CU_ASSERT_EQUAL (back->incarnation, 2);
   CU_ASSERT_EQUAL (back->view, 3);
@@ -294,7 +294,7 @@
   CU_ASSERT_EQUAL (back->news[0].view, 2);
   CU_ASSERT_EQUAL (back->news[0].age_ms, CLUSTER_AGE_UNKNOWN);
   message.incarnation = 0;
-  CU_ASSERT_FALSE (steward_message_to (&message, back));
+  CU_ASSERT_FALSE (steward_message_decode (&message, back));
   message.ages.ages_val = NULL;
   steward_message_clear (&message);
   free (h);
@@ -305,7 +305,7 @@
 static void
 test_heartbeat_rate (void)
 {
-  CU_ASSERT_TRUE (steward_heartbeat_rate (3) <= STEWARD_ASKS_PER_S);
+  CU_ASSERT_TRUE (steward_heartbeat_rate (3) <= STEWARD_HEARTBEAT_ASKS_PER_S_MAX);
   CU_ASSERT_TRUE (steward_heartbeat_rate (360) < steward_heartbeat_rate (36));
   CU_ASSERT_TRUE (steward_heartbeat_rate (360) > 3);
   CU_ASSERT_TRUE (steward_heartbeat_rate (CLUSTER_MEMBERS_MAX) > 2);
@@ -315,9 +315,9 @@
 static void
 test_poll_time (void)
 {
-  CU_ASSERT_EQUAL (steward_table_poll_ms (500, 9), 500);
-  CU_ASSERT_EQUAL (steward_table_poll_ms (500, 36), 500);
-  CU_ASSERT_EQUAL (steward_table_poll_ms (500, 360), 3600);
+  CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 9), 500);
+  CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 36), 500);
+  CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 360), 3600);
 }
 
 /* A gate whose records would be taken for left behind while it lives would have its row deleted and
@@ -333,18 +333,18 @@
   s->started_at = 0;
   steward_cluster_init (&s->cluster, 1, 3000);
   steward_gates_init (&s->gates, 0);
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, 1000));
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 1000));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
   ClusterView *view = memory_alloc (sizeof *view);
   *view = (ClusterView){ .number = 1, .established = true, .count = 1 };
   view->members[0].incarnation = 1;
   CU_ASSERT_TRUE (cluster_state_adopt_view (s->cluster.state, view));
-  CU_ASSERT_FALSE (steward_settle_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
-  steward_remote_gates_heard (&s->remote_gates, 2, &gate, 1, STEWARD_GATE_GONE_MS);
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
-  CU_ASSERT_FALSE (steward_settle_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
-  CU_ASSERT_TRUE (steward_gates_ask (&s->gates, gate, 1, 0, 2 * STEWARD_GATE_GONE_MS));
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
+  steward_remote_gates_update (&s->remote_gates, 2, &gate, 1, STEWARD_GATE_GONE_MS);
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_TRUE (steward_gates_record_ask (&s->gates, gate, 1, 0, 2 * STEWARD_GATE_GONE_MS));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
   free (view);
   steward_gates_clear (&s->gates);
   steward_cluster_clear (&s->cluster);
--- a/tests/test_steward_rollout.c
+++ b/tests/test_steward_rollout.c
@@ -43,7 +43,7 @@
   Config *config = fake_rollout_config (number, 1, stage, state);
 
   steward_evidence_init (e);
-  steward_evidence_config (e, config);
+  steward_evidence_apply_config (e, config);
   config_unref (config);
 }
 
@@ -52,7 +52,7 @@
 {
   Config *config = fake_rollout_config (number, 1, stage, state);
 
-  steward_evidence_config (e, config);
+  steward_evidence_apply_config (e, config);
   config_unref (config);
 }
 
@@ -181,7 +181,7 @@
 {
   EvidenceRollout t = totals_of (e);
 
-  rollout_watch_take (w, source, &t);
+  rollout_watch_add_totals (w, source, &t);
 }
 
 /*
@@ -336,14 +336,14 @@
   EvidenceRollout t = totals_of (&e);
   EvidenceRollout other = t;
 
-  rollout_set_follow (&set, &t, 1, 2, 1, 0);
+  rollout_set_update (&set, &t, 1, 2, 1, 0);
   RolloutWatch *w = rollout_set_find (&set, &t);
   CU_ASSERT_PTR_NOT_NULL (w);
-  rollout_set_follow (&set, &t, 1, 2, 1, 9);
+  rollout_set_update (&set, &t, 1, 2, 1, 9);
   CU_ASSERT_PTR_EQUAL (rollout_set_find (&set, &t), w);
   snprintf (other.to, sizeof other.to, "v3");
   CU_ASSERT_PTR_NULL (rollout_set_find (&set, &other));
-  rollout_set_follow (&set, &other, 1, 2, 1, 9);
+  rollout_set_update (&set, &other, 1, 2, 1, 9);
   CU_ASSERT_PTR_NULL (rollout_set_find (&set, &t));
   CU_ASSERT_PTR_NOT_NULL (rollout_set_find (&set, &other));
   rollout_set_clear (&set);
@@ -479,8 +479,8 @@
 static void
 test_pace (void)
 {
-  CU_ASSERT_EQUAL (steward_evidence_pace_ms (3), 2000);
-  CU_ASSERT_EQUAL (steward_evidence_pace_ms (360), 54000);
+  CU_ASSERT_EQUAL (steward_evidence_interval_ms (3), 2000);
+  CU_ASSERT_EQUAL (steward_evidence_interval_ms (360), 54000);
 }
 
 int
--- a/tests/test_steward_rollout_step.c
+++ b/tests/test_steward_rollout_step.c
@@ -14,7 +14,7 @@
 #include <string.h>
 
 static RolloutStep
-due (int stage, const char *state, RolloutLook look)
+due (int stage, const char *state, RolloutStepInput look)
 {
   Config *config = fake_rollout_config (1, 1, stage, state);
   RolloutStep step = rollout_step_due (&config->rollouts[0], &look);
@@ -26,8 +26,9 @@
 static void
 test_steps (void)
 {
-  const RolloutLook good = { .verdict = ROLLOUT_NEXT_STAGE, .accepted = true, .ordered = true };
-  RolloutLook look = good;
+  const RolloutStepInput good
+      = { .verdict = ROLLOUT_NEXT_STAGE, .accepted = true, .ordered = true };
+  RolloutStepInput look = good;
 
   CU_ASSERT_EQUAL (due (0, "running", good), ROLLOUT_STEP_NEXT);
   CU_ASSERT_EQUAL (due (1, "running", good), ROLLOUT_STEP_DONE);
@@ -39,13 +40,13 @@
   look = good;
   look.ordered = false;
   CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_NONE);
-  look = (RolloutLook){ .verdict = ROLLOUT_WAIT, .accepted = true, .ordered = true };
+  look = (RolloutStepInput){ .verdict = ROLLOUT_WAIT, .accepted = true, .ordered = true };
   CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_NONE);
   /* A brake that another raised calls for the step that its holder did not come to make; neither it
      nor bad evidence waits for acceptance or engines. */
-  look = (RolloutLook){ .verdict = ROLLOUT_NEXT_STAGE, .braked = true };
+  look = (RolloutStepInput){ .verdict = ROLLOUT_NEXT_STAGE, .braked = true };
   CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_BACK_OUT);
-  look = (RolloutLook){ .verdict = ROLLOUT_BRAKE };
+  look = (RolloutStepInput){ .verdict = ROLLOUT_BRAKE };
   CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_BACK_OUT);
   CU_ASSERT_EQUAL (due (0, "paused", look), ROLLOUT_STEP_NONE);
 }
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -197,7 +197,7 @@
   PlatformVms vms = list_of (s, listed, count);
   uint64_t *dead;
   size_t due
-      = steward_removal_judge (r, s, cluster_state_view (s->cluster.state), &vms, now, &dead);
+      = steward_removal_select (r, s, cluster_state_view (s->cluster.state), &vms, now, &dead);
 
   CU_ASSERT_TRUE (due == 0 || dead[0] == 3);
   free (dead);
@@ -254,9 +254,9 @@
   StewardRemoval *r = steward_removal_new ();
   Steward *s = steward_of (3);
 
-  steward_cluster_suspect (s, 0);
+  steward_cluster_update_suspicion (s, 0);
   CU_ASSERT_EQUAL (s->cluster.suspicion.kind, STEWARD_SUSPECT_NONE);
-  steward_cluster_suspect (s, 100000);
+  steward_cluster_update_suspicion (s, 100000);
   CU_ASSERT_EQUAL (s->cluster.suspicion.kind, STEWARD_SUSPECT_SELF);
   for (int64_t now = 0; now <= 3 * STEWARD_LIST_LAG_MS; now += 1000)
     CU_ASSERT_EQUAL (judge (r, s, only_first, 1, now), 0);
@@ -281,7 +281,7 @@
   for (int64_t now = 100000; now <= late; now += 1000)
     {
       CU_ASSERT_TRUE (fake_exchange (s->cluster.state, second, now, now));
-      steward_cluster_suspect (s, now);
+      steward_cluster_update_suspicion (s, now);
       CU_ASSERT_EQUAL (judge (r, s, first_two, 2, now), now < late ? 0 : 3);
     }
   CU_ASSERT_EQUAL (s->cluster.suspicion.kind, STEWARD_SUSPECT_SELF);
