--- a/tests/fake_order.c
+++ b/tests/fake_order.c
@@ -22,7 +22,7 @@
 }
 
 ClaimResult
-order_take (const OrderSite *site, uint64_t body, ClaimOutcome *out)
+order_claim (const OrderSite *site, uint64_t body, ClaimOutcome *out)
 {
   claim_take (site->group, site->p, TEAM, KEY, body, out, NULL);
   return out->result;
@@ -32,7 +32,7 @@
 order_resend (const OrderSite *site)
 {
   ClaimOutcome out;
-  ClaimResult result = order_take (site, ORDER_BODY, &out);
+  ClaimResult result = order_claim (site, ORDER_BODY, &out);
 
   claim_outcome_clear (&out);
   return result;
--- a/tests/fake_order.h
+++ b/tests/fake_order.h
@@ -19,7 +19,7 @@
 OrderSite order_site_new (void);
 void order_site_free (OrderSite *site);
 /** An attempt with a body of that hash. */
-ClaimResult order_take (const OrderSite *site, uint64_t body, ClaimOutcome *out);
+ClaimResult order_claim (const OrderSite *site, uint64_t body, ClaimOutcome *out);
 /** A re-send at another VM, of which only the result matters. */
 ClaimResult order_resend (const OrderSite *site);
 
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -37,10 +37,10 @@
   OrderSite site = order_site_new ();
   ClaimOutcome first, again;
 
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &first), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &first), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
   settle (&site, &first.claim, "crew \x01 3");
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &again), CLAIM_ANSWERED);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &again), CLAIM_ANSWERED);
   CU_ASSERT_EQUAL (again.http_status, 200);
   CU_ASSERT_STRING_EQUAL (again.content_type, "application/json");
   CU_ASSERT_STRING_EQUAL (again.answer.data, "crew \x01 3");
@@ -62,7 +62,7 @@
       ClaimOutcome out;
 
       fake_link_kill_at (link, 1, after_effect);
-      CU_ASSERT_EQUAL (order_take (&killed, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
+      CU_ASSERT_EQUAL (order_claim (&killed, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
       CU_ASSERT_EQUAL (order_resend (&site), after_effect ? CLAIM_IN_PROGRESS : CLAIM_TAKEN);
       platform_group_free (killed.group);
       platform_free (link);
@@ -73,7 +73,7 @@
       OrderSite site = order_site_new ();
       ClaimOutcome out;
 
-      CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_TAKEN);
+      CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
       if (billed)
         settle (&site, &out.claim, "crew 3");
       for (int i = 0; i < 3; i++)
@@ -88,8 +88,8 @@
   OrderSite site = order_site_new ();
   ClaimOutcome out;
 
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_TAKEN);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY + 1, &out), CLAIM_MISMATCH);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY + 1, &out), CLAIM_MISMATCH);
   order_site_free (&site);
 }
 
@@ -102,9 +102,9 @@
   char *answer = memory_alloc (CLAIM_ANSWER_MAX + 2);
 
   memset (answer, 'x', CLAIM_ANSWER_MAX + 1);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &first), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &first), CLAIM_TAKEN);
   settle (&site, &first.claim, answer);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &again), CLAIM_ANSWERED);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &again), CLAIM_ANSWERED);
   CU_ASSERT_EQUAL (again.answer.len, 0);
   claim_outcome_clear (&again);
   free (answer);
@@ -120,7 +120,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_LOSE_REPLY, CALL_TXN, 1);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
 }
@@ -132,7 +132,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_LOSE_CALL, CALL_TXN, 1);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
 }
@@ -146,7 +146,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_DOWN, CALL_ALL, 0);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_FALSE (out.unsettled);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
@@ -169,7 +169,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_LOSE_REPLY, CALL_ALL, 0);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_TRUE (out.unsettled);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
@@ -189,7 +189,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_SLOW, CALL_ALL, 0);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_TRUE (out.unsettled);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (claim_release (site.p, &out.claim, NULL), STATUS_OK);
@@ -208,10 +208,10 @@
   OrderSite site = order_site_new ();
   ClaimOutcome a, b;
 
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &a), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &a), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (claim_release (site.p, &a.claim, NULL), STATUS_OK);
   fake_platform_fault (site.p, FAULT_SLOW, CALL_TXN, 0);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &b), CLAIM_UNAVAILABLE);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &b), CLAIM_UNAVAILABLE);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_TRUE (b.unsettled);
   CU_ASSERT_EQUAL (claim_release (site.p, &b.claim, NULL), STATUS_OK);
@@ -258,7 +258,7 @@
   ClaimOutcome a, b;
   Racer racer = { .site = &site, .taken = &b };
 
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &a), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &a), CLAIM_TAKEN);
   b = a;
   id_random (b.claim.nonce);
   fake_platform_hook (site.p, race_with_release, &racer);
@@ -290,7 +290,7 @@
   ClaimOutcome out;
   Racer racer = { .site = &site };
 
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (claim_release (site.p, &out.claim, NULL), STATUS_OK);
   fake_platform_hook (site.p, race_with_take_over, &racer);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
@@ -318,7 +318,7 @@
   pthread_t threads[THREADS];
   int winners = 0;
 
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (claim_release (site.p, &out.claim, NULL), STATUS_OK);
   for (int i = 0; i < THREADS; i++)
     {
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -32,7 +32,7 @@
 world_take (World *w)
 {
   ClaimOutcome out;
-  ClaimResult result = order_take (&w->site, ORDER_BODY, &out);
+  ClaimResult result = order_claim (&w->site, ORDER_BODY, &out);
 
   if (result == CLAIM_TAKEN)
     {
--- a/tests/test_gate_poll.c
+++ b/tests/test_gate_poll.c
@@ -1,7 +1,7 @@
 /**
  * Load reports of many engines: src/gate_poll.c.
  */
-#include "fake_keeper.h"
+#include "fake_http_server.h"
 #include "gate_poll.h"
 #include "suite.h"
 #include "util_clock.h"
@@ -15,12 +15,12 @@
 typedef struct
 {
   Gate gate;
-  FakeKeeper *keepers[ENGINES];
+  FakeHttpServer *keepers[ENGINES];
   int wanted; /**< requests, or open connections, that a wait is for */
 } Site;
 
 static int
-sum (const Site *site, int (*count) (const FakeKeeper *keeper))
+sum (const Site *site, int (*count) (const FakeHttpServer *keeper))
 {
   int n = 0;
 
@@ -46,7 +46,7 @@
     buffer_printf (&text,
                    "%s\"e%d\":{\"kind\":\"engine\",\"address\":\"127.0.0.1\",\"port\":%d,"
                    "\"failure_domain\":\"oita\",\"serves\":[\"draft@v%d\"],\"slots\":4}",
-                   i > 0 ? "," : "", i, fake_keeper_port (site->keepers[i]), i);
+                   i > 0 ? "," : "", i, fake_http_server_port (site->keepers[i]), i);
   buffer_add_string (&text, "}}");
   config = config_parse (text.data, text.len, number, &list);
   if (config == NULL)
@@ -63,7 +63,7 @@
 {
   Site *site = context;
 
-  return sum (site, fake_keeper_requests) >= site->wanted;
+  return sum (site, fake_http_server_requests) >= site->wanted;
 }
 
 static bool
@@ -71,13 +71,13 @@
 {
   Site *site = context;
 
-  return sum (site, fake_keeper_open) == site->wanted;
+  return sum (site, fake_http_server_open) == site->wanted;
 }
 
 static void
 wait_requests (Site *site, int more)
 {
-  site->wanted = sum (site, fake_keeper_requests) + more;
+  site->wanted = sum (site, fake_http_server_requests) + more;
   CU_ASSERT_TRUE (suite_wait (read_often, site));
 }
 
@@ -95,7 +95,7 @@
   int64_t seconds;
 
   for (int i = 0; i < ENGINES; i++)
-    site->keepers[i] = fake_keeper_new ("{\"running\":1,\"queued\":2,\"at_ms\":5}");
+    site->keepers[i] = fake_http_server_new ("{\"running\":1,\"queued\":2,\"at_ms\":5}");
   gate_servers_init (&site->gate.servers, "vm-1", "oita");
   publish (site, ENGINES, 1);
   from_ms = clock_boot_ms ();
@@ -103,8 +103,8 @@
   wait_requests (site, 2 * ENGINES);
   seconds = (clock_boot_ms () - from_ms) / 1000;
   /* A lower bound of the time only; each thread may begin a round at both ends. */
-  CU_ASSERT_TRUE (sum (site, fake_keeper_requests) <= GATE_POLL_READS_MAX * (seconds + 2));
-  CU_ASSERT_EQUAL (sum (site, fake_keeper_connections), ENGINES);
+  CU_ASSERT_TRUE (sum (site, fake_http_server_requests) <= GATE_POLL_READS_MAX * (seconds + 2));
+  CU_ASSERT_EQUAL (sum (site, fake_http_server_connections), ENGINES);
   for (int i = 0; i < ENGINES; i++)
     {
       ServerView view;
@@ -115,13 +115,13 @@
   site->wanted = LEFT;
   CU_ASSERT_TRUE (suite_wait (few_open, site));
   wait_requests (site, 2 * LEFT);
-  CU_ASSERT_EQUAL (sum (site, fake_keeper_open), LEFT);
+  CU_ASSERT_EQUAL (sum (site, fake_http_server_open), LEFT);
   /* One that stays may be read by another thread now, on a connection of that one's. */
-  CU_ASSERT_TRUE (sum (site, fake_keeper_connections) <= ENGINES + LEFT);
+  CU_ASSERT_TRUE (sum (site, fake_http_server_connections) <= ENGINES + LEFT);
   gate_poll_stop (poll);
   gate_snapshot_put (site->gate.snapshots.newest);
   for (int i = 0; i < ENGINES; i++)
-    fake_keeper_free (site->keepers[i]);
+    fake_http_server_free (site->keepers[i]);
   free (site);
 }
 
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -1,7 +1,7 @@
 /**
  * Reads over kept connections: src/http_reader.c.
  */
-#include "fake_keeper.h"
+#include "fake_http_server.h"
 #include "fake_server.h"
 #include "http_reader.h"
 #include "platform.h"
@@ -42,18 +42,18 @@
 static void
 test_one_connection (void)
 {
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
 
   for (int i = 0; i < READS; i++)
     CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  CU_ASSERT_EQUAL (fake_keeper_requests (keeper), READS);
-  CU_ASSERT_EQUAL (fake_keeper_connections (keeper), 1);
-  CU_ASSERT_TRUE (http_reader_is_at (reader, LOCALHOST, fake_keeper_port (keeper)));
-  CU_ASSERT_FALSE (http_reader_is_at (reader, LOCALHOST, fake_keeper_port (keeper) + 1));
-  CU_ASSERT_FALSE (http_reader_is_at (reader, "127.0.0.2", fake_keeper_port (keeper)));
+  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), READS);
+  CU_ASSERT_EQUAL (fake_http_server_connections (keeper), 1);
+  CU_ASSERT_TRUE (http_reader_is_at (reader, LOCALHOST, fake_http_server_port (keeper)));
+  CU_ASSERT_FALSE (http_reader_is_at (reader, LOCALHOST, fake_http_server_port (keeper) + 1));
+  CU_ASSERT_FALSE (http_reader_is_at (reader, "127.0.0.2", fake_http_server_port (keeper)));
   http_reader_free (reader);
-  fake_keeper_free (keeper);
+  fake_http_server_free (keeper);
 }
 
 static void
@@ -63,55 +63,55 @@
    * An engine that is well leaves the choice for a second: its HTTP server closed the connection
    * that was idle, the next load report goes to the closed connection and is counted as missed.
    */
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
 
   for (int i = 1; i <= 5; i++)
     {
       CU_ASSERT_EQUAL (get (reader), STATUS_OK);
       CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-      CU_ASSERT_EQUAL (fake_keeper_requests (keeper), 2 * i);
-      CU_ASSERT_EQUAL (fake_keeper_connections (keeper), i);
-      fake_keeper_stop (keeper);
-      CU_ASSERT_TRUE_FATAL (fake_keeper_start (keeper));
+      CU_ASSERT_EQUAL (fake_http_server_requests (keeper), 2 * i);
+      CU_ASSERT_EQUAL (fake_http_server_connections (keeper), i);
+      fake_http_server_stop (keeper);
+      CU_ASSERT_TRUE_FATAL (fake_http_server_start (keeper));
     }
   http_reader_free (reader);
-  fake_keeper_free (keeper);
+  fake_http_server_free (keeper);
 }
 
 static void
 test_server_down (void)
 {
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
 
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  fake_keeper_stop (keeper);
+  fake_http_server_stop (keeper);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNAVAILABLE);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNAVAILABLE);
-  CU_ASSERT_TRUE_FATAL (fake_keeper_start (keeper));
+  CU_ASSERT_TRUE_FATAL (fake_http_server_start (keeper));
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   http_reader_free (reader);
-  fake_keeper_free (keeper);
+  fake_http_server_free (keeper);
 }
 
 static void
 test_no_answer_on_kept (void)
 {
   /* On a kept connection neon asks a second time, on a fresh one; never more often. */
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
 
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  fake_keeper_drop (keeper, true);
+  fake_http_server_drop (keeper, true);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_keeper_requests (keeper), 3);
+  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), 3);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_keeper_requests (keeper), 4);
-  fake_keeper_drop (keeper, false);
+  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), 4);
+  fake_http_server_drop (keeper, false);
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   http_reader_free (reader);
-  fake_keeper_free (keeper);
+  fake_http_server_free (keeper);
 }
 
 /* One read of an answer of this kind on a fresh connection. */
@@ -204,8 +204,8 @@
 static void
 test_two_threads (void)
 {
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), THREADS);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), THREADS);
   ReadThread reads[THREADS];
   pthread_t threads[THREADS];
 
@@ -219,10 +219,10 @@
       pthread_join (threads[i], NULL);
       CU_ASSERT_EQUAL (reads[i].failed, 0);
     }
-  CU_ASSERT_EQUAL (fake_keeper_requests (keeper), THREADS * READS);
-  CU_ASSERT_TRUE (fake_keeper_connections (keeper) <= THREADS);
+  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), THREADS * READS);
+  CU_ASSERT_TRUE (fake_http_server_connections (keeper) <= THREADS);
   http_reader_free (reader);
-  fake_keeper_free (keeper);
+  fake_http_server_free (keeper);
 }
 
 static void
@@ -230,8 +230,8 @@
 {
   /* neon takes the timeouts when it connects: a read with another one needs another connection, or
    * it would wait as long as the first one may. */
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
   const int timeouts_ms[] = { 5000, 4500, 1000, 1000, 5000 };
   const int connections[] = { 1, 1, 2, 2, 3 };
 
@@ -242,11 +242,11 @@
       int http_status;
       read.read_timeout_ms = timeouts_ms[i];
       CU_ASSERT_EQUAL (http_reader_get (reader, &read, &http_status, &answer, NULL), STATUS_OK);
-      CU_ASSERT_EQUAL (fake_keeper_connections (keeper), connections[i]);
+      CU_ASSERT_EQUAL (fake_http_server_connections (keeper), connections[i]);
       buffer_free (&answer);
     }
   http_reader_free (reader);
-  fake_keeper_free (keeper);
+  fake_http_server_free (keeper);
 }
 
 static void
@@ -256,8 +256,8 @@
    * A patch is accepted twice: a transaction goes out on a connection that the table service has
    * just closed, and the library sends it again. Reads are kept, a transaction never is.
    */
-  FakeKeeper *keeper = fake_keeper_new ("{\"key\":\"a\",\"value\":\"1\",\"version\":3}");
-  Platform *p = platform_http_new (LOCALHOST, fake_keeper_port (keeper));
+  FakeHttpServer *keeper = fake_http_server_new ("{\"key\":\"a\",\"value\":\"1\",\"version\":3}");
+  Platform *p = platform_http_new (LOCALHOST, fake_http_server_port (keeper));
   TxnOp op = { .kind = TXN_PUT, .table = "t", .key = "a", .value = "1" };
   PlatformRow row;
 
@@ -267,12 +267,12 @@
       CU_ASSERT_EQUAL (row.version, 3);
       platform_row_clear (&row);
     }
-  CU_ASSERT_EQUAL (fake_keeper_connections (keeper), 1);
+  CU_ASSERT_EQUAL (fake_http_server_connections (keeper), 1);
   CU_ASSERT_EQUAL (p->ops->txn (p, &op, 1, 5000, NULL), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_keeper_requests (keeper), READS + 1);
-  CU_ASSERT_EQUAL (fake_keeper_connections (keeper), 2);
+  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), READS + 1);
+  CU_ASSERT_EQUAL (fake_http_server_connections (keeper), 2);
   platform_free (p);
-  fake_keeper_free (keeper);
+  fake_http_server_free (keeper);
 }
 
 int
