--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -55,9 +55,9 @@
   bool may;
 
   pthread_mutex_lock (&d->lock);
-  may = d->told_at == 0 || now_ms - d->told_at >= pause_ms;
+  may = d->broadcast_at == 0 || now_ms - d->broadcast_at >= pause_ms;
   if (may)
-    d->told_at = now_ms;
+    d->broadcast_at = now_ms;
   pthread_mutex_unlock (&d->lock);
   return may;
 }
--- a/src/steward_deaths.h
+++ b/src/steward_deaths.h
@@ -35,7 +35,7 @@
   Quarantine *set;   /**< has its own lock */
   size_t next_fresh; /**< where the next message's share begins */
   size_t next_older;
-  int64_t told_at; /**< when all members were last told at once; 0: never */
+  int64_t broadcast_at; /**< when all members were last told at once; 0: never */
 } StewardDeaths;
 
 void steward_deaths_init (StewardDeaths *d);
--- a/src/steward_gates.c
+++ b/src/steward_gates.c
@@ -32,7 +32,7 @@
   StewardGate *gate = find (g, 0);
 
   for (size_t i = 0; gate == NULL && i < STEWARD_GATES_MAX; i++)
-    if (g->gates[i].until <= now && g->gates[i].later_until <= now)
+    if (g->gates[i].until <= now && g->gates[i].pending_until <= now)
       gate = &g->gates[i];
   /* The gate may hold a grant of a steward that ran here before us. */
   if (gate != NULL)
@@ -44,19 +44,19 @@
 static void
 merge_later (StewardGate *gate)
 {
-  if (gate->later_until > gate->until)
-    gate->until = gate->later_until;
-  gate->later_until = 0;
-  gate->later_number = 0;
+  if (gate->pending_until > gate->until)
+    gate->until = gate->pending_until;
+  gate->pending_until = 0;
+  gate->pending_number = 0;
 }
 
 static void
 grant_later (StewardGate *gate, int64_t number, int64_t until)
 {
-  if (gate->later_number == 0 || number < gate->later_number)
-    gate->later_number = number;
-  if (until > gate->later_until)
-    gate->later_until = until;
+  if (gate->pending_number == 0 || number < gate->pending_number)
+    gate->pending_number = number;
+  if (until > gate->pending_until)
+    gate->pending_until = until;
 }
 
 /* The lowest number under which the gate may take new work at now; newest if there is none lower.
@@ -71,8 +71,8 @@
     return newest;
   if (gate->until > now && gate->number < lowest)
     lowest = gate->number;
-  if (gate->later_number != 0 && gate->later_until > now && gate->later_number < lowest)
-    lowest = gate->later_number;
+  if (gate->pending_number != 0 && gate->pending_until > now && gate->pending_number < lowest)
+    lowest = gate->pending_number;
   return lowest;
 }
 
@@ -93,12 +93,12 @@
     gate = make (g, incarnation, now);
   if (gate != NULL)
     {
-      g->heard = true;
+      g->asked = true;
       /* An ask that was overtaken by a later one must not lower the number. */
       if (number > gate->number)
         {
           gate->number = number;
-          if (gate->later_number <= number)
+          if (gate->pending_number <= number)
             merge_later (gate);
         }
       gate->in_flight = in_flight;
@@ -131,7 +131,7 @@
   /* A steward that was replaced has forgotten its gate, which goes on with the grant that it has.
      Until the gate has asked or that grant has ended, nothing is known to be in force here. One
      gate a VM takes callers' work, since it alone can listen on their port. */
-  if (!g->heard && now < g->inherited_until)
+  if (!g->asked && now < g->inherited_until)
     lowest = 0;
   for (size_t i = 0; i < STEWARD_GATES_MAX; i++)
     lowest = lowest_of (&g->gates[i], lowest, now);
@@ -150,8 +150,8 @@
     {
       if (g->gates[i].until > end)
         end = g->gates[i].until;
-      if (g->gates[i].later_until > end)
-        end = g->gates[i].later_until;
+      if (g->gates[i].pending_until > end)
+        end = g->gates[i].pending_until;
     }
   pthread_mutex_unlock (&g->lock);
   return end;
--- a/src/steward_gates.h
+++ b/src/steward_gates.h
@@ -15,11 +15,11 @@
 
 typedef struct
 {
-  uint64_t incarnation; /**< 0: free */
-  int64_t number;       /**< in force when it asked last */
-  int64_t until;        /**< no grant that it can use under number lasts longer, our boot time */
-  int64_t later_until;  /**< the same for grants that it can only use from later_number on */
-  int64_t later_number; /**< above number; 0: there are none */
+  uint64_t incarnation;   /**< 0: free */
+  int64_t number;         /**< in force when it asked last */
+  int64_t until;          /**< no grant that it can use under number lasts longer, our boot time */
+  int64_t pending_until;  /**< the same for grants that it can only use from later_number on */
+  int64_t pending_number; /**< above number; 0: there are none */
   int64_t asked_at;
   unsigned in_flight;
 } StewardGate;
@@ -28,7 +28,7 @@
 {
   pthread_mutex_t lock;
   int64_t inherited_until; /**< grants of this steward's predecessor end by then */
-  bool heard;              /**< a gate has asked since the start */
+  bool asked;              /**< a gate has asked since the start */
   StewardGate gates[STEWARD_GATES_MAX];
 } StewardGates;
 
