--- a/src/steward.h
+++ b/src/steward.h
@@ -66,9 +66,9 @@
   StewardFetch *fetch;
   StewardHttp *http;
   StewardRollout *rollout;
-  int64_t started_at;      /**< boot-time clock */
-  int64_t recover_at;      /**< next pass over the object store; of the table's thread */
-  atomic_bool platform_up; /**< the last read of the head row had an answer */
+  int64_t started_at;       /**< boot-time clock */
+  int64_t next_recovery_at; /**< next pass over the object store; of the table's thread */
+  atomic_bool platform_up;  /**< the last read of the head row had an answer */
 } Steward;
 
 #endif
--- a/src/steward_brakes.c
+++ b/src/steward_brakes.c
@@ -59,13 +59,13 @@
 
 /* Returns what it was before. */
 static bool
-note_behind (StewardBrakes *b, bool behind)
+set_unwritten (StewardBrakes *b, bool unwritten)
 {
   bool before;
 
   pthread_mutex_lock (&b->lock);
-  before = b->table_behind;
-  b->table_behind = behind;
+  before = b->unwritten;
+  b->unwritten = unwritten;
   pthread_mutex_unlock (&b->lock);
   return before;
 }
@@ -77,19 +77,19 @@
 
   if (result != CLUSTER_BRAKE_ADDED)
     return result;
-  (void)note_behind (b, true);
+  (void)set_unwritten (b, true);
   return result;
 }
 
 bool
 steward_brakes_unwritten (StewardBrakes *b)
 {
-  bool behind;
+  bool unwritten;
 
   pthread_mutex_lock (&b->lock);
-  behind = b->table_behind;
+  unwritten = b->unwritten;
   pthread_mutex_unlock (&b->lock);
-  return behind;
+  return unwritten;
 }
 
 void
@@ -338,7 +338,7 @@
 {
   PlatformRows rows = { 0 };
   ClusterBrake brake;
-  bool behind = note_behind (b, false);
+  bool unwritten = set_unwritten (b, false);
   StatusCode code = p->ops->scan (p, "brake", "", "", CLUSTER_BRAKES_MAX, timeout_ms, &rows, st);
 
   for (size_t i = 0; code == STATUS_OK && i < rows.count; i++)
@@ -347,7 +347,7 @@
   if (code == STATUS_OK)
     code = write_missing (b, &rows, p, timeout_ms, st);
   platform_rows_clear (&rows);
-  if (code != STATUS_OK && behind)
-    (void)note_behind (b, true);
+  if (code != STATUS_OK && unwritten)
+    (void)set_unwritten (b, true);
   return code;
 }
--- a/src/steward_brakes.h
+++ b/src/steward_brakes.h
@@ -15,9 +15,9 @@
 {
   pthread_mutex_t lock;
   ClusterBrakes *set;
-  uint64_t digest;   /**< of the set */
-  size_t next;       /**< where the next message's share of the set begins */
-  bool table_behind; /**< one that was raised here may be missing in the table */
+  uint64_t digest; /**< of the set */
+  size_t next;     /**< where the next message's share of the set begins */
+  bool unwritten;  /**< one that was raised here may be missing in the table */
 } StewardBrakes;
 
 /** Most brakes in one datagram. */
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -9,9 +9,9 @@
 #include <stdlib.h>
 
 /* With few members each is asked directly more than once a second. */
-#define FEW_MEMBERS 16
+#define SMALL_CLUSTER_MEMBERS 16
 /* Silence after which nothing that a member was granted can be in use any more, in grants. */
-#define DEAD_GRANTS 3
+#define DEAD_AFTER_GRANTS 3
 /* Clocks of VMs run apart by one part in CLUSTER_DRIFT_PARTS, and each side rounds. */
 #define BOUND_MARGIN_MS 20
 
@@ -137,7 +137,7 @@
    of a newer view is not counted), so it ends grant_ms later at the latest; until then the members'
    word is not enough. */
 static bool
-may_work_unseen (const Steward *s, int64_t now)
+unseen_grant_possible (const Steward *s, int64_t now)
 {
   const StewardCluster *c = &s->cluster;
 
@@ -163,7 +163,8 @@
         progress.members_in_force++;
     }
   progress.in_force = progress.accepted && progress.members > 0
-                      && progress.members_in_force == progress.members && !may_work_unseen (s, now);
+                      && progress.members_in_force == progress.members
+                      && !unseen_grant_possible (s, now);
   pthread_mutex_unlock (&s->cluster.lock);
   return progress;
 }
@@ -257,7 +258,7 @@
 {
   size_t members = cluster_state_view (s->cluster.state)->count;
 
-  return members <= FEW_MEMBERS ? s->settings.grant_ms / 2 : s->settings.grant_ms;
+  return members <= SMALL_CLUSTER_MEMBERS ? s->settings.grant_ms / 2 : s->settings.grant_ms;
 }
 
 StewardMemberState
@@ -278,7 +279,7 @@
   *age_ms = now > k->as_of ? now - k->as_of : 0;
   if (*age_ms <= suspect_ms (s))
     return STEWARD_MEMBER_ALIVE;
-  return *age_ms <= DEAD_GRANTS * grant_ms ? STEWARD_MEMBER_SUSPECT : STEWARD_MEMBER_DEAD;
+  return *age_ms <= DEAD_AFTER_GRANTS * grant_ms ? STEWARD_MEMBER_SUSPECT : STEWARD_MEMBER_DEAD;
 }
 
 const char *
@@ -333,14 +334,14 @@
 }
 
 static StewardSuspicion
-judge (const Steward *s, int64_t now)
+judge_silence (const Steward *s, int64_t now)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   bool silent[CLUSTER_MEMBERS_MAX] = { false };
   int64_t age_ms;
 
   /* Nobody has been asked often enough yet to be called silent. */
-  if (now - s->started_at < DEAD_GRANTS * s->settings.grant_ms)
+  if (now - s->started_at < DEAD_AFTER_GRANTS * s->settings.grant_ms)
     return (StewardSuspicion){ 0 };
   for (size_t i = 0; i < view->count; i++)
     {
@@ -358,7 +359,7 @@
   bool changed;
 
   pthread_mutex_lock (&s->cluster.lock);
-  found = judge (s, now);
+  found = judge_silence (s, now);
   changed = found.kind != kept->kind;
   *kept = found;
   pthread_mutex_unlock (&s->cluster.lock);
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -4,7 +4,7 @@
 
 /* A death near the end of our memory is not told any more: a peer that forgot it a moment ago would
    learn it anew and tell us in its turn, so that it went round for ever. */
-#define LAST_TOLD_MS INT64_C (60000)
+#define SEND_MARGIN_MS INT64_C (60000)
 /* On the wire: server, age and the number of flights. */
 #define DEATH_BYTES  16
 #define FLIGHT_BYTES 8
@@ -31,7 +31,7 @@
 bool
 steward_deaths_merge (StewardDeaths *d, const rpc_death *deaths, size_t count, int64_t now_ms)
 {
-  bool news = false;
+  bool changed = false;
 
   for (size_t i = 0; i < count; i++)
     {
@@ -43,23 +43,23 @@
           death.flights[death.count] = from->flights.flights_val[death.count];
           death.count++;
         }
-      news |= quarantine_add (d->set, &death, now_ms);
+      changed |= quarantine_add (d->set, &death, now_ms);
     }
-  return news;
+  return changed;
 }
 
 bool
 steward_deaths_may_broadcast (StewardDeaths *d, size_t others, int64_t now_ms)
 {
-  int64_t pause_ms = (int64_t)others * 1000 / STEWARD_DEATHS_BROADCASTS_PER_S;
-  bool may;
+  int64_t min_interval_ms = (int64_t)others * 1000 / STEWARD_DEATHS_BROADCASTS_PER_S;
+  bool allowed;
 
   pthread_mutex_lock (&d->lock);
-  may = d->broadcast_at == 0 || now_ms - d->broadcast_at >= pause_ms;
-  if (may)
+  allowed = d->broadcast_at == 0 || now_ms - d->broadcast_at >= min_interval_ms;
+  if (allowed)
     d->broadcast_at = now_ms;
   pthread_mutex_unlock (&d->lock);
-  return may;
+  return allowed;
 }
 
 /** A message's part that is being filled. */
@@ -68,65 +68,66 @@
   StewardDeathsLimits left;
   rpc_death *out;
   u_int count;
-} Share;
+} Selection;
 
 static bool
-share_add (Share *share, const QuarantineDeath *death)
+selection_add (Selection *selection, const QuarantineDeath *death)
 {
   size_t bytes = DEATH_BYTES + FLIGHT_BYTES * (size_t)death->count;
-  rpc_death *to = &share->out[share->count];
+  rpc_death *to = &selection->out[selection->count];
 
-  if (share->left.count == 0 || (bytes > share->left.bytes && share->count > 0))
+  if (selection->left.count == 0 || (bytes > selection->left.bytes && selection->count > 0))
     return false;
-  share->left.count--;
-  share->left.bytes -= bytes < share->left.bytes ? bytes : share->left.bytes;
+  selection->left.count--;
+  selection->left.bytes -= bytes < selection->left.bytes ? bytes : selection->left.bytes;
   *to = (rpc_death){ .server = death->server, .age_ms = death->age_ms };
   to->flights.flights_len = death->count;
   to->flights.flights_val = memory_array (death->count + 1, sizeof (uint64_t));
   memcpy (to->flights.flights_val, death->flights, death->count * sizeof (uint64_t));
-  share->count++;
+  selection->count++;
   return true;
 }
 
-/* Adds up to most of these, from *next on if they don't all fit. */
+/* Adds up to max of these, from *next on if they don't all fit. */
 static void
-share_add_in_turn (Share *share,
-                   const QuarantineDeath *deaths,
-                   size_t count,
-                   size_t most,
-                   size_t *next)
+selection_add_in_turn (Selection *selection,
+                       const QuarantineDeath *deaths,
+                       size_t count,
+                       size_t max,
+                       size_t *next)
 {
   size_t first = count > 0 ? *next % count : 0;
   size_t added = 0;
 
-  while (added < count && added < most && share_add (share, &deaths[(first + added) % count]))
+  while (added < count && added < max
+         && selection_add (selection, &deaths[(first + added) % count]))
     added++;
   *next = added < count ? first + added : 0;
 }
 
 void
 steward_deaths_fill (StewardDeaths *d,
-                     const StewardDeathsLimits *room,
+                     const StewardDeathsLimits *limits,
                      int64_t now_ms,
                      rpc_death **out,
                      u_int *count)
 {
   QuarantineDeath deaths[QUARANTINE_DEATHS_MAX];
   size_t known = quarantine_recent_deaths (d->set, deaths, QUARANTINE_DEATHS_MAX, now_ms);
-  Share share = { .left = *room };
+  Selection selection = { .left = *limits };
   size_t fresh = 0;
 
   while (known > 0
-         && deaths[known - 1].age_ms > quarantine_settings_default.retention_ms - LAST_TOLD_MS)
+         && deaths[known - 1].age_ms > quarantine_settings_default.retention_ms - SEND_MARGIN_MS)
     known--;
   while (fresh < known && deaths[fresh].age_ms < STEWARD_DEATHS_FRESH_MS)
     fresh++;
   if (known > 0)
-    share.out = memory_array (room->count, sizeof *share.out);
+    selection.out = memory_array (limits->count, sizeof *selection.out);
   pthread_mutex_lock (&d->lock);
-  share_add_in_turn (&share, deaths, fresh, fresh, &d->next_fresh);
-  share_add_in_turn (&share, deaths + fresh, known - fresh, room->older, &d->next_older);
+  selection_add_in_turn (&selection, deaths, fresh, fresh, &d->next_fresh);
+  selection_add_in_turn (&selection, deaths + fresh, known - fresh, limits->older, &d->next_older);
   pthread_mutex_unlock (&d->lock);
-  *out = share.out;
-  *count = share.count;
+  *out = selection.out;
+  *count = selection.count;
 }
--- a/src/steward_deaths.h
+++ b/src/steward_deaths.h
@@ -49,7 +49,7 @@
 /** What to tell now, newest first; where a message has no room for all, the next goes on with the
  *  others. Freed with xdr_free of the message that it goes into. */
 void steward_deaths_fill (StewardDeaths *d,
-                          const StewardDeathsLimits *room,
+                          const StewardDeathsLimits *limits,
                           int64_t now_ms,
                           rpc_death **out,
                           u_int *count);
--- a/src/steward_duty.c
+++ b/src/steward_duty.c
@@ -14,9 +14,9 @@
 #define TABLE      "duty"
 #define TIMEOUT_MS 1000
 /* Reads a second that all stewards together spend on one duty. */
-#define READS_PER_S 50
-#define ROW_SIZE    128
-#define NUMBER_SIZE 24
+#define READS_PER_S_MAX 50
+#define ROW_SIZE        128
+#define NUMBER_SIZE     24
 
 struct StewardDuty
 {
@@ -25,9 +25,9 @@
   pthread_mutex_t lock; /**< guards lease */
   ClusterLease lease;
   /* The rest belongs to the thread of steward_duty_step. */
-  ClusterLeaseRow row; /**< as last read or written */
-  int64_t read_at;     /**< no read of another's row before this */
-  int64_t fence;       /**< under which we hold the duty, for the log; 0: not */
+  ClusterLeaseRow row;  /**< as last read or written */
+  int64_t next_read_at; /**< no read of another's row before this */
+  int64_t fence;        /**< under which we hold the duty, for the log; 0: not */
 };
 
 typedef struct
@@ -72,9 +72,9 @@
 int64_t
 steward_duty_read_interval_ms (size_t members)
 {
-  int64_t least = (int64_t)members * 1000 / READS_PER_S;
+  int64_t min_ms = (int64_t)members * 1000 / READS_PER_S_MAX;
 
-  return least > STEWARD_DUTY_READ_INTERVAL_MS ? least : STEWARD_DUTY_READ_INTERVAL_MS;
+  return min_ms > STEWARD_DUTY_READ_INTERVAL_MS ? min_ms : STEWARD_DUTY_READ_INTERVAL_MS;
 }
 
 static bool
@@ -116,7 +116,7 @@
   int64_t received_at = d->options.clock_ms ();
 
   platform_row_clear (&found);
-  d->read_at = sent_at + steward_duty_read_interval_ms (members);
+  d->next_read_at = sent_at + steward_duty_read_interval_ms (members);
   pthread_mutex_lock (&d->lock);
   if (good)
     cluster_lease_read (&d->lease, sent_at, received_at, &row);
@@ -179,7 +179,7 @@
   pthread_mutex_lock (&d->lock);
   cluster_lease_written (&d->lease, sent_at, code, version);
   pthread_mutex_unlock (&d->lock);
-  d->read_at = sent_at;
+  d->next_read_at = sent_at;
   if (code != STATUS_OK)
     return;
   d->row = *row;
@@ -187,7 +187,7 @@
 }
 
 static void
-note_change (StewardDuty *d)
+log_change (StewardDuty *d)
 {
   int64_t fence = steward_duty_fence (d);
 
@@ -208,11 +208,11 @@
   pthread_mutex_lock (&d->lock);
   step = cluster_lease_next (&d->lease, now, &row);
   pthread_mutex_unlock (&d->lock);
-  if (step == CLUSTER_LEASE_READ && now >= d->read_at)
+  if (step == CLUSTER_LEASE_READ && now >= d->next_read_at)
     read_row (d, members);
   if (step == CLUSTER_LEASE_WRITE)
     write_row (d, &row);
-  note_change (d);
+  log_change (d);
 }
 
 /* Without this a successor would wait for the lease to lapse. */
--- a/src/steward_evidence.c
+++ b/src/steward_evidence.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PACE_LEAST_MS 2000
+#define INTERVAL_MIN_MS 2000
 /* A row is about 1,100 bytes at most; 6.7 rows a second are 7.3 KB/s of the holder's 14 KB/s. */
-#define PACE_MEMBER_MS 150
+#define INTERVAL_PER_MEMBER_MS 150
 
 void
 steward_evidence_init (StewardEvidence *e)
@@ -25,9 +25,9 @@
 int64_t
 steward_evidence_interval_ms (size_t members)
 {
-  int64_t least = (int64_t)members * PACE_MEMBER_MS;
+  int64_t min_ms = (int64_t)members * INTERVAL_PER_MEMBER_MS;
 
-  return least > PACE_LEAST_MS ? least : PACE_LEAST_MS;
+  return min_ms > INTERVAL_MIN_MS ? min_ms : INTERVAL_MIN_MS;
 }
 
 static void
@@ -37,7 +37,7 @@
 }
 
 static EvidenceRollout *
-find (const EvidenceRollout *rollouts, size_t count, const char *model)
+find_rollout (const EvidenceRollout *rollouts, size_t count, const char *model)
 {
   for (size_t i = 0; i < count; i++)
     if (strcmp (rollouts[i].model, model) == 0)
@@ -46,15 +46,17 @@
 }
 
 static void
-follow (const StewardEvidence *e,
-        const Config *config,
-        const ConfigRollout *from,
-        EvidenceRollout *out)
+follow_rollout (const StewardEvidence *e,
+                const Config *config,
+                const ConfigRollout *from,
+                EvidenceRollout *out)
 {
   const char *model = config->models[from->model].name;
-  const EvidenceRollout *before = find (e->rollouts, e->count, model);
+  const EvidenceRollout *before = find_rollout (e->rollouts, e->count, model);
 
-  *out = (EvidenceRollout){ .stage = from->stage, .since = config->number, .after = e->number };
+  *out = (EvidenceRollout){ .stage = from->stage,
+                            .since = config->number,
+                            .closed_number = e->number };
   copy_name (out->model, model);
   copy_name (out->from, config->versions[from->from].name);
   copy_name (out->to, config->versions[from->to].name);
@@ -76,7 +78,7 @@
     {
       const ConfigRollout *rollout = &config->rollouts[i];
       if (rollout->state == ROLLOUT_RUNNING || rollout->state == ROLLOUT_PAUSED)
-        follow (e, config, rollout, &next[count++]);
+        follow_rollout (e, config, rollout, &next[count++]);
     }
   free (e->rollouts);
   e->rollouts = next;
@@ -88,7 +90,7 @@
 
 /* The team's place; one that has none takes a free one, or is summed with the rest. */
 static EvidenceSums *
-place_of (EvidenceRollout *r, EvidenceSide side, const char *team)
+team_sums (EvidenceRollout *r, EvidenceSide side, const char *team)
 {
   for (size_t i = 0; i < r->counts[side]; i++)
     if (strcmp (r->sums[side][i].team, team) == 0)
@@ -118,12 +120,12 @@
   pthread_mutex_lock (&e->lock);
   for (size_t i = 0; i < count; i++)
     {
-      EvidenceRollout *r = find (e->rollouts, e->count, reports[i].model_name);
+      EvidenceRollout *r = find_rollout (e->rollouts, e->count, reports[i].model_name);
       bool old = r != NULL && strcmp (reports[i].version_name, r->from) == 0;
       bool new = r != NULL &&strcmp (reports[i].version_name, r->to) == 0;
       if (!old && !new)
         continue;
-      add_report (place_of (r, old ? EVIDENCE_OLD : EVIDENCE_NEW, reports[i].team), &reports[i]);
+      add_report (team_sums (r, old ? EVIDENCE_OLD : EVIDENCE_NEW, reports[i].team), &reports[i]);
       e->changed = true;
     }
   pthread_mutex_unlock (&e->lock);
--- a/src/steward_evidence.h
+++ b/src/steward_evidence.h
@@ -41,7 +41,8 @@
   char to[CONFIG_NAME_MAX + 1];
   size_t stage;
   int64_t since; /**< configuration number at which this steward began to count */
-  int64_t after; /**< a number in which this steward saw it not open; 0: none. Not in the row */
+  int64_t
+      closed_number; /**< a number in which this steward saw it not open; 0: none. Not in the row */
   EvidenceSums sums[EVIDENCE_SIDES][EVIDENCE_TEAMS_MAX + 1]; /**< the last is the rest's */
   size_t counts[EVIDENCE_SIDES];                             /**< named ones */
 } EvidenceRollout;
--- a/src/steward_fetch.c
+++ b/src/steward_fetch.c
@@ -15,8 +15,8 @@
 
 #define CALL_TIMEOUT_MS 1000
 /* The table is asked first; with it up, a fetch from peers is seldom needed. */
-#define TABLE_FIRST_MS 300
-#define IDLE_MS        1000
+#define TABLE_HEAD_START_MS 300
+#define IDLE_INTERVAL_MS    1000
 
 struct StewardFetch
 {
@@ -36,7 +36,7 @@
   int64_t (*wanted) (Steward *s);
   /** Whether a member is known to have it. */
   bool (*has) (const ClusterKnown *k, int64_t wanted);
-  void (*take) (Steward *s, const rpc_document *document);
+  void (*apply) (Steward *s, const rpc_document *document);
 } FetchKind;
 
 static int64_t
@@ -54,7 +54,7 @@
 }
 
 static void
-document_take (Steward *s, const rpc_document *document)
+document_apply (Steward *s, const rpc_document *document)
 {
   (void)steward_publish_document (s, document->number, document->text);
 }
@@ -79,7 +79,7 @@
 }
 
 static void
-view_take (Steward *s, const rpc_document *document)
+view_apply (Steward *s, const rpc_document *document)
 {
   ClusterView *view = memory_alloc (sizeof *view);
   CheckList list = { .file = "view" };
@@ -97,8 +97,8 @@
 }
 
 static const FetchKind kinds[] = {
-  { LOVAGE_CONFIG_GET, document_wanted, document_has, document_take },
-  { LOVAGE_VIEW_GET, view_wanted, view_has, view_take },
+  { LOVAGE_CONFIG_GET, document_wanted, document_has, document_apply },
+  { LOVAGE_VIEW_GET, view_wanted, view_has, view_apply },
 };
 
 /* A random one of the members that have it: all that miss it must not ask the same one. */
@@ -146,7 +146,7 @@
     {
       counter_add (COUNTER_STEWARD_FETCHES, 1);
       if (document.number >= wanted)
-        kind->take (s, &document);
+        kind->apply (s, &document);
       xdr_free ((xdrproc_t)xdr_rpc_document, &document);
     }
   rpc_client_free (client);
@@ -176,7 +176,7 @@
 static void
 wait_for_table (StewardFetch *f)
 {
-  int64_t end = clock_boot_ms () + TABLE_FIRST_MS;
+  int64_t end = clock_boot_ms () + TABLE_HEAD_START_MS;
 
   while (!f->stop && clock_boot_ms () < end)
     (void)wait_ms (&f->wake, &f->lock, end - clock_boot_ms ());
@@ -191,7 +191,7 @@
   while (!f->stop)
     {
       if (!f->woken)
-        (void)wait_ms (&f->wake, &f->lock, IDLE_MS);
+        (void)wait_ms (&f->wake, &f->lock, IDLE_INTERVAL_MS);
       f->woken = false;
       pthread_mutex_unlock (&f->lock);
       bool wanted = anything_wanted (f->s);
--- a/src/steward_gates.c
+++ b/src/steward_gates.c
@@ -1,6 +1,6 @@
 #include "steward_gates.h"
 
-#define HEARD_MS 5000
+#define ALIVE_MS 5000
 
 void
 steward_gates_init (StewardGates *g, int64_t inherited_until)
@@ -27,7 +27,7 @@
 /* A gate may be forgotten when its last grant has ended: it can take no new work unless it asks
    again. */
 static StewardGate *
-make (StewardGates *g, uint64_t incarnation, int64_t now)
+add_gate (StewardGates *g, uint64_t incarnation, int64_t now)
 {
   StewardGate *gate = find (g, 0);
 
@@ -42,7 +42,7 @@
 
 /* The gate has reached the number from which on it can use its later grants. */
 static void
-merge_later (StewardGate *gate)
+merge_pending (StewardGate *gate)
 {
   if (gate->pending_until > gate->until)
     gate->until = gate->pending_until;
@@ -51,7 +51,7 @@
 }
 
 static void
-grant_later (StewardGate *gate, int64_t number, int64_t until)
+grant_pending (StewardGate *gate, int64_t number, int64_t until)
 {
   if (gate->pending_number == 0 || number < gate->pending_number)
     gate->pending_number = number;
@@ -63,7 +63,7 @@
    A gate that was granted a number which it did not have yet fetches it and goes on under it before
    it asks again: until then only our own grant tells us of it. */
 static int64_t
-lowest_of (const StewardGate *gate, int64_t newest, int64_t now)
+lowest_number (const StewardGate *gate, int64_t newest, int64_t now)
 {
   int64_t lowest = newest;
 
@@ -90,7 +90,7 @@
   pthread_mutex_lock (&g->lock);
   gate = find (g, incarnation);
   if (gate == NULL)
-    gate = make (g, incarnation, now);
+    gate = add_gate (g, incarnation, now);
   if (gate != NULL)
     {
       g->asked = true;
@@ -99,7 +99,7 @@
         {
           gate->number = number;
           if (gate->pending_number <= number)
-            merge_later (gate);
+            merge_pending (gate);
         }
       gate->in_flight = in_flight;
       gate->asked_at = now;
@@ -116,7 +116,7 @@
   pthread_mutex_lock (&g->lock);
   gate = find (g, incarnation);
   if (gate != NULL && gate->number < number)
-    grant_later (gate, number, until);
+    grant_pending (gate, number, until);
   else if (gate != NULL && until > gate->until)
     gate->until = until;
   pthread_mutex_unlock (&g->lock);
@@ -134,7 +134,7 @@
   if (!g->asked && now < g->inherited_until)
     lowest = 0;
   for (size_t i = 0; i < STEWARD_GATES_MAX; i++)
-    lowest = lowest_of (&g->gates[i], lowest, now);
+    lowest = lowest_number (&g->gates[i], lowest, now);
   pthread_mutex_unlock (&g->lock);
   return lowest;
 }
@@ -164,7 +164,7 @@
 
   pthread_mutex_lock (&g->lock);
   for (size_t i = 0; i < STEWARD_GATES_MAX; i++)
-    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < HEARD_MS)
+    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < ALIVE_MS)
       sum += g->gates[i].in_flight;
   pthread_mutex_unlock (&g->lock);
   return sum;
@@ -177,7 +177,7 @@
 
   pthread_mutex_lock (&g->lock);
   for (size_t i = 0; i < STEWARD_GATES_MAX && count < max; i++)
-    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < HEARD_MS)
+    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < ALIVE_MS)
       out[count++] = g->gates[i].incarnation;
   pthread_mutex_unlock (&g->lock);
   return count;
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -18,8 +18,8 @@
 #define JITTER_PARTS 4
 /* An ask and its answer on the wire, with the headers of UDP and IP: measured by make
  * bench-control. */
-#define PAIR_BYTES          430.0
-#define PAIR_BYTES_A_MEMBER 1.6
+#define EXCHANGE_BYTES            430.0
+#define EXCHANGE_BYTES_PER_MEMBER 1.6
 
 struct StewardHeartbeat
 {
@@ -28,19 +28,19 @@
   pthread_mutex_t lock;
   pthread_cond_t wake;
   bool stop;
-  uint64_t turn; /**< where the next beat goes on in the order of members */
-  uint64_t seed; /**< of our order of members */
-  double credit; /**< asks that may be sent by now */
+  uint64_t next_peer; /**< where the next beat goes on in the order of members */
+  uint64_t seed;      /**< of our order of members */
+  double credit;      /**< asks that may be sent by now */
   int64_t credit_at;
 };
 
 /** What an ask carries besides. */
 typedef enum
 {
-  WITH_NOTHING,
-  WITH_BRAKES,
-  WITH_DEATHS
-} AskWith;
+  ASK_PLAIN,
+  ASK_WITH_BRAKES,
+  ASK_WITH_DEATHS
+} AskExtra;
 
 /** A member to ask. */
 typedef struct
@@ -54,8 +54,8 @@
 double
 steward_heartbeat_rate (size_t members)
 {
-  double pair = PAIR_BYTES + PAIR_BYTES_A_MEMBER * (double)members;
-  double rate = STEWARD_HEARTBEAT_BYTES_PER_S / (2 * pair);
+  double exchange_bytes = EXCHANGE_BYTES + EXCHANGE_BYTES_PER_MEMBER * (double)members;
+  double rate = STEWARD_HEARTBEAT_BYTES_PER_S / (2 * exchange_bytes);
 
   return rate < STEWARD_HEARTBEAT_ASKS_PER_S_MAX ? rate : STEWARD_HEARTBEAT_ASKS_PER_S_MAX;
 }
@@ -79,7 +79,7 @@
 }
 
 static void
-send_ask (Steward *s, const Peer *peer, AskWith with)
+send_ask (Steward *s, const Peer *peer, AskExtra extra)
 {
   ClusterHeartbeat *ask = memory_alloc (sizeof *ask);
   uint64_t nonce = id_random_u64 ();
@@ -93,10 +93,10 @@
   steward_message_encode (ask, &message);
   add_address (s, &message, registered && !peer->silent);
   message.brakes_digest = steward_brakes_digest (&s->brakes);
-  if (with == WITH_BRAKES)
+  if (extra == ASK_WITH_BRAKES)
     steward_brakes_fill (&s->brakes, STEWARD_BRAKES_PER_MESSAGE, &message.brakes.brakes_val,
                          &message.brakes.brakes_len);
-  if (with == WITH_DEATHS)
+  if (extra == ASK_WITH_DEATHS)
     steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat_limits, clock_boot_ms (),
                          &message.deaths.deaths_val, &message.deaths.deaths_len);
   counter_add (COUNTER_STEWARD_HEARTBEATS, 1);
@@ -123,11 +123,11 @@
   return steward_cluster_member_state (s, m, clock_boot_ms (), &age_ms) != STEWARD_MEMBER_ALIVE;
 }
 
-/* The other members in an order of our own, the same at each beat, so that asking in turn reaches
-   every one equally often. Members with behind_number or a newer one are left out if it is not 0.
-   Freed by the caller. */
+/* The other members in an order of our own, the same at each beat, so that asking in next_peer
+   reaches every one equally often. Members with lagging_number or a newer one are left out if it is
+   not 0. Freed by the caller. */
 static size_t
-list_peers (Steward *s, uint64_t seed, int64_t behind_number, Peer **out)
+list_peers (Steward *s, uint64_t seed, int64_t lagging_number, Peer **out)
 {
   ClusterView *view = steward_cluster_view (s);
   size_t count = 0;
@@ -141,7 +141,7 @@
       Peer *peer = &(*out)[count];
       if (m->incarnation == s->incarnation || !rpc_address (m->address, m->port, &peer->address))
         continue;
-      if (behind_number != 0 && k != NULL && k->number >= behind_number)
+      if (lagging_number != 0 && k != NULL && k->number >= lagging_number)
         continue;
       peer->silent = is_silent (s, m);
       peer->order = id_hash (&m->incarnation, sizeof m->incarnation, seed);
@@ -171,40 +171,40 @@
 }
 
 static void
-beat (StewardHeartbeat *h)
+send_round (StewardHeartbeat *h)
 {
   Peer *peers;
   size_t count = list_peers (h->s, h->seed, 0, &peers);
   size_t asks = take_credit (h, count);
 
   for (size_t i = 0; i < asks && count > 0; i++)
-    send_ask (h->s, &peers[h->turn++ % count], WITH_NOTHING);
+    send_ask (h->s, &peers[h->next_peer++ % count], ASK_PLAIN);
   free (peers);
   steward_cluster_apply (h->s);
   steward_cluster_update_suspicion (h->s, clock_boot_ms ());
 }
 
 static void
-ask_all (Steward *s, int64_t behind_number, AskWith with)
+ask_all (Steward *s, int64_t lagging_number, AskExtra extra)
 {
   Peer *peers;
-  size_t count = list_peers (s, s->incarnation, behind_number, &peers);
+  size_t count = list_peers (s, s->incarnation, lagging_number, &peers);
 
   for (size_t i = 0; i < count; i++)
-    send_ask (s, &peers[i], with);
+    send_ask (s, &peers[i], extra);
   free (peers);
 }
 
 void
 steward_heartbeat_ask_lagging (Steward *s, int64_t number)
 {
-  ask_all (s, number, WITH_NOTHING);
+  ask_all (s, number, ASK_PLAIN);
 }
 
 void
 steward_heartbeat_broadcast_brakes (Steward *s)
 {
-  ask_all (s, 0, WITH_BRAKES);
+  ask_all (s, 0, ASK_WITH_BRAKES);
 }
 
 void
@@ -215,11 +215,11 @@
 
   free (view);
   if (members > 1 && steward_deaths_may_broadcast (&s->deaths, members - 1, clock_boot_ms ()))
-    ask_all (s, 0, WITH_DEATHS);
+    ask_all (s, 0, ASK_WITH_DEATHS);
 }
 
 static int64_t
-beat_pause (const StewardHeartbeat *h)
+round_interval_ms (const StewardHeartbeat *h)
 {
   int64_t ms = h->s->settings.heartbeat_ms;
   int64_t jitter = ms / JITTER_PARTS;
@@ -238,10 +238,10 @@
   while (!h->stop)
     {
       pthread_mutex_unlock (&h->lock);
-      beat (h);
+      send_round (h);
       pthread_mutex_lock (&h->lock);
       if (!h->stop)
-        (void)wait_ms (&h->wake, &h->lock, beat_pause (h));
+        (void)wait_ms (&h->wake, &h->lock, round_interval_ms (h));
     }
   pthread_mutex_unlock (&h->lock);
   return NULL;
@@ -279,7 +279,7 @@
 
 /* News of a newer number or view has to be fetched; other news may end somebody's wait. */
 static void
-after_news (Steward *s)
+wake_fetchers (Steward *s)
 {
   if (steward_cluster_wanted_number (s) > steward_document_number (&s->document)
       || steward_cluster_wants_view (s))
@@ -291,7 +291,7 @@
 
 /* An answer goes to where the asker is reached, which need not be where its datagram came from. */
 static bool
-find_asker (const Steward *s, const rpc_heartbeat *ask, struct sockaddr_in *out)
+asker_address (const Steward *s, const rpc_heartbeat *ask, struct sockaddr_in *out)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   int index = cluster_view_find (view, ask->incarnation);
@@ -302,10 +302,10 @@
 }
 
 static void
-answer_ask (Steward *s,
-            const struct sockaddr_in *to,
-            const rpc_heartbeat *ask,
-            ClusterHeartbeat *answer)
+send_answer (Steward *s,
+             const struct sockaddr_in *to,
+             const rpc_heartbeat *ask,
+             ClusterHeartbeat *answer)
 {
   rpc_heartbeat message;
 
@@ -328,7 +328,7 @@
 /* A process that was restarted in an outage of the table service knows nobody; the others' asks
    still come to its address, and tell it where to fetch the configuration and the view from. */
 static void
-note_introducer (Steward *s, const rpc_heartbeat *ask)
+set_introducer (Steward *s, const rpc_heartbeat *ask)
 {
   ClusterMember *introducer = &s->cluster.introducer;
 
@@ -353,19 +353,19 @@
   if (good)
     {
       pthread_mutex_lock (&s->cluster.lock);
-      note_introducer (s, message);
+      set_introducer (s, message);
       answers = cluster_state_take_ask (s->cluster.state, ask, clock_boot_ms (), answer);
       if (answers)
         cluster_heartbeat_pack (s->cluster.state, answer);
-      answers = answers && find_asker (s, message, &to);
+      answers = answers && asker_address (s, message, &to);
       pthread_mutex_unlock (&s->cluster.lock);
       (void)steward_brakes_merge (&s->brakes, message->brakes.brakes_val,
                                   message->brakes.brakes_len);
       (void)steward_deaths_merge (&s->deaths, message->deaths.deaths_val,
                                   message->deaths.deaths_len, clock_boot_ms ());
       if (answers)
-        answer_ask (s, &to, message, answer);
-      after_news (s);
+        send_answer (s, &to, message, answer);
+      wake_fetchers (s);
     }
   free (ask);
   free (answer);
@@ -393,7 +393,7 @@
                                   message->brakes.brakes_len);
       (void)steward_deaths_merge (&s->deaths, message->deaths.deaths_val,
                                   message->deaths.deaths_len, clock_boot_ms ());
-      after_news (s);
+      wake_fetchers (s);
     }
   free (answer);
   return good;
--- a/src/steward_http.c
+++ b/src/steward_http.c
@@ -11,13 +11,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONNECTIONS_MAX   32
-#define IDLE_SECONDS      30
-#define CONNECTION_MEMORY ((size_t)16 * 1024)
-#define BODY_MAX          (2 * (size_t)CONFIG_TEXT_MAX)
-#define FILE_MAX          ((size_t)256 * 1024)
-#define KEY_MAX           256
-#define BEARER            "Bearer "
+#define CONNECTIONS_MAX         32
+#define IDLE_TIMEOUT_S          30
+#define CONNECTION_MEMORY_BYTES ((size_t)16 * 1024)
+#define BODY_BYTES_MAX          (2 * (size_t)CONFIG_TEXT_MAX)
+#define FILE_BYTES_MAX          ((size_t)256 * 1024)
+#define KEY_MAX                 256
+#define BEARER                  "Bearer "
 
 struct StewardHttp
 {
@@ -155,7 +155,7 @@
   if (upload->too_long)
     {
       (void)steward_call_error (call, MHD_HTTP_CONTENT_TOO_LARGE, "too_long",
-                                "expected a body of at most %zu bytes", BODY_MAX);
+                                "expected a body of at most %zu bytes", BODY_BYTES_MAX);
       return;
     }
   if (strcmp (method, "POST") == 0 && !parse_body (call, upload))
@@ -185,9 +185,9 @@
 }
 
 static void
-take_upload (Upload *upload, const char *data, size_t len)
+add_upload (Upload *upload, const char *data, size_t len)
 {
-  upload->too_long |= upload->body.len + len > BODY_MAX;
+  upload->too_long |= upload->body.len + len > BODY_BYTES_MAX;
   if (!upload->too_long)
     buffer_add (&upload->body, data, len);
 }
@@ -214,7 +214,7 @@
     }
   if (*upload_data_size > 0)
     {
-      take_upload (*con_cls, upload_data, *upload_data_size);
+      add_upload (*con_cls, upload_data, *upload_data_size);
       *upload_data_size = 0;
       return MHD_YES;
     }
@@ -251,12 +251,12 @@
   FILE *f = fopen (path, "re");
   size_t got;
 
-  while (f != NULL && text.len <= FILE_MAX && (got = fread (block, 1, sizeof block, f)) > 0)
+  while (f != NULL && text.len <= FILE_BYTES_MAX && (got = fread (block, 1, sizeof block, f)) > 0)
     buffer_add (&text, block, got);
   if (f != NULL)
     (void)fclose (f);
   *out = text.data;
-  if (text.data != NULL && text.len <= FILE_MAX)
+  if (text.data != NULL && text.len <= FILE_BYTES_MAX)
     return true;
   status_set (st, STATUS_INVALID, "http.tls", NULL, "%s can't be read", path);
   return false;
@@ -277,8 +277,8 @@
   return MHD_start_daemon (
       flags, ntohs (where->sin_port), NULL, NULL, handle, http, MHD_OPTION_SOCK_ADDR,
       (const struct sockaddr *)where, MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTIONS_MAX,
-      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_SECONDS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      CONNECTION_MEMORY, MHD_OPTION_NOTIFY_COMPLETED, completed, NULL, MHD_OPTION_ARRAY, tls,
+      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_TIMEOUT_S, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+      CONNECTION_MEMORY_BYTES, MHD_OPTION_NOTIFY_COMPLETED, completed, NULL, MHD_OPTION_ARRAY, tls,
       MHD_OPTION_END);
 }
 
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -24,7 +24,7 @@
 
 #define BILLS_BYTES_MAX ((size_t)8 * 1024 * 1024)
 /* Of a planned stop, for records that are not in the table. */
-#define LEAVE_BILLS_MS INT64_C (10000)
+#define LEAVE_BILLS_TIMEOUT_MS INT64_C (10000)
 
 const char *argp_program_version = "lovage-steward 0.1";
 
@@ -122,7 +122,7 @@
 
 /* Before any thread is made, so that all inherit it. */
 static void
-hold_signals (void)
+block_signals (void)
 {
   sigset_t signals;
 
@@ -166,7 +166,7 @@
   steward_table_stop (s->table);
   wait_for_grants_end (s);
   steward_leave (s);
-  bills_left = steward_settle_leave (s, LEAVE_BILLS_MS);
+  bills_left = steward_settle_leave (s, LEAVE_BILLS_TIMEOUT_MS);
   if (bills_left > 0)
     log_msg (MSG_STEWARD_BILLS_LEFT, "vm=\"%s\" records=\"%zu\"", s->self.vm, bills_left);
   rpc_server_free (s->rpc);
@@ -235,7 +235,7 @@
       log_msg (MSG_STEWARD_NOT_STARTED, "step=\"%s\" error=\"%s\"", st.step, st.message);
       return EXIT_FAILURE;
     }
-  hold_signals ();
+  block_signals ();
   make_parts (s);
   result = run_parts (s);
   free_parts (s);
--- a/src/steward_orders.c
+++ b/src/steward_orders.c
@@ -12,23 +12,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ROUND_MS 250
+#define ROUND_INTERVAL_MS 250
 /* Load reports lag: the first look comes so long after an order. */
-#define FIRST_LOOK_MS 2000
-#define LOOK_LIMIT_MS 30000
+#define CHECK_INTERVAL_MIN_MS 2000
+#define CHECK_INTERVAL_MAX_MS 30000
 /* Engines looked at a second, when there are many: some 500 bytes each. */
-#define LOOKS_PER_S 5
+#define CHECKS_PER_S_MAX 5
 
 /** What an engine was told last. */
 typedef struct
 {
   char name[CONFIG_NAME_MAX + 1];
-  char *text;      /**< of the order; NULL: none yet */
-  int64_t fence;   /**< of the order */
-  int64_t number;  /**< newest configuration that the order agrees with */
-  bool taken;      /**< the engine took it */
-  int64_t look_at; /**< next look, or next try */
-  int64_t pause_ms;
+  char *text;            /**< of the order; NULL: none yet */
+  int64_t fence;         /**< of the order */
+  int64_t number;        /**< newest configuration that the order agrees with */
+  bool accepted;         /**< the engine took it */
+  int64_t next_check_at; /**< next look, or next try */
+  int64_t interval_ms;
 } Engine;
 
 struct StewardOrders
@@ -53,7 +53,7 @@
 }
 
 static Engine *
-engine_of (StewardOrders *o, const char *name)
+find_or_add (StewardOrders *o, const char *name)
 {
   Engine *engine;
 
@@ -97,25 +97,29 @@
   if (code != STATUS_OK)
     log_failure (server, code, fence, &st);
   pthread_mutex_lock (&o->lock);
-  engine->taken = code == STATUS_OK;
+  engine->accepted = code == STATUS_OK;
   engine->fence = fence;
-  engine->look_at = clock_boot_ms () + engine->pause_ms;
+  engine->next_check_at = clock_boot_ms () + engine->interval_ms;
   pthread_mutex_unlock (&o->lock);
-  engine->pause_ms = 2 * engine->pause_ms < LOOK_LIMIT_MS ? 2 * engine->pause_ms : LOOK_LIMIT_MS;
+  engine->interval_ms = 2 * engine->interval_ms < CHECK_INTERVAL_MAX_MS ? 2 * engine->interval_ms
+                                                                        : CHECK_INTERVAL_MAX_MS;
 }
 
 static int64_t
-look_ms (const StewardOrders *o)
+check_interval_ms (const StewardOrders *o)
 {
-  int64_t least = (int64_t)o->count * 1000 / LOOKS_PER_S;
+  int64_t min_ms = (int64_t)o->count * 1000 / CHECKS_PER_S_MAX;
 
-  return least > LOOK_LIMIT_MS ? least : LOOK_LIMIT_MS;
+  return min_ms > CHECK_INTERVAL_MAX_MS ? min_ms : CHECK_INTERVAL_MAX_MS;
 }
 
 /* Engines that do not check fencing numbers may have obeyed a late order of an earlier holder, and
    any engine may have been restarted: so what it carries is read back from time to time. */
 static bool
-carries (StewardOrders *o, Engine *engine, const ConfigServer *server, struct json_object *order)
+has_versions (StewardOrders *o,
+              Engine *engine,
+              const ConfigServer *server,
+              struct json_object *order)
 {
   struct json_object *report;
   Status st = { 0 };
@@ -127,8 +131,8 @@
   json_object_put (report);
   if (met)
     {
-      engine->pause_ms = FIRST_LOOK_MS;
-      engine->look_at = clock_boot_ms () + look_ms (o);
+      engine->interval_ms = CHECK_INTERVAL_MIN_MS;
+      engine->next_check_at = clock_boot_ms () + check_interval_ms (o);
     }
   else
     log_msg (MSG_STEWARD_ORDER_AGAIN, "server=\"%s\"", server->name);
@@ -136,22 +140,22 @@
 }
 
 static bool
-is_told (const Engine *engine, const char *text)
+was_sent (const Engine *engine, const char *text)
 {
   return engine->text != NULL && strcmp (engine->text, text) == 0;
 }
 
 static void
-note_text (Engine *engine, const char *text)
+set_text (Engine *engine, const char *text)
 {
   free (engine->text);
   engine->text = memory_strdup (text);
-  engine->pause_ms = FIRST_LOOK_MS;
+  engine->interval_ms = CHECK_INTERVAL_MIN_MS;
 }
 
-/* An order counts as stated only after the attempt, so that no stage begins before it. */
+/* An order counts as sent only after the attempt, so that no stage begins before it. */
 static void
-note_number (StewardOrders *o, Engine *engine, int64_t number)
+set_number (StewardOrders *o, Engine *engine, int64_t number)
 {
   pthread_mutex_lock (&o->lock);
   engine->number = number;
@@ -159,25 +163,25 @@
 }
 
 static void
-see_to (StewardOrders *o,
-        const Config *config,
-        const ConfigServer *server,
-        int64_t fence,
-        bool in_force)
+update_engine (StewardOrders *o,
+               const Config *config,
+               const ConfigServer *server,
+               int64_t fence,
+               bool in_force)
 {
-  Engine *engine = engine_of (o, server->name);
+  Engine *engine = find_or_add (o, server->name);
   struct json_object *order = orders_desired (config, server, fence, in_force);
   const char *text = json_object_to_json_string_ext (order, JSON_C_TO_STRING_PLAIN);
 
-  if (!is_told (engine, text))
+  if (!was_sent (engine, text))
     {
-      note_text (engine, text);
+      set_text (engine, text);
       send_order (o, engine, server, order, fence);
     }
-  else if (clock_boot_ms () >= engine->look_at
-           && (!engine->taken || !carries (o, engine, server, order)))
+  else if (clock_boot_ms () >= engine->next_check_at
+           && (!engine->accepted || !has_versions (o, engine, server, order)))
     send_order (o, engine, server, order, fence);
-  note_number (o, engine, config->number);
+  set_number (o, engine, config->number);
   json_object_put (order);
 }
 
@@ -199,7 +203,7 @@
 }
 
 static void
-one_round (StewardOrders *o)
+run_round (StewardOrders *o)
 {
   Config *config = steward_document_config (&o->s->document);
   bool in_force;
@@ -213,7 +217,7 @@
       if (fence == 0)
         break;
       if (wants_orders (&config->servers[i]))
-        see_to (o, config, &config->servers[i], fence, in_force);
+        update_engine (o, config, &config->servers[i], fence, in_force);
     }
   config_unref (config);
 }
@@ -228,10 +232,10 @@
     {
       pthread_mutex_unlock (&o->lock);
       if (steward_duty_may_order (o->duty))
-        one_round (o);
+        run_round (o);
       pthread_mutex_lock (&o->lock);
       if (!o->stop)
-        (void)wait_ms (&o->wake, &o->lock, ROUND_MS);
+        (void)wait_ms (&o->wake, &o->lock, ROUND_INTERVAL_MS);
     }
   pthread_mutex_unlock (&o->lock);
   return NULL;
@@ -280,18 +284,18 @@
 steward_orders_sent (StewardOrders *o, const Config *config, unsigned version)
 {
   int64_t fence = steward_duty_fence (o->duty);
-  bool stated = fence > 0;
+  bool sent = fence > 0;
 
   pthread_mutex_lock (&o->lock);
-  for (size_t i = 0; stated && i < config->server_count; i++)
+  for (size_t i = 0; sent && i < config->server_count; i++)
     {
       const ConfigServer *server = &config->servers[i];
       const Engine *engine;
       if (!wants_orders (server) || !serves (server, version))
         continue;
       engine = find (o, server->name);
-      stated = engine != NULL && engine->fence == fence && engine->number >= config->number;
+      sent = engine != NULL && engine->fence == fence && engine->number >= config->number;
     }
   pthread_mutex_unlock (&o->lock);
-  return stated;
+  return sent;
 }
--- a/src/steward_orders_call.c
+++ b/src/steward_orders_call.c
@@ -3,12 +3,12 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CONNECT_MS  1000
-#define READ_MS     1000
-#define ANSWER_MAX  ((size_t)256 * 1024)
-#define STATUS_GOOD 200
+#define CONNECT_TIMEOUT_MS 1000
+#define READ_TIMEOUT_MS    1000
+#define ANSWER_BYTES_MAX   ((size_t)256 * 1024)
+#define HTTP_OK            200
 /* Precondition failed: the fencing number is an old one. */
-#define STATUS_FENCED 412
+#define HTTP_PRECONDITION_FAILED 412
 
 /* Asked directly before the order's last byte: an engine can't obey an order that never ended. A
    holder that was frozen while it connected or sent the rest stops here. */
@@ -25,11 +25,12 @@
   char peer[STATUS_PEER_MAX];
   StatusCode code = http_call (request, &http_status, answer, st);
 
-  if (code != STATUS_OK || http_status == STATUS_GOOD)
+  if (code != STATUS_OK || http_status == HTTP_OK)
     return code;
   snprintf (peer, sizeof peer, "%s:%d", request->address, request->port);
-  return status_set (st, http_status == STATUS_FENCED ? STATUS_DENIED : STATUS_UNAVAILABLE, step,
-                     peer, "HTTP status %d", http_status);
+  return status_set (st,
+                     http_status == HTTP_PRECONDITION_FAILED ? STATUS_DENIED : STATUS_UNAVAILABLE,
+                     step, peer, "HTTP status %d", http_status);
 }
 
 StatusCode
@@ -45,10 +46,10 @@
                           .header_count = sizeof headers / sizeof *headers,
                           .body = text,
                           .body_len = strlen (text),
-                          .connect_timeout_ms = CONNECT_MS,
-                          .read_timeout_ms = READ_MS,
+                          .connect_timeout_ms = CONNECT_TIMEOUT_MS,
+                          .read_timeout_ms = READ_TIMEOUT_MS,
                           .total_timeout_ms = (int)STEWARD_DUTY_ORDER_TIMEOUT_MS,
-                          .answer_max = ANSWER_MAX,
+                          .answer_max = ANSWER_BYTES_MAX,
                           .may_finish = still_held,
                           .context = duty };
   Buffer answer = { 0 };
@@ -65,10 +66,10 @@
                           .address = server->address,
                           .port = server->port,
                           .path = "/v1/load",
-                          .connect_timeout_ms = CONNECT_MS,
-                          .read_timeout_ms = READ_MS,
+                          .connect_timeout_ms = CONNECT_TIMEOUT_MS,
+                          .read_timeout_ms = READ_TIMEOUT_MS,
                           .total_timeout_ms = (int)STEWARD_DUTY_ORDER_TIMEOUT_MS,
-                          .answer_max = ANSWER_MAX };
+                          .answer_max = ANSWER_BYTES_MAX };
   Buffer answer = { 0 };
   StatusCode code = exchange (&request, "order.read_back", &answer, st);
 
--- a/src/steward_remote_gates.c
+++ b/src/steward_remote_gates.c
@@ -10,7 +10,7 @@
       StewardRemoteGate *entry = &remote->gates[i];
       if (entry->gate == gate || entry->gate == 0)
         return entry;
-      if (entry->heard_at < oldest->heard_at)
+      if (entry->reported_at < oldest->reported_at)
         oldest = entry;
     }
   return oldest;
@@ -26,7 +26,7 @@
   for (size_t i = 0; i < count; i++)
     if (gates[i] != 0)
       *slot_for (remote, gates[i])
-          = (StewardRemoteGate){ .gate = gates[i], .steward = steward, .heard_at = now };
+          = (StewardRemoteGate){ .gate = gates[i], .steward = steward, .reported_at = now };
 }
 
 const StewardRemoteGate *
--- a/src/steward_remote_gates.h
+++ b/src/steward_remote_gates.h
@@ -15,7 +15,7 @@
 {
   uint64_t gate;    /**< 0: free */
   uint64_t steward; /**< that told of it last */
-  int64_t heard_at;
+  int64_t reported_at;
 } StewardRemoteGate;
 
 /** Guarded by the cluster's lock. */
--- a/src/steward_removal.c
+++ b/src/steward_removal.c
@@ -13,7 +13,7 @@
 
 struct StewardRemoval
 {
-  int64_t read_at; /**< next read of the list */
+  int64_t next_read_at; /**< next read of the list */
   size_t count;
   Missing missing[CLUSTER_MEMBERS_MAX];
 };
@@ -135,9 +135,9 @@
   size_t count = 0;
 
   *dead = NULL;
-  if (now < r->read_at)
+  if (now < r->next_read_at)
     return 0;
-  r->read_at = now + STEWARD_LIST_INTERVAL_MS;
+  r->next_read_at = now + STEWARD_LIST_INTERVAL_MS;
   if (s->platform->ops->vm_list (s->platform, STEWARD_TABLE_TIMEOUT_MS, &vms, NULL) != STATUS_OK)
     return 0;
   count = steward_removal_select (r, s, view, &vms, now, dead);
--- a/src/steward_rollout.c
+++ b/src/steward_rollout.c
@@ -15,12 +15,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ROUND_MS 250
+#define ROUND_INTERVAL_MS 250
 /* After a step that was not made. */
-#define RETRY_MS 1000
+#define RETRY_DELAY_MS 1000
 /* Between reads while no roll-out is open. */
-#define SWEEP_MS    10000
-#define REASON_SIZE 256
+#define SWEEP_INTERVAL_MS 10000
+#define REASON_SIZE       256
 
 struct StewardRollout
 {
@@ -38,10 +38,10 @@
   size_t open_count;
   RolloutSet own;    /**< tests of this VM's evidence: every steward, also without the table */
   RolloutSet merged; /**< tests of all VMs' evidence: the holder of the duty */
-  int64_t write_at;
+  int64_t next_write_at;
   bool unwritten; /**< totals that are not in the table yet */
-  int64_t merge_at;
-  int64_t step_at; /**< no step before */
+  int64_t next_merge_at;
+  int64_t next_step_at; /**< no step before */
 };
 
 static const ConfigRollout *
@@ -99,7 +99,7 @@
 
 /* Each steward tests its own VM's evidence: in an outage of the table there is no other. */
 static void
-look_at_own (StewardRollout *r, const Config *config, int64_t now)
+test_own_evidence (StewardRollout *r, const Config *config, int64_t now)
 {
   for (size_t i = 0; i < r->open_count; i++)
     {
@@ -127,19 +127,19 @@
 {
   char *text;
 
-  if (r->open_count == 0 || now < r->write_at || !table_is_up (r))
+  if (r->open_count == 0 || now < r->next_write_at || !table_is_up (r))
     return;
   r->unwritten |= steward_evidence_changed (&r->s->evidence);
   if (!r->unwritten)
     return;
-  r->write_at = now + steward_evidence_interval_ms (steward_cluster_members (r->s));
+  r->next_write_at = now + steward_evidence_interval_ms (steward_cluster_members (r->s));
   text = steward_evidence_text (r->s->self.vm, r->open, r->open_count);
   r->unwritten = evidence_row_write (&r->row, r->s->platform, text, NULL) != STATUS_OK;
   free (text);
 }
 
 static bool
-take_totals (void *context, const char *key, const EvidenceRollout *totals)
+add_totals (void *context, const char *key, const EvidenceRollout *totals)
 {
   return rollout_set_add_totals (context, key, totals);
 }
@@ -148,12 +148,14 @@
 static void
 merge_rows (StewardRollout *r, int64_t now)
 {
-  int64_t pace_ms = steward_evidence_interval_ms (steward_cluster_members (r->s));
+  int64_t interval_ms = steward_evidence_interval_ms (steward_cluster_members (r->s));
 
-  if (now < r->merge_at || !table_is_up (r))
+  if (now < r->next_merge_at || !table_is_up (r))
     return;
-  r->merge_at = now + (r->open_count > 0 || pace_ms > SWEEP_MS ? pace_ms : SWEEP_MS);
-  (void)evidence_rows_read (r->s->platform, take_totals, &r->merged, NULL);
+  r->next_merge_at
+      = now
+        + (r->open_count > 0 || interval_ms > SWEEP_INTERVAL_MS ? interval_ms : SWEEP_INTERVAL_MS);
+  (void)evidence_rows_read (r->s->platform, add_totals, &r->merged, NULL);
 }
 
 static void
@@ -171,12 +173,12 @@
             decision->why[0] == '\0' ? "a brake binds the version" : decision->why,
             (long long)callers);
   if (!rollout_submit (r->s, r->duty, config, rollout, step, reason))
-    r->step_at = clock_boot_ms () + RETRY_MS;
+    r->next_step_at = clock_boot_ms () + RETRY_DELAY_MS;
 }
 
 /* True if a step was tried: the configuration may be another one now. */
 static bool
-drive (StewardRollout *r, const Config *config, const EvidenceRollout *open, int64_t now)
+drive_rollout (StewardRollout *r, const Config *config, const EvidenceRollout *open, int64_t now)
 {
   const ConfigRollout *rollout = rollout_of (config, open);
   RolloutWatch *w = rollout_set_find (&r->merged, open);
@@ -188,13 +190,13 @@
   decision = rollout_watch_decide (w, rollout->stage, now);
   if (decision.verdict == ROLLOUT_BRAKE)
     raise_brake (r, config, rollout, decision.why);
-  RolloutStepInput look
+  RolloutStepInput input
       = { .verdict = decision.verdict,
           .braked = is_stopped (r->s, config, rollout->to),
           .accepted = steward_cluster_progress (r->s, config->number, clock_boot_ms ()).accepted,
           .ordered = steward_orders_sent (r->orders, config, rollout->to) };
-  step = rollout_step_due (rollout, &look);
-  if (step == ROLLOUT_STEP_NONE || now < r->step_at)
+  step = rollout_step_due (rollout, &input);
+  if (step == ROLLOUT_STEP_NONE || now < r->next_step_at)
     return false;
   make_step (r, config, rollout, step, &decision, rollout_watch_callers (w));
   return true;
@@ -203,23 +205,23 @@
 /* A holder that was not one before knows nothing of earlier evidence: it takes the rows' totals,
    which hold all of it since the roll-out began. */
 static void
-hold (StewardRollout *r, const Config *config, int64_t now)
+act_as_holder (StewardRollout *r, const Config *config, int64_t now)
 {
   if (steward_duty_fence (r->duty) == 0)
     {
       rollout_set_clear (&r->merged);
-      r->merge_at = 0;
+      r->next_merge_at = 0;
       return;
     }
   rollout_set_update (&r->merged, r->open, r->open_count, config->team_count, 1, now);
   merge_rows (r, now);
   for (size_t i = 0; i < r->open_count; i++)
-    if (drive (r, config, &r->open[i], now))
+    if (drive_rollout (r, config, &r->open[i], now))
       return;
 }
 
 static void
-one_round (StewardRollout *r)
+run_round (StewardRollout *r)
 {
   int64_t now = clock_boot_ms ();
   Config *config;
@@ -229,9 +231,9 @@
   if (config == NULL)
     return;
   follow_config (r, config, now);
-  look_at_own (r, config, now);
+  test_own_evidence (r, config, now);
   write_row (r, now);
-  hold (r, config, now);
+  act_as_holder (r, config, now);
   config_unref (config);
 }
 
@@ -244,10 +246,10 @@
   while (!r->stop)
     {
       pthread_mutex_unlock (&r->lock);
-      one_round (r);
+      run_round (r);
       pthread_mutex_lock (&r->lock);
       if (!r->stop)
-        (void)wait_ms (&r->wake, &r->lock, ROUND_MS);
+        (void)wait_ms (&r->wake, &r->lock, ROUND_INTERVAL_MS);
     }
   pthread_mutex_unlock (&r->lock);
   return NULL;
--- a/src/steward_rollout_step.c
+++ b/src/steward_rollout_step.c
@@ -5,13 +5,13 @@
 typedef struct json_object Json;
 
 RolloutStep
-rollout_step_due (const ConfigRollout *rollout, const RolloutStepInput *look)
+rollout_step_due (const ConfigRollout *rollout, const RolloutStepInput *input)
 {
   if (rollout->state != ROLLOUT_RUNNING)
     return ROLLOUT_STEP_NONE;
-  if (look->braked || look->verdict == ROLLOUT_BRAKE)
+  if (input->braked || input->verdict == ROLLOUT_BRAKE)
     return ROLLOUT_STEP_BACK_OUT;
-  if (look->verdict != ROLLOUT_NEXT_STAGE || !look->accepted || !look->ordered)
+  if (input->verdict != ROLLOUT_NEXT_STAGE || !input->accepted || !input->ordered)
     return ROLLOUT_STEP_NONE;
   return rollout->stage + 1 < rollout->stage_count ? ROLLOUT_STEP_NEXT : ROLLOUT_STEP_DONE;
 }
--- a/src/steward_rollout_step.h
+++ b/src/steward_rollout_step.h
@@ -24,7 +24,7 @@
   bool ordered;  /**< the engines that serve the new version were told of it */
 } RolloutStepInput;
 
-RolloutStep rollout_step_due (const ConfigRollout *rollout, const RolloutStepInput *look);
+RolloutStep rollout_step_due (const ConfigRollout *rollout, const RolloutStepInput *input);
 /** The step's merge patch, against the configuration in which the roll-out stands: of the same
  *  step made twice the second finds another head. Freed with free. */
 char *rollout_step_patch (const Config *config, const ConfigRollout *rollout, RolloutStep step);
--- a/src/steward_rollout_submit.c
+++ b/src/steward_rollout_submit.c
@@ -11,7 +11,7 @@
 
 /* The commit is known, so the document counts as read from the table. */
 static void
-take_document (Steward *s, const StewardSubmitResult *result)
+apply_document (Steward *s, const StewardSubmitResult *result)
 {
   Config *config;
 
@@ -79,7 +79,7 @@
   if (durable)
     {
       counter_add (COUNTER_STEWARD_ROLLOUT_STEPS, 1);
-      take_document (s, &result);
+      apply_document (s, &result);
     }
   steward_submit_clear (&result);
   free (patch);
--- a/src/steward_rollout_table.c
+++ b/src/steward_rollout_table.c
@@ -51,13 +51,13 @@
 
 /* True if all that the row names is open. */
 static bool
-take_row (const PlatformRow *row, EvidenceRollout *space, EvidenceHandler take, void *context)
+handle_row (const PlatformRow *row, EvidenceRollout *space, EvidenceHandler handle, void *context)
 {
   size_t count = steward_evidence_parse (row->value, space);
   bool open = count > 0;
 
   for (size_t i = 0; i < count; i++)
-    open &= take (context, row->key, &space[i]);
+    open &= handle (context, row->key, &space[i]);
   return open;
 }
 
@@ -82,7 +82,7 @@
 }
 
 StatusCode
-evidence_rows_read (Platform *p, EvidenceHandler take, void *context, Status *st)
+evidence_rows_read (Platform *p, EvidenceHandler handle, void *context, Status *st)
 {
   EvidenceRollout *space = memory_array (EVIDENCE_ROLLOUTS_MAX, sizeof *space);
   const PlatformRow *ended[DELETES_MAX];
@@ -91,7 +91,7 @@
   StatusCode code = p->ops->scan (p, TABLE, "", "", ROWS_MAX, TIMEOUT_MS, &rows, st);
 
   for (size_t i = 0; code == STATUS_OK && i < rows.count; i++)
-    if (!take_row (&rows.rows[i], space, take, context) && ended_count < DELETES_MAX)
+    if (!handle_row (&rows.rows[i], space, handle, context) && ended_count < DELETES_MAX)
       ended[ended_count++] = &rows.rows[i];
   if (ended_count > 0)
     code = delete_rows (p, ended, ended_count, st);
--- a/src/steward_rollout_table.h
+++ b/src/steward_rollout_table.h
@@ -27,6 +27,6 @@
 /** Reads all rows, gives each roll-out in them, and deletes the rows that name one which is not
  *  open: it would count as evidence of a later one of the same versions. A row that was written
  *  meanwhile stays, and a steward whose row is gone writes it again with all its totals. */
-StatusCode evidence_rows_read (Platform *p, EvidenceHandler take, void *context, Status *st);
+StatusCode evidence_rows_read (Platform *p, EvidenceHandler handle, void *context, Status *st);
 
 #endif
--- a/src/steward_rollout_watch.c
+++ b/src/steward_rollout_watch.c
@@ -20,12 +20,12 @@
   EvidenceRollout rollout; /**< its names; the sums are unused */
   RolloutTest *test;
   size_t stage;
-  bool staged; /**< the test knows the stage */
+  bool stage_begun; /**< the test knows the stage */
   char (*teams)[CONFIG_NAME_MAX + 1];
   size_t team_count, team_max;
   Source *sources;
   size_t source_count;
-  EvidenceSums *fresh[EVIDENCE_SIDES]; /**< by team; the last is the rest's; not yet tested */
+  EvidenceSums *untested[EVIDENCE_SIDES]; /**< by team; the last is the rest's; not yet tested */
   int64_t callers;
 };
 
@@ -40,7 +40,7 @@
   w->team_max = teams + TEAMS_SPARE < ROLLOUT_TEAMS_MAX ? teams + TEAMS_SPARE : ROLLOUT_TEAMS_MAX;
   w->teams = memory_array (w->team_max, sizeof *w->teams);
   for (unsigned side = 0; side < EVIDENCE_SIDES; side++)
-    w->fresh[side] = memory_array (w->team_max + 1, sizeof *w->fresh[side]);
+    w->untested[side] = memory_array (w->team_max + 1, sizeof *w->untested[side]);
   w->test = rollout_test_new (&settings, w->team_max, now);
   return w;
 }
@@ -52,7 +52,7 @@
     return;
   rollout_test_free (w->test);
   for (unsigned side = 0; side < EVIDENCE_SIDES; side++)
-    free (w->fresh[side]);
+    free (w->untested[side]);
   free (w->sources);
   free (w->teams);
   free (w);
@@ -69,7 +69,7 @@
 /* Places are given first come, first served, and kept: the order of teams in the configuration
    changes with it. */
 static size_t
-team_place (RolloutWatch *w, const char *team)
+team_index (RolloutWatch *w, const char *team)
 {
   if (*team == '\0')
     return w->team_max;
@@ -110,24 +110,27 @@
 
 /* A total never falls; one that does is no total of ours, and adds nothing. */
 static int64_t
-gain (int64_t now, int64_t before)
+increase (int64_t now, int64_t before)
 {
   return now > before ? now - before : 0;
 }
 
 static void
-add_gain (RolloutWatch *w, EvidenceSide side, const EvidenceSums *now, const EvidenceSums *before)
+add_increase (RolloutWatch *w,
+              EvidenceSide side,
+              const EvidenceSums *now,
+              const EvidenceSums *before)
 {
-  EvidenceSums *fresh = &w->fresh[side][team_place (w, now->team)];
-
-  fresh->answers += gain (now->answers, before->answers);
-  fresh->errors += gain (now->errors, before->errors);
-  fresh->slow += gain (now->slow, before->slow);
-  fresh->rated += gain (now->rated, before->rated);
-  fresh->rating_sum += fmax (0, now->rating_sum - before->rating_sum);
-  fresh->rating_square_sum += fmax (0, now->rating_square_sum - before->rating_square_sum);
+  EvidenceSums *untested = &w->untested[side][team_index (w, now->team)];
+
+  untested->answers += increase (now->answers, before->answers);
+  untested->errors += increase (now->errors, before->errors);
+  untested->slow += increase (now->slow, before->slow);
+  untested->rated += increase (now->rated, before->rated);
+  untested->rating_sum += fmax (0, now->rating_sum - before->rating_sum);
+  untested->rating_square_sum += fmax (0, now->rating_square_sum - before->rating_square_sum);
   if (side == EVIDENCE_NEW)
-    w->callers += gain (now->callers, before->callers);
+    w->callers += increase (now->callers, before->callers);
 }
 
 void
@@ -136,7 +139,7 @@
   Source *s;
 
   /* Totals from before the roll-out opened are of an earlier one of the same versions. */
-  if (!rollout_watch_matches (w, totals) || totals->since <= w->rollout.after)
+  if (!rollout_watch_matches (w, totals) || totals->since <= w->rollout.closed_number)
     return;
   s = source_of (w, source);
   /* It began to count anew: its totals are all new. */
@@ -146,9 +149,9 @@
     {
       EvidenceSide side = (EvidenceSide)i;
       for (size_t t = 0; t < totals->counts[side]; t++)
-        add_gain (w, side, &totals->sums[side][t],
-                  sums_of (&s->last, side, totals->sums[side][t].team));
-      add_gain (w, side, &totals->sums[side][EVIDENCE_TEAMS_MAX], sums_of (&s->last, side, ""));
+        add_increase (w, side, &totals->sums[side][t],
+                      sums_of (&s->last, side, totals->sums[side][t].team));
+      add_increase (w, side, &totals->sums[side][EVIDENCE_TEAMS_MAX], sums_of (&s->last, side, ""));
     }
   s->last = *totals;
 }
@@ -175,7 +178,7 @@
 {
   for (size_t i = 0; i <= w->team_max; i++)
     {
-      EvidenceSums *sums = &w->fresh[side][i];
+      EvidenceSums *sums = &w->untested[side][i];
       if (sums->answers + sums->errors + sums->rated == 0)
         continue;
       RolloutEvidence evidence = test_evidence (sums, i);
@@ -191,9 +194,9 @@
 {
   feed (w, EVIDENCE_OLD, rollout_test_add_control);
   feed (w, EVIDENCE_NEW, rollout_test_add);
-  if (!w->staged || w->stage != stage)
+  if (!w->stage_begun || w->stage != stage)
     rollout_test_begin_stage (w->test, stage, now);
-  w->staged = true;
+  w->stage_begun = true;
   w->stage = stage;
   return rollout_policy_default.decide (w->test, now);
 }
--- a/src/steward_rows.c
+++ b/src/steward_rows.c
@@ -9,14 +9,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define TIMEOUT STEWARD_TABLE_TIMEOUT_MS
+#define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
 
 /* What any member may do is left to the one that caused it for this long by the first member of the
    view, and for longer by the others. */
-#define FIRST_TURN_MS    300
-#define TURN_MS          2000
-#define BACKOFF_LEAST_MS 20
-#define BACKOFF_LIMIT_MS 2000
+#define FIRST_MEMBER_DELAY_MS 300
+#define OTHERS_DELAY_MS       2000
+#define BACKOFF_MIN_MS        20
+#define BACKOFF_MAX_MS        2000
 
 void
 steward_rows_adopt (StewardRows *r)
@@ -40,17 +40,17 @@
 /* Many stewards that write the same row at once, as after a restart of all, would go on making each
    other's writes fail; pauses of random and growing length let one after another through. */
 static void
-note_write (StewardRows *r, StatusCode code, int64_t now)
+update_backoff (StewardRows *r, StatusCode code, int64_t now)
 {
   if (code == STATUS_OK)
     {
       r->backoff_ms = 0;
       return;
     }
-  r->backoff_ms = r->backoff_ms == 0 ? BACKOFF_LEAST_MS : 2 * r->backoff_ms;
-  if (r->backoff_ms > BACKOFF_LIMIT_MS)
-    r->backoff_ms = BACKOFF_LIMIT_MS;
-  r->write_at = now + (int64_t)(id_random_u64 () % (uint64_t)r->backoff_ms);
+  r->backoff_ms = r->backoff_ms == 0 ? BACKOFF_MIN_MS : 2 * r->backoff_ms;
+  if (r->backoff_ms > BACKOFF_MAX_MS)
+    r->backoff_ms = BACKOFF_MAX_MS;
+  r->next_write_at = now + (int64_t)(id_random_u64 () % (uint64_t)r->backoff_ms);
 }
 
 static bool
@@ -65,8 +65,8 @@
 
   snprintf (from, sizeof from, "%lld", (long long)r->row.view.number);
   snprintf (to, sizeof to, "%lld", (long long)next->number);
-  code = steward_view_write (s->platform, TIMEOUT, &r->row, &r->head, next, &audit, &st);
-  note_write (r, code, now);
+  code = steward_view_write (s->platform, TIMEOUT_MS, &r->row, &r->head, next, &audit, &st);
+  update_backoff (r, code, now);
   if (code != STATUS_OK)
     return false;
   log_msg (MSG_STEWARD_VIEW_WRITTEN, "view=\"%lld\" change=\"%s\" members=\"%zu\"",
@@ -128,8 +128,8 @@
   pthread_mutex_unlock (&s->cluster.lock);
   if (number == 0)
     return;
-  code = steward_view_accept (s->platform, TIMEOUT, &r->row, &r->head, number, s->self.vm, &st);
-  note_write (r, code, now);
+  code = steward_view_accept (s->platform, TIMEOUT_MS, &r->row, &r->head, number, s->self.vm, &st);
+  update_backoff (r, code, now);
   if (code != STATUS_OK)
     {
       r->row.known = false;
@@ -144,39 +144,39 @@
 
 /* So that not all write the same row at the same time, and each other's writes fail. */
 static bool
-our_turn (const StewardRows *r, bool cause, int64_t now)
+is_our_turn (const StewardRows *r, bool caused_here, int64_t now)
 {
-  int64_t waited = now - r->unsettled_at;
+  int64_t waited = now - r->pending_since;
 
-  return cause || waited > TURN_MS
-         || (waited > FIRST_TURN_MS && steward_cluster_is_first_alive (r->s, now));
+  return caused_here || waited > OTHERS_DELAY_MS
+         || (waited > FIRST_MEMBER_DELAY_MS && steward_cluster_is_first_alive (r->s, now));
 }
 
 static void
-note_unsettled (StewardRows *r, int64_t now)
+update_pending_since (StewardRows *r, int64_t now)
 {
-  bool unsettled = !r->row.view.established || r->head.accepted < r->head.number;
+  bool pending = !r->row.view.established || r->head.accepted < r->head.number;
 
-  if (!unsettled)
-    r->unsettled_at = r->backoff_ms = 0;
-  else if (r->unsettled_at == 0)
-    r->unsettled_at = now;
+  if (!pending)
+    r->pending_since = r->backoff_ms = 0;
+  else if (r->pending_since == 0)
+    r->pending_since = now;
 }
 
 void
 steward_rows_write_due (StewardRows *r, int64_t accept_soon, int64_t now)
 {
-  if (!r->row.known || now < r->write_at)
+  if (!r->row.known || now < r->next_write_at)
     return;
   if (cluster_view_find (&r->row.view, r->s->incarnation) < 0)
     {
       register_self (r, now);
       return;
     }
-  note_unsettled (r, now);
-  if (r->head.accepted < r->head.number && our_turn (r, accept_soon > r->head.accepted, now))
+  update_pending_since (r, now);
+  if (r->head.accepted < r->head.number && is_our_turn (r, accept_soon > r->head.accepted, now))
     accept_number (r, now);
-  if (r->row.known && !r->row.view.established && our_turn (r, r->wrote_pending, now))
+  if (r->row.known && !r->row.view.established && is_our_turn (r, r->wrote_pending, now))
     establish (r, now);
   if (r->row.known && steward_cluster_is_first_alive (r->s, now))
     remove_dead (r, now);
--- a/src/steward_rows.h
+++ b/src/steward_rows.h
@@ -15,10 +15,10 @@
   StewardHead head;
   StewardViewRow row;
   StewardRemoval *removal;
-  int64_t unsettled_at; /**< since when the row is pending or a number not accepted; 0: neither */
-  int64_t backoff_ms;   /**< grows with each write that failed */
-  int64_t write_at;     /**< no write of a row before */
-  bool wrote_pending;   /**< the pending row is ours: we establish it as soon as it is settled */
+  int64_t pending_since; /**< since when the row is pending or a number not accepted; 0: neither */
+  int64_t backoff_ms;    /**< grows with each write that failed */
+  int64_t next_write_at; /**< no write of a row before */
+  bool wrote_pending;    /**< the pending row is ours: we establish it as soon as it is settled */
 } StewardRows;
 
 /** Takes the view over as far as our number allows. */
--- a/src/steward_rpc.c
+++ b/src/steward_rpc.c
@@ -10,10 +10,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-static bool grant_asked (void *context, const RpcPeer *peer, const void *arg, void *result);
-static bool document_asked (void *context, const RpcPeer *peer, const void *arg, void *result);
-static bool view_asked (void *context, const RpcPeer *peer, const void *arg, void *result);
-static bool bills_sent (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_grant (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_document (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_view (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_bill_copy (void *context, const RpcPeer *peer, const void *arg, void *result);
 
 #define ARG(type)    .arg_proc = (xdrproc_t)xdr_##type, .arg_size = sizeof (type)
 #define RESULT(type) .result_proc = (xdrproc_t)xdr_##type, .result_size = sizeof (type)
@@ -21,10 +21,11 @@
 static const RpcProcedure procedures[] = {
   { LOVAGE_HEARTBEAT_ASK, ARG (rpc_heartbeat), .handle = steward_heartbeat_handle_ask },
   { LOVAGE_HEARTBEAT_ANSWER, ARG (rpc_heartbeat), .handle = steward_heartbeat_handle_answer },
-  { LOVAGE_GRANT, ARG (rpc_grant_ask), RESULT (rpc_grant), .handle = grant_asked },
-  { LOVAGE_CONFIG_GET, ARG (rpc_number), RESULT (rpc_document), .handle = document_asked },
-  { LOVAGE_BILL_COPY, ARG (rpc_bill_copy), RESULT (rpc_bill_copy_result), .handle = bills_sent },
-  { LOVAGE_VIEW_GET, ARG (rpc_number), RESULT (rpc_document), .handle = view_asked },
+  { LOVAGE_GRANT, ARG (rpc_grant_ask), RESULT (rpc_grant), .handle = handle_grant },
+  { LOVAGE_CONFIG_GET, ARG (rpc_number), RESULT (rpc_document), .handle = handle_document },
+  { LOVAGE_BILL_COPY, ARG (rpc_bill_copy), RESULT (rpc_bill_copy_result),
+    .handle = handle_bill_copy },
+  { LOVAGE_VIEW_GET, ARG (rpc_number), RESULT (rpc_document), .handle = handle_view },
 };
 
 bool
@@ -61,7 +62,7 @@
 }
 
 static void
-take_brakes (Steward *s, const rpc_grant_ask *ask)
+raise_brakes (Steward *s, const rpc_grant_ask *ask)
 {
   for (u_int i = 0; i < ask->raised.raised_len; i++)
     {
@@ -112,7 +113,7 @@
 }
 
 static bool
-grant_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_grant (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_grant_ask *ask = arg;
@@ -122,7 +123,7 @@
 
   if (ask->incarnation != peer->sender)
     return false;
-  take_brakes (s, ask);
+  raise_brakes (s, ask);
   steward_evidence_add (&s->evidence, ask->evidence.evidence_val, ask->evidence.evidence_len);
   if (steward_deaths_merge (&s->deaths, ask->deaths.deaths_val, ask->deaths.deaths_len, now))
     steward_heartbeat_broadcast_deaths (s);
@@ -150,7 +151,7 @@
 }
 
 static bool
-document_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_document (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_number *ask = arg;
@@ -170,7 +171,7 @@
 
 /* Only a view that was taken over is served: its write is known to be committed. */
 static bool
-view_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_view (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_number *ask = arg;
@@ -184,7 +185,7 @@
 }
 
 static bool
-bills_sent (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_bill_copy (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_bill_copy *copy = arg;
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -5,13 +5,13 @@
 #include "util_clock.h"
 
 /* Between passes over the object store; each costs a scan of the gates' rows. */
-#define RECOVER_MS 60000
+#define RECOVERY_INTERVAL_MS 60000
 /* Between tries at a planned stop while the table is away. */
-#define LEAVE_TRY_MS 100
+#define LEAVE_RETRY_MS 100
 
 /* The cluster's lock is held. */
 static bool
-all_heard (const Steward *s, int64_t now)
+all_alive (const Steward *s, int64_t now)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   int64_t age_ms;
@@ -34,11 +34,11 @@
   int index = cluster_view_find (view, entry->steward);
   int64_t age_ms;
 
-  if (now - entry->heard_at <= STEWARD_GATE_GONE_MS)
+  if (now - entry->reported_at <= STEWARD_GATE_GONE_MS)
     return true;
   /* The steward was replaced; the one in its place tells of the gate if it still runs. */
   if (index < 0)
-    return !all_heard (s, now);
+    return !all_alive (s, now);
   return steward_cluster_member_state (s, &view->members[index], now, &age_ms)
          != STEWARD_MEMBER_ALIVE;
 }
@@ -59,7 +59,7 @@
   if (entry != NULL)
     alive = vm_may_run (s, entry, now);
   else
-    alive = now - s->started_at <= STEWARD_GATE_GONE_MS || !all_heard (s, now);
+    alive = now - s->started_at <= STEWARD_GATE_GONE_MS || !all_alive (s, now);
   pthread_mutex_unlock (&s->cluster.lock);
   return alive;
 }
@@ -80,9 +80,9 @@
     if (bill_replica_flush (s->bills, s->platform, gate_alive, s, now, &written, NULL) != STATUS_OK)
       return;
   while (written > 0);
-  if (now < s->recover_at || !steward_cluster_is_first_alive (s, now))
+  if (now < s->next_recovery_at || !steward_cluster_is_first_alive (s, now))
     return;
-  s->recover_at = now + RECOVER_MS;
+  s->next_recovery_at = now + RECOVERY_INTERVAL_MS;
   (void)bill_recover_objects (s->platform, gate_alive, s, &recovery, NULL);
 }
 
@@ -113,6 +113,6 @@
       if (size.count == 0 || clock_boot_ms () >= end)
         return size.count;
       if (code != STATUS_OK || written == 0)
-        clock_sleep_ms (LEAVE_TRY_MS);
+        clock_sleep_ms (LEAVE_RETRY_MS);
     }
 }
--- a/src/steward_submit.c
+++ b/src/steward_submit.c
@@ -10,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMEOUT_MS  1000
-#define PAUSE_MS    50
-#define NUMBER_SIZE 24
+#define TIMEOUT_MS     1000
+#define RETRY_DELAY_MS 50
+#define NUMBER_SIZE    24
 /* Operations of one submission, with its condition. */
 #define SUBMIT_OPS_MAX 7
 
@@ -198,10 +198,10 @@
  * unknown outcome may be the first one's success: only the row's nonce tells.
  */
 static StewardSubmitOutcome
-settle (Attempt *a, StewardSubmitResult *out)
+commit (Attempt *a, StewardSubmitResult *out)
 {
   int64_t end = clock_boot_ms () + STEWARD_SUBMIT_TIMEOUT_MS;
-  bool doubtful = false;
+  bool outcome_unknown = false;
 
   do
     {
@@ -209,9 +209,9 @@
       if (code == STATUS_OK)
         return STEWARD_SUBMIT_DURABLE;
       if (code != STATUS_CONFLICT && code != STATUS_UNKNOWN)
-        return doubtful ? STEWARD_SUBMIT_UNKNOWN : STEWARD_SUBMIT_UNAVAILABLE;
-      doubtful |= code == STATUS_UNKNOWN;
-      Found found = doubtful ? read_back (a) : FOUND_OTHER;
+        return outcome_unknown ? STEWARD_SUBMIT_UNKNOWN : STEWARD_SUBMIT_UNAVAILABLE;
+      outcome_unknown |= code == STATUS_UNKNOWN;
+      Found found = outcome_unknown ? read_back (a) : FOUND_OTHER;
       if (found == FOUND_OURS)
         return STEWARD_SUBMIT_DURABLE;
       if (found == FOUND_OTHER)
@@ -219,7 +219,7 @@
       /* Acceptance moved the head row's version without a new number: ours can no longer get in. */
       if (found == FOUND_NOTHING && code == STATUS_CONFLICT)
         return STEWARD_SUBMIT_CONFLICT;
-      clock_sleep_ms (PAUSE_MS);
+      clock_sleep_ms (RETRY_DELAY_MS);
     }
   while (clock_boot_ms () < end);
   return STEWARD_SUBMIT_UNKNOWN;
@@ -265,7 +265,7 @@
   if (make_document (&a, out))
     {
       make_rows (&a);
-      out->outcome = settle (&a, out);
+      out->outcome = commit (&a, out);
       if (out->outcome == STEWARD_SUBMIT_CONFLICT)
         {
           read_winner (&a, out);
--- a/src/steward_suspicion.c
+++ b/src/steward_suspicion.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* One VM alone in its failure domain tells nothing of the domain. */
-#define DOMAIN_LEAST 2
+#define DOMAIN_MEMBERS_MIN 2
 
 const char *
 steward_suspect_name (StewardSuspect kind)
@@ -48,7 +48,7 @@
 {
   DomainCount count = count_domain (view, silent, self, domain);
 
-  return count.members >= DOMAIN_LEAST && count.silent == count.members
+  return count.members >= DOMAIN_MEMBERS_MIN && count.silent == count.members
          && 2 * count.silent > silent_in_all;
 }
 
--- a/src/steward_table.c
+++ b/src/steward_table.c
@@ -11,16 +11,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMEOUT STEWARD_TABLE_TIMEOUT_MS
+#define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
 
 /* Reads a second that all stewards together may spend on polling, of about two thousand. */
-#define POLLS_PER_S 100
+#define POLLS_PER_S_MAX 100
 /* The view row is read without cause each so many polls. */
-#define VIEW_POLLS 8
+#define POLLS_PER_VIEW_READ 8
 /* Between rounds that were caused by news. */
-#define ROUND_LEAST_MS 20
-#define BRAKES_SYNC_MS 5000
-#define SETTLE_MS      50
+#define ROUND_PAUSE_MS          20
+#define BRAKES_SYNC_INTERVAL_MS 5000
+#define PENDING_POLL_MS         50
 
 struct StewardTable
 {
@@ -33,22 +33,22 @@
   int64_t accept_soon;
   /* The rest belongs to the thread. */
   StewardRows rows;
-  int64_t poll_at;   /**< next read of the head row */
-  int64_t view_at;   /**< next read of the view row without cause */
-  int64_t brakes_at; /**< next synchronisation of the brakes */
-  bool brakes_read;  /**< once since the start */
+  int64_t next_poll_at;        /**< next read of the head row */
+  int64_t next_view_read_at;   /**< next read of the view row without cause */
+  int64_t next_brakes_sync_at; /**< next synchronisation of the brakes */
+  bool brakes_read;            /**< once since the start */
 };
 
 int64_t
 steward_table_poll_interval_ms (int64_t poll_ms, size_t members)
 {
-  int64_t least = (int64_t)members * 1000 / POLLS_PER_S;
+  int64_t min_ms = (int64_t)members * 1000 / POLLS_PER_S_MAX;
 
-  return poll_ms > least ? poll_ms : least;
+  return poll_ms > min_ms ? poll_ms : min_ms;
 }
 
 static void
-note_platform (Steward *s, const Status *st, bool up)
+set_platform_up (Steward *s, const Status *st, bool up)
 {
   char quoted[STATUS_MESSAGE_MAX * 2];
 
@@ -68,9 +68,9 @@
   Steward *s = t->s;
   int64_t sent_at = clock_boot_ms ();
   Status st = { 0 };
-  StatusCode code = steward_head_read (s->platform, TIMEOUT, &t->rows.head, &st);
+  StatusCode code = steward_head_read (s->platform, TIMEOUT_MS, &t->rows.head, &st);
 
-  note_platform (s, &st, code == STATUS_OK);
+  set_platform_up (s, &st, code == STATUS_OK);
   if (code != STATUS_OK)
     return false;
   pthread_mutex_lock (&s->cluster.lock);
@@ -90,7 +90,7 @@
   if (t->rows.head.number <= steward_document_number (&s->document))
     return;
   steward_number_key (t->rows.head.number, key);
-  if (s->platform->ops->get (s->platform, "config_text", key, TIMEOUT, &row, NULL) == STATUS_OK
+  if (s->platform->ops->get (s->platform, "config_text", key, TIMEOUT_MS, &row, NULL) == STATUS_OK
       && row.version != 0)
     (void)steward_publish_document (s, t->rows.head.number, row.value);
   platform_row_clear (&row);
@@ -104,13 +104,13 @@
   StatusCode code;
   char quoted[STATUS_MESSAGE_MAX * 2];
 
-  if (t->rows.row.known && now < t->view_at && !steward_cluster_wants_view (s))
+  if (t->rows.row.known && now < t->next_view_read_at && !steward_cluster_wants_view (s))
     return true;
-  t->view_at
+  t->next_view_read_at
       = now
-        + VIEW_POLLS
+        + POLLS_PER_VIEW_READ
               * steward_table_poll_interval_ms (s->settings.poll_ms, steward_cluster_members (s));
-  code = steward_view_read (s->platform, TIMEOUT, &t->rows.row, &st);
+  code = steward_view_read (s->platform, TIMEOUT_MS, &t->rows.row, &st);
   if (code == STATUS_INVALID)
     log_msg (MSG_STEWARD_VIEW_BAD, "error=\"%s\"", log_quote (st.message, quoted, sizeof quoted));
   if (code == STATUS_OK)
@@ -119,7 +119,7 @@
 }
 
 static int64_t
-accept_cause (StewardTable *t)
+number_to_accept (StewardTable *t)
 {
   int64_t number;
 
@@ -130,15 +130,16 @@
 }
 
 static void
-write_waiting (StewardTable *t, int64_t now)
+write_queued (StewardTable *t, int64_t now)
 {
   Steward *s = t->s;
 
-  (void)steward_audit_queue_flush (&s->audit, s->platform, TIMEOUT, NULL);
-  if (!t->brakes_read || now >= t->brakes_at || steward_brakes_unwritten (&s->brakes))
+  (void)steward_audit_queue_flush (&s->audit, s->platform, TIMEOUT_MS, NULL);
+  if (!t->brakes_read || now >= t->next_brakes_sync_at || steward_brakes_unwritten (&s->brakes))
     {
-      t->brakes_at = now + BRAKES_SYNC_MS * (int64_t)(1 + steward_cluster_members (s) / 16);
-      t->brakes_read = steward_brakes_sync (&s->brakes, s->platform, TIMEOUT, NULL) == STATUS_OK;
+      t->next_brakes_sync_at
+          = now + BRAKES_SYNC_INTERVAL_MS * (int64_t)(1 + steward_cluster_members (s) / 16);
+      t->brakes_read = steward_brakes_sync (&s->brakes, s->platform, TIMEOUT_MS, NULL) == STATUS_OK;
     }
   steward_settle (s, now);
 }
@@ -149,7 +150,7 @@
 {
   Steward *s = t->s;
 
-  t->poll_at
+  t->next_poll_at
       = now + steward_table_poll_interval_ms (s->settings.poll_ms, steward_cluster_members (s));
   if (!read_head (t))
     {
@@ -161,49 +162,49 @@
   if (!read_view (t, now))
     return;
   steward_rows_adopt (&t->rows);
-  steward_rows_write_due (&t->rows, accept_cause (t), now);
-  write_waiting (t, now);
+  steward_rows_write_due (&t->rows, number_to_accept (t), now);
+  write_queued (t, now);
 }
 
 /* News came in: read what it tells of, or write what it makes possible. */
 static void
-follow_news (StewardTable *t, int64_t now)
+handle_wake (StewardTable *t, int64_t now)
 {
   Steward *s = t->s;
   bool newer = steward_cluster_wanted_number (s) > t->rows.head.number
-               || steward_cluster_wants_view (s) || accept_cause (t) > t->rows.head.number;
+               || steward_cluster_wants_view (s) || number_to_accept (t) > t->rows.head.number;
 
   if (newer || !t->rows.row.known)
     poll_table (t, now);
   else
     {
       steward_rows_adopt (&t->rows);
-      steward_rows_write_due (&t->rows, accept_cause (t), now);
+      steward_rows_write_due (&t->rows, number_to_accept (t), now);
     }
 }
 
 static int64_t
-pause_ms (const StewardTable *t, int64_t now)
+wait_time_ms (const StewardTable *t, int64_t now)
 {
-  int64_t ms = t->poll_at - now;
+  int64_t ms = t->next_poll_at - now;
 
   /* While what we wrote is not settled, look often whether it is by now. */
-  if (t->rows.wrote_pending && ms > SETTLE_MS)
-    ms = SETTLE_MS;
-  if (t->rows.write_at > now && t->rows.write_at - now < ms)
-    ms = t->rows.write_at - now;
+  if (t->rows.wrote_pending && ms > PENDING_POLL_MS)
+    ms = PENDING_POLL_MS;
+  if (t->rows.next_write_at > now && t->rows.next_write_at - now < ms)
+    ms = t->rows.next_write_at - now;
   return ms;
 }
 
 static void
-one_round (StewardTable *t)
+run_round (StewardTable *t)
 {
   int64_t now = clock_boot_ms ();
 
-  if (now >= t->poll_at)
+  if (now >= t->next_poll_at)
     poll_table (t, now);
   else
-    follow_news (t, now);
+    handle_wake (t, now);
 }
 
 static void *
@@ -216,11 +217,11 @@
     {
       t->woken = false;
       pthread_mutex_unlock (&t->lock);
-      one_round (t);
-      clock_sleep_ms (ROUND_LEAST_MS);
+      run_round (t);
+      clock_sleep_ms (ROUND_PAUSE_MS);
       pthread_mutex_lock (&t->lock);
       if (!t->stop && !t->woken)
-        (void)wait_ms (&t->wake, &t->lock, pause_ms (t, clock_boot_ms ()));
+        (void)wait_ms (&t->wake, &t->lock, wait_time_ms (t, clock_boot_ms ()));
     }
   pthread_mutex_unlock (&t->lock);
   return NULL;
--- a/src/steward_wait.c
+++ b/src/steward_wait.c
@@ -5,8 +5,8 @@
 #include "util_clock.h"
 
 /* Members that don't apply the number yet are asked again after this, then after twice as long. */
-#define ASK_LEAST_MS 15
-#define ASK_LIMIT_MS 500
+#define ASK_INTERVAL_MIN_MS 15
+#define ASK_INTERVAL_MAX_MS 500
 
 /** The wait for one number. */
 typedef struct
@@ -14,8 +14,8 @@
   Steward *s;
   int64_t number;
   int64_t accepted_at; /**< when we first knew that it is accepted; 0: not yet */
-  int64_t ask_at;
-  int64_t ask_ms;
+  int64_t next_ask_at;
+  int64_t ask_interval_ms;
 } Wait;
 
 /* Grants that rest on a proof older than the acceptance end grant_ms after it at the latest, on
@@ -28,7 +28,7 @@
 }
 
 static StewardReach
-look (Wait *w, StewardProgress *progress, int64_t now)
+check_reach (Wait *w, StewardProgress *progress, int64_t now)
 {
   *progress = steward_cluster_progress (w->s, w->number, now);
   if (!progress->accepted)
@@ -39,13 +39,14 @@
 }
 
 static void
-ask_again (Wait *w, int64_t now)
+ask_lagging (Wait *w, int64_t now)
 {
-  if (now < w->ask_at)
+  if (now < w->next_ask_at)
     return;
   steward_heartbeat_ask_lagging (w->s, w->number);
-  w->ask_at = now + w->ask_ms;
-  w->ask_ms = 2 * w->ask_ms < ASK_LIMIT_MS ? 2 * w->ask_ms : ASK_LIMIT_MS;
+  w->next_ask_at = now + w->ask_interval_ms;
+  w->ask_interval_ms
+      = 2 * w->ask_interval_ms < ASK_INTERVAL_MAX_MS ? 2 * w->ask_interval_ms : ASK_INTERVAL_MAX_MS;
 }
 
 StewardReach
@@ -56,24 +57,24 @@
               size_t *members_in_force,
               size_t *members)
 {
-  Wait w = { .s = s, .number = number, .ask_ms = ASK_LEAST_MS };
+  Wait w = { .s = s, .number = number, .ask_interval_ms = ASK_INTERVAL_MIN_MS };
   int64_t now = clock_boot_ms ();
   int64_t end = now + wait_ms;
   StewardProgress progress;
-  StewardReach reach = look (&w, &progress, now);
+  StewardReach reach = check_reach (&w, &progress, now);
 
   /* Told once even if nobody waits, so that the number spreads now and not with the next poll. */
-  ask_again (&w, now);
+  ask_lagging (&w, now);
   steward_table_accept_soon (s->table, number);
   while (reach < until && now < end && !steward_cluster_leaving (s))
     {
-      int64_t next = w.ask_at < end ? w.ask_at : end;
+      int64_t next = w.next_ask_at < end ? w.next_ask_at : end;
       steward_cluster_wait (s, next - now);
       now = clock_boot_ms ();
-      ask_again (&w, now);
+      ask_lagging (&w, now);
       if (reach == STEWARD_DURABLE)
         steward_table_wake (s->table);
-      reach = look (&w, &progress, now);
+      reach = check_reach (&w, &progress, now);
     }
   *members_in_force = progress.members_in_force;
   *members = progress.members;
