--- a/src/steward.h
+++ b/src/steward.h
@@ -1,6 +1,6 @@
 /**
- * lovage-steward: the parts of the process. Each part has its own lock; where two are held, the
- * cluster's is taken last.
+ * State shared by the modules of lovage-steward. Each module has its own lock; where two locks are
+ * held at once, the cluster's is taken last.
  */
 #ifndef STEWARD_H
 #define STEWARD_H
@@ -21,20 +21,21 @@
 #include <pthread.h>
 #include <stdatomic.h>
 
-#define STEWARD_TABLE_TIMEOUT_MS 1000 /**< of one call of the table service */
+#define STEWARD_TABLE_TIMEOUT_MS 1000 /**< time-out of one call of the table service */
 
-/** What is known of the other members. */
+/** State of the cluster as this steward knows it. */
 typedef struct
 {
   pthread_mutex_t lock;
-  pthread_cond_t changed; /**< broadcast when news may matter to one who waits */
+  pthread_cond_t changed; /**< broadcast when a change may end somebody's wait */
   ClusterState *state;
-  bool granted;           /**< at the last look, for the log */
-  bool member_left;       /**< a view was taken over that lacks an address of the one before, and
-                             it is not established yet */
-  int64_t member_left_at; /**< last time that such a view was taken over or established; 0: never */
-  StewardSuspicion suspicion; /**< at the last look */
-  /** A member that asked us while we knew no view: who to fetch one from. Port 0: none. */
+  bool granted;           /**< whether a grant could be given at the last check, for the log */
+  bool member_left;       /**< an adopted view lacks an address of the view before it, and it is not
+                             established yet */
+  int64_t member_left_at; /**< last time that such a view was adopted or established; 0: never */
+  StewardSuspicion suspicion; /**< result of the last check */
+  /** A member whose heartbeat arrived while this steward had no view: the source to fetch one from.
+   * Port 0: none. */
   ClusterMember introducer;
 } StewardCluster;
 
@@ -66,9 +67,10 @@
   StewardFetch *fetch;
   StewardHttp *http;
   StewardRollout *rollout;
-  int64_t started_at;       /**< boot-time clock */
-  int64_t next_recovery_at; /**< next pass over the object store; of the table's thread */
-  atomic_bool platform_up;  /**< the last read of the head row had an answer */
+  int64_t started_at; /**< boot-time clock, ms */
+  int64_t
+      next_recovery_at; /**< next recovery from the object store; used by the table's thread only */
+  atomic_bool platform_up; /**< the last read of the head row was answered */
 } Steward;
 
 #endif
--- a/src/steward_api_brake.c
+++ b/src/steward_api_brake.c
@@ -1,5 +1,6 @@
 /**
- * Operators' call that stops a version at once, also while the table service is away.
+ * Operators' call that raises a brake: it stops a version at once, also while the table service is
+ * unavailable.
  */
 #include "config.h"
 #include "steward_brake.h"
--- a/src/steward_api_record.c
+++ b/src/steward_api_record.c
@@ -1,5 +1,5 @@
 /**
- * Operators' calls about what happened: the audit trail, usage, roll-outs.
+ * Operators' calls that read records: the audit trail, usage, roll-outs.
  */
 #include "bill.h"
 #include "steward_call.h"
--- a/src/steward_api_status.c
+++ b/src/steward_api_status.c
@@ -1,5 +1,5 @@
 /**
- * Operators' call about the members, as they are seen from here.
+ * Operators' call that reads the state of the members as this steward sees it.
  */
 #include "cluster_grant.h"
 #include "steward_call.h"
--- a/src/steward_api_version.c
+++ b/src/steward_api_version.c
@@ -1,5 +1,5 @@
 /**
- * Operators' calls about versions of the configuration.
+ * Operators' calls that read versions of the configuration and submit new ones.
  */
 #include "steward_call.h"
 #include "steward_publish.h"
@@ -22,7 +22,7 @@
 
 static const char *const listed[] = { "number", "base", "operator", "reason", "at_ms" };
 
-/* The members that a list shows, of a row of config_version. */
+/* The entry of a list for a row of config_version: only the members in listed. */
 static Json *
 list_entry (const PlatformRow *row)
 {
@@ -140,7 +140,7 @@
   return steward_call_number (call, "wait_ms", 0, WAIT_MAX_MS, WAIT_DEFAULT_MS, wait_ms);
 }
 
-/* One error a line in the list; one element a line in the answer. */
+/* Splits the list of errors, one per line, into elements of an array. */
 static Json *
 error_lines (const CheckList *list)
 {
--- a/src/steward_audit.c
+++ b/src/steward_audit.c
@@ -74,7 +74,7 @@
   return room;
 }
 
-/* Copies the oldest rows: the write goes on without the lock. */
+/* Copies the oldest rows, so that they can be written without holding the lock. */
 static size_t
 copy_oldest (StewardAuditQueue *q, StewardAuditRow rows[FLUSH_ROWS])
 {
@@ -91,7 +91,7 @@
   return count;
 }
 
-/* Only the flusher takes rows out, so the oldest are still those that were written. */
+/* Only the flushing thread removes rows, so the oldest are still those that were written. */
 static void
 drop_oldest (StewardAuditQueue *q, size_t count)
 {
@@ -103,7 +103,8 @@
   pthread_mutex_unlock (&q->lock);
 }
 
-/* After a lost reply the rows are written again: their keys make the second write harmless. */
+/* After a lost reply the rows are written again: their unique keys make the second write
+   harmless. */
 StatusCode
 steward_audit_queue_flush (StewardAuditQueue *q, Platform *p, int timeout_ms, Status *st)
 {
--- a/src/steward_audit.h
+++ b/src/steward_audit.h
@@ -1,6 +1,6 @@
 /**
  * Entries of the audit trail: insert-only rows of the table service, written in the transaction of
- * the change that they tell of, or queued while the service is away.
+ * the change that they record, or queued while the table service is unavailable.
  */
 #ifndef STEWARD_AUDIT_H
 #define STEWARD_AUDIT_H
@@ -12,7 +12,7 @@
 #define STEWARD_AUDIT_KEY_SIZE 64
 #define STEWARD_AUDIT_QUEUE    512
 
-/** Texts are borrowed; NULL is written as "". */
+/** Strings are borrowed; NULL is written as "". */
 typedef struct
 {
   const char *who;
@@ -22,7 +22,7 @@
   const char *detail;
 } StewardAuditEntry;
 
-/** One row. Its key is random, so that writing it twice leaves one row. */
+/** One row. Its key is unique (time and a random part), so that writing it twice leaves one row. */
 typedef struct
 {
   char key[STEWARD_AUDIT_KEY_SIZE];
@@ -31,10 +31,10 @@
 
 void steward_audit_row (const StewardAuditEntry *entry, StewardAuditRow *out);
 void steward_audit_row_clear (StewardAuditRow *row);
-/** The row's INSERT; it borrows from the row. */
+/** The row's INSERT operation; it borrows the row's key and value. */
 TxnOp steward_audit_op (const StewardAuditRow *row);
 
-/** Entries that wait for the table service. */
+/** Entries to be written when the table service answers. */
 typedef struct
 {
   pthread_mutex_t lock;
@@ -44,13 +44,13 @@
 
 void steward_audit_queue_init (StewardAuditQueue *q);
 void steward_audit_queue_clear (StewardAuditQueue *q);
-/** False if the queue is full: the entry is only logged then. */
+/** False if the queue is full: the entry is dropped, and only the log tells of its event. */
 bool steward_audit_queue_add (StewardAuditQueue *q, const StewardAuditEntry *entry);
-/** Writes what waits, oldest first; STATUS_OK when nothing is left. */
+/** Writes the queued entries, oldest first; STATUS_OK when none is left. */
 StatusCode
 steward_audit_queue_flush (StewardAuditQueue *q, Platform *p, int timeout_ms, Status *st);
 
-/** {"entries":[…]} with key >= from, at most limit; the caller's. */
+/** Lists at most limit entries with key >= from as {"entries":[…]}, which the caller releases. */
 StatusCode steward_audit_list (Platform *p,
                                const char *from,
                                size_t limit,
--- a/src/steward_brake.c
+++ b/src/steward_brake.c
@@ -5,8 +5,8 @@
 
 #define LABEL_SIZE (2 * ((size_t)CLUSTER_NAME_MAX + 1))
 
-/* The ask carries the brake to each member at once; one that the datagram doesn't reach gets it
-   with the answers to its next asks, since its digest differs from the others'. */
+/* The ask carries the brake to each member at once. A member that the datagram doesn't reach gets
+   it with the answers to its next asks, since its digest differs from the others'. */
 ClusterBrakeResult
 steward_brake_raise (Steward *s, const ClusterBrake *brake)
 {
--- a/src/steward_brake.h
+++ b/src/steward_brake.h
@@ -1,5 +1,6 @@
 /**
- * A brake raised at this steward: kept, audited, and told to the other members at once.
+ * Raises a brake at this steward: adds it to the set, writes an audit entry and broadcasts it to
+ * the other members at once.
  */
 #ifndef STEWARD_BRAKE_H
 #define STEWARD_BRAKE_H
--- a/src/steward_brakes.c
+++ b/src/steward_brakes.c
@@ -57,7 +57,7 @@
   snprintf (out, size, "%s", text == NULL ? "" : text);
 }
 
-/* Returns what it was before. */
+/* Returns the previous value. */
 static bool
 set_unwritten (StewardBrakes *b, bool unwritten)
 {
@@ -139,8 +139,8 @@
   return count;
 }
 
-/* With more brakes than fit a datagram, each message carries the next share in turn, so that a peer
-   that goes on asking gets them all. */
+/* If more brakes exist than fit into a datagram, successive messages carry successive parts of the
+   set, so that a peer that keeps asking gets them all. */
 void
 steward_brakes_fill (StewardBrakes *b, size_t max, rpc_brake **out, u_int *count)
 {
@@ -268,11 +268,11 @@
   return good;
 }
 
-/** What the table holds for a version. */
+/** What the table has for a version. */
 typedef struct
 {
-  int64_t since;   /**< -1: no row */
-  int64_t version; /**< of the row; 0: absent */
+  int64_t since;   /**< -1: no row, or one that can't be parsed */
+  int64_t version; /**< version of the row; 0: the row is absent */
 } Stored;
 
 static Stored
@@ -325,7 +325,7 @@
       if (stored.since >= brakes[i].since)
         continue;
       code = write_brake (&brakes[i], &stored, p, timeout_ms, st);
-      /* Another steward wrote the same brake first: the next round reads what it wrote. */
+      /* Another steward wrote the same brake first: the next synchronisation reads its row. */
       if (code == STATUS_CONFLICT)
         code = STATUS_OK;
     }
--- a/src/steward_call.h
+++ b/src/steward_call.h
@@ -1,5 +1,5 @@
 /**
- * One call of the operators' HTTP API.
+ * One call of the operators' HTTP API: its arguments and its answer.
  */
 #ifndef STEWARD_CALL_H
 #define STEWARD_CALL_H
@@ -11,21 +11,21 @@
 typedef struct
 {
   Steward *s;
-  const SettingsOperator *operator; /**< who calls */
+  const SettingsOperator *operator; /**< the authenticated caller */
   struct MHD_Connection *connection;
-  const char *rest;         /**< path behind the route's own, without the slash; may be empty */
+  const char *rest; /**< rest of the path after the route's own, without the slash; may be empty */
   struct json_object *body; /**< NULL for GET */
-  unsigned status;          /**< of the answer */
+  unsigned status;          /**< HTTP status of the answer */
   struct json_object *answer;
-  int retry_after_s; /**< 0: none */
+  int retry_after_s; /**< value of the Retry-After header, 0: no header */
 } StewardCall;
 
 /** One route. */
 typedef struct
 {
   const char *method;
-  const char *path; /**< a final slash: more may follow, in call->rest */
-  size_t role;      /**< offset of the bool in SettingsOperator */
+  const char *path; /**< if it ends in a slash, the rest of the URL's path is put into call->rest */
+  size_t role;      /**< role that the caller needs: offset of its bool in SettingsOperator */
   void (*run) (StewardCall *call);
 } StewardRoute;
 
@@ -39,25 +39,26 @@
 void steward_api_rollouts (StewardCall *call);
 void steward_api_brake (StewardCall *call);
 
-/** Answers 200 with this object, which is taken over. */
+/** Answers 200 with this object and takes ownership of it. */
 void steward_call_done (StewardCall *call, struct json_object *answer);
-/** Answers {"error":{"reason","message"}}; the error object, for further members. */
+/** Answers {"error":{"reason","message"}}. Returns the error object, so that the caller can add
+ * members. */
 struct json_object *
 steward_call_error (StewardCall *call, unsigned status, const char *reason, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
-/** Answers 503 with the time to come back: the table service does not answer. */
+/** Answers 503 with Retry-After: the table service does not answer. */
 void steward_call_unavailable (StewardCall *call, const Status *st);
-/** Value of a query argument, or NULL. */
+/** Value of a query argument, or NULL if it is absent. */
 const char *steward_call_query (const StewardCall *call, const char *name);
-/** A whole number from the query, or fallback if it is absent; false after an error answer if it is
- *  none from min to max. */
+/** Reads an integer from the query, or fallback if it is absent. False, after an error answer, if
+ * it is no integer from min to max. */
 bool steward_call_number (StewardCall *call,
                           const char *name,
                           int64_t min,
                           int64_t max,
                           int64_t fallback,
                           int64_t *out);
-/** A text member of the body, or NULL. */
+/** A string member of the body, or NULL. */
 const char *steward_call_text (const StewardCall *call, const char *name);
 
 #endif
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -8,11 +8,13 @@
 #include "util_wait.h"
 #include <stdlib.h>
 
-/* With few members each is asked directly more than once a second. */
+/* Up to this number of members each is asked directly more than once a second. */
 #define SMALL_CLUSTER_MEMBERS 16
-/* Silence after which nothing that a member was granted can be in use any more, in grants. */
+/* Silence, as a multiple of the grants' duration, after which no grant of a member can be in use
+   any more. */
 #define DEAD_AFTER_GRANTS 3
-/* Clocks of VMs run apart by one part in CLUSTER_DRIFT_PARTS, and each side rounds. */
+/* Added to the drift between the clocks of two VMs, one part in CLUSTER_DRIFT_PARTS, since each
+   side rounds. */
 #define BOUND_MARGIN_MS 20
 
 int64_t
@@ -37,8 +39,9 @@
   pthread_mutex_destroy (&c->lock);
 }
 
-/* The gates are looked at under the cluster's lock, so that none is given a grant for a lower
-   number between the look and the word of ours that we apply this one (see steward_rpc.c). */
+/* The gates are read under the cluster's lock, so that none is given a grant for a lower number
+   between this read and the moment when this steward reports that it applies the number (see
+   steward_rpc.c). */
 void
 steward_cluster_apply (Steward *s)
 {
@@ -58,10 +61,11 @@
     log_msg (MSG_STEWARD_APPLIED, "config=\"%lld\"", (long long)number);
 }
 
-/* An operator is told that a number is in force when all members apply it. One who is no member,
-   nor at the address of one, is not waited for: were it to take work on its peers' word, it would
-   do so under an older number after that. It stopped as planned, was started again in an outage,
-   and can't be registered yet. */
+/* True if operators wait for this steward before a number counts as in force: they wait until all
+   members apply it. A steward that is no member, nor at the address of one, is not waited for; if
+   it took work on a proof by its peers, it would do so under an older number after that. This
+   occurs after a planned stop and a restart during an outage of the table service, when it can't
+   be registered yet. */
 static bool
 is_waited_for (const Steward *s)
 {
@@ -113,8 +117,8 @@
   return false;
 }
 
-/* A view that is the first we know may have lost a member just before; only the very first of all,
-   number 1, can't. */
+/* The first view that this steward adopts may have lost a member just before. Only view number 1
+   can't. */
 bool
 steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now)
 {
@@ -130,12 +134,12 @@
   return true;
 }
 
-/* A VM that left the view as planned and was started again during an outage of the table service
-   may have got a grant from peers that still knew the view with its address in it. The view without
-   it doesn't count it, so a number would be called in force while it takes work under a lower one.
-   Once the new view is established no majority supports that grant any more (a voter that has heard
-   of a newer view is not counted), so it ends grant_ms later at the latest; until then the members'
-   word is not enough. */
+/* A VM that left the view at a planned stop and was started again during an outage of the table
+   service may have got a grant from peers that still knew the view with its address in it. The
+   view without it doesn't count it, so a number would be called in force while that VM takes work
+   under a lower one. Once the new view is established no majority supports that grant any more (a
+   voter that knows of a newer view is not counted), so it ends grant_ms later at the latest. Until
+   then the members' reports are not sufficient. */
 static bool
 unseen_grant_possible (const Steward *s, int64_t now)
 {
@@ -252,7 +256,7 @@
   return count;
 }
 
-/* Among many members news of one takes some rounds of asks on its way to us. */
+/* Among many members information about one takes some rounds of asks to arrive here. */
 static int64_t
 suspect_ms (const Steward *s)
 {
@@ -340,7 +344,7 @@
   bool silent[CLUSTER_MEMBERS_MAX] = { false };
   int64_t age_ms;
 
-  /* Nobody has been asked often enough yet to be called silent. */
+  /* The members have not been asked often enough yet to be called silent. */
   if (now - s->started_at < DEAD_AFTER_GRANTS * s->settings.grant_ms)
     return (StewardSuspicion){ 0 };
   for (size_t i = 0; i < view->count; i++)
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -1,5 +1,6 @@
 /**
- * What this steward knows of the cluster, behind one lock: questions that several threads ask.
+ * This steward's knowledge of the cluster: the protocol logic of cluster_state.h behind one lock,
+ * for use by several threads.
  */
 #ifndef STEWARD_CLUSTER_H
 #define STEWARD_CLUSTER_H
@@ -7,64 +8,65 @@
 #include "cluster_grant.h"
 #include "steward.h"
 
-/** How a member is seen from here. */
+/** State of a member as this steward sees it. */
 typedef enum
 {
   STEWARD_MEMBER_SELF,
   STEWARD_MEMBER_ALIVE,
-  STEWARD_MEMBER_SUSPECT, /**< silent for longer than a few heartbeats */
-  STEWARD_MEMBER_DEAD     /**< silent for longer than any grant of it can last */
+  STEWARD_MEMBER_SUSPECT, /**< not heard from for longer than a few heartbeats take */
+  STEWARD_MEMBER_DEAD     /**< not heard from for longer than any grant of it can last */
 } StewardMemberState;
 
-/** How far a number has come. */
+/** How far a configuration number has been rolled out to the members. */
 typedef struct
 {
   bool accepted;
-  size_t members;          /**< of the view */
+  size_t members;          /**< members of the view */
   size_t members_in_force; /**< those known to apply the number or a newer one */
-  bool in_force;           /**< accepted, and nobody takes new work under a lower number */
+  bool in_force;           /**< accepted, and no member takes new work under a lower number */
 } StewardProgress;
 
 void steward_cluster_init (StewardCluster *c, uint64_t incarnation, int64_t grant_ms);
 void steward_cluster_clear (StewardCluster *c);
 
-/** Applies the newest document as far as the gates have it in force. Call it whenever one of them
- *  may have changed. */
+/** Applies the newest document as far as this VM's gates have it in force. To be called whenever
+ * the document or a gate may have changed. */
 void steward_cluster_apply (Steward *s);
-/** Milliseconds on our clock after which a grant of grant_ms on another VM's has ended. */
+/** Time, in ms of this VM's clock, after which a grant of grant_ms given on another VM has ended
+ * for certain. */
 int64_t steward_cluster_grant_bound_ms (int64_t grant_ms);
-/** What may be granted to a gate; the cluster's lock is held. */
+/** The grant that may be given to a gate now. The caller holds the cluster's lock. */
 ClusterGrant steward_cluster_grant_now (const Steward *s, int64_t now);
-/** Milliseconds that new work may be taken from now on, 0 for none. */
+/** Time, in ms from now, for which new work may be taken; 0: none. */
 int64_t steward_cluster_grant (Steward *s, int64_t now);
 StewardProgress steward_cluster_progress (Steward *s, int64_t number, int64_t now);
-/** Takes a view over (cluster_state_adopt_view); the cluster's lock is held. */
+/** Adopts a view (cluster_state_adopt_view). The caller holds the cluster's lock. */
 bool steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now);
-/** Waits until something may have changed, at most ms. */
+/** Waits until the state may have changed, at most ms. */
 void steward_cluster_wait (Steward *s, int64_t ms);
-/** True once a planned stop has begun: nobody waits any longer. */
+/** True once a planned stop has begun: all waits end then. */
 bool steward_cluster_leaving (Steward *s);
-/** Wakes those who wait. */
+/** Wakes all threads in steward_cluster_wait. */
 void steward_cluster_notify (Steward *s);
 
 int64_t steward_cluster_number (Steward *s);
 int64_t steward_cluster_wanted_number (Steward *s);
-/** True if a newer view than ours was heard of. */
+/** True if another member has reported a newer view than the one adopted here. */
 bool steward_cluster_wants_view (Steward *s);
-/** Copies the view; freed with free. */
+/** A copy of the view; freed with free. */
 ClusterView *steward_cluster_view (Steward *s);
 size_t steward_cluster_members (Steward *s);
-/** Members heard of within their grants, ourselves included; at least 1. */
+/** Number of members that are not dead, this one included; at least 1. */
 size_t steward_cluster_live (Steward *s, int64_t now);
-/** True if we are the first member of the view that is alive: the one that does at once what any
- *  may do. */
+/** True if this steward is the first member of the view that is alive. That member makes the writes
+ * that any member may make, so that they don't conflict. */
 bool steward_cluster_is_first_alive (Steward *s, int64_t now);
 
-/** Looks anew at who is silent, and logs what changed. */
+/** Determines again which members are silent and why, and logs changes. */
 void steward_cluster_update_suspicion (Steward *s, int64_t now);
 
-/** State of the member at that place of the view; *age_ms receives the age of its news, -1 if there
- *  is none. The lock is held by the caller. */
+/** State of a member of the view. *age_ms receives the age of the last information about it, -1 if
+ * there is none. The caller holds the cluster's lock. */
 StewardMemberState steward_cluster_member_state (const Steward *s,
                                                  const ClusterMember *m,
                                                  int64_t now,
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -2,10 +2,11 @@
 #include "util_memory.h"
 #include <string.h>
 
-/* A death near the end of our memory is not told any more: a peer that forgot it a moment ago would
-   learn it anew and tell us in its turn, so that it went round for ever. */
+/* A death is no longer sent for this long before the end of its retention. Otherwise a peer that
+   has just dropped it would learn it again and send it back, so that it would circulate for
+   ever. */
 #define SEND_MARGIN_MS INT64_C (60000)
-/* On the wire: server, age and the number of flights. */
+/* Sizes on the wire: server, age and the number of flights; one flight. */
 #define DEATH_BYTES  16
 #define FLIGHT_BYTES 8
 
@@ -62,7 +63,7 @@
   return allowed;
 }
 
-/** A message's part that is being filled. */
+/** The deaths that are selected for a message. */
 typedef struct
 {
   StewardDeathsLimits left;
@@ -88,7 +89,7 @@
   return true;
 }
 
-/* Adds up to max of these, from *next on if they don't all fit. */
+/* Adds up to max of the deaths, starting at *next if the last message had no room for all. */
 static void
 selection_add_in_turn (Selection *selection,
                        const QuarantineDeath *deaths,
--- a/src/steward_deaths.h
+++ b/src/steward_deaths.h
@@ -1,6 +1,7 @@
 /**
- * Deaths of backend servers that gates saw, with the requests that were running there: kept for as
- * long as a quarantine remembers them, and told to the other stewards and to this VM's gate.
+ * Deaths of backend servers that gates observed, with the requests that were running there. They
+ * are kept for the quarantine's retention period and sent to the other stewards and to this VM's
+ * gate.
  */
 #ifndef STEWARD_DEATHS_H
 #define STEWARD_DEATHS_H
@@ -9,45 +10,48 @@
 #include "lovage.h"
 #include <pthread.h>
 
-/** Deaths younger than this are told in each message, as far as it has room. */
+/** Deaths younger than this go into every message, as far as there is room. */
 #define STEWARD_DEATHS_FRESH_MS INT64_C (20000)
 
-/** Most members told of deaths at once, in a second. */
+/** Broadcast messages about deaths that one steward may send per second, on average: with n other
+ * members broadcasts are at least n / 100 s apart. */
 #define STEWARD_DEATHS_BROADCASTS_PER_S 100
 
-/** What one message may carry. */
+/** Limits on the deaths that one message may carry. */
 typedef struct
 {
   size_t count;
-  size_t bytes; /**< of all; one death is carried whatever its size */
-  size_t older; /**< of those that are not fresh any more */
+  size_t bytes; /**< of all deaths together; the first one is carried whatever its size */
+  size_t older; /**< number of deaths that are no longer fresh */
 } StewardDeathsLimits;
 
-/** Of an answer to a heartbeat: with 360 members one steward sends and receives 9 of them a second.
- *  One that was cut off while a death was fresh learns of it in turn with the older ones. */
+/** Limits of an answer to a heartbeat, of which one steward sends and receives 9 per second with
+ * 360 members. A member that was cut off while a death was fresh receives it later, with the older
+ * ones in turn. */
 extern const StewardDeathsLimits steward_deaths_heartbeat_limits;
-/** Of a grant, which stays on its VM. */
+/** Limits of a grant, which stays on its VM. */
 extern const StewardDeathsLimits steward_deaths_grant_limits;
 
 typedef struct
 {
   pthread_mutex_t lock;
-  Quarantine *set;   /**< has its own lock */
-  size_t next_fresh; /**< where the next message's share begins */
+  Quarantine *set;   /**< guarded by its own lock */
+  size_t next_fresh; /**< index at which the next message begins, among the fresh deaths */
   size_t next_older;
-  int64_t broadcast_at; /**< when all members were last told at once; 0: never */
+  int64_t broadcast_at; /**< time of the last broadcast; 0: never */
 } StewardDeaths;
 
 void steward_deaths_init (StewardDeaths *d);
 void steward_deaths_clear (StewardDeaths *d);
 
-/** Takes deaths of a message; true if some were news. The same news twice changes nothing. */
+/** Merges the deaths of a message; true if some were new. Merging the same death again changes
+ * nothing. */
 bool steward_deaths_merge (StewardDeaths *d, const rpc_death *deaths, size_t count, int64_t now_ms);
-/** True if that many other members may be told at once, now. Where a whole pool dies they may not
- * be told again soon: the heartbeats carry what is left. */
+/** True if a broadcast to that many other members is allowed now; it then counts as sent. When a
+ * whole pool dies, broadcasts are limited, and the heartbeats carry the remaining deaths. */
 bool steward_deaths_may_broadcast (StewardDeaths *d, size_t others, int64_t now_ms);
-/** What to tell now, newest first; where a message has no room for all, the next goes on with the
- *  others. Freed with xdr_free of the message that it goes into. */
+/** Selects the deaths for a message, newest first. If they exceed the limits, the next message goes
+ * on with the others. Freed with xdr_free of the message. */
 void steward_deaths_fill (StewardDeaths *d,
                           const StewardDeathsLimits *limits,
                           int64_t now_ms,
--- a/src/steward_document.c
+++ b/src/steward_document.c
@@ -21,8 +21,8 @@
   pthread_mutex_destroy (&d->lock);
 }
 
-/* A document that this program can't read is kept and served all the same: a newer program wrote
-   it, and to hold it back would let gates go on under the number before. */
+/* A document that this program version can't read is stored and served all the same. A newer
+   version wrote it, and without it gates would go on under the number before. */
 static Config *
 parse (int64_t number, const char *text)
 {
--- a/src/steward_duty.c
+++ b/src/steward_duty.c
@@ -13,7 +13,7 @@
 
 #define TABLE      "duty"
 #define TIMEOUT_MS 1000
-/* Reads a second that all stewards together spend on one duty. */
+/* Reads per second that all stewards together make for one duty. */
 #define READS_PER_S_MAX 50
 #define ROW_SIZE        128
 #define NUMBER_SIZE     24
@@ -22,12 +22,12 @@
 {
   StewardDutyOptions options;
   char holder[CLUSTER_HOLDER_MAX];
-  pthread_mutex_t lock; /**< guards lease */
+  pthread_mutex_t
+      lock; /**< guards lease; the fields below belong to the thread of steward_duty_step */
   ClusterLease lease;
-  /* The rest belongs to the thread of steward_duty_step. */
-  ClusterLeaseRow row;  /**< as last read or written */
-  int64_t next_read_at; /**< no read of another's row before this */
-  int64_t fence;        /**< under which we hold the duty, for the log; 0: not */
+  ClusterLeaseRow row;  /**< row as last read or written */
+  int64_t next_read_at; /**< no read of a row of another holder before this time */
+  int64_t fence; /**< fencing number under which the duty is held, for the log; 0: not held */
 };
 
 typedef struct
@@ -103,7 +103,8 @@
   return good;
 }
 
-/* A row that can't be read counts as a failed read: nobody takes over what it can't judge. */
+/* A row that can't be parsed counts as a failed read, so a duty with such a row is not taken
+   over. */
 static void
 read_row (StewardDuty *d, size_t members)
 {
@@ -158,8 +159,8 @@
   return code;
 }
 
-/* A take-over is audited in the transaction that makes it, so that each fencing number has one
-   entry; a renewal is not. */
+/* The transaction of a take-over includes its audit entry, so that each fencing number has one
+   entry. Renewals are not audited. */
 static void
 write_row (StewardDuty *d, const ClusterLeaseRow *row)
 {
@@ -215,7 +216,7 @@
   log_change (d);
 }
 
-/* Without this a successor would wait for the lease to lapse. */
+/* Otherwise a successor would wait for the lease to expire. */
 void
 steward_duty_release (StewardDuty *d)
 {
--- a/src/steward_evidence.c
+++ b/src/steward_evidence.c
@@ -5,7 +5,8 @@
 #include <string.h>
 
 #define INTERVAL_MIN_MS 2000
-/* A row is about 1,100 bytes at most; 6.7 rows a second are 7.3 KB/s of the holder's 14 KB/s. */
+/* A row has at most about 1,100 bytes; 6.7 rows per second are 7.3 KB/s of the holder's 14
+   KB/s. */
 #define INTERVAL_PER_MEMBER_MS 150
 
 void
@@ -88,7 +89,8 @@
   pthread_mutex_unlock (&e->lock);
 }
 
-/* The team's place; one that has none takes a free one, or is summed with the rest. */
+/* The sums of a team; a team without any gets unused ones, or the sums for all other teams if
+   there are none left. */
 static EvidenceSums *
 team_sums (EvidenceRollout *r, EvidenceSide side, const char *team)
 {
--- a/src/steward_fetch.c
+++ b/src/steward_fetch.c
@@ -14,7 +14,8 @@
 #include <string.h>
 
 #define CALL_TIMEOUT_MS 1000
-/* The table is asked first; with it up, a fetch from peers is seldom needed. */
+/* Delay before peers are asked. The table's thread reads the table in the meantime; while the
+   table answers, a fetch from peers is seldom needed. */
 #define TABLE_HEAD_START_MS 300
 #define IDLE_INTERVAL_MS    1000
 
@@ -28,13 +29,13 @@
   bool woken;
 };
 
-/** What is fetched and what is done with it. */
+/** A kind of object that is fetched, and what is done with it. */
 typedef struct
 {
   unsigned procedure;
-  /** The number wanted, or 0 if there is nothing to fetch. */
+  /** The lowest number to fetch, or 0 if there is nothing to fetch. */
   int64_t (*wanted) (Steward *s);
-  /** Whether a member is known to have it. */
+  /** True if a member is known to have that number or a newer one. */
   bool (*has) (const ClusterKnown *k, int64_t wanted);
   void (*apply) (Steward *s, const rpc_document *document);
 } FetchKind;
@@ -101,7 +102,8 @@
   { LOVAGE_VIEW_GET, view_wanted, view_has, view_apply },
 };
 
-/* A random one of the members that have it: all that miss it must not ask the same one. */
+/* Picks a random one of the members that have the number, so that the members that lack it don't
+   all ask the same one. */
 static bool
 pick_member (Steward *s, const FetchKind *kind, int64_t wanted, ClusterMember *out)
 {
@@ -172,7 +174,7 @@
   return false;
 }
 
-/* Wakes come with each heartbeat; they don't shorten this wait. */
+/* steward_fetch_wake is called with each heartbeat; it doesn't shorten this wait. */
 static void
 wait_for_table (StewardFetch *f)
 {
--- a/src/steward_fetch.h
+++ b/src/steward_fetch.h
@@ -1,6 +1,6 @@
 /**
- * Fetches documents and views from other stewards when the table service does not give them: peers
- * serve only what came from the table.
+ * Fetches configuration documents and views from other stewards when the table service does not
+ * answer. Stewards serve only what came from the table.
  */
 #ifndef STEWARD_FETCH_H
 #define STEWARD_FETCH_H
@@ -9,7 +9,7 @@
 
 StewardFetch *steward_fetch_start (Steward *s);
 void steward_fetch_stop (StewardFetch *f);
-/** Something newer was heard of. */
+/** To be called when a newer document or view has been reported. */
 void steward_fetch_wake (StewardFetch *f);
 
 #endif
--- a/src/steward_gates.c
+++ b/src/steward_gates.c
@@ -1,6 +1,6 @@
 #include "steward_gates.h"
 
-#define ALIVE_MS 5000
+#define ALIVE_MS 5000 /**< a gate that asked within this time counts as alive */
 
 void
 steward_gates_init (StewardGates *g, int64_t inherited_until)
@@ -24,8 +24,8 @@
   return NULL;
 }
 
-/* A gate may be forgotten when its last grant has ended: it can take no new work unless it asks
-   again. */
+/* Finds an entry for a new gate. The entry of a gate whose last grant has ended may be reused:
+   that gate can take no new work unless it asks again. */
 static StewardGate *
 add_gate (StewardGates *g, uint64_t incarnation, int64_t now)
 {
@@ -34,13 +34,14 @@
   for (size_t i = 0; gate == NULL && i < STEWARD_GATES_MAX; i++)
     if (g->gates[i].until <= now && g->gates[i].pending_until <= now)
       gate = &g->gates[i];
-  /* The gate may hold a grant of a steward that ran here before us. */
+  /* The gate may hold a grant of the steward that ran on this VM before. */
   if (gate != NULL)
     *gate = (StewardGate){ .incarnation = incarnation, .until = g->inherited_until };
   return gate;
 }
 
-/* The gate has reached the number from which on it can use its later grants. */
+/* To be called when the gate has reached the number from which on it can use its pending
+   grants. */
 static void
 merge_pending (StewardGate *gate)
 {
@@ -59,9 +60,9 @@
     gate->pending_until = until;
 }
 
-/* The lowest number under which the gate may take new work at now; newest if there is none lower.
-   A gate that was granted a number which it did not have yet fetches it and goes on under it before
-   it asks again: until then only our own grant tells us of it. */
+/* The lowest number under which the gate may take new work at now; newest if none is lower. A gate
+   that was granted a number that it did not have yet fetches it and takes work under it before it
+   asks again; until then only the grant recorded here shows this. */
 static int64_t
 lowest_number (const StewardGate *gate, int64_t newest, int64_t now)
 {
@@ -94,7 +95,7 @@
   if (gate != NULL)
     {
       g->asked = true;
-      /* An ask that was overtaken by a later one must not lower the number. */
+      /* An ask that arrives after a later one must not lower the number. */
       if (number > gate->number)
         {
           gate->number = number;
@@ -128,9 +129,9 @@
   int64_t lowest = newest;
 
   pthread_mutex_lock (&g->lock);
-  /* A steward that was replaced has forgotten its gate, which goes on with the grant that it has.
-     Until the gate has asked or that grant has ended, nothing is known to be in force here. One
-     gate a VM takes callers' work, since it alone can listen on their port. */
+  /* A steward that has replaced another doesn't know the VM's gate, which goes on with its grant.
+     Until the gate has asked or that grant has ended, no number is known to be in force here. Only
+     one gate per VM takes callers' work, since only one process can listen on their port. */
   if (!g->asked && now < g->inherited_until)
     lowest = 0;
   for (size_t i = 0; i < STEWARD_GATES_MAX; i++)
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -14,10 +14,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Beats of many stewards that started together are spread over this part of the time. */
+/* Rounds are spread over this part of the interval, so that stewards that started together don't
+   send at the same time. */
 #define JITTER_PARTS 4
-/* An ask and its answer on the wire, with the headers of UDP and IP: measured by make
- * bench-control. */
+/* Bytes of an ask and its answer on the wire, with the headers of UDP and IP (make
+   bench-control). */
 #define EXCHANGE_BYTES            430.0
 #define EXCHANGE_BYTES_PER_MEMBER 1.6
 
@@ -28,13 +29,13 @@
   pthread_mutex_t lock;
   pthread_cond_t wake;
   bool stop;
-  uint64_t next_peer; /**< where the next beat goes on in the order of members */
-  uint64_t seed;      /**< of our order of members */
-  double credit;      /**< asks that may be sent by now */
+  uint64_t next_peer; /**< index of the next member to ask, in this steward's order */
+  uint64_t seed;      /**< seed of this steward's order of members */
+  double credit;      /**< asks that may be sent now */
   int64_t credit_at;
 };
 
-/** What an ask carries besides. */
+/** What an ask carries in addition to the heartbeat. */
 typedef enum
 {
   ASK_PLAIN,
@@ -45,12 +46,13 @@
 /** A member to ask. */
 typedef struct
 {
-  uint64_t order; /**< its place in our order */
-  bool silent;    /**< the process there may be a new one that knows nobody */
+  uint64_t order; /**< sort key in this steward's order */
+  bool silent;    /**< not alive: the process there may be a new one that knows no member */
   struct sockaddr_in address;
 } Peer;
 
-/* One steward sends and receives as many asks as answers: an ask and an answer each way. */
+/* Each steward sends one ask and one answer per ask that it receives, hence twice the bytes of an
+   exchange. */
 double
 steward_heartbeat_rate (size_t members)
 {
@@ -60,8 +62,8 @@
   return rate < STEWARD_HEARTBEAT_ASKS_PER_S_MAX ? rate : STEWARD_HEARTBEAT_ASKS_PER_S_MAX;
 }
 
-/* Where we are reached is in the view, unless we are not in it yet, or the receiver may not have
- * one. */
+/* The address of this steward is in the view, unless it is not registered yet or the receiver may
+   have no view: then the message carries it. */
 static void
 add_address (Steward *s, rpc_heartbeat *message, bool registered)
 {
@@ -123,9 +125,9 @@
   return steward_cluster_member_state (s, m, clock_boot_ms (), &age_ms) != STEWARD_MEMBER_ALIVE;
 }
 
-/* The other members in an order of our own, the same at each beat, so that asking in next_peer
-   reaches every one equally often. Members with lagging_number or a newer one are left out if it is
-   not 0. Freed by the caller. */
+/* Lists the other members in an order specific to this steward, the same in each round, so that
+   asking in turn reaches every member equally often. Members with lagging_number or a newer number
+   are left out if it is not 0. *out is freed by the caller. */
 static size_t
 list_peers (Steward *s, uint64_t seed, int64_t lagging_number, Peer **out)
 {
@@ -153,7 +155,7 @@
   return count;
 }
 
-/* How many asks this beat may send: at most one to each other member. */
+/* Returns the number of asks that this round may send: at most one to each other member. */
 static size_t
 take_credit (StewardHeartbeat *h, size_t others)
 {
@@ -277,7 +279,7 @@
   free (h);
 }
 
-/* News of a newer number or view has to be fetched; other news may end somebody's wait. */
+/* A newer number or view has to be fetched. */
 static void
 wake_fetchers (Steward *s)
 {
@@ -289,7 +291,8 @@
     }
 }
 
-/* An answer goes to where the asker is reached, which need not be where its datagram came from. */
+/* The answer goes to the asker's registered or stated address, which may differ from the source of
+   its datagram. */
 static bool
 asker_address (const Steward *s, const rpc_heartbeat *ask, struct sockaddr_in *out)
 {
@@ -325,8 +328,9 @@
   steward_message_clear (&message);
 }
 
-/* A process that was restarted in an outage of the table service knows nobody; the others' asks
-   still come to its address, and tell it where to fetch the configuration and the view from. */
+/* A process that was restarted in an outage of the table service knows no member. The others' asks
+   still arrive at its address and carry an address to fetch the configuration and the view
+   from. */
 static void
 set_introducer (Steward *s, const rpc_heartbeat *ask)
 {
--- a/src/steward_http.c
+++ b/src/steward_http.c
@@ -23,11 +23,11 @@
 {
   Steward *s;
   struct MHD_Daemon *daemon;
-  char *certificate; /**< NULL: plain HTTP */
+  char *certificate; /**< PEM text; NULL: plain HTTP */
   char *key;
 };
 
-/** What one connection has sent of its call. */
+/** The part of a call's body that has arrived. */
 typedef struct
 {
   Buffer body;
@@ -48,7 +48,8 @@
   { "POST", "/v1/brakes", ROLE (brake), steward_api_brake },
 };
 
-/* All are compared, each in constant time, so that the time tells nothing of a key's hash. */
+/* All keys are compared, each in constant time, so that the duration reveals nothing about a key's
+   hash. */
 static const SettingsOperator *
 find_operator (const Steward *s, const char *key)
 {
--- a/src/steward_http.h
+++ b/src/steward_http.h
@@ -1,5 +1,5 @@
 /**
- * The operators' HTTP API: who calls, what he may do, and which call it is.
+ * The operators' HTTP API: authentication, authorisation and routing of calls.
  */
 #ifndef STEWARD_HTTP_H
 #define STEWARD_HTTP_H
@@ -7,7 +7,7 @@
 #include "steward.h"
 
 StewardHttp *steward_http_start (Steward *s, Status *st);
-/** Calls in progress are answered first. */
+/** Returns after calls in progress have been answered. */
 void steward_http_stop (StewardHttp *http);
 
 #endif
--- a/src/steward_leave.h
+++ b/src/steward_leave.h
@@ -1,13 +1,13 @@
 /**
- * The end of a member that stops by plan.
+ * Removal of this member from the view at a planned stop.
  */
 #ifndef STEWARD_LEAVE_H
 #define STEWARD_LEAVE_H
 
 #include "steward.h"
 
-/** Removes this member from the view, within a bounded time. The table's thread has been stopped,
- *  and cluster_state_leave was called. */
+/** Removes this member from the view, within a bounded time. To be called after the table's thread
+ * has been stopped and cluster_state_leave was called. */
 void steward_leave (Steward *s);
 
 #endif
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -1,4 +1,4 @@
-/* lovage-steward: membership, configuration and brakes of the VMs, and the operators' side. */
+/* lovage-steward: membership, configuration and brakes of the VMs, and the operators' API. */
 #include "http_local.h"
 #include "settings_arguments.h"
 #include "steward.h"
@@ -23,7 +23,7 @@
 #include <string.h>
 
 #define BILLS_BYTES_MAX ((size_t)8 * 1024 * 1024)
-/* Of a planned stop, for records that are not in the table. */
+/* Part of a planned stop in which copies of usage records are written to the table. */
 #define LEAVE_BILLS_TIMEOUT_MS INT64_C (10000)
 
 const char *argp_program_version = "lovage-steward 0.1";
@@ -51,7 +51,7 @@
   buffer_printf (out, "steward_grant_left_ms %lld\n", (long long)steward_cluster_grant (s, now));
 }
 
-/* Other stewards reach us at the advertised address if there is one. */
+/* Other stewards reach this one at the advertised address, if there is one. */
 static void
 fill_self (Steward *s)
 {
@@ -120,7 +120,7 @@
   (void)sigwait (&signals, &signal_number);
 }
 
-/* Before any thread is made, so that all inherit it. */
+/* To be called before any thread is created, so that all threads inherit the mask. */
 static void
 block_signals (void)
 {
@@ -133,9 +133,9 @@
   (void)pthread_sigmask (SIG_BLOCK, &signals, NULL);
 }
 
-/* A gate that goes on after us works on its last grant. Were we no member any more, an operator
-   could be told that a number is in force on all members while that gate still works on an older
-   one; so the removal waits for the grant's end. */
+/* A gate that runs on after this steward's stop uses its last grant. If this steward were removed
+   from the view before, an operator could be told that a number is in force on all members while
+   that gate still works under an older one. So the removal waits for the grant's end. */
 static void
 wait_for_grants_end (Steward *s)
 {
@@ -146,8 +146,8 @@
     clock_sleep_ms (left);
 }
 
-/* From the first line on we answer no ask and give no grant, so that our removal from the view is
-   as good as a proof that we are dead. */
+/* After cluster_state_leave this steward answers no ask and gives no grant, so that its removal
+   from the view is as good as a proof of its death. */
 static void
 leave (Steward *s)
 {
@@ -180,7 +180,8 @@
   return EXIT_FAILURE;
 }
 
-/* Operators are answered last and messages are taken after all parts are there. */
+/* The operators' API starts after all other parts, and messages are handled only once all parts
+   are running. */
 static bool
 start_parts (Steward *s, Status *st)
 {
--- a/src/steward_meter.c
+++ b/src/steward_meter.c
@@ -4,15 +4,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Measured on the stand-in: head of request and answer, and the packets of one connection. */
+/* Estimated bytes of a transaction beside its operations: the heads of request and answer, and the
+   packets of one connection. */
 #define EXCHANGE_BYTES 1100
-/* The same of a read on a kept connection, beside its item: 3 segments of 52 bytes of TCP/IP each,
- * 104 bytes of request, and the answer's head. Against TCP_INFO of the stand-in's sockets the sum
- * was 1% too low with 9 stewards and 5% with 36; that of the sockets has the lists of VMs as well,
- * which are not counted here. A read that has to connect anew, as when the server keeps no
- * connection, is counted about 700 bytes too low. */
+/* Estimated bytes of a read on a kept-alive connection beside its rows: 3 segments with 52 bytes
+   of TCP/IP each, 104 bytes of request, and the answer's head. Compared with TCP_INFO of the
+   stand-in's sockets the sum is 1% too low with 9 stewards and 5% with 36; the sockets' figure
+   includes the lists of VMs, which are not counted here. A read that has to connect first, as when
+   the server keeps no connection, is counted about 700 bytes too low. */
 #define READ_BYTES 360
-/* Names and quotes of one operation, or of one row of an answer, beside its texts. */
+/* Estimated bytes of names and quotes of one operation, or of one row of an answer, beside its
+   texts. */
 #define ITEM_BYTES 64
 
 typedef struct
--- a/src/steward_orders.c
+++ b/src/steward_orders.c
@@ -13,21 +13,23 @@
 #include <string.h>
 
 #define ROUND_INTERVAL_MS 250
-/* Load reports lag: the first look comes so long after an order. */
+/* Load reports lag: the first check follows an order after this time. The interval doubles with
+   each further order, up to the maximum. */
 #define CHECK_INTERVAL_MIN_MS 2000
 #define CHECK_INTERVAL_MAX_MS 30000
-/* Engines looked at a second, when there are many: some 500 bytes each. */
+/* Upper bound on the engines checked per second; a report has about 500 bytes. */
 #define CHECKS_PER_S_MAX 5
 
-/** What an engine was told last. */
+/** The last order sent to an engine. */
 typedef struct
 {
   char name[CONFIG_NAME_MAX + 1];
-  char *text;            /**< of the order; NULL: none yet */
-  int64_t fence;         /**< of the order */
-  int64_t number;        /**< newest configuration that the order agrees with */
-  bool accepted;         /**< the engine took it */
-  int64_t next_check_at; /**< next look, or next try */
+  char *text;            /**< text of the order; NULL: none yet */
+  int64_t fence;         /**< fencing number of the order */
+  int64_t number;        /**< newest configuration that leads to this order */
+  bool accepted;         /**< the engine accepted the order */
+  int64_t next_check_at; /**< time of the next check, or of the next attempt if the order was not
+                            accepted */
   int64_t interval_ms;
 } Engine;
 
@@ -36,7 +38,7 @@
   Steward *s;
   StewardDuty *duty;
   pthread_t thread;
-  pthread_mutex_t lock; /**< guards stop and the engines; these are changed by the thread only */
+  pthread_mutex_t lock; /**< guards stop and the engines; only the thread changes the engines */
   pthread_cond_t wake;
   bool stop;
   Engine *engines;
@@ -81,8 +83,8 @@
            st->step, log_quote (st->message, quoted, sizeof quoted));
 }
 
-/* An engine that does not answer is tried less and less often, and one that takes its order without
-   coming to carry the versions is told less and less often. */
+/* The interval doubles with each order, so that an engine that does not answer, or that accepts
+   orders without loading the versions, is sent fewer and fewer. */
 static void
 send_order (StewardOrders *o,
             Engine *engine,
@@ -113,8 +115,9 @@
   return min_ms > CHECK_INTERVAL_MAX_MS ? min_ms : CHECK_INTERVAL_MAX_MS;
 }
 
-/* Engines that do not check fencing numbers may have obeyed a late order of an earlier holder, and
-   any engine may have been restarted: so what it carries is read back from time to time. */
+/* Reads back what the engine has loaded. This is repeated from time to time, since an engine that
+   does not check fencing numbers may have obeyed a late order of an earlier holder, and any engine
+   may have been restarted. */
 static bool
 has_versions (StewardOrders *o,
               Engine *engine,
--- a/src/steward_orders_call.c
+++ b/src/steward_orders_call.c
@@ -7,11 +7,11 @@
 #define READ_TIMEOUT_MS    1000
 #define ANSWER_BYTES_MAX   ((size_t)256 * 1024)
 #define HTTP_OK            200
-/* Precondition failed: the fencing number is an old one. */
+/* Answer of an engine that has seen a newer fencing number. */
 #define HTTP_PRECONDITION_FAILED 412
 
-/* Asked directly before the order's last byte: an engine can't obey an order that never ended. A
-   holder that was frozen while it connected or sent the rest stops here. */
+/* Called directly before the order's last byte: an engine can't obey an incomplete order. A holder
+   that was paused while it connected or sent the rest stops here. */
 static bool
 still_held (void *context)
 {
--- a/src/steward_publish.h
+++ b/src/steward_publish.h
@@ -1,13 +1,13 @@
 /**
- * A change of the configuration that is durable: taken over here, and told to the others.
+ * Publishes a durable configuration document in this process.
  */
 #ifndef STEWARD_PUBLISH_H
 #define STEWARD_PUBLISH_H
 
 #include "steward.h"
 
-/** Keeps a document of the table service, applies it as far as the gates allow, and lets it release
- *  brakes. False if it isn't newer than the one we have. */
+/** Stores a document that comes from the table service, applies it as far as the gates allow, and
+ * releases brakes as it says. False if it isn't newer than the stored one. */
 bool steward_publish_document (Steward *s, int64_t number, const char *text);
 
 #endif
--- a/src/steward_remote_gates.h
+++ b/src/steward_remote_gates.h
@@ -1,6 +1,6 @@
 /**
- * Gates of other VMs, as their stewards tell of them: whether a gate that left usage records behind
- * may still write them itself.
+ * Gates of other VMs, as their stewards report them in heartbeats. Used to decide whether a gate
+ * that left usage records behind may still write them itself.
  */
 #ifndef STEWARD_REMOTE_GATES_H
 #define STEWARD_REMOTE_GATES_H
@@ -13,8 +13,8 @@
 
 typedef struct
 {
-  uint64_t gate;    /**< 0: free */
-  uint64_t steward; /**< that told of it last */
+  uint64_t gate;    /**< incarnation of the gate; 0: free entry */
+  uint64_t steward; /**< incarnation of the steward that reported it last */
   int64_t reported_at;
 } StewardRemoteGate;
 
@@ -24,13 +24,14 @@
   StewardRemoteGate gates[STEWARD_REMOTE_GATES_MAX];
 } StewardRemoteGates;
 
-/** A steward told of its gates. */
+/** Records the gates that a steward reported. If there is no room, the entry that was reported
+ * longest ago is replaced. */
 void steward_remote_gates_update (StewardRemoteGates *remote,
                                   uint64_t steward,
                                   const uint64_t *gates,
                                   size_t count,
                                   int64_t now);
-/** The entry of a gate, or NULL. */
+/** The entry of a gate, or NULL if it was not reported. */
 const StewardRemoteGate *steward_remote_gates_find (const StewardRemoteGates *remote,
                                                     uint64_t gate);
 
--- a/src/steward_removal.c
+++ b/src/steward_removal.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Since when a member has been both missing in the list and silent. */
+/** Time since which a member has been both missing in the list and silent. */
 typedef struct
 {
   uint64_t incarnation;
@@ -13,7 +13,7 @@
 
 struct StewardRemoval
 {
-  int64_t next_read_at; /**< next read of the list */
+  int64_t next_read_at; /**< time of the next read of the list */
   size_t count;
   Missing missing[CLUSTER_MEMBERS_MAX];
 };
@@ -60,8 +60,8 @@
   return state == STEWARD_MEMBER_DEAD;
 }
 
-/* Most of the listed members are heard, so that it is not our own network that is silent. The lock
-   is held. */
+/* True if more than half of the other listed members are alive, so that the silence is not due to
+   this VM's own network. The lock is held by the caller. */
 static bool
 hears_listed (Steward *s, const ClusterView *view, const PlatformVms *vms, int64_t now)
 {
@@ -80,9 +80,10 @@
   return 2 * alive > others;
 }
 
-/* While our own network is suspected, silence tells nothing of the others. But when all VMs were
-   replaced at once, those that are gone are as many as those that came: were they not removed, most
-   members would be silent for ever, and no configuration would ever be accepted. */
+/* While this VM's own network is suspected, silence says nothing about the others. The exception
+   is the replacement of all VMs at once: the members that left are as many as the new ones, and if
+   they were not removed, most members would be silent for ever and no configuration would ever be
+   accepted. */
 static bool
 may_judge (Steward *s, const ClusterView *view, const PlatformVms *vms, int64_t now)
 {
@@ -94,7 +95,7 @@
   return may;
 }
 
-/* A list without ourselves is not about us, or is broken: nobody is judged by it. */
+/* A list that lacks this VM is of another site, or broken: no member is judged by it. */
 size_t
 steward_removal_select (StewardRemoval *r,
                         Steward *s,
--- a/src/steward_removal.h
+++ b/src/steward_removal.h
@@ -1,6 +1,6 @@
 /**
- * Members that the platform's list of VMs no longer shows and that nobody has heard of: they are
- * taken to be gone for good. The list lags, and may be wrong for a while, so it is never enough
+ * Finds members that have left for good: those that the platform's list of VMs no longer shows and
+ * that no member hears from. The list lags and may be wrong for a while, so it is never sufficient
  * alone.
  */
 #ifndef STEWARD_REMOVAL_H
@@ -8,23 +8,23 @@
 
 #include "steward.h"
 
-/** The assumed lag of the list: a VM that is missing for longer, and silent, no longer runs. */
+/** Assumed lag of the list: a VM that is missing for longer, and silent, no longer runs. */
 #define STEWARD_LIST_LAG_MS INT64_C (30000)
-/** Between reads of the list. */
+/** Interval between reads of the list. */
 #define STEWARD_LIST_INTERVAL_MS 5000
 
 typedef struct StewardRemoval StewardRemoval;
 
 StewardRemoval *steward_removal_new (void);
 void steward_removal_free (StewardRemoval *r);
-/** Reads the list if it is time to, and gives the members of the view that are to be removed; *dead
- *  is freed by the caller. */
+/** Reads the list if that is due, and returns the number of members of the view that are to be
+ * removed; *dead holds their incarnations and is freed by the caller. */
 size_t steward_removal_due (StewardRemoval *r,
                             Steward *s,
                             const ClusterView *view,
                             int64_t now,
                             uint64_t **dead);
-/** The pure part: what a list read at now shows. */
+/** The decision of steward_removal_due without its I/O, for a list that was read at now. */
 size_t steward_removal_select (StewardRemoval *r,
                                Steward *s,
                                const ClusterView *view,
--- a/src/steward_rollout.c
+++ b/src/steward_rollout.c
@@ -16,9 +16,9 @@
 #include <string.h>
 
 #define ROUND_INTERVAL_MS 250
-/* After a step that was not made. */
+/* Delay after a step that could not be submitted. */
 #define RETRY_DELAY_MS 1000
-/* Between reads while no roll-out is open. */
+/* Interval between reads of the evidence rows while no roll-out is open. */
 #define SWEEP_INTERVAL_MS 10000
 #define REASON_SIZE       256
 
@@ -31,17 +31,17 @@
   bool stop;
   StewardDuty *duty;
   StewardOrders *orders;
-  /* The rest belongs to the thread. */
-  int64_t number; /**< configuration that the evidence follows */
+  /* The fields below belong to the thread. */
+  int64_t number; /**< number of the configuration last applied to the evidence */
   EvidenceRow row;
-  EvidenceRollout *open; /**< this steward's totals of the open roll-outs */
+  EvidenceRollout *open; /**< this VM's totals of the open roll-outs */
   size_t open_count;
-  RolloutSet own;    /**< tests of this VM's evidence: every steward, also without the table */
-  RolloutSet merged; /**< tests of all VMs' evidence: the holder of the duty */
+  RolloutSet own;    /**< tests of this VM's evidence, on every steward, also without the table */
+  RolloutSet merged; /**< tests of all VMs' evidence, on the holder of the duty */
   int64_t next_write_at;
-  bool unwritten; /**< totals that are not in the table yet */
+  bool unwritten; /**< some totals are not in the table yet */
   int64_t next_merge_at;
-  int64_t next_step_at; /**< no step before */
+  int64_t next_step_at; /**< no step before this time */
 };
 
 static const ConfigRollout *
@@ -67,8 +67,9 @@
   return braked || v->state == VERSION_WITHDRAWN;
 }
 
-/* A brake needs neither the duty nor the table service: it only takes away work, and merging brakes
-   of several stewards is harmless. So it comes before the patch, and in an outage without it. */
+/* A brake needs neither the duty nor the table service: it only takes work away from a version,
+   and merging the brakes of several stewards is harmless. So it is raised before the patch is
+   submitted and, in an outage, without a patch. */
 static void
 raise_brake (StewardRollout *r, const Config *config, const ConfigRollout *rollout, const char *why)
 {
@@ -97,7 +98,8 @@
                       steward_cluster_members (r->s), now);
 }
 
-/* Each steward tests its own VM's evidence: in an outage of the table there is no other. */
+/* Each steward tests its own VM's evidence, the only one available in an outage of the table
+   service. */
 static void
 test_own_evidence (StewardRollout *r, const Config *config, int64_t now)
 {
@@ -115,7 +117,7 @@
     }
 }
 
-/* Calls of a table service that is away only hold up the look at our own evidence. */
+/* Calls of an unavailable table service would only delay the test of this VM's own evidence. */
 static bool
 table_is_up (StewardRollout *r)
 {
@@ -144,7 +146,7 @@
   return rollout_set_add_totals (context, key, totals);
 }
 
-/* Without open roll-outs the rows are read to be deleted: one may be written late. */
+/* Without open roll-outs the rows are read in order to delete them: one may be written late. */
 static void
 merge_rows (StewardRollout *r, int64_t now)
 {
@@ -176,7 +178,7 @@
     r->next_step_at = clock_boot_ms () + RETRY_DELAY_MS;
 }
 
-/* True if a step was tried: the configuration may be another one now. */
+/* True if a step was submitted: the configuration may be another one now. */
 static bool
 drive_rollout (StewardRollout *r, const Config *config, const EvidenceRollout *open, int64_t now)
 {
@@ -202,8 +204,8 @@
   return true;
 }
 
-/* A holder that was not one before knows nothing of earlier evidence: it takes the rows' totals,
-   which hold all of it since the roll-out began. */
+/* A new holder knows nothing of earlier evidence. It uses the rows' totals, which contain all
+   evidence since the roll-out began. */
 static void
 act_as_holder (StewardRollout *r, const Config *config, int64_t now)
 {
--- a/src/steward_rollout.h
+++ b/src/steward_rollout.h
@@ -1,6 +1,6 @@
 /**
- * Drives roll-outs by itself: brakes a version on bad evidence, and as holder of the duty
- * "rollout" makes the steps of roll-outs as patches and orders engines. See
+ * Drives roll-outs automatically: raises a brake on a version on bad evidence and, as holder of the
+ * duty "rollout", submits the steps of roll-outs as patches and sends orders to engines. See
  * docs/design/rollout-driver.md.
  */
 #ifndef STEWARD_ROLLOUT_H
@@ -8,12 +8,13 @@
 
 #include "steward.h"
 
-/** Name of the duty's row, and how its patches and brakes are signed. */
+/** Key of the duty's row, and operator name in its patches and brakes. */
 #define STEWARD_ROLLOUT_DUTY     "rollout"
 #define STEWARD_ROLLOUT_OPERATOR "duty:rollout"
 
 StewardRollout *steward_rollout_start (Steward *s);
-/** Gives the duty back. Call it while the table service may still be written. */
+/** Stops the thread and releases the duty. To be called while the table service may still be
+ * written. */
 void steward_rollout_stop (StewardRollout *r);
 
 #endif
--- a/src/steward_rollout_set.h
+++ b/src/steward_rollout_set.h
@@ -1,6 +1,6 @@
 /**
- * The tests of all open roll-outs: one for each, made when it opens and dropped when it ends. Not
- * locked.
+ * The sequential tests of all open roll-outs: one per roll-out, created when it opens and dropped
+ * when it ends. Not locked.
  */
 #ifndef STEWARD_ROLLOUT_SET_H
 #define STEWARD_ROLLOUT_SET_H
@@ -13,7 +13,8 @@
   size_t count;
 } RolloutSet;
 
-/** Makes tests for these roll-outs, keeps those that are there, drops the others. */
+/** Creates tests for the new ones of these roll-outs, keeps existing ones, and drops the tests of
+ * all others. */
 void rollout_set_update (RolloutSet *set,
                          const EvidenceRollout *rollouts,
                          size_t count,
@@ -21,9 +22,9 @@
                          size_t stewards,
                          int64_t now);
 void rollout_set_clear (RolloutSet *set);
-/** Gives a steward's totals to the test that they belong to; false if there is none. */
+/** Adds a steward's totals to the test of their roll-out; false if there is none. */
 bool rollout_set_add_totals (RolloutSet *set, const char *source, const EvidenceRollout *totals);
-/** NULL if there is none. */
+/** The test of a roll-out, or NULL if there is none. */
 RolloutWatch *rollout_set_find (const RolloutSet *set, const EvidenceRollout *rollout);
 
 #endif
--- a/src/steward_rollout_step.h
+++ b/src/steward_rollout_step.h
@@ -1,5 +1,5 @@
 /**
- * Steps of a roll-out as patches of the configuration, and what to do next. No I/O.
+ * Decides the next step of a roll-out and makes its patch of the configuration. No I/O.
  */
 #ifndef STEWARD_ROLLOUT_STEP_H
 #define STEWARD_ROLLOUT_STEP_H
@@ -15,18 +15,18 @@
   ROLLOUT_STEP_BACK_OUT
 } RolloutStep;
 
-/** What stands in the way of steps, or calls for one. */
+/** Conditions on which the next step depends. */
 typedef struct
 {
   RolloutVerdict verdict;
-  bool braked;   /**< a brake binds the new version */
-  bool accepted; /**< the configuration in which the roll-out stands is accepted */
-  bool ordered;  /**< the engines that serve the new version were told of it */
+  bool braked;   /**< a brake stops the new version */
+  bool accepted; /**< the configuration in which the roll-out has this stage is accepted */
+  bool ordered;  /**< orders were sent to the engines that serve the new version */
 } RolloutStepInput;
 
 RolloutStep rollout_step_due (const ConfigRollout *rollout, const RolloutStepInput *input);
-/** The step's merge patch, against the configuration in which the roll-out stands: of the same
- *  step made twice the second finds another head. Freed with free. */
+/** The step's merge patch against the configuration in which the roll-out has this stage, so that
+ * the second of two identical submissions conflicts. Freed with free. */
 char *rollout_step_patch (const Config *config, const ConfigRollout *rollout, RolloutStep step);
 const char *rollout_step_name (RolloutStep step);
 
--- a/src/steward_rollout_submit.c
+++ b/src/steward_rollout_submit.c
@@ -9,7 +9,7 @@
 
 #define QUOTED_SIZE 512
 
-/* The commit is known, so the document counts as read from the table. */
+/* The commit is confirmed, so the document counts as read from the table. */
 static void
 apply_document (Steward *s, const StewardSubmitResult *result)
 {
@@ -47,8 +47,8 @@
 
 /*
  * The lease is checked before the submission, which reads the head row first, and the transaction
- * itself carries the check of the duty's row. The second is what holds when this process is frozen
- * in between: its transaction would come after a successor's steps, and finds the row changed.
+ * itself checks the duty's row. The second check covers a process that is paused in between: its
+ * transaction would arrive after a successor's steps, but finds the row changed.
  */
 bool
 rollout_submit (Steward *s,
--- a/src/steward_rollout_submit.h
+++ b/src/steward_rollout_submit.h
@@ -1,5 +1,5 @@
 /**
- * A step of a roll-out as a numbered patch, under the fence of the duty.
+ * Submits a step of a roll-out as a patch, under the duty's fencing.
  */
 #ifndef STEWARD_ROLLOUT_SUBMIT_H
 #define STEWARD_ROLLOUT_SUBMIT_H
@@ -8,8 +8,9 @@
 #include "steward_duty.h"
 #include "steward_rollout_step.h"
 
-/** Submits the step against the configuration on which it was decided; true if it is durable. A
- *  step that was made already, by whom ever, conflicts: nothing is made twice. */
+/** Submits the step against the configuration on which it was decided; true if it is durable. If
+ * another patch came first, for example the same step of another holder, the submission conflicts
+ * and changes nothing. */
 bool rollout_submit (Steward *s,
                      StewardDuty *duty,
                      const Config *config,
--- a/src/steward_rollout_table.c
+++ b/src/steward_rollout_table.c
@@ -7,9 +7,10 @@
 
 #define TABLE      "evidence"
 #define TIMEOUT_MS 1000
-/* Rows of the present members and of those that were replaced meanwhile. */
+/* Upper bound on the rows: those of present members and of members replaced while roll-outs are
+   open. */
 #define ROWS_MAX    4096
-#define DELETES_MAX 64 /* of one read */
+#define DELETES_MAX 64 /* rows deleted after one read */
 
 void
 evidence_row_init (EvidenceRow *row, uint64_t incarnation)
@@ -49,7 +50,7 @@
   return code;
 }
 
-/* True if all that the row names is open. */
+/* True if all roll-outs in the row are open. */
 static bool
 handle_row (const PlatformRow *row, EvidenceRollout *space, EvidenceHandler handle, void *context)
 {
@@ -61,8 +62,8 @@
   return open;
 }
 
-/* One transaction for several rows: if one of them changed, none is deleted, and the next read
-   finds what it finds. */
+/* One transaction deletes several rows. If one of them has changed, none is deleted, and the next
+   read decides again. */
 static StatusCode
 delete_rows (Platform *p, const PlatformRow *const *rows, size_t count, Status *st)
 {
--- a/src/steward_rollout_watch.c
+++ b/src/steward_rollout_watch.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Teams that come with later configurations. */
+/* Room for teams that later configurations add. */
 #define TEAMS_SPARE 16
 
-/** The last totals of one steward. */
+/** The last totals received from one steward. */
 typedef struct
 {
   char name[WATCH_SOURCE_SIZE];
@@ -17,15 +17,16 @@
 
 struct RolloutWatch
 {
-  EvidenceRollout rollout; /**< its names; the sums are unused */
+  EvidenceRollout rollout; /**< names and closed_number; the sums are unused */
   RolloutTest *test;
   size_t stage;
-  bool stage_begun; /**< the test knows the stage */
+  bool stage_begun; /**< a stage of the test has begun */
   char (*teams)[CONFIG_NAME_MAX + 1];
   size_t team_count, team_max;
   Source *sources;
   size_t source_count;
-  EvidenceSums *untested[EVIDENCE_SIDES]; /**< by team; the last is the rest's; not yet tested */
+  EvidenceSums *untested[EVIDENCE_SIDES]; /**< evidence not yet fed to the test, by team; the last
+                                             is for all other teams */
   int64_t callers;
 };
 
@@ -66,8 +67,8 @@
          && strcmp (w->rollout.to, rollout->to) == 0;
 }
 
-/* Places are given first come, first served, and kept: the order of teams in the configuration
-   changes with it. */
+/* Indices are given to teams in the order of their first evidence, and kept. The order of teams in
+   the configuration can't be used, since it changes with the configuration. */
 static size_t
 team_index (RolloutWatch *w, const char *team)
 {
@@ -108,7 +109,8 @@
   return &none;
 }
 
-/* A total never falls; one that does is no total of ours, and adds nothing. */
+/* Totals never fall; a smaller value is not a later total of the same steward, and adds
+   nothing. */
 static int64_t
 increase (int64_t now, int64_t before)
 {
@@ -138,11 +140,11 @@
 {
   Source *s;
 
-  /* Totals from before the roll-out opened are of an earlier one of the same versions. */
+  /* Totals from before the roll-out opened belong to an earlier one of the same versions. */
   if (!rollout_watch_matches (w, totals) || totals->since <= w->rollout.closed_number)
     return;
   s = source_of (w, source);
-  /* It began to count anew: its totals are all new. */
+  /* The steward restarted counting: all of its totals are new. */
   if (s->last.since != totals->since)
     s->last = (EvidenceRollout){ 0 };
   for (unsigned i = 0; i < EVIDENCE_SIDES; i++)
@@ -156,7 +158,7 @@
   s->last = *totals;
 }
 
-/* Gates count answers that came whole and errors apart. */
+/* Gates count complete answers and errors separately; the test's answers include both. */
 static RolloutEvidence
 test_evidence (const EvidenceSums *sums, size_t team)
 {
@@ -187,8 +189,8 @@
     }
 }
 
-/* What was gathered before this look belongs to the stage before, if the stage is a new one; the
-   alarms keep it, and what shows that the version is good is gathered anew. */
+/* Evidence added before this call belongs to the previous stage if the stage is new. The test's
+   alarms keep it; evidence that the version is good is collected again in each stage. */
 RolloutDecision
 rollout_watch_decide (RolloutWatch *w, size_t stage, int64_t now)
 {
--- a/src/steward_rollout_watch.h
+++ b/src/steward_rollout_watch.h
@@ -1,7 +1,7 @@
 /**
- * The sequential test of one open roll-out, fed from totals of several stewards: each total is
- * turned into what is new since the last one of the same steward, so that nothing counts twice.
- * Not locked.
+ * The sequential test of one open roll-out, fed with the totals of several stewards: only the
+ * increase since the last totals of the same steward is added, so that nothing counts twice. Not
+ * locked.
  */
 #ifndef STEWARD_ROLLOUT_WATCH_H
 #define STEWARD_ROLLOUT_WATCH_H
@@ -13,19 +13,19 @@
 
 typedef struct RolloutWatch RolloutWatch;
 
-/** teams: of the configuration. stewards: how many of them make such tests; each then needs
- *  stronger evidence, for the same share of false alarms. */
+/** teams: number of teams in the configuration. stewards: number of stewards that run such a test;
+ * each then needs stronger evidence, so that the share of false alarms stays the same. */
 RolloutWatch *
 rollout_watch_new (const EvidenceRollout *rollout, size_t teams, size_t stewards, int64_t now);
 void rollout_watch_free (RolloutWatch *w);
-/** Whether the watch is of this roll-out. */
+/** True if the test is of this roll-out. */
 bool rollout_watch_matches (const RolloutWatch *w, const EvidenceRollout *rollout);
-/** Takes the totals of a steward. Those of another roll-out are left alone. */
+/** Adds the totals of a steward; totals of another roll-out are ignored. */
 void rollout_watch_add_totals (RolloutWatch *w, const char *source, const EvidenceRollout *totals);
-/** Tests what was taken; stage is the one in force. */
+/** Feeds the added evidence to the test and returns its decision; stage is the one in force. */
 RolloutDecision rollout_watch_decide (RolloutWatch *w, size_t stage, int64_t now);
-/** Callers that may have been given the new version; one that several reports count is counted in
- *  each, so they are at most as many. */
+/** Upper bound on the callers that may have been given the new version: a caller is counted once in
+ * each report that names it. */
 int64_t rollout_watch_callers (const RolloutWatch *w);
 
 #endif
--- a/src/steward_rows.c
+++ b/src/steward_rows.c
@@ -11,8 +11,8 @@
 
 #define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
 
-/* What any member may do is left to the one that caused it for this long by the first member of the
-   view, and for longer by the others. */
+/* Writes that any member may make are left to the member that caused them: for the first time span
+   by the first member of the view, for the second by all others. */
 #define FIRST_MEMBER_DELAY_MS 300
 #define OTHERS_DELAY_MS       2000
 #define BACKOFF_MIN_MS        20
@@ -37,8 +37,8 @@
              r->row.view.count);
 }
 
-/* Many stewards that write the same row at once, as after a restart of all, would go on making each
-   other's writes fail; pauses of random and growing length let one after another through. */
+/* If many stewards write the same row at once, as after a restart of all, their writes keep
+   failing each other. Back-off of random and growing length lets one after another succeed. */
 static void
 update_backoff (StewardRows *r, StatusCode code, int64_t now)
 {
@@ -73,7 +73,7 @@
            (long long)next->number, detail, next->count);
   r->wrote_pending = !next->established;
   steward_rows_adopt (r);
-  /* Members learn the number by our asks, and we learn that they know it. */
+  /* The asks tell the members the view's number, and their answers confirm that they know it. */
   steward_heartbeat_ask_lagging (s, INT64_MAX);
   return true;
 }
@@ -142,7 +142,8 @@
   pthread_mutex_unlock (&s->cluster.lock);
 }
 
-/* So that not all write the same row at the same time, and each other's writes fail. */
+/* Keeps the members from writing the same row at the same time, which would make their writes
+   conflict. */
 static bool
 is_our_turn (const StewardRows *r, bool caused_here, int64_t now)
 {
--- a/src/steward_rows.h
+++ b/src/steward_rows.h
@@ -1,5 +1,5 @@
 /**
- * The head row and the view row as this steward read them last, and the writes that they call for:
+ * The head row and the view row as this steward last read them, and the writes that are due:
  * registration, establishing, removal, acceptance. Used by one thread.
  */
 #ifndef STEWARD_ROWS_H
@@ -15,16 +15,18 @@
   StewardHead head;
   StewardViewRow row;
   StewardRemoval *removal;
-  int64_t pending_since; /**< since when the row is pending or a number not accepted; 0: neither */
-  int64_t backoff_ms;    /**< grows with each write that failed */
-  int64_t next_write_at; /**< no write of a row before */
-  bool wrote_pending;    /**< the pending row is ours: we establish it as soon as it is settled */
+  int64_t pending_since; /**< time since which the view is not established or a number not accepted;
+                            0: neither */
+  int64_t backoff_ms;    /**< current back-off, which grows with each failed write */
+  int64_t next_write_at; /**< no write before this time */
+  bool wrote_pending;    /**< this steward wrote the pending view and establishes it as soon as
+                            possible */
 } StewardRows;
 
-/** Takes the view over as far as our number allows. */
+/** Adopts the view in the row, as far as the applied number allows. */
 void steward_rows_adopt (StewardRows *r);
-/** Makes the writes that are due and ours to make. accept_soon: a number that was made durable
- * here. */
+/** Makes the writes that are due and that this steward is to make. accept_soon: a number that was
+ * made durable here, to be accepted without delay. */
 void steward_rows_write_due (StewardRows *r, int64_t accept_soon, int64_t now);
 
 #endif
--- a/src/steward_rpc.c
+++ b/src/steward_rpc.c
@@ -43,8 +43,9 @@
   return s->rpc != NULL;
 }
 
-/* The gate's grant is noted under the cluster's lock, in which steward_cluster_apply looks at the
-   gates: so a gate that was granted a lower number is seen by the next word of what we apply. */
+/* The grant is recorded under the cluster's lock, under which steward_cluster_apply reads the
+   gates. So a gate that was granted a lower number is taken into account when this steward next
+   reports the number that it applies. */
 static int64_t
 give_grant (Steward *s, uint64_t gate, int64_t now, int64_t *number)
 {
@@ -81,8 +82,8 @@
                     .failure_domain = memory_strdup (m->failure_domain) };
 }
 
-/* Stewards of other failure domains that are alive, beginning behind ourselves in the view's order,
-   so that the copies of all gates are spread evenly. */
+/* Adds live stewards of other failure domains, starting after this steward in the view's order, so
+   that the copies of all gates are spread evenly. */
 static void
 add_peers (const Steward *s, const ClusterView *view, int64_t now, rpc_grant *grant)
 {
@@ -99,8 +100,8 @@
     }
 }
 
-/* Registered members, not those heard of: shares of a limit that grew while a member was only cut
-   off would sum to more than the limit. */
+/* Counts registered members, not live ones: if the shares of a limit grew while a member was only
+   cut off, they would sum to more than the limit. */
 static void
 fill_members (Steward *s, int64_t now, rpc_grant *grant)
 {
@@ -159,7 +160,8 @@
   char *text = steward_document_text (&s->document, &number);
 
   (void)peer;
-  /* One who asks for an older number is served the newest: numbers are applied upward only. */
+  /* A request for an older number gets the newest document: numbers are applied only in ascending
+     order. */
   if (text != NULL && number < ask->number)
     {
       free (text);
@@ -169,7 +171,7 @@
   return true;
 }
 
-/* Only a view that was taken over is served: its write is known to be committed. */
+/* Only an adopted view is served: its write is known to be committed. */
 static bool
 handle_view (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
--- a/src/steward_rpc.h
+++ b/src/steward_rpc.h
@@ -1,12 +1,12 @@
 /**
- * What the steward answers by RPC.
+ * The RPC procedures that the steward serves.
  */
 #ifndef STEWARD_RPC_H
 #define STEWARD_RPC_H
 
 #include "steward.h"
 
-/** Binds the sockets and makes s->rpc; it takes messages from rpc_server_run on. */
+/** Binds the sockets and creates s->rpc; messages are handled from rpc_server_run on. */
 bool steward_rpc_open (Steward *s, Status *st);
 
 #endif
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -4,9 +4,9 @@
 #include "steward_cluster.h"
 #include "util_clock.h"
 
-/* Between passes over the object store; each costs a scan of the gates' rows. */
+/* Interval between recoveries from the object store; each costs a scan of the gates' rows. */
 #define RECOVERY_INTERVAL_MS 60000
-/* Between tries at a planned stop while the table is away. */
+/* Delay between attempts at a planned stop while the table service is unavailable. */
 #define LEAVE_RETRY_MS 100
 
 /* The cluster's lock is held. */
@@ -25,8 +25,9 @@
   return view->count > 0;
 }
 
-/* The VM of a steward that is silent but still registered may run on, with its gate: it is
-   registered until the platform's list lost it or its slot was taken over (steward_removal.h). */
+/* The VM of a steward that is silent but still registered may still run, with its gate: a steward
+   stays registered until the platform's list lacks its VM or another takes its slot
+   (steward_removal.h). The cluster's lock is held. */
 static bool
 vm_may_run (const Steward *s, const StewardRemoteGate *entry, int64_t now)
 {
@@ -36,7 +37,7 @@
 
   if (now - entry->reported_at <= STEWARD_GATE_GONE_MS)
     return true;
-  /* The steward was replaced; the one in its place tells of the gate if it still runs. */
+  /* The steward was replaced; its successor reports the gate if it still runs. */
   if (index < 0)
     return !all_alive (s, now);
   return steward_cluster_member_state (s, &view->members[index], now, &age_ms)
@@ -94,9 +95,10 @@
   return false;
 }
 
-/* A VM dies with its records on two others, and these are replaced as planned before the minute is
-   over after which a gate counts as gone: the answers would never be billed. A record that its gate
-   writes as well is there once, since it is inserted if absent. */
+/* Copies must not wait until their gate counts as gone, STEWARD_GATE_GONE_MS after its last
+   report: if a VM fails and the two VMs that hold its copies are replaced within that minute, its
+   answers would never be billed. A record that its gate writes as well is stored once, since it is
+   inserted only if absent. */
 size_t
 steward_settle_leave (Steward *s, int64_t timeout_ms)
 {
--- a/src/steward_settle.h
+++ b/src/steward_settle.h
@@ -1,23 +1,25 @@
 /**
- * Usage records of gates that are gone: those held here as copies and those in the object store are
- * brought to the table.
+ * Writes usage records of gates that no longer run to the table: the copies held here and those in
+ * the object store.
  */
 #ifndef STEWARD_SETTLE_H
 #define STEWARD_SETTLE_H
 
 #include "steward.h"
 
-/** A gate that its steward has not told of for this long, while that steward was heard of, is gone;
- *  so is one that nobody has told of since we started, if all members were heard of. */
+/** A gate that its steward has not reported for this long, although the steward itself was heard
+ * from, no longer runs. Nor does a gate that nobody has reported since this process started, if
+ * all members were heard from. */
 #define STEWARD_GATE_GONE_MS INT64_C (60000)
 
-/** Whether a gate may still write its records itself; when unsure, true. */
+/** True if a gate may still write its records itself, or if that is not certain. */
 bool steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now);
-/** One pass; recovery from the object store only if this member is the first of the view. */
+/** Makes one pass. Only the first member of the view recovers records from the object store. */
 void steward_settle (Steward *s, int64_t now);
 /**
- * At a planned stop, when no further copies are taken: brings all copies held here to the table,
- * for at most about timeout_ms. Returns how many are left, which end with this process.
+ * To be called at a planned stop, when no further copies arrive: writes all copies held here to the
+ * table, for about timeout_ms at most. Returns the number of records left, which are lost with this
+ * process.
  */
 size_t steward_settle_leave (Steward *s, int64_t timeout_ms);
 
--- a/src/steward_submit.c
+++ b/src/steward_submit.c
@@ -13,19 +13,19 @@
 #define TIMEOUT_MS     1000
 #define RETRY_DELAY_MS 50
 #define NUMBER_SIZE    24
-/* Operations of one submission, with its condition. */
+/* Operations of one submission, including its optional condition. */
 #define SUBMIT_OPS_MAX 7
 
-/** One submission on its way. */
+/** One attempt of a submission. */
 typedef struct
 {
   Platform *p;
   const StewardSubmission *submission;
-  StewardHead head; /**< as read before */
+  StewardHead head; /**< head row as read before the transaction */
   int64_t number;
   char key[STEWARD_KEY_SIZE];
   char nonce[ID_SIZE];
-  char *text; /**< the new document */
+  char *text; /**< text of the new document */
   char *version_text;
   char *head_text;
   StewardAuditRow audit;
@@ -39,7 +39,7 @@
   *result = (StewardSubmitResult){ 0 };
 }
 
-/* The document that the change is made against; freed by the caller. */
+/* The document that the change is made against; NULL after an error; freed by the caller. */
 static char *
 base_text (Attempt *a, StewardSubmitResult *out)
 {
@@ -67,7 +67,8 @@
   return text;
 }
 
-/* The new document, checked as a whole: all errors are told, and nothing is half applied. */
+/* Makes the new document and checks it as a whole, so that all errors are reported and nothing is
+   partly applied. */
 static bool
 make_document (Attempt *a, StewardSubmitResult *out)
 {
@@ -192,10 +193,11 @@
 }
 
 /*
- * A reply was lost: the transaction may have taken effect, may still do so, or never will. Written
- * again, at most one of the two takes effect, since each is conditional on the head row's version;
- * so the same change is written until its row, or another's, is there. STATUS_CONFLICT after an
- * unknown outcome may be the first one's success: only the row's nonce tells.
+ * Writes until the outcome is known. If a reply is lost, the transaction may have taken effect, may
+ * still do so, or never will. Of two identical writes at most one takes effect, since each is
+ * conditional on the head row's version; so the change is written again until its row, or
+ * another's, exists. STATUS_CONFLICT after an unknown outcome may be due to the first write's
+ * success: only the row's nonce tells.
  */
 static StewardSubmitOutcome
 commit (Attempt *a, StewardSubmitResult *out)
@@ -216,7 +218,8 @@
         return STEWARD_SUBMIT_DURABLE;
       if (found == FOUND_OTHER)
         return STEWARD_SUBMIT_CONFLICT;
-      /* Acceptance moved the head row's version without a new number: ours can no longer get in. */
+      /* An acceptance has raised the head row's version without a new number, so this write can no
+         longer succeed. */
       if (found == FOUND_NOTHING && code == STATUS_CONFLICT)
         return STEWARD_SUBMIT_CONFLICT;
       clock_sleep_ms (RETRY_DELAY_MS);
@@ -245,7 +248,7 @@
   a->text = a->version_text = a->head_text = NULL;
 }
 
-/* True if the attempt is to be made again: the head row's version changed, but not its number. */
+/* True if the attempt is to be repeated: the head row's version changed, but not its number. */
 static bool
 attempt_once (Platform *p, const StewardSubmission *submission, StewardSubmitResult *out)
 {
@@ -269,7 +272,7 @@
       if (out->outcome == STEWARD_SUBMIT_CONFLICT)
         {
           read_winner (&a, out);
-          /* A condition that failed will not hold again. */
+          /* A condition that failed can't hold later. */
           again = out->head == submission->base && submission->condition == NULL;
         }
       if (out->outcome == STEWARD_SUBMIT_DURABLE)
@@ -289,7 +292,7 @@
   int64_t end = clock_boot_ms () + STEWARD_SUBMIT_TIMEOUT_MS;
 
   *out = (StewardSubmitResult){ 0 };
-  /* An acceptance between our read and our write changes the head row without a new number. */
+  /* An acceptance between the read and the write changes the head row without a new number. */
   while (attempt_once (p, submission, out) && clock_boot_ms () < end)
     clock_sleep_ms (1);
   if (out->outcome == STEWARD_SUBMIT_DURABLE)
--- a/src/steward_suspicion.c
+++ b/src/steward_suspicion.c
@@ -2,7 +2,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* One VM alone in its failure domain tells nothing of the domain. */
+/* The silence of a single VM says nothing about its failure domain. */
 #define DOMAIN_MEMBERS_MIN 2
 
 const char *
@@ -16,7 +16,7 @@
   return names[kind];
 }
 
-/** Members of one failure domain, without us. */
+/** Members of one failure domain, without this one. */
 typedef struct
 {
   size_t members;
@@ -38,7 +38,8 @@
   return count;
 }
 
-/* A whole domain is silent, and more members of it than of all others together. */
+/* True if all members of the domain are silent, and they are more than all other silent members
+   together. */
 static bool
 is_domain (const ClusterView *view,
            const bool *silent,
@@ -64,8 +65,8 @@
     }
 }
 
-/* When most vanish at once, the one thing that they have in common is the way to us: we are cut
-   off, were paused, or the platform's network is broken. */
+/* When most members are silent at once, what they have in common is the path to this VM: it is cut
+   off, was paused, or the platform's network has failed. */
 StewardSuspicion
 steward_suspicion_judge (const ClusterView *view, const bool *silent, int self)
 {
--- a/src/steward_table.c
+++ b/src/steward_table.c
@@ -13,11 +13,12 @@
 
 #define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
 
-/* Reads a second that all stewards together may spend on polling, of about two thousand. */
+/* Reads per second that all stewards together make for polling; the table service serves about two
+   thousand. */
 #define POLLS_PER_S_MAX 100
-/* The view row is read without cause each so many polls. */
+/* Polls of the head row per read of the view row, unless a newer view was reported. */
 #define POLLS_PER_VIEW_READ 8
-/* Between rounds that were caused by news. */
+/* Minimum pause between rounds. */
 #define ROUND_PAUSE_MS          20
 #define BRAKES_SYNC_INTERVAL_MS 5000
 #define PENDING_POLL_MS         50
@@ -26,17 +27,18 @@
 {
   Steward *s;
   pthread_t thread;
-  pthread_mutex_t lock; /**< guards stop, woken, accept_soon */
+  pthread_mutex_t
+      lock; /**< guards stop, woken, accept_soon; the fields below belong to the thread */
   pthread_cond_t wake;
   bool stop;
   bool woken;
   int64_t accept_soon;
-  /* The rest belongs to the thread. */
   StewardRows rows;
-  int64_t next_poll_at;        /**< next read of the head row */
-  int64_t next_view_read_at;   /**< next read of the view row without cause */
-  int64_t next_brakes_sync_at; /**< next synchronisation of the brakes */
-  bool brakes_read;            /**< once since the start */
+  int64_t next_poll_at;        /**< time of the next read of the head row */
+  int64_t next_view_read_at;   /**< time of the next read of the view row, unless a newer view is
+                                  reported */
+  int64_t next_brakes_sync_at; /**< time of the next synchronisation of the brakes */
+  bool brakes_read;            /**< the brakes were synchronised at least once */
 };
 
 int64_t
@@ -61,7 +63,7 @@
              log_quote (st->message, quoted, sizeof quoted));
 }
 
-/* The proof of freshness counts from before the read was sent. */
+/* The proof of freshness counts from the time before the read was sent. */
 static bool
 read_head (StewardTable *t)
 {
@@ -144,7 +146,7 @@
   steward_settle (s, now);
 }
 
-/* One round of reads, then the writes that they call for. */
+/* Reads the rows, then makes the writes that are due. */
 static void
 poll_table (StewardTable *t, int64_t now)
 {
@@ -166,7 +168,8 @@
   write_queued (t, now);
 }
 
-/* News came in: read what it tells of, or write what it makes possible. */
+/* Called after a wake-up: reads a newer number or view that was reported, or makes the writes that
+   have become possible. */
 static void
 handle_wake (StewardTable *t, int64_t now)
 {
@@ -188,7 +191,8 @@
 {
   int64_t ms = t->next_poll_at - now;
 
-  /* While what we wrote is not settled, look often whether it is by now. */
+  /* While the view that this steward wrote is pending, check often whether it can be
+     established. */
   if (t->rows.wrote_pending && ms > PENDING_POLL_MS)
     ms = PENDING_POLL_MS;
   if (t->rows.next_write_at > now && t->rows.next_write_at - now < ms)
--- a/src/steward_usage.c
+++ b/src/steward_usage.c
@@ -7,13 +7,13 @@
 
 #define PAGE_ROWS  500
 #define TIMEOUT_MS 5000
-#define SUMS_MAX   4096 /* teams and versions; beyond it the last one collects the rest */
+#define SUMS_MAX   4096 /* teams and their versions; when full, the last element sums the rest */
 
-/** Sums of one team, or of one version in a team. */
+/** Sums of one team, or of one version used by a team. */
 typedef struct
 {
   char team[BILL_NAME_MAX];
-  char version[BILL_NAME_MAX]; /**< empty: of the whole team */
+  char version[BILL_NAME_MAX]; /**< empty: sums of the whole team */
   int64_t requests;
   int64_t prompt_tokens;
   int64_t completion_tokens;
@@ -111,7 +111,7 @@
   return answer;
 }
 
-/* The next page begins behind the last key of this one. */
+/* Adds one page of records. The next page begins after its last key. */
 static StatusCode
 add_page (Platform *p, const char *prefix, Buffer *from, Sums *all, size_t *rows_read, Status *st)
 {
--- a/src/steward_wait.c
+++ b/src/steward_wait.c
@@ -4,7 +4,8 @@
 #include "steward_table.h"
 #include "util_clock.h"
 
-/* Members that don't apply the number yet are asked again after this, then after twice as long. */
+/* Members that don't apply the number yet are asked again at an interval that doubles from the
+   minimum to the maximum. */
 #define ASK_INTERVAL_MIN_MS 15
 #define ASK_INTERVAL_MAX_MS 500
 
@@ -13,13 +14,14 @@
 {
   Steward *s;
   int64_t number;
-  int64_t accepted_at; /**< when we first knew that it is accepted; 0: not yet */
+  int64_t accepted_at; /**< time at which the acceptance was first seen; 0: not yet */
   int64_t next_ask_at;
   int64_t ask_interval_ms;
 } Wait;
 
-/* Grants that rest on a proof older than the acceptance end grant_ms after it at the latest, on
-   members that we can't hear too. */
+/* True if all grants under lower numbers have ended by time alone: those that rest on a proof
+   older than the acceptance end grant_ms after it at the latest, also on members that can't be
+   reached. */
 static bool
 bound_passed (const Wait *w, int64_t now)
 {
@@ -63,7 +65,8 @@
   StewardProgress progress;
   StewardReach reach = check_reach (&w, &progress, now);
 
-  /* Told once even if nobody waits, so that the number spreads now and not with the next poll. */
+  /* Asked once even if the caller doesn't wait, so that the number spreads now and not with the
+     next poll. */
   ask_lagging (&w, now);
   steward_table_accept_soon (s->table, number);
   while (reach < until && now < end && !steward_cluster_leaving (s))
--- a/src/steward_wait.h
+++ b/src/steward_wait.h
@@ -13,8 +13,8 @@
   STEWARD_IN_FORCE /**< no member's gate takes new work under a lower number any more */
 } StewardReach;
 
-/** Waits at most wait_ms until the number has come that far; returns how far it has come, and the
- *  members that have it. */
+/** Waits at most wait_ms until the number has reached the given state. Returns the state reached,
+ * and how many members have the number in force. */
 StewardReach steward_wait (Steward *s,
                            int64_t number,
                            StewardReach until,
