--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -14,8 +14,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Rounds are spread over this part of the interval, so that stewards that started together don't
-   send at the same time. */
+/* Rounds are spread over one part in JITTER_PARTS of the interval, so that stewards that started
+   together don't all send at the same time. */
 #define JITTER_PARTS 4
 /* Bytes of an ask and its answer on the wire, with the headers of UDP and IP (make
    bench-control). */
--- a/src/steward_orders.c
+++ b/src/steward_orders.c
@@ -156,7 +156,8 @@
   engine->interval_ms = CHECK_INTERVAL_MIN_MS;
 }
 
-/* An order counts as sent only after the attempt, so that no stage begins before it. */
+/* The number is set only after the attempt to send the order, so that no stage begins before
+   it. */
 static void
 set_number (StewardOrders *o, Engine *engine, int64_t number)
 {
