--- a/tests/fake_http_server.c
+++ b/tests/fake_http_server.c
@@ -40,8 +40,8 @@
   __atomic_add_fetch (&server->requests, 1, __ATOMIC_RELAXED);
   if (__atomic_load_n (&server->drop, __ATOMIC_RELAXED) || strcmp (method, "GET") != 0)
     return MHD_NO;
-  response
-      = MHD_create_response_from_buffer (strlen (server->text), (void *)server->text, MHD_RESPMEM_PERSISTENT);
+  response = MHD_create_response_from_buffer (strlen (server->text), (void *)server->text,
+                                              MHD_RESPMEM_PERSISTENT);
   result = MHD_queue_response (connection, MHD_HTTP_OK, response);
   MHD_destroy_response (response);
   return result;
--- a/tests/fake_order.c
+++ b/tests/fake_order.c
@@ -9,7 +9,7 @@
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 0, 64, 1000);
 
-  /* Faults come and go far faster than in life: each attempt is to meet them. */
+  /* Faults change far faster than in operation: each attempt is to meet them. */
   platform_group_set_failure_threshold (group, 0);
   return (OrderSite){ .p = p, .group = group };
 }
--- a/tests/fake_order.h
+++ b/tests/fake_order.h
@@ -1,5 +1,5 @@
 /**
- * A site on which one dispatch order is claimed again and again.
+ * A platform on which one dispatch order is claimed repeatedly.
  */
 #ifndef FAKE_ORDER_H
 #define FAKE_ORDER_H
@@ -18,9 +18,9 @@
 
 OrderSite order_site_new (void);
 void order_site_free (OrderSite *site);
-/** An attempt with a body of that hash. */
+/** Claims the order with a body of that hash. */
 ClaimResult order_claim (const OrderSite *site, uint64_t body, ClaimOutcome *out);
-/** A re-send at another VM, of which only the result matters. */
+/** Claims the order again, as a retry at another VM; only the result is returned. */
 ClaimResult order_resend (const OrderSite *site);
 
 #endif
--- a/tests/fake_rollout.h
+++ b/tests/fake_rollout.h
@@ -6,8 +6,8 @@
 
 #include "config.h"
 
-/** Model m from v1 to v2 in two stages, and one engine at that port that also names the withdrawn
- * v0; the caller's reference. */
+/** Rolls model m out from v1 to v2 in two stages. One engine at that port serves them and the
+ * withdrawn v0. The caller releases the configuration with config_unref. */
 Config *fake_rollout_config (int64_t number, int port, int stage, const char *state);
 
 #endif
--- a/tests/fake_steward.c
+++ b/tests/fake_steward.c
@@ -19,11 +19,11 @@
 }
 
 static FakeReply
-note_request (FakeSteward *steward,
-              struct MHD_Connection *connection,
-              const char *method,
-              const char *url,
-              const Buffer *body)
+log_request (FakeSteward *steward,
+             struct MHD_Connection *connection,
+             const char *method,
+             const char *url,
+             const Buffer *body)
 {
   FakeReply reply = { 500, "{}" };
   Buffer line = { 0 };
@@ -66,7 +66,7 @@
       *size = 0;
       return MHD_YES;
     }
-  reply = note_request (context, connection, method, url, body);
+  reply = log_request (context, connection, method, url, body);
   if (reply.status == 0)
     return MHD_NO;
   response = MHD_create_response_from_buffer (strlen (reply.body), (void *)(uintptr_t)reply.body,
--- a/tests/fake_steward.h
+++ b/tests/fake_steward.h
@@ -1,5 +1,5 @@
 /**
- * A steward's operators' API that answers by a script and keeps what it was asked.
+ * An operators' API that answers with scripted replies and logs its requests.
  */
 #ifndef FAKE_STEWARD_H
 #define FAKE_STEWARD_H
@@ -12,13 +12,13 @@
 
 #define FAKE_REPLIES_MAX 12
 
-/* Parts of scripts and logs that several tests use. */
+/* Replies and log lines that several tests use. */
 #define FAKE_ACCEPTED         "{\"number\":8,\"state\":\"in_force\",\"members_in_force\":3,\"members\":3}"
 #define FAKE_GET_HEAD(number) "GET /v1/versions?limit=1 \nGET /v1/versions/" number " \n"
 
 typedef struct
 {
-  unsigned status; /**< 0: the request is taken and the connection closed without an answer */
+  unsigned status; /**< 0: the connection is closed without an answer to the request */
   const char *body;
 } FakeReply;
 
@@ -26,22 +26,23 @@
 {
   struct MHD_Daemon *daemon;
   int port;
-  FakeReply replies[FAKE_REPLIES_MAX]; /**< in order; when none is left, 500 */
+  FakeReply replies[FAKE_REPLIES_MAX]; /**< sent in order; after the last one, 500 */
   size_t next;
   pthread_mutex_t lock;
-  Buffer log; /**< one line a request: "METHOD URL[?QUERY] BODY" */
+  Buffer log; /**< one line per request: "METHOD URL[?QUERY] BODY" */
 } FakeSteward;
 
-/** Starts on a free port of 127.0.0.1; replies end with a NULL body. */
+/** Starts on a free port of 127.0.0.1; the list of replies ends with a NULL body. */
 void fake_steward_start (FakeSteward *steward, const FakeReply *replies);
-/** Ends it; the log stays until it is freed with buffer_free. */
+/** Stops it; the log stays until it is freed with buffer_free. */
 void fake_steward_stop (FakeSteward *steward);
-/** Puts it last among the stewards that are asked. */
+/** Adds it as the last of the stewards that are tried. */
 void fake_steward_add (Ctl *ctl, int port);
 
 typedef CtlExit (*FakeCommand) (Ctl *ctl, const CtlArgs *args);
 
-/** Runs a command against one steward; asserts its exit status and what the steward was asked. */
+/** Runs a command against one steward; asserts its exit status and the requests that the steward
+ * got. */
 void fake_steward_expect (FakeCommand command,
                           const CtlArgs *args,
                           const FakeReply *replies,
--- a/tests/test_steward_deaths.c
+++ b/tests/test_steward_deaths.c
@@ -1,5 +1,6 @@
 /**
- * News of deaths of backend servers: from a gate to its steward, to other stewards, to their gates.
+ * Reports of deaths of backend servers: from a gate to its steward, to other stewards, to their
+ * gates.
  */
 #include "steward_deaths.h"
 #include "suite.h"
@@ -7,12 +8,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW        INT64_C (1000000)
-#define MEMORY_MS  INT64_C (600000)
-#define DEATHS     40
-#define ROUNDS_MAX 64
+#define NOW          INT64_C (1000000)
+#define RETENTION_MS INT64_C (600000)
+#define DEATHS       40
+#define ROUNDS_MAX   64
 
-/** A message's deaths, freed by clear. */
+/** The deaths of a message; freed by clear. */
 typedef struct
 {
   rpc_death *deaths;
@@ -20,11 +21,11 @@
 } Message;
 
 static Message
-message_of (StewardDeaths *d, const StewardDeathsLimits *room, int64_t now)
+message_of (StewardDeaths *d, const StewardDeathsLimits *limits, int64_t now)
 {
   Message m = { NULL, 0 };
 
-  steward_deaths_fill (d, room, now, &m.deaths, &m.count);
+  steward_deaths_fill (d, limits, now, &m.deaths, &m.count);
   return m;
 }
 
@@ -37,9 +38,9 @@
 }
 
 static void
-tell (StewardDeaths *from, StewardDeaths *to, const StewardDeathsLimits *room, int64_t now)
+send_deaths (StewardDeaths *from, StewardDeaths *to, const StewardDeathsLimits *limits, int64_t now)
 {
-  Message m = message_of (from, room, now);
+  Message m = message_of (from, limits, now);
 
   steward_deaths_merge (to, m.deaths, m.count, now);
   clear (&m);
@@ -66,10 +67,11 @@
   return quarantine_recent_deaths (d->set, deaths, QUARANTINE_DEATHS_MAX, now);
 }
 
-/* A caller's prompt has crashed two engines at one VM, and the caller goes on to the next VM. That
- * VM's gate has seen none of it; it must learn of both deaths through the stewards and refuse. */
+/* A prompt has crashed two engines through one VM, and the caller retries at the next VM. That
+   VM's gate has observed neither death; it must learn of both through the stewards and refuse the
+   prompt. */
 static void
-test_quarantine_at_another_vm (void)
+test_deaths_reach_gate_of_another_vm (void)
 {
   StewardDeaths first, second;
   Quarantine *gate = quarantine_new (&quarantine_settings_default);
@@ -78,7 +80,7 @@
   steward_deaths_init (&second);
   add (&first, 11, 900, 77, 1);
   add (&first, 12, 300, 77, 3);
-  tell (&first, &second, &steward_deaths_heartbeat_limits, NOW);
+  send_deaths (&first, &second, &steward_deaths_heartbeat_limits, NOW);
   Message m = message_of (&second, &steward_deaths_grant_limits, NOW + 200);
   CU_ASSERT_EQUAL_FATAL (m.count, 2);
   CU_ASSERT_EQUAL (m.deaths[0].server, 12);
@@ -103,10 +105,11 @@
   steward_deaths_clear (&second);
 }
 
-/* Gates repeat their sightings in every ask, and stewards hear the same from many peers, each a
- * little later: it must stay one death with one time, or a single death would look like several. */
+/* Gates repeat the deaths that they observed in every ask, and stewards receive the same death
+   from many peers, each a little later. It must stay one death with one time, or a single death
+   would count as several. */
 static void
-test_same_news_twice (void)
+test_repeated_report_stays_one_death (void)
 {
   StewardDeaths first, second;
 
@@ -115,8 +118,8 @@
   add (&first, 11, 0, 77, 2);
   for (int64_t now = NOW; now < NOW + 10000; now += 250)
     {
-      tell (&first, &second, &steward_deaths_heartbeat_limits, now);
-      tell (&second, &first, &steward_deaths_heartbeat_limits, now + 100);
+      send_deaths (&first, &second, &steward_deaths_heartbeat_limits, now);
+      send_deaths (&second, &first, &steward_deaths_heartbeat_limits, now + 100);
     }
   CU_ASSERT_EQUAL (known (&first, NOW + 10000), 1);
   CU_ASSERT_EQUAL (known (&second, NOW + 10000), 1);
@@ -129,9 +132,10 @@
   steward_deaths_clear (&second);
 }
 
-/* Two VMs see one death under different requests of theirs: the news holds both. */
+/* Two VMs observe one death, each under its own requests: the merged report must contain the
+   requests of both. */
 static void
-test_sightings_of_two_vms_merge (void)
+test_reports_of_two_vms_merge (void)
 {
   StewardDeaths d;
 
@@ -146,21 +150,21 @@
 }
 
 static unsigned
-rounds_until_all_told (StewardDeaths *d, const StewardDeathsLimits *room, int64_t now)
+rounds_until_all_sent (StewardDeaths *d, const StewardDeathsLimits *limits, int64_t now)
 {
-  bool told[DEATHS + 1] = { false };
+  bool sent[DEATHS + 1] = { false };
   unsigned count = 0, rounds = 0;
 
   while (count < DEATHS && rounds < ROUNDS_MAX)
     {
-      Message m = message_of (d, room, now);
+      Message m = message_of (d, limits, now);
       CU_ASSERT_TRUE (m.count <= LOVAGE_DEATHS_MAX);
       for (u_int i = 0; i < m.count; i++)
         {
           uint64_t server = m.deaths[i].server;
           CU_ASSERT_FATAL (server >= 1 && server <= DEATHS);
-          count += !told[server];
-          told[server] = true;
+          count += !sent[server];
+          sent[server] = true;
         }
       clear (&m);
       rounds++;
@@ -168,31 +172,32 @@
   return rounds;
 }
 
-/* A failure domain goes down and takes 40 engines with it. A message has room for 16; the others
- * must not wait until the first are forgotten, since a gate that knows only some of the deaths
- * could take an outage for the work of one request. */
+/* A failure domain fails with its 40 engines. A message has room for 16 deaths; the others must
+   follow soon, since a gate that knows only some of the deaths could attribute an outage to one
+   request. */
 static void
-test_more_than_a_message_holds (void)
+test_deaths_beyond_limits_follow_in_turn (void)
 {
   StewardDeaths d;
 
   steward_deaths_init (&d);
   for (uint64_t server = 1; server <= DEATHS; server++)
     add (&d, server, (uint32_t)server, 77 + server, 1);
-  CU_ASSERT_EQUAL (rounds_until_all_told (&d, &steward_deaths_grant_limits, NOW), 3);
-  CU_ASSERT_EQUAL (rounds_until_all_told (&d, &steward_deaths_heartbeat_limits, NOW), 3);
-  /* Then they are not fresh any more: one in each heartbeat, and all in turn. */
+  CU_ASSERT_EQUAL (rounds_until_all_sent (&d, &steward_deaths_grant_limits, NOW), 3);
+  CU_ASSERT_EQUAL (rounds_until_all_sent (&d, &steward_deaths_heartbeat_limits, NOW), 3);
+  /* Now the deaths are no longer fresh: each heartbeat carries one of them, in turn. */
   CU_ASSERT_EQUAL (
-      rounds_until_all_told (&d, &steward_deaths_heartbeat_limits, NOW + STEWARD_DEATHS_FRESH_MS),
+      rounds_until_all_sent (&d, &steward_deaths_heartbeat_limits, NOW + STEWARD_DEATHS_FRESH_MS),
       DEATHS);
   CU_ASSERT_EQUAL (
-      rounds_until_all_told (&d, &steward_deaths_grant_limits, NOW + STEWARD_DEATHS_FRESH_MS), 3);
+      rounds_until_all_sent (&d, &steward_deaths_grant_limits, NOW + STEWARD_DEATHS_FRESH_MS), 3);
   steward_deaths_clear (&d);
 }
 
-/* Deaths under many requests are long; what heartbeats of 360 members may take stays bounded. */
+/* A death under many requests takes many bytes. The heartbeats must stay within their bound, which
+   matters with 360 members. */
 static void
-test_bytes_of_heartbeat (void)
+test_heartbeat_bytes_are_bounded (void)
 {
   StewardDeaths d;
 
@@ -214,10 +219,10 @@
   steward_deaths_clear (&d);
 }
 
-/* What is forgotten stays forgotten: two stewards that go on telling each other, each a second
- * late, must not keep a death alive beyond the quarantine's memory. */
+/* Two stewards that keep sending each other a death, each a second late, must not keep it alive
+   beyond the quarantine's retention period. */
 static void
-test_no_news_goes_round_for_ever (void)
+test_death_does_not_circulate_beyond_retention (void)
 {
   StewardDeaths first, second;
   int64_t now;
@@ -225,7 +230,7 @@
   steward_deaths_init (&first);
   steward_deaths_init (&second);
   add (&first, 11, 0, 77, 1);
-  for (now = NOW; now < NOW + 2 * MEMORY_MS; now += 2000)
+  for (now = NOW; now < NOW + 2 * RETENTION_MS; now += 2000)
     {
       Message m = message_of (&first, &steward_deaths_heartbeat_limits, now);
       steward_deaths_merge (&second, m.deaths, m.count, now + 1000);
@@ -233,7 +238,7 @@
       m = message_of (&second, &steward_deaths_heartbeat_limits, now + 1000);
       steward_deaths_merge (&first, m.deaths, m.count, now + 2000);
       clear (&m);
-      if (now == NOW + MEMORY_MS / 2)
+      if (now == NOW + RETENTION_MS / 2)
         CU_ASSERT_EQUAL (known (&second, now), 1);
     }
   CU_ASSERT_EQUAL (known (&first, now), 0);
@@ -242,15 +247,15 @@
   steward_deaths_clear (&second);
 }
 
-/* Nothing to tell takes no room in the message. */
+/* Without deaths to send the message must have no part for them. */
 static void
-test_nothing_to_tell (void)
+test_no_deaths_take_no_room (void)
 {
   StewardDeaths d;
 
   steward_deaths_init (&d);
   add (&d, 0, 0, 77, 1);
-  add (&d, 11, (uint32_t)MEMORY_MS + 1, 77, 1);
+  add (&d, 11, (uint32_t)RETENTION_MS + 1, 77, 1);
   Message m = message_of (&d, &steward_deaths_grant_limits, NOW);
   CU_ASSERT_EQUAL (m.count, 0);
   CU_ASSERT_PTR_NULL (m.deaths);
@@ -258,17 +263,17 @@
 }
 
 /*
- * A gate repeats what it saw in each ask: only the first time is news, for which all members are
- * told at once. Then a whole pool dies, at a site of 360: telling all of them of each death would
- * take more of the network than everything else, so they are told again only after a while.
+ * A gate repeats an observed death in each ask; only the first report is new and causes a
+ * broadcast. Then a whole pool dies at a site of 360: a broadcast for each death would take more of
+ * the network than everything else, so broadcasts must be limited.
  */
 static void
-test_told_at_once (void)
+test_broadcasts_are_limited (void)
 {
   uint64_t flight = 77;
   rpc_death death = { .server = 11, .flights = { .flights_len = 1, .flights_val = &flight } };
   StewardDeaths d;
-  int64_t told = 0;
+  int64_t sent = 0;
 
   steward_deaths_init (&d);
   CU_ASSERT_TRUE (steward_deaths_merge (&d, &death, 1, NOW));
@@ -279,8 +284,8 @@
   CU_ASSERT_FALSE (steward_deaths_may_broadcast (&d, 2, NOW + 10));
   CU_ASSERT_TRUE (steward_deaths_may_broadcast (&d, 2, NOW + 30));
   for (int64_t now = NOW + 30; now < NOW + 10030; now += 10)
-    told += steward_deaths_may_broadcast (&d, 359, now) ? 359 : 0;
-  CU_ASSERT (told > 0 && told / 10 <= STEWARD_DEATHS_BROADCASTS_PER_S);
+    sent += steward_deaths_may_broadcast (&d, 359, now) ? 359 : 0;
+  CU_ASSERT (sent > 0 && sent / 10 <= STEWARD_DEATHS_BROADCASTS_PER_S);
   steward_deaths_clear (&d);
 }
 
@@ -288,14 +293,14 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "quarantine_at_another_vm", test_quarantine_at_another_vm },
-    { "same_news_twice", test_same_news_twice },
-    { "sightings_of_two_vms_merge", test_sightings_of_two_vms_merge },
-    { "more_than_a_message_holds", test_more_than_a_message_holds },
-    { "bytes_of_heartbeat", test_bytes_of_heartbeat },
-    { "no_news_goes_round_for_ever", test_no_news_goes_round_for_ever },
-    { "nothing_to_tell", test_nothing_to_tell },
-    { "told_at_once", test_told_at_once },
+    { "deaths_reach_gate_of_another_vm", test_deaths_reach_gate_of_another_vm },
+    { "repeated_report_stays_one_death", test_repeated_report_stays_one_death },
+    { "reports_of_two_vms_merge", test_reports_of_two_vms_merge },
+    { "deaths_beyond_limits_follow_in_turn", test_deaths_beyond_limits_follow_in_turn },
+    { "heartbeat_bytes_are_bounded", test_heartbeat_bytes_are_bounded },
+    { "death_does_not_circulate_beyond_retention", test_death_does_not_circulate_beyond_retention },
+    { "no_deaths_take_no_room", test_no_deaths_take_no_room },
+    { "broadcasts_are_limited", test_broadcasts_are_limited },
   };
 
   return suite_main (argc, argv, "steward_deaths", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_document.c
+++ b/tests/test_steward_document.c
@@ -1,5 +1,6 @@
 /**
- * The newest configuration that a steward knows: numbers only rise, whatever order news comes in.
+ * The newest configuration document of a steward: its number only rises, whatever the order of
+ * arrival.
  */
 #include "steward_document.h"
 #include "suite.h"
@@ -23,11 +24,11 @@
 }
 
 /*
- * A version that was withdrawn gets work again. A peer's answer with number 4 was on its way while
- * number 5 came from the table; taken when it arrived, it would put 4 back in force here.
+ * A withdrawn version would get work again: a peer's answer with document 4 arrives after document
+ * 5 was read from the table. Were it stored, number 4 would be in force here again.
  */
 static void
-test_late_news_does_not_revert (void)
+test_late_document_does_not_revert (void)
 {
   StewardDocument d;
 
@@ -63,10 +64,10 @@
   return NULL;
 }
 
-/* The table's thread and the one that fetches from peers bring numbers at the same time: between
-   the look at the number and the write another one may have come. */
+/* The table's thread and the one that fetches from peers store documents at the same time: another
+   document may arrive between the check of the number and the write. */
 static void
-test_threads_that_race (void)
+test_concurrent_puts_keep_newest (void)
 {
   for (int round = 0; round < 50; round++)
     {
@@ -94,8 +95,8 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "late_news_does_not_revert", test_late_news_does_not_revert },
-    { "threads_that_race", test_threads_that_race },
+    { "late_document_does_not_revert", test_late_document_does_not_revert },
+    { "concurrent_puts_keep_newest", test_concurrent_puts_keep_newest },
   };
 
   return suite_main (argc, argv, "steward_document", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_duty.c
+++ b/tests/test_steward_duty.c
@@ -1,5 +1,5 @@
 /**
- * The duty's row and its I/O: take-overs, lost replies, a holder that was frozen, giving back.
+ * The duty's row and its I/O: take-overs, lost replies, a paused holder, release.
  */
 #include "fake_platform.h"
 #include "steward_audit.h"
@@ -35,7 +35,7 @@
                                                   .clock_ms = test_clock });
 }
 
-/* Lets the duties step for some time. */
+/* Runs steward_duty_step of both for some time. */
 static void
 run_for (int64_t ms, StewardDuty *a, StewardDuty *b)
 {
@@ -47,7 +47,7 @@
     }
 }
 
-/* Entries of the audit trail whose member has that value. */
+/* Number of entries of the audit trail whose member has that value. */
 static size_t
 audit_entries (Platform *p, const char *member, const char *value)
 {
@@ -65,7 +65,7 @@
 }
 
 static void
-test_one_holds_it (void)
+test_one_steward_holds_duty (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -88,11 +88,11 @@
 }
 
 /*
- * A holder dies. Operators would see roll-outs stand still for ever if nobody took its duty over,
- * and two drivers at once if somebody did so before its lease had run out.
+ * The holder dies. If no steward took its duty over, roll-outs would stop for ever; if one did so
+ * before the lease has expired, two stewards would drive roll-outs at once.
  */
 static void
-test_successor_waits (void)
+test_successor_waits_for_lease (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -118,11 +118,11 @@
 }
 
 /*
- * The reply of the very first write is lost after its commit. The steward would wait out its own
- * lease, or take the duty a second time with another number, if it did not know its own row again.
+ * The reply of the first write is lost after its commit. A steward that did not recognise its own
+ * row would wait for its own lease to expire, or take the duty again under another number.
  */
 static void
-test_lost_reply (void)
+test_lost_reply_keeps_fence (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -139,10 +139,10 @@
   platform_free (p);
 }
 
-/* Nobody can renew in an outage: the holder stops in time, and goes on under the same number if
-   nobody else came first. */
+/* The lease can't be renewed in an outage: the holder must stop in time, and goes on under the
+   same number if no other steward took the duty. */
 static void
-test_outage (void)
+test_holder_stops_in_outage (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -160,9 +160,9 @@
   platform_free (p);
 }
 
-/* After a planned stop the successor waits for the flight of the last order only. */
+/* After a release the successor waits only for the time-out of the last order. */
 static void
-test_give_back (void)
+test_successor_takes_over_released_duty (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -175,7 +175,7 @@
   run_for (STEWARD_DUTY_ORDER_TIMEOUT_MS + 2 * STEWARD_DUTY_READ_INTERVAL_MS, b, NULL);
   CU_ASSERT_EQUAL (steward_duty_fence (b), 2);
   CU_ASSERT_EQUAL (audit_entries (p, "action", "duty"), 3);
-  /* One that holds nothing gives nothing back. */
+  /* A steward that doesn't hold the duty must not release it. */
   steward_duty_release (a);
   CU_ASSERT_EQUAL (audit_entries (p, "action", "duty"), 3);
   steward_duty_free (a);
@@ -183,10 +183,10 @@
   platform_free (p);
 }
 
-/* A row that this program can't read is nobody's to take: another program's lease may stand in it.
- */
+/* A row that can't be parsed must not be taken over: it may hold the lease of another program
+   version. */
 static void
-test_unreadable_row (void)
+test_unreadable_row_blocks_take_over (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -202,7 +202,7 @@
 }
 
 static void
-test_read_pace (void)
+test_read_interval_grows_with_members (void)
 {
   CU_ASSERT_EQUAL (steward_duty_read_interval_ms (3), STEWARD_DUTY_READ_INTERVAL_MS);
   CU_ASSERT_EQUAL (steward_duty_read_interval_ms (360), 7200);
@@ -211,18 +211,18 @@
 typedef struct
 {
   StewardDuty *successor;
-  bool frozen;
-} Freeze;
+  bool paused;
+} Pause;
 
-/* The caller is frozen directly before its transaction arrives, past its lease. */
+/* Pauses the caller directly before its transaction arrives, until its lease has expired. */
 static void
-freeze (void *context, FakeCall call)
+pause_holder (void *context, FakeCall call)
 {
-  Freeze *f = context;
+  Pause *f = context;
 
-  if (call != CALL_TXN || f->frozen)
+  if (call != CALL_TXN || f->paused)
     return;
-  f->frozen = true;
+  f->paused = true;
   run_for (30000, f->successor, NULL);
 }
 
@@ -252,31 +252,31 @@
 }
 
 /*
- * Operators would see a stage taken by a driver that had been replaced: the holder checks its
- * lease, its VM is paused for half a minute, a successor takes the duty over, and then the holder's
- * transaction arrives. The head's number has not changed, so only the duty's row tells them apart.
+ * A replaced driver would advance a stage: the holder checks its lease, its VM is paused for half a
+ * minute, a successor takes the duty over, and then the holder's transaction arrives. The head's
+ * number has not changed, so only the check of the duty's row refuses it.
  */
 static void
-test_frozen_before_transaction (void)
+test_paused_holder_changes_nothing (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
   StewardDuty *b = duty_new (p, "vm-2", 2);
-  Freeze f = { .successor = b };
+  Pause f = { .successor = b };
 
   now = 1000;
   CU_ASSERT_EQUAL (submit (p, 0, document, NULL), STEWARD_SUBMIT_DURABLE);
   run_for (3000, a, b);
   CU_ASSERT (steward_duty_may_order (a));
   TxnOp condition = steward_duty_condition (a);
-  fake_platform_hook (p, freeze, &f);
+  fake_platform_hook (p, pause_holder, &f);
   CU_ASSERT_EQUAL (submit (p, 1, change, &condition), STEWARD_SUBMIT_CONFLICT);
   fake_platform_hook (p, NULL, NULL);
-  CU_ASSERT (f.frozen);
+  CU_ASSERT (f.paused);
   CU_ASSERT_EQUAL (head_number (p), 1);
   CU_ASSERT_EQUAL (steward_duty_fence (b), 2);
   CU_ASSERT_FALSE (steward_duty_may_order (a));
-  /* The successor's own step goes through. */
+  /* The successor's own step succeeds. */
   condition = steward_duty_condition (b);
   CU_ASSERT_EQUAL (submit (p, 1, change, &condition), STEWARD_SUBMIT_DURABLE);
   CU_ASSERT_EQUAL (head_number (p), 2);
@@ -286,12 +286,12 @@
 }
 
 /*
- * The reply of a stage's step is lost after the commit. Callers would be moved on by two stages at
- * once if the step were taken again: it is found by its nonce, and the same step against the same
- * number conflicts.
+ * The reply of a step is lost after its commit. Repeated, the step would advance callers by two
+ * stages at once: the first must be recognised by its nonce, and the same step against the same
+ * number must conflict.
  */
 static void
-test_lost_reply_of_step (void)
+test_lost_reply_makes_one_step (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -311,11 +311,12 @@
 }
 
 /*
- * The step's transaction is slow: the holder gives it up as unknown, loses the duty, and the
- * transaction takes effect at last. It must not: its successor may have decided otherwise.
+ * The transaction of a step is slow: the holder gives up with an unknown outcome and loses the
+ * duty, and then the transaction arrives. It must have no effect, since the successor may have
+ * decided otherwise.
  */
 static void
-test_late_step (void)
+test_late_step_takes_no_effect (void)
 {
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
@@ -341,16 +342,16 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "one_holds_it", test_one_holds_it },
-    { "successor_waits", test_successor_waits },
-    { "lost_reply", test_lost_reply },
-    { "outage", test_outage },
-    { "give_back", test_give_back },
-    { "unreadable_row", test_unreadable_row },
-    { "read_pace", test_read_pace },
-    { "frozen_before_transaction", test_frozen_before_transaction },
-    { "lost_reply_of_step", test_lost_reply_of_step },
-    { "late_step", test_late_step },
+    { "one_steward_holds_duty", test_one_steward_holds_duty },
+    { "successor_waits_for_lease", test_successor_waits_for_lease },
+    { "lost_reply_keeps_fence", test_lost_reply_keeps_fence },
+    { "holder_stops_in_outage", test_holder_stops_in_outage },
+    { "successor_takes_over_released_duty", test_successor_takes_over_released_duty },
+    { "unreadable_row_blocks_take_over", test_unreadable_row_blocks_take_over },
+    { "read_interval_grows_with_members", test_read_interval_grows_with_members },
+    { "paused_holder_changes_nothing", test_paused_holder_changes_nothing },
+    { "lost_reply_makes_one_step", test_lost_reply_makes_one_step },
+    { "late_step_takes_no_effect", test_late_step_takes_no_effect },
   };
 
   return suite_main (argc, argv, "steward_duty", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_gates.c
+++ b/tests/test_steward_gates.c
@@ -1,5 +1,5 @@
 /**
- * Which configuration number a steward may call in force, given what its gates may still do.
+ * The configuration number that a steward may report as applied, given the grants of its gates.
  */
 #include "steward_gates.h"
 #include "suite.h"
@@ -15,7 +15,7 @@
 }
 
 static void
-test_grant_in_use_holds_the_number_back (void)
+test_grant_in_use_keeps_lower_number (void)
 {
   start ();
   CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 4, 0, 100));
@@ -26,12 +26,12 @@
 }
 
 /*
- * An operator is told that number 2 is in force; a request that was sent after that is answered
- * under number 1. The gate had just started: it was granted number 1 before it had it, fetched it
- * and took work under it, and number 2 came before its next ask. Found by the soak run.
+ * An operator is told that number 2 is in force, but a request sent after that is answered under
+ * number 1: a gate that had just started was granted number 1 before it had it, fetched it and took
+ * work under it, and number 2 arrived before its next ask. Found by the soak run.
  */
 static void
-test_grant_of_a_number_being_fetched_holds_the_next_back (void)
+test_grant_of_number_being_fetched_keeps_that_number (void)
 {
   start ();
   CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 0, 0, 100));
@@ -43,9 +43,10 @@
   steward_gates_clear (&gates);
 }
 
-/* The same with two numbers on their way: the lower of them may come into use first. */
+/* The same with grants for two numbers that the gate doesn't have yet: the lower one may come into
+   use first. */
 static void
-test_lowest_of_two_later_grants_counts (void)
+test_lowest_of_two_pending_grants_counts (void)
 {
   start ();
   CU_ASSERT_TRUE (steward_gates_record_ask (&gates, GATE, 1, 0, 100));
@@ -59,13 +60,13 @@
 }
 
 /*
- * An operator is told that number 17 is in force everywhere; a request sent after that is answered
- * under number 15. A steward was killed and replaced while its gate went on; the new one knew of no
- * gate, said at once that it applies 17, and the gate still had the old one's grant for 15. Found
- * by the soak run.
+ * An operator is told that number 17 is in force, but a request sent after that is answered under
+ * number 15: a steward was killed and replaced while its gate ran on. The new steward knew of no
+ * gate and reported at once that it applied 17, while the gate still had a grant of the old one for
+ * 15. Found by the soak run.
  */
 static void
-test_replaced_steward_waits_for_its_predecessors_gate (void)
+test_replaced_steward_waits_for_predecessors_gate (void)
 {
   steward_gates_init (&gates, 3000);
   CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 17, 10), 0);
@@ -76,9 +77,9 @@
   steward_gates_clear (&gates);
 }
 
-/* The gate of the replaced steward was killed too: its grant ends by itself. */
+/* The gate of the replaced steward was killed too: the wait ends with its grant. */
 static void
-test_replaced_steward_without_gate_waits_for_the_grants_end (void)
+test_replaced_steward_without_gate_waits_for_end_of_grant (void)
 {
   steward_gates_init (&gates, 3000);
   CU_ASSERT_EQUAL (steward_gates_lowest_number (&gates, 17, 2999), 0);
@@ -103,11 +104,11 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "grant in use", test_grant_in_use_holds_the_number_back },
-    { "number being fetched", test_grant_of_a_number_being_fetched_holds_the_next_back },
-    { "two later grants", test_lowest_of_two_later_grants_counts },
-    { "replaced steward", test_replaced_steward_waits_for_its_predecessors_gate },
-    { "replaced steward, no gate", test_replaced_steward_without_gate_waits_for_the_grants_end },
+    { "grant in use", test_grant_in_use_keeps_lower_number },
+    { "number being fetched", test_grant_of_number_being_fetched_keeps_that_number },
+    { "two pending grants", test_lowest_of_two_pending_grants_counts },
+    { "replaced steward", test_replaced_steward_waits_for_predecessors_gate },
+    { "replaced steward, no gate", test_replaced_steward_without_gate_waits_for_end_of_grant },
     { "end of grants", test_end_is_that_of_the_last_grant },
   };
 
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -1,5 +1,6 @@
 /**
- * Parts of the steward without threads: gates, brakes, the audit trail, usage, messages.
+ * Modules of the steward that work without threads: gates, brakes, the audit trail, usage,
+ * messages.
  */
 #include "bill.h"
 #include "fake_platform.h"
@@ -20,11 +21,10 @@
 
 #define TIMEOUT_MS 1000
 
-/* A number is withdrawn work's end only when no gate can still work under the one before. A steward
- * that said "applied" while its gate was frozen with a valid grant would have an operator told "in
- * force" too soon. */
+/* A steward that reported a number as applied while its gate was paused with a valid grant for a
+   lower one would let an operator see "in force" too soon. */
 static void
-test_gate_with_grant_holds_number (void)
+test_grant_in_use_keeps_lower_number (void)
 {
   StewardGates g;
 
@@ -40,10 +40,10 @@
   steward_gates_clear (&g);
 }
 
-/* A grant for number 5 can't be used under 4, so it does not keep the gate at 4; but once the gate
- * has 5 it counts for 5. */
+/* A grant for number 5 can't be used under 4, so it must not keep the gate at 4; once the gate has
+   5, the grant counts for 5. */
 static void
-test_grant_counts_for_its_number (void)
+test_pending_grant_counts_from_its_number (void)
 {
   StewardGates g;
 
@@ -57,9 +57,10 @@
   steward_gates_clear (&g);
 }
 
-/* More gates than there is room for: none that may still hold a grant is forgotten. */
+/* With more gates than there is room for, the entry of a gate that may still hold a grant must not
+   be reused. */
 static void
-test_gates_full (void)
+test_full_gates_keep_grants (void)
 {
   StewardGates g;
   uint64_t alive[STEWARD_GATES_MAX];
@@ -91,10 +92,10 @@
   return brake;
 }
 
-/* A brake raised in an outage must be in the table afterwards, or it is lost when all VMs are
- * replaced; and a new steward must learn it from there. */
+/* A brake raised in an outage must be written to the table afterwards, or it is lost when all VMs
+   are replaced. A new steward must read it from there. */
 static void
-test_brakes_reach_table (void)
+test_brakes_are_synced_with_table (void)
 {
   Platform *p = fake_platform_new ();
   ClusterBrake brake = brake_of ("v1", 3);
@@ -118,7 +119,8 @@
   platform_free (p);
 }
 
-/* The older brake in the table must not hide the newer one, nor the other way round. */
+/* An older brake in the table must not hide a newer one, nor a newer one be overwritten by an
+   older one. */
 static void
 test_newer_brake_wins_in_table (void)
 {
@@ -140,9 +142,9 @@
   platform_free (p);
 }
 
-/* With more brakes than one datagram carries, a peer that asks again and again gets them all. */
+/* With more brakes than one datagram carries, a peer that keeps asking must get them all. */
 static void
-test_brakes_in_shares (void)
+test_messages_carry_brakes_in_turn (void)
 {
   StewardBrakes a, b;
   char version[8];
@@ -170,9 +172,9 @@
   steward_brakes_clear (&b);
 }
 
-/* An entry whose write lost its reply is written again, and must be there once. */
+/* An entry is written again after a lost reply, and must be stored once. */
 static void
-test_audit_once (void)
+test_repeated_audit_write_leaves_one_row (void)
 {
   Platform *p = fake_platform_new ();
   StewardAuditQueue q;
@@ -195,7 +197,7 @@
 }
 
 static void
-test_audit_full (void)
+test_full_audit_queue_refuses (void)
 {
   StewardAuditQueue q;
   StewardAuditEntry entry = { .who = "ana", .action = "brake" };
@@ -240,9 +242,9 @@
   return number;
 }
 
-/* Sums over more rows than one page; a record's attempts count once each. */
+/* The sums must span several pages of rows, and count each attempt of a record once. */
 static void
-test_usage_sums (void)
+test_usage_sums_span_pages (void)
 {
   Platform *p = fake_platform_new ();
 
@@ -301,9 +303,10 @@
   free (back);
 }
 
-/* The bytes of heartbeats stay within their bound at any size, and asks never stop. */
+/* Heartbeats must stay within their bound of bytes with any number of members, and asks must never
+   stop. */
 static void
-test_heartbeat_rate (void)
+test_heartbeat_rate_is_bounded (void)
 {
   CU_ASSERT_TRUE (steward_heartbeat_rate (3) <= STEWARD_HEARTBEAT_ASKS_PER_S_MAX);
   CU_ASSERT_TRUE (steward_heartbeat_rate (360) < steward_heartbeat_rate (36));
@@ -311,19 +314,20 @@
   CU_ASSERT_TRUE (steward_heartbeat_rate (CLUSTER_MEMBERS_MAX) > 2);
 }
 
-/* All stewards together must leave the table service to the requests. */
+/* The polls of all stewards together must leave most of the table service's capacity to
+   requests. */
 static void
-test_poll_time (void)
+test_poll_interval_grows_with_members (void)
 {
   CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 9), 500);
   CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 36), 500);
   CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 360), 3600);
 }
 
-/* A gate whose records would be taken for left behind while it lives would have its row deleted and
- * its later objects never looked for; so doubt counts as alive. */
+/* If a gate that still runs were taken to be gone, its row would be deleted and its later objects
+   never be looked for. So a gate of unknown state counts as alive. */
 static void
-test_gate_alive_when_unsure (void)
+test_unknown_gate_counts_as_alive (void)
 {
   Steward *s = memory_alloc (sizeof *s);
   uint64_t gate = 55;
@@ -351,13 +355,13 @@
   free (s);
 }
 
-/* What an operator would see: "in force" for a number that withdraws a version, and after it an
- * answer by the number before. vm0 stopped as planned and left the view; the table service went
- * away; vm0 started again, learned the old view from its peers and got a grant by their word. Then
- * the service was back, the peers took over the view without vm0, accepted the next number and had
- * it in force among themselves, while vm0's grant still lasted. */
+/* An operator sees "in force" for a number that withdraws a version, but a later request is
+   answered under the number before. vm0 left the view at a planned stop, was started again in an
+   outage of the table service, learned the old view from its peers and got a grant on their
+   reports. After the outage the peers adopted the view without vm0, accepted the next number and
+   had it in force among themselves, while vm0's grant still lasted. */
 static void
-test_in_force_waits_for_one_that_left (void)
+test_in_force_waits_for_grant_of_removed_member (void)
 {
   enum
   {
@@ -396,7 +400,7 @@
   CU_ASSERT_FALSE (steward_cluster_progress (s, 12, end).in_force);
   CU_ASSERT_TRUE (steward_cluster_progress (s, 12, end + 1).in_force);
 
-  /* A new process at the same address takes the place over: nobody works unseen. */
+  /* A new process at the same address takes the slot over: no address is missing. */
   view->number = 4;
   view->members[0].incarnation = 1;
   CU_ASSERT_TRUE (steward_cluster_adopt_view (s, view, end + 2));
@@ -410,20 +414,21 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "gate_with_grant_holds_number", test_gate_with_grant_holds_number },
-    { "grant_counts_for_its_number", test_grant_counts_for_its_number },
-    { "gates_full", test_gates_full },
-    { "brakes_reach_table", test_brakes_reach_table },
+    { "grant_in_use_keeps_lower_number", test_grant_in_use_keeps_lower_number },
+    { "pending_grant_counts_from_its_number", test_pending_grant_counts_from_its_number },
+    { "full_gates_keep_grants", test_full_gates_keep_grants },
+    { "brakes_are_synced_with_table", test_brakes_are_synced_with_table },
     { "newer_brake_wins_in_table", test_newer_brake_wins_in_table },
-    { "brakes_in_shares", test_brakes_in_shares },
-    { "audit_once", test_audit_once },
-    { "audit_full", test_audit_full },
-    { "usage_sums", test_usage_sums },
+    { "messages_carry_brakes_in_turn", test_messages_carry_brakes_in_turn },
+    { "repeated_audit_write_leaves_one_row", test_repeated_audit_write_leaves_one_row },
+    { "full_audit_queue_refuses", test_full_audit_queue_refuses },
+    { "usage_sums_span_pages", test_usage_sums_span_pages },
     { "message_round_trip", test_message_round_trip },
-    { "heartbeat_rate", test_heartbeat_rate },
-    { "poll_time", test_poll_time },
-    { "gate_alive_when_unsure", test_gate_alive_when_unsure },
-    { "in_force_waits_for_one_that_left", test_in_force_waits_for_one_that_left },
+    { "heartbeat_rate_is_bounded", test_heartbeat_rate_is_bounded },
+    { "poll_interval_grows_with_members", test_poll_interval_grows_with_members },
+    { "unknown_gate_counts_as_alive", test_unknown_gate_counts_as_alive },
+    { "in_force_waits_for_grant_of_removed_member",
+      test_in_force_waits_for_grant_of_removed_member },
   };
 
   return suite_main (argc, argv, "steward_parts", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_rollout.c
+++ b/tests/test_steward_rollout.c
@@ -1,5 +1,5 @@
 /**
- * Roll-outs that drive themselves: evidence that counts once.
+ * Automatic roll-outs: evidence, which must count once.
  */
 #include "config.h"
 #include "fake_platform.h"
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #define STAGE_MS INT64_C (60000)
-#define VARIANCE 0.04 /* of ratings */
+#define VARIANCE 0.04 /* variance of the ratings */
 
 static rpc_evidence
 report (const char *team, const char *version, unsigned answers, double score)
@@ -36,7 +36,7 @@
   steward_evidence_add (e, &r, 1);
 }
 
-/* Evidence that follows a configuration of this number. */
+/* Initialises evidence with a configuration of this number. */
 static void
 evidence_new (StewardEvidence *e, int64_t number, int stage, const char *state)
 {
@@ -56,7 +56,7 @@
   config_unref (config);
 }
 
-/* The only roll-out's totals. */
+/* The totals of the only roll-out. */
 static EvidenceRollout
 totals_of (StewardEvidence *e)
 {
@@ -70,7 +70,7 @@
 }
 
 static void
-test_totals (void)
+test_totals_follow_stages (void)
 {
   StewardEvidence e;
 
@@ -89,7 +89,8 @@
   CU_ASSERT_EQUAL (t.sums[EVIDENCE_NEW][0].answers, 5);
   CU_ASSERT_DOUBLE_EQUAL (t.sums[EVIDENCE_NEW][0].rating_sum, 2.5, 1e-9);
   CU_ASSERT_EQUAL (t.sums[EVIDENCE_OLD][0].answers, 4);
-  /* A later stage goes on counting; an earlier one, or an end between, begins anew. */
+  /* Totals go on in a later stage, but start from zero in an earlier stage and after the roll-out
+     ended. */
   follow (&e, 6, 1, "running");
   CU_ASSERT_EQUAL (totals_of (&e).sums[EVIDENCE_NEW][0].answers, 5);
   CU_ASSERT_EQUAL (totals_of (&e).since, 5);
@@ -103,7 +104,7 @@
 }
 
 static void
-test_many_teams (void)
+test_excess_teams_are_summed (void)
 {
   StewardEvidence e;
   char team[16];
@@ -124,7 +125,7 @@
 }
 
 static void
-test_row_text (void)
+test_row_text_round_trip (void)
 {
   StewardEvidence e;
   EvidenceRollout *read = calloc (EVIDENCE_ROLLOUTS_MAX, sizeof *read);
@@ -153,7 +154,7 @@
         CU_ASSERT_DOUBLE_EQUAL (read->sums[side][i].rating_sum, t.sums[side][i].rating_sum, 1e-6);
       }
   free (text);
-  /* What is not understood is left out, and nothing else with it. */
+  /* What can't be parsed is skipped, and nothing else with it. */
   CU_ASSERT_EQUAL (steward_evidence_parse ("", read), 0);
   CU_ASSERT_EQUAL (steward_evidence_parse ("[1]", read), 0);
   CU_ASSERT_EQUAL (steward_evidence_parse ("{\"rollouts\":[7,{\"model\":\"m\"}]}", read), 0);
@@ -177,7 +178,7 @@
 }
 
 static void
-take (RolloutWatch *w, const char *source, StewardEvidence *e)
+add_totals (RolloutWatch *w, const char *source, StewardEvidence *e)
 {
   EvidenceRollout t = totals_of (e);
 
@@ -185,11 +186,11 @@
 }
 
 /*
- * A few bad answers are read from the table again and again, as the holder does every two seconds.
- * Were they added each time, a version would be braked for answers that were given once.
+ * The holder reads the same few bad answers from the table every two seconds. Were they added each
+ * time, a version would be braked for answers that were given once.
  */
 static void
-test_read_again (void)
+test_repeated_read_counts_once (void)
 {
   StewardEvidence e;
   evidence_new (&e, 5, 0, "running");
@@ -199,26 +200,27 @@
   add (&e, "a", "v2", 2, 0.4);
   for (int i = 0; i < 100; i++)
     {
-      take (w, "0000000000000001", &e);
+      add_totals (w, "0000000000000001", &e);
       CU_ASSERT_EQUAL (rollout_watch_decide (w, 0, INT64_C (2000) * i).verdict, ROLLOUT_WAIT);
     }
   CU_ASSERT_EQUAL (rollout_watch_callers (w), 2);
-  /* A steward that counts anew has new totals, though they are not greater. */
+  /* If a steward starts counting from zero, all of its totals are new, though they are not
+     greater. */
   follow (&e, 8, 0, "done");
   follow (&e, 9, 0, "running");
   add (&e, "a", "v2", 2, 0.4);
-  take (w, "0000000000000001", &e);
+  add_totals (w, "0000000000000001", &e);
   CU_ASSERT_EQUAL (rollout_watch_callers (w), 4);
-  /* So has another steward with the same ones. */
-  take (w, "0000000000000002", &e);
+  /* The same totals of another steward are new, too. */
+  add_totals (w, "0000000000000002", &e);
   CU_ASSERT_EQUAL (rollout_watch_callers (w), 6);
   rollout_watch_free (w);
   steward_evidence_clear (&e);
 }
 
-/* Each of nine VMs saw too little to tell; together they saw enough. */
+/* The evidence of each of nine VMs is too weak for a verdict; merged it must be strong enough. */
 static void
-test_merged (void)
+test_evidence_of_vms_is_merged (void)
 {
   StewardEvidence e[9];
   char source[16];
@@ -233,11 +235,11 @@
       add (&e[i], "a", "v1", 50, 0.8);
       add (&e[i], "a", "v2", 2, 0.3);
       RolloutWatch *one = watch_new (&e[i], 0);
-      take (one, "self", &e[i]);
+      add_totals (one, "self", &e[i]);
       own = rollout_watch_decide (one, 0, 1000);
       CU_ASSERT_EQUAL (own.verdict, ROLLOUT_WAIT);
       snprintf (source, sizeof source, "vm-%d", i);
-      take (all, source, &e[i]);
+      add_totals (all, source, &e[i]);
       merged = rollout_watch_decide (all, 0, 1000);
       rollout_watch_free (one);
       steward_evidence_clear (&e[i]);
@@ -247,10 +249,10 @@
   rollout_watch_free (all);
 }
 
-/* A version that fails half of its answers without any that is rated: errors come apart from whole
-   answers, and count as answers too. */
+/* A version fails half of its answers and none is rated. Errors are reported separately from
+   complete answers, and must count as answers too. */
 static void
-test_errors (void)
+test_unrated_errors_raise_brake (void)
 {
   StewardEvidence e;
   evidence_new (&e, 5, 0, "running");
@@ -264,7 +266,7 @@
       r.answers = 1;
       r.errors = 1;
       steward_evidence_add (&e, &r, 1);
-      take (w, "vm-1", &e);
+      add_totals (w, "vm-1", &e);
       if (rollout_watch_decide (w, 0, i).verdict == ROLLOUT_BRAKE)
         break;
     }
@@ -273,9 +275,9 @@
   steward_evidence_clear (&e);
 }
 
-/* What showed the version good in a stage does not count for the next one. */
+/* Evidence that a version is good in one stage must not count for the next stage. */
 static void
-test_stages (void)
+test_stages_need_own_evidence (void)
 {
   StewardEvidence e;
   evidence_new (&e, 5, 0, "running");
@@ -283,13 +285,13 @@
 
   add (&e, "a", "v1", 500, 0.8);
   add (&e, "a", "v2", 500, 0.8);
-  take (w, "vm-1", &e);
+  add_totals (w, "vm-1", &e);
   CU_ASSERT_EQUAL (rollout_watch_decide (w, 0, 1).verdict, ROLLOUT_WAIT);
-  /* The first decision began the stage, after what it was given: a holder that has just taken over
-     gathers anew. */
+  /* The first decision begins the stage after the evidence added so far: a new holder collects
+     evidence from zero. */
   add (&e, "a", "v1", 500, 0.8);
   add (&e, "a", "v2", 500, 0.8);
-  take (w, "vm-1", &e);
+  add_totals (w, "vm-1", &e);
   CU_ASSERT_EQUAL (rollout_watch_decide (w, 0, STAGE_MS / 2).verdict, ROLLOUT_WAIT);
   CU_ASSERT_EQUAL (rollout_watch_decide (w, 0, 2 * STAGE_MS).verdict, ROLLOUT_NEXT_STAGE);
   CU_ASSERT_EQUAL (rollout_watch_decide (w, 1, 2 * STAGE_MS + 1).verdict, ROLLOUT_WAIT);
@@ -299,11 +301,12 @@
 }
 
 /*
- * A version was backed out, mended, and is rolled out again at once. The row of a steward that died
- * meanwhile still holds what was found the first time: the mended version would be braked for it.
+ * A version was backed out, corrected, and is rolled out again at once. The row of a steward that
+ * died in between still holds evidence of the first roll-out, for which the corrected version would
+ * be braked.
  */
 static void
-test_earlier_rollout (void)
+test_earlier_rollout_is_ignored (void)
 {
   StewardEvidence dead, e;
   evidence_new (&dead, 5, 0, "running");
@@ -314,21 +317,21 @@
   follow (&e, 7, 0, "running");
   RolloutWatch *w = watch_new (&e, 0);
 
-  take (w, "dead", &dead);
+  add_totals (w, "dead", &dead);
   CU_ASSERT_EQUAL (rollout_watch_decide (w, 0, 1).verdict, ROLLOUT_WAIT);
   CU_ASSERT_EQUAL (rollout_watch_callers (w), 0);
-  /* Without that knowledge it counts. */
-  RolloutWatch *unknowing = watch_new (&dead, 0);
-  take (unknowing, "dead", &dead);
-  CU_ASSERT_EQUAL (rollout_watch_decide (unknowing, 0, 1).verdict, ROLLOUT_BRAKE);
-  rollout_watch_free (unknowing);
+  /* Without a record of the earlier roll-out's end it counts. */
+  RolloutWatch *without_record = watch_new (&dead, 0);
+  add_totals (without_record, "dead", &dead);
+  CU_ASSERT_EQUAL (rollout_watch_decide (without_record, 0, 1).verdict, ROLLOUT_BRAKE);
+  rollout_watch_free (without_record);
   rollout_watch_free (w);
   steward_evidence_clear (&e);
   steward_evidence_clear (&dead);
 }
 
 static void
-test_set (void)
+test_set_follows_open_rollouts (void)
 {
   StewardEvidence e;
   RolloutSet set = { 0 };
@@ -359,7 +362,7 @@
   return true;
 }
 
-/* As if none were open. */
+/* Like count_answers, but reports that no roll-out is open. */
 static bool
 count_ended (void *context, const char *key, const EvidenceRollout *totals)
 {
@@ -388,12 +391,12 @@
 }
 
 /*
- * The table service is slow: the steward gives a write up, writes newer totals, and then the old
- * write takes effect. Evidence would vanish from the row and be added once more with the next
+ * The table service is slow: a steward's write times out, the steward writes newer totals, and then
+ * the old write arrives. If it took effect, totals would fall and be added again with the next
  * write, as if the same answers had been given twice.
  */
 static void
-test_late_row (void)
+test_late_write_does_not_lower_totals (void)
 {
   Platform *p = fake_platform_new ();
   StewardEvidence e;
@@ -409,7 +412,7 @@
   CU_ASSERT_EQUAL (write_totals (&row, p, &e), STATUS_OK);
   CU_ASSERT_EQUAL (fake_platform_late_effects (p), 0);
   CU_ASSERT_EQUAL (answers_in_table (p), 7);
-  /* A lost reply: the next write finds the row's version out. */
+  /* After a lost reply the next write reads the row's version first. */
   fake_platform_fault (p, FAULT_LOSE_REPLY, CALL_TXN, 1);
   add (&e, "a", "v2", 1, 0.5);
   CU_ASSERT_EQUAL (write_totals (&row, p, &e), STATUS_UNKNOWN);
@@ -427,7 +430,7 @@
   bool done;
 } Race;
 
-/* Called before the transaction that deletes. */
+/* Called before the transaction that deletes rows. */
 static void
 write_meanwhile (void *context, FakeCall call)
 {
@@ -444,10 +447,10 @@
   free (text);
 }
 
-/* Rows of ended roll-outs go, but none that a steward has written while they were listed: that one
+/* Rows of ended roll-outs must be deleted, but not a row that its steward wrote after the read: it
    counts for a roll-out that has just begun. */
 static void
-test_delete_rows (void)
+test_rows_of_ended_rollouts_are_deleted (void)
 {
   Platform *p = fake_platform_new ();
   StewardEvidence e;
@@ -468,7 +471,8 @@
   CU_ASSERT_EQUAL (fake_platform_rows (p, "evidence"), 2);
   CU_ASSERT_EQUAL (evidence_rows_read (p, count_ended, &answers, NULL), STATUS_OK);
   CU_ASSERT_EQUAL (fake_platform_rows (p, "evidence"), 0);
-  /* Its steward still thinks that the row is there: the write conflicts, and the next succeeds. */
+  /* The steward still has the version of the deleted row: its write conflicts, and the next one
+     succeeds. */
   CU_ASSERT_EQUAL (write_totals (&late, p, &e), STATUS_CONFLICT);
   CU_ASSERT_EQUAL (write_totals (&late, p, &e), STATUS_OK);
   CU_ASSERT_EQUAL (fake_platform_rows (p, "evidence"), 1);
@@ -477,7 +481,7 @@
 }
 
 static void
-test_pace (void)
+test_interval_grows_with_members (void)
 {
   CU_ASSERT_EQUAL (steward_evidence_interval_ms (3), 2000);
   CU_ASSERT_EQUAL (steward_evidence_interval_ms (360), 54000);
@@ -487,18 +491,18 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "totals", test_totals },
-    { "many_teams", test_many_teams },
-    { "row_text", test_row_text },
-    { "read_again", test_read_again },
-    { "merged", test_merged },
-    { "errors", test_errors },
-    { "stages", test_stages },
-    { "earlier_rollout", test_earlier_rollout },
-    { "set", test_set },
-    { "late_row", test_late_row },
-    { "delete_rows", test_delete_rows },
-    { "pace", test_pace },
+    { "totals_follow_stages", test_totals_follow_stages },
+    { "excess_teams_are_summed", test_excess_teams_are_summed },
+    { "row_text_round_trip", test_row_text_round_trip },
+    { "repeated_read_counts_once", test_repeated_read_counts_once },
+    { "evidence_of_vms_is_merged", test_evidence_of_vms_is_merged },
+    { "unrated_errors_raise_brake", test_unrated_errors_raise_brake },
+    { "stages_need_own_evidence", test_stages_need_own_evidence },
+    { "earlier_rollout_is_ignored", test_earlier_rollout_is_ignored },
+    { "set_follows_open_rollouts", test_set_follows_open_rollouts },
+    { "late_write_does_not_lower_totals", test_late_write_does_not_lower_totals },
+    { "rows_of_ended_rollouts_are_deleted", test_rows_of_ended_rollouts_are_deleted },
+    { "interval_grows_with_members", test_interval_grows_with_members },
   };
 
   return suite_main (argc, argv, "steward_rollout", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_rollout_step.c
+++ b/tests/test_steward_rollout_step.c
@@ -1,5 +1,5 @@
 /**
- * Roll-outs that drive themselves: steps, and orders to engines.
+ * Automatic roll-outs: steps, and orders to engines.
  */
 #include "config.h"
 #include "fake_platform.h"
@@ -14,41 +14,41 @@
 #include <string.h>
 
 static RolloutStep
-due (int stage, const char *state, RolloutStepInput look)
+due (int stage, const char *state, RolloutStepInput input)
 {
   Config *config = fake_rollout_config (1, 1, stage, state);
-  RolloutStep step = rollout_step_due (&config->rollouts[0], &look);
+  RolloutStep step = rollout_step_due (&config->rollouts[0], &input);
 
   config_unref (config);
   return step;
 }
 
 static void
-test_steps (void)
+test_next_step (void)
 {
   const RolloutStepInput good
       = { .verdict = ROLLOUT_NEXT_STAGE, .accepted = true, .ordered = true };
-  RolloutStepInput look = good;
+  RolloutStepInput input = good;
 
   CU_ASSERT_EQUAL (due (0, "running", good), ROLLOUT_STEP_NEXT);
   CU_ASSERT_EQUAL (due (1, "running", good), ROLLOUT_STEP_DONE);
   CU_ASSERT_EQUAL (due (0, "paused", good), ROLLOUT_STEP_NONE);
   CU_ASSERT_EQUAL (due (1, "done", good), ROLLOUT_STEP_NONE);
   CU_ASSERT_EQUAL (due (0, "backed_out", good), ROLLOUT_STEP_NONE);
-  look.accepted = false;
-  CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_NONE);
-  look = good;
-  look.ordered = false;
-  CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_NONE);
-  look = (RolloutStepInput){ .verdict = ROLLOUT_WAIT, .accepted = true, .ordered = true };
-  CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_NONE);
-  /* A brake that another raised calls for the step that its holder did not come to make; neither it
-     nor bad evidence waits for acceptance or engines. */
-  look = (RolloutStepInput){ .verdict = ROLLOUT_NEXT_STAGE, .braked = true };
-  CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_BACK_OUT);
-  look = (RolloutStepInput){ .verdict = ROLLOUT_BRAKE };
-  CU_ASSERT_EQUAL (due (0, "running", look), ROLLOUT_STEP_BACK_OUT);
-  CU_ASSERT_EQUAL (due (0, "paused", look), ROLLOUT_STEP_NONE);
+  input.accepted = false;
+  CU_ASSERT_EQUAL (due (0, "running", input), ROLLOUT_STEP_NONE);
+  input = good;
+  input.ordered = false;
+  CU_ASSERT_EQUAL (due (0, "running", input), ROLLOUT_STEP_NONE);
+  input = (RolloutStepInput){ .verdict = ROLLOUT_WAIT, .accepted = true, .ordered = true };
+  CU_ASSERT_EQUAL (due (0, "running", input), ROLLOUT_STEP_NONE);
+  /* A brake raised by another steward or an operator causes the back-out. Neither it nor bad
+     evidence waits for acceptance or for engines. */
+  input = (RolloutStepInput){ .verdict = ROLLOUT_NEXT_STAGE, .braked = true };
+  CU_ASSERT_EQUAL (due (0, "running", input), ROLLOUT_STEP_BACK_OUT);
+  input = (RolloutStepInput){ .verdict = ROLLOUT_BRAKE };
+  CU_ASSERT_EQUAL (due (0, "running", input), ROLLOUT_STEP_BACK_OUT);
+  CU_ASSERT_EQUAL (due (0, "paused", input), ROLLOUT_STEP_NONE);
 }
 
 static void
@@ -70,7 +70,7 @@
 }
 
 static void
-test_patches (void)
+test_step_patches (void)
 {
   expect_patch (ROLLOUT_STEP_NEXT, "{\"rollouts\":{\"m\":{\"stage\":1}}}");
   expect_patch (ROLLOUT_STEP_DONE, "{\"rollouts\":{\"m\":{\"state\":\"done\"}},"
@@ -99,7 +99,7 @@
 }
 
 static void
-test_desired (void)
+test_desired_orders (void)
 {
   Config *config = fake_rollout_config (7, 1, 0, "running");
   struct json_object *early = orders_desired (config, &config->servers[0], 3, false);
@@ -129,11 +129,11 @@
 
 /*
  * An engine that does not check fencing numbers would obey an order of a steward that has lost its
- * duty, and load what a successor had it unload. The order is not sent once the lease has run out,
- * and a refusal of one that checks is told apart from an engine that does not answer.
+ * duty, and load what the successor had it unload. So no order may be sent once the lease has
+ * expired, and a refusal by an engine that checks must differ from a missing answer.
  */
 static void
-test_orders (void)
+test_orders_need_held_duty (void)
 {
   static const FakeAnswer taken = { .text = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}" };
   static const FakeAnswer refused
@@ -170,10 +170,10 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "steps", test_steps },
-    { "patches", test_patches },
-    { "desired", test_desired },
-    { "orders", test_orders },
+    { "next_step", test_next_step },
+    { "step_patches", test_step_patches },
+    { "desired_orders", test_desired_orders },
+    { "orders_need_held_duty", test_orders_need_held_duty },
   };
 
   return suite_main (argc, argv, "steward_rollout_step", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_submit.c
+++ b/tests/test_steward_submit.c
@@ -1,5 +1,6 @@
 /**
- * Operators' changes of the configuration: races, lost replies, late effects.
+ * Operators' changes of the configuration: concurrent changes, lost replies, writes with late
+ * effect.
  */
 #include "fake_platform.h"
 #include "steward_head.h"
@@ -29,7 +30,7 @@
   return out->outcome;
 }
 
-/* Outcome and number (or head) in one, for short tests. */
+/* Returns the outcome and the number (or head). */
 static StewardSubmitOutcome
 submit_number (Platform *p, int64_t base, const char *change, int64_t *number)
 {
@@ -82,7 +83,7 @@
 }
 
 static void
-test_numbers_rise (void)
+test_numbers_rise_by_one (void)
 {
   Platform *p = platform_with_first ();
   int64_t number;
@@ -96,10 +97,10 @@
   platform_free (p);
 }
 
-/* Two operators patch against the same number. One wins; the other is told the winner's number, and
- * nothing of his is in force. */
+/* Two operators submit patches against the same number. One succeeds; the other must get the
+   newest number, and nothing of the refused patch may be in force. */
 static void
-test_race_has_one_winner (void)
+test_concurrent_patches_have_one_winner (void)
 {
   Platform *p = platform_with_first ();
   int64_t number;
@@ -133,10 +134,10 @@
   platform_free (p);
 }
 
-/* The patch is committed and the reply lost. Told "failed", the operator would submit it again and
- * be told that another patch came first, which is his own. */
+/* The patch is committed and its reply lost. Told that it failed, the operator would submit it
+   again and get a conflict with the same patch. */
 static void
-test_lost_reply_is_settled (void)
+test_lost_reply_is_found_durable (void)
 {
   Platform *p = platform_with_first ();
   int64_t number;
@@ -162,10 +163,10 @@
   platform_free (p);
 }
 
-/* The first transaction is so slow that its steward gives up and writes again; then it takes effect
- * after all. Both must leave one version. */
+/* The first transaction is so slow that its steward gives up and writes again; then it arrives.
+   Both must leave one version. */
 static void
-test_late_effect_is_harmless (void)
+test_late_write_makes_no_second_version (void)
 {
   Platform *p = platform_with_first ();
   int64_t number;
@@ -178,13 +179,13 @@
   platform_free (p);
 }
 
-/** What another steward does in between. */
+/** What another steward does before this one's transaction arrives. */
 typedef struct
 {
   Platform *p;
   bool done;
   const char *change; /**< a patch, or NULL to accept the newest number */
-  FakeFault after;    /**< that our own call meets then, once */
+  FakeFault after;    /**< fault of the next transaction of the steward under test */
 } Between;
 
 static void
@@ -214,10 +215,10 @@
     fake_platform_fault (b->p, b->after, CALL_TXN, 1);
 }
 
-/* Our first call is lost, and another operator's patch gets in. Its row under our number must not
- * be taken for ours. */
+/* The first transaction is lost, and another operator's patch is committed. Its row with the same
+   number must not be taken for the own one. */
 static void
-test_lost_call_and_lost_race (void)
+test_lost_call_reports_conflict_of_other_patch (void)
 {
   Platform *p = platform_with_first ();
   Between b = { .p = p, .change = withdraw_v2, .after = FAULT_LOSE_CALL };
@@ -231,10 +232,10 @@
   platform_free (p);
 }
 
-/* Between our read of the head row and our write, another steward accepts the number before. The
- * operator lost no race, so he must not be told that he did. */
+/* Between the read of the head row and the write, another steward accepts the number before. No
+   other patch came first, so the operator must not get a conflict. */
 static void
-test_acceptance_between_is_no_conflict (void)
+test_concurrent_acceptance_is_no_conflict (void)
 {
   Platform *p = platform_with_first ();
   Between b = { .p = p };
@@ -250,7 +251,7 @@
 }
 
 static void
-test_down_is_not_done (void)
+test_outage_is_unavailable (void)
 {
   Platform *p = platform_with_first ();
   int64_t number;
@@ -265,7 +266,8 @@
   platform_free (p);
 }
 
-/* The call is lost and then the service goes away: whether it took effect can't be told now. */
+/* The reply is lost and then the service becomes unavailable: whether the transaction took effect
+   can't be determined. */
 static void
 down_after_first (void *context, FakeCall call)
 {
@@ -278,7 +280,7 @@
 }
 
 static void
-test_lost_reply_then_down_is_unknown (void)
+test_lost_reply_in_outage_is_unknown (void)
 {
   Platform *p = platform_with_first ();
   Between b = { .p = p };
@@ -297,16 +299,16 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "numbers_rise", test_numbers_rise },
-    { "race_has_one_winner", test_race_has_one_winner },
+    { "numbers_rise_by_one", test_numbers_rise_by_one },
+    { "concurrent_patches_have_one_winner", test_concurrent_patches_have_one_winner },
     { "invalid_changes_nothing", test_invalid_changes_nothing },
-    { "lost_reply_is_settled", test_lost_reply_is_settled },
+    { "lost_reply_is_found_durable", test_lost_reply_is_found_durable },
     { "lost_call_is_repeated", test_lost_call_is_repeated },
-    { "late_effect_is_harmless", test_late_effect_is_harmless },
-    { "lost_call_and_lost_race", test_lost_call_and_lost_race },
-    { "acceptance_between_is_no_conflict", test_acceptance_between_is_no_conflict },
-    { "down_is_not_done", test_down_is_not_done },
-    { "lost_reply_then_down_is_unknown", test_lost_reply_then_down_is_unknown },
+    { "late_write_makes_no_second_version", test_late_write_makes_no_second_version },
+    { "lost_call_reports_conflict_of_other_patch", test_lost_call_reports_conflict_of_other_patch },
+    { "concurrent_acceptance_is_no_conflict", test_concurrent_acceptance_is_no_conflict },
+    { "outage_is_unavailable", test_outage_is_unavailable },
+    { "lost_reply_in_outage_is_unknown", test_lost_reply_in_outage_is_unknown },
   };
 
   return suite_main (argc, argv, "steward_submit", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -1,5 +1,5 @@
 /**
- * Writes of the view row and of acceptance, and removal of members that are gone.
+ * Writes of the view row and of acceptance, and removal of members that have left for good.
  */
 #include "fake_members.h"
 #include "fake_platform.h"
@@ -26,7 +26,7 @@
   free (text);
 }
 
-/** What one steward has read. */
+/** The rows as one steward has read them. */
 typedef struct
 {
   StewardHead head;
@@ -54,7 +54,7 @@
 }
 
 static void
-test_register_and_read (void)
+test_registered_member_is_read_back (void)
 {
   Platform *p = fake_platform_new ();
   Seen *seen = read_rows (p);
@@ -71,8 +71,8 @@
   platform_free (p);
 }
 
-/* Two VMs start at once and read the same row. If the second write put its own list over the
- * first's, a registered member would vanish from the view, and its vote with it. */
+/* Two VMs start at once and read the same row. If the second write replaced the first, a
+   registered member would be missing in the view, and its vote with it. */
 static void
 test_second_registration_conflicts (void)
 {
@@ -94,10 +94,10 @@
 }
 
 /* A patch becomes durable between a steward's read of the head and its write of the view. The view
- * would tell new members of a head that is too old, and one that missed the patch could take the
- * view over and go on. */
+   would give new members a head that is too old, and a member that missed the patch could adopt
+   the view and go on. */
 static void
-test_new_number_refuses_view (void)
+test_new_number_makes_view_conflict (void)
 {
   Platform *p = fake_platform_new ();
   Seen *seen;
@@ -110,8 +110,8 @@
   platform_free (p);
 }
 
-/* Acceptance counts members of the view that was read. If the view changed meanwhile, the count may
- * be of members that have no vote any more. */
+/* Acceptance counts members of the view that was read. If the view has changed since, the count
+   may include members that have no vote any more. */
 static void
 test_accept_needs_unchanged_view (void)
 {
@@ -139,7 +139,7 @@
 }
 
 static void
-test_lost_reply_forgets_row (void)
+test_lost_reply_makes_row_unknown (void)
 {
   Platform *p = fake_platform_new ();
   Seen *seen = read_rows (p);
@@ -154,7 +154,7 @@
   platform_free (p);
 }
 
-/** A steward that knows a view of that many, itself the first, without threads. */
+/** A steward without threads whose view has that many members, itself the first. */
 static Steward *
 steward_of (size_t count)
 {
@@ -179,7 +179,7 @@
   free (s);
 }
 
-/* Lists the members of the view with those numbers. */
+/* A list of VMs with the members of the view at those indices. */
 static PlatformVms
 list_of (const Steward *s, const int *numbers, size_t count)
 {
@@ -192,7 +192,7 @@
 }
 
 static size_t
-judge (StewardRemoval *r, Steward *s, const int *listed, size_t count, int64_t now)
+select_removed (StewardRemoval *r, Steward *s, const int *listed, size_t count, int64_t now)
 {
   PlatformVms vms = list_of (s, listed, count);
   uint64_t *dead;
@@ -205,26 +205,26 @@
   return due;
 }
 
-/* A VM is gone and never comes back. Its vote would stay in every majority; after the list's lag it
- * is removed. */
+/* A VM has left for good. Its vote would stay in every majority; it must be removed after the
+   list's lag. */
 static void
-test_removal_after_lag (void)
+test_missing_silent_member_is_removed (void)
 {
   static const int without_third[] = { 0, 1 };
   StewardRemoval *r = steward_removal_new ();
   Steward *s = steward_of (3);
 
-  CU_ASSERT_EQUAL (judge (r, s, without_third, 2, 100000), 0);
-  CU_ASSERT_EQUAL (judge (r, s, without_third, 2, 100000 + STEWARD_LIST_LAG_MS - 1), 0);
-  CU_ASSERT_EQUAL (judge (r, s, without_third, 2, 100000 + STEWARD_LIST_LAG_MS), 1);
+  CU_ASSERT_EQUAL (select_removed (r, s, without_third, 2, 100000), 0);
+  CU_ASSERT_EQUAL (select_removed (r, s, without_third, 2, 100000 + STEWARD_LIST_LAG_MS - 1), 0);
+  CU_ASSERT_EQUAL (select_removed (r, s, without_third, 2, 100000 + STEWARD_LIST_LAG_MS), 1);
   free_steward (s);
   steward_removal_free (r);
 }
 
-/* The list loses a VM that runs, and shows it again later. Removed, it would have no vote although
- * it serves callers. */
+/* The list loses a VM that runs, and shows it again later. If it were removed, it would have no
+   vote although it serves callers. */
 static void
-test_no_removal_of_listed_or_heard (void)
+test_listed_or_live_member_is_kept (void)
 {
   static const int without_third[] = { 0, 1 };
   static const int all[] = { 0, 1, 2 };
@@ -233,22 +233,22 @@
   Steward *s = steward_of (3);
   ClusterState *third;
 
-  CU_ASSERT_EQUAL (judge (r, s, without_third, 2, 100000), 0);
-  CU_ASSERT_EQUAL (judge (r, s, all, 3, late - 1), 0);
-  CU_ASSERT_EQUAL (judge (r, s, without_third, 2, late), 0);
+  CU_ASSERT_EQUAL (select_removed (r, s, without_third, 2, 100000), 0);
+  CU_ASSERT_EQUAL (select_removed (r, s, all, 3, late - 1), 0);
+  CU_ASSERT_EQUAL (select_removed (r, s, without_third, 2, late), 0);
   third = fake_member_new (3, 0, cluster_state_view (s->cluster.state));
   CU_ASSERT_TRUE (fake_exchange (s->cluster.state, third, late + 1, late + 1));
-  CU_ASSERT_EQUAL (judge (r, s, without_third, 2, late + 2), 0);
-  CU_ASSERT_EQUAL (judge (r, s, without_third, 2, late + STEWARD_LIST_LAG_MS), 0);
+  CU_ASSERT_EQUAL (select_removed (r, s, without_third, 2, late + 2), 0);
+  CU_ASSERT_EQUAL (select_removed (r, s, without_third, 2, late + STEWARD_LIST_LAG_MS), 0);
   cluster_state_free (third);
   free_steward (s);
   steward_removal_free (r);
 }
 
-/* We were cut off from all, and see the list again before we hear anybody: by silence and a list
- * that lags, the others would be dead. */
+/* A VM was cut off from all others, and reads the list again before it hears from any member. By
+   their silence and a list that lags, all others would be removed. */
 static void
-test_no_removal_while_cut_off (void)
+test_members_are_kept_while_cut_off (void)
 {
   static const int only_first[] = { 0 };
   StewardRemoval *r = steward_removal_new ();
@@ -259,18 +259,18 @@
   steward_cluster_update_suspicion (s, 100000);
   CU_ASSERT_EQUAL (s->cluster.suspicion.kind, STEWARD_SUSPECT_SELF);
   for (int64_t now = 0; now <= 3 * STEWARD_LIST_LAG_MS; now += 1000)
-    CU_ASSERT_EQUAL (judge (r, s, only_first, 1, now), 0);
+    CU_ASSERT_EQUAL (select_removed (r, s, only_first, 1, now), 0);
   free_steward (s);
   steward_removal_free (r);
 }
 
 /*
- * After all VMs were replaced at once by VMs with other addresses, no patch comes into force any
- * more. Those that are gone stay in the view, and as they are as many as the new ones, each steward
- * suspects its own network and removes none of them. Found by the soak run.
+ * After all VMs were replaced at once by VMs with other addresses, no patch comes into force: the
+ * old members stay in the view, and as they are as many as the new ones, each steward suspects its
+ * own network and removes none of them. Found by the soak run.
  */
 static void
-test_removal_after_most_were_replaced (void)
+test_members_are_removed_after_replacement_of_all (void)
 {
   static const int first_two[] = { 0, 1 };
   int64_t late = 100000 + STEWARD_LIST_LAG_MS;
@@ -282,7 +282,7 @@
     {
       CU_ASSERT_TRUE (fake_exchange (s->cluster.state, second, now, now));
       steward_cluster_update_suspicion (s, now);
-      CU_ASSERT_EQUAL (judge (r, s, first_two, 2, now), now < late ? 0 : 3);
+      CU_ASSERT_EQUAL (select_removed (r, s, first_two, 2, now), now < late ? 0 : 3);
     }
   CU_ASSERT_EQUAL (s->cluster.suspicion.kind, STEWARD_SUSPECT_SELF);
   cluster_state_free (second);
@@ -291,12 +291,12 @@
 }
 
 /*
- * An operator is told that number 8 is in force; a request sent after that is answered under
- * number 7. A VM was stopped as planned, so that it was no member any more, and was started again
- * in an outage; it took work on its peers' word, and nobody waited for it. Found by the soak run.
+ * An operator is told that number 8 is in force, but a request sent after that is answered under
+ * number 7. A VM left the view at a planned stop and was started again in an outage; it took work
+ * on its peers' reports, and no number waited for it. Found by the soak run.
  */
 static void
-test_no_grant_for_one_who_is_not_waited_for (void)
+test_steward_that_is_not_waited_for_gets_no_grant (void)
 {
   Steward *s = steward_of (3);
   const ClusterView *view = cluster_state_view (s->cluster.state);
@@ -308,7 +308,7 @@
   CU_ASSERT_EQUAL (steward_cluster_grant (s, 1001), FAKE_GRANT_MS - 1);
   s->incarnation = 9;
   CU_ASSERT_EQUAL (steward_cluster_grant (s, 1001), 0);
-  /* At the address of a member that was killed it is waited for in that one's place. */
+  /* At the address of a killed member the steward is waited for in that member's slot. */
   s->self = view->members[0];
   CU_ASSERT_EQUAL (steward_cluster_grant (s, 1001), FAKE_GRANT_MS - 1);
   cluster_state_free (second);
@@ -316,7 +316,8 @@
   free_steward (s);
 }
 
-/* Nine members in three failure domains, ours the first. */
+/* Up to nine members in three failure domains, the first being this steward; 's' marks a silent
+   one. */
 static StewardSuspicion
 suspicion_of (const char *silent)
 {
@@ -337,7 +338,7 @@
 }
 
 static void
-test_suspicions_told_apart (void)
+test_suspicion_kinds (void)
 {
   CU_ASSERT_EQUAL (suspicion_of (".........").kind, STEWARD_SUSPECT_NONE);
   CU_ASSERT_EQUAL (suspicion_of ("....s....").kind, STEWARD_SUSPECT_MEMBERS);
@@ -351,10 +352,10 @@
   CU_ASSERT_EQUAL (suspicion_of ("").kind, STEWARD_SUSPECT_NONE);
 }
 
-/* The list is empty or of another site, as after a fault of the platform: by it all members would
- * be dead. */
+/* The list is empty or of another site, as after a fault of the platform. By such a list all
+   members would be removed. */
 static void
-test_no_removal_by_foreign_list (void)
+test_foreign_list_removes_nobody (void)
 {
   static const int without_first[] = { 1 };
   StewardRemoval *r = steward_removal_new ();
@@ -362,8 +363,8 @@
 
   for (int64_t now = 0; now <= 3 * STEWARD_LIST_LAG_MS; now += 1000)
     {
-      CU_ASSERT_EQUAL (judge (r, s, without_first, 1, now), 0);
-      CU_ASSERT_EQUAL (judge (r, s, NULL, 0, now), 0);
+      CU_ASSERT_EQUAL (select_removed (r, s, without_first, 1, now), 0);
+      CU_ASSERT_EQUAL (select_removed (r, s, NULL, 0, now), 0);
     }
   free_steward (s);
   steward_removal_free (r);
@@ -373,18 +374,20 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "register_and_read", test_register_and_read },
+    { "registered_member_is_read_back", test_registered_member_is_read_back },
     { "second_registration_conflicts", test_second_registration_conflicts },
-    { "new_number_refuses_view", test_new_number_refuses_view },
+    { "new_number_makes_view_conflict", test_new_number_makes_view_conflict },
     { "accept_needs_unchanged_view", test_accept_needs_unchanged_view },
-    { "lost_reply_forgets_row", test_lost_reply_forgets_row },
-    { "removal_after_lag", test_removal_after_lag },
-    { "no_removal_of_listed_or_heard", test_no_removal_of_listed_or_heard },
-    { "no_removal_while_cut_off", test_no_removal_while_cut_off },
-    { "suspicions_told_apart", test_suspicions_told_apart },
-    { "removal_after_most_were_replaced", test_removal_after_most_were_replaced },
-    { "no_grant_for_one_who_is_not_waited_for", test_no_grant_for_one_who_is_not_waited_for },
-    { "no_removal_by_foreign_list", test_no_removal_by_foreign_list },
+    { "lost_reply_makes_row_unknown", test_lost_reply_makes_row_unknown },
+    { "missing_silent_member_is_removed", test_missing_silent_member_is_removed },
+    { "listed_or_live_member_is_kept", test_listed_or_live_member_is_kept },
+    { "members_are_kept_while_cut_off", test_members_are_kept_while_cut_off },
+    { "suspicion_kinds", test_suspicion_kinds },
+    { "members_are_removed_after_replacement_of_all",
+      test_members_are_removed_after_replacement_of_all },
+    { "steward_that_is_not_waited_for_gets_no_grant",
+      test_steward_that_is_not_waited_for_gets_no_grant },
+    { "foreign_list_removes_nobody", test_foreign_list_removes_nobody },
   };
 
   return suite_main (argc, argv, "steward_view", cases, SUITE_COUNT (cases));
