--- a/tests/test_steward_duty.c
+++ b/tests/test_steward_duty.c
@@ -211,7 +211,7 @@
 typedef struct
 {
   StewardDuty *successor;
-  bool paused;
+  bool has_paused;
 } Pause;
 
 /* Pauses the caller directly before its transaction arrives, until its lease has expired. */
@@ -220,9 +220,9 @@
 {
   Pause *f = context;
 
-  if (call != CALL_TXN || f->paused)
+  if (call != CALL_TXN || f->has_paused)
     return;
-  f->paused = true;
+  f->has_paused = true;
   run_for (30000, f->successor, NULL);
 }
 
@@ -272,7 +272,7 @@
   fake_platform_hook (p, pause_holder, &f);
   CU_ASSERT_EQUAL (submit (p, 1, change, &condition), STEWARD_SUBMIT_CONFLICT);
   fake_platform_hook (p, NULL, NULL);
-  CU_ASSERT (f.paused);
+  CU_ASSERT (f.has_paused);
   CU_ASSERT_EQUAL (head_number (p), 1);
   CU_ASSERT_EQUAL (steward_duty_fence (b), 2);
   CU_ASSERT_FALSE (steward_duty_may_order (a));
--- a/tests/test_steward_rollout_step.c
+++ b/tests/test_steward_rollout_step.c
@@ -171,7 +171,7 @@
 {
   static const SuiteCase cases[] = {
     { "next_step", test_next_step },
-    { "step_patches", test_step_patches },
+    { "patches", test_step_patches },
     { "desired_orders", test_desired_orders },
     { "orders_need_held_duty", test_orders_need_held_duty },
   };
