--- a/src/steward.h
+++ b/src/steward.h
@@ -27,7 +27,7 @@
 typedef struct
 {
   pthread_mutex_t lock;
-  pthread_cond_t changed; /**< broadcast when a change may end somebody's wait */
+  pthread_cond_t changed; /**< broadcast when a change may end a wait */
   ClusterState *state;
   bool granted;           /**< whether a grant could be given at the last check, for the log */
   bool member_left;       /**< an adopted view lacks an address of the view before it, and it is not
@@ -67,10 +67,9 @@
   StewardFetch *fetch;
   StewardHttp *http;
   StewardRollout *rollout;
-  int64_t started_at; /**< boot-time clock, ms */
-  int64_t
-      next_recovery_at; /**< next recovery from the object store; used by the table's thread only */
-  atomic_bool platform_up; /**< the last read of the head row was answered */
+  int64_t started_at;       /**< boot-time clock, ms */
+  int64_t next_recovery_at; /**< of the object store; table's thread only */
+  atomic_bool platform_up;  /**< the last read of the head row was answered */
 } Steward;
 
 #endif
--- a/src/steward_audit.c
+++ b/src/steward_audit.c
@@ -67,7 +67,7 @@
   bool room;
 
   pthread_mutex_lock (&q->lock);
-  room = q->count < STEWARD_AUDIT_QUEUE;
+  room = q->count < STEWARD_AUDIT_QUEUE_MAX;
   if (room)
     steward_audit_row (entry, &q->rows[q->count++]);
   pthread_mutex_unlock (&q->lock);
--- a/src/steward_audit.h
+++ b/src/steward_audit.h
@@ -9,8 +9,8 @@
 #include <json-c/json.h>
 #include <pthread.h>
 
-#define STEWARD_AUDIT_KEY_SIZE 64
-#define STEWARD_AUDIT_QUEUE    512
+#define STEWARD_AUDIT_KEY_SIZE  64
+#define STEWARD_AUDIT_QUEUE_MAX 512
 
 /** Strings are borrowed; NULL is written as "". */
 typedef struct
@@ -39,12 +39,12 @@
 {
   pthread_mutex_t lock;
   size_t count;
-  StewardAuditRow rows[STEWARD_AUDIT_QUEUE];
+  StewardAuditRow rows[STEWARD_AUDIT_QUEUE_MAX];
 } StewardAuditQueue;
 
 void steward_audit_queue_init (StewardAuditQueue *q);
 void steward_audit_queue_clear (StewardAuditQueue *q);
-/** False if the queue is full: the entry is dropped, and only the log tells of its event. */
+/** False if the queue is full: the entry is dropped, and only the log records its event. */
 bool steward_audit_queue_add (StewardAuditQueue *q, const StewardAuditEntry *entry);
 /** Writes the queued entries, oldest first; STATUS_OK when none is left. */
 StatusCode
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -61,9 +61,9 @@
     log_msg (MSG_STEWARD_APPLIED, "config=\"%lld\"", (long long)number);
 }
 
-/* True if operators wait for this steward before a number counts as in force: they wait until all
-   members apply it. A steward that is no member, nor at the address of one, is not waited for; if
-   it took work on a proof by its peers, it would do so under an older number after that. This
+/* True if operators wait for this steward before a number counts as in force, which it does when
+   all members apply it. A steward that is no member, nor at the address of one, is not waited for;
+   if it took work on a proof by its peers, it could do so under an older number after that. This
    occurs after a planned stop and a restart during an outage of the table service, when it can't
    be registered yet. */
 static bool
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -39,6 +39,7 @@
 ClusterGrant steward_cluster_grant_now (const Steward *s, int64_t now);
 /** Time, in ms from now, for which new work may be taken; 0: none. */
 int64_t steward_cluster_grant (Steward *s, int64_t now);
+/** How far a number has been rolled out. */
 StewardProgress steward_cluster_progress (Steward *s, int64_t number, int64_t now);
 /** Adopts a view (cluster_state_adopt_view). The caller holds the cluster's lock. */
 bool steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now);
@@ -49,12 +50,15 @@
 /** Wakes all threads in steward_cluster_wait. */
 void steward_cluster_notify (Steward *s);
 
+/** The number that this steward applies; 0: none. */
 int64_t steward_cluster_number (Steward *s);
+/** The newest number that this steward knows of. */
 int64_t steward_cluster_wanted_number (Steward *s);
 /** True if another member has reported a newer view than the one adopted here. */
 bool steward_cluster_wants_view (Steward *s);
 /** A copy of the view; freed with free. */
 ClusterView *steward_cluster_view (Steward *s);
+/** Number of members of the view, dead ones included. */
 size_t steward_cluster_members (Steward *s);
 /** Number of members that are not dead, this one included; at least 1. */
 size_t steward_cluster_live (Steward *s, int64_t now);
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -52,7 +52,7 @@
 bool
 steward_deaths_may_broadcast (StewardDeaths *d, size_t others, int64_t now_ms)
 {
-  int64_t min_interval_ms = (int64_t)others * 1000 / STEWARD_DEATHS_BROADCASTS_PER_S;
+  int64_t min_interval_ms = (int64_t)others * 1000 / STEWARD_DEATHS_MESSAGES_PER_S_MAX;
   bool allowed;
 
   pthread_mutex_lock (&d->lock);
--- a/src/steward_deaths.h
+++ b/src/steward_deaths.h
@@ -13,9 +13,9 @@
 /** Deaths younger than this go into every message, as far as there is room. */
 #define STEWARD_DEATHS_FRESH_MS INT64_C (20000)
 
-/** Broadcast messages about deaths that one steward may send per second, on average: with n other
- * members broadcasts are at least n / 100 s apart. */
-#define STEWARD_DEATHS_BROADCASTS_PER_S 100
+/** Upper bound on the messages per second that broadcasts of deaths may send, on average: with n
+ * other members broadcasts are at least n / 100 s apart. */
+#define STEWARD_DEATHS_MESSAGES_PER_S_MAX 100
 
 /** Limits on the deaths that one message may carry. */
 typedef struct
@@ -35,9 +35,9 @@
 typedef struct
 {
   pthread_mutex_t lock;
-  Quarantine *set;   /**< guarded by its own lock */
-  size_t next_fresh; /**< index at which the next message begins, among the fresh deaths */
-  size_t next_older;
+  Quarantine *set;      /**< guarded by its own lock */
+  size_t next_fresh;    /**< index of the first fresh death in the next message */
+  size_t next_older;    /**< the same among the older deaths */
   int64_t broadcast_at; /**< time of the last broadcast; 0: never */
 } StewardDeaths;
 
--- a/src/steward_duty.h
+++ b/src/steward_duty.h
@@ -12,6 +12,7 @@
 #define STEWARD_DUTY_RENEW_MS INT64_C (2500)
 /** Time-out of an order to an engine, so that none arrives later. */
 #define STEWARD_DUTY_ORDER_TIMEOUT_MS INT64_C (2000)
+/** Interval between reads of the row with few members. */
 #define STEWARD_DUTY_READ_INTERVAL_MS INT64_C (1000)
 
 typedef struct
--- a/src/steward_evidence.h
+++ b/src/steward_evidence.h
@@ -43,9 +43,8 @@
   int64_t since;         /**< configuration number at which this steward began to count */
   int64_t closed_number; /**< last configuration number in which this steward saw the roll-out not
                             open; 0: none. Not stored in the row */
-  EvidenceSums sums[EVIDENCE_SIDES]
-                   [EVIDENCE_TEAMS_MAX + 1]; /**< the last element is for all other teams */
-  size_t counts[EVIDENCE_SIDES];             /**< elements of sums in use, without the last */
+  EvidenceSums sums[EVIDENCE_SIDES][EVIDENCE_TEAMS_MAX + 1]; /**< last: all other teams */
+  size_t counts[EVIDENCE_SIDES]; /**< elements of sums in use, without the last one */
 } EvidenceRollout;
 
 typedef struct
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -51,8 +51,8 @@
   struct sockaddr_in address;
 } Peer;
 
-/* Each steward sends one ask and one answer per ask that it receives, hence twice the bytes of an
-   exchange. */
+/* A steward answers as many asks as it sends, on average, so each ask accounts for two
+   exchanges. */
 double
 steward_heartbeat_rate (size_t members)
 {
--- a/src/steward_rollout.c
+++ b/src/steward_rollout.c
@@ -98,8 +98,8 @@
                       steward_cluster_members (r->s), now);
 }
 
-/* Each steward tests its own VM's evidence, the only one available in an outage of the table
-   service. */
+/* Each steward tests its own VM's evidence: in an outage of the table service no other is
+   available. */
 static void
 test_own_evidence (StewardRollout *r, const Config *config, int64_t now)
 {
--- a/tests/test_steward_deaths.c
+++ b/tests/test_steward_deaths.c
@@ -285,7 +285,7 @@
   CU_ASSERT_TRUE (steward_deaths_may_broadcast (&d, 2, NOW + 30));
   for (int64_t now = NOW + 30; now < NOW + 10030; now += 10)
     sent += steward_deaths_may_broadcast (&d, 359, now) ? 359 : 0;
-  CU_ASSERT (sent > 0 && sent / 10 <= STEWARD_DEATHS_BROADCASTS_PER_S);
+  CU_ASSERT (sent > 0 && sent / 10 <= STEWARD_DEATHS_MESSAGES_PER_S_MAX);
   steward_deaths_clear (&d);
 }
 
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -203,7 +203,7 @@
   StewardAuditEntry entry = { .who = "ana", .action = "brake" };
 
   steward_audit_queue_init (&q);
-  for (int i = 0; i < STEWARD_AUDIT_QUEUE; i++)
+  for (int i = 0; i < STEWARD_AUDIT_QUEUE_MAX; i++)
     CU_ASSERT_TRUE (steward_audit_queue_add (&q, &entry));
   CU_ASSERT_FALSE (steward_audit_queue_add (&q, &entry));
   steward_audit_queue_clear (&q);
