--- a/src/steward_rows.c
+++ b/src/steward_rows.c
@@ -11,8 +11,8 @@
 
 #define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
 
-/* Writes that any member may make are left to the member that caused them: for the first time span
-   by the first member of the view, for the second by all others. */
+/* A write that any member may make is left to the member that caused it: for FIRST_MEMBER_DELAY_MS
+   by the first member of the view, for OTHERS_DELAY_MS by all others. */
 #define FIRST_MEMBER_DELAY_MS 300
 #define OTHERS_DELAY_MS       2000
 #define BACKOFF_MIN_MS        20
