--- a/src/steward_brakes.c
+++ b/src/steward_brakes.c
@@ -57,15 +57,15 @@
   snprintf (out, size, "%s", text == NULL ? "" : text);
 }
 
-/* Returns what it was before. */
+/* Returns the previous value. */
 static bool
-note_behind (StewardBrakes *b, bool behind)
+set_unwritten (StewardBrakes *b, bool unwritten)
 {
   bool before;
 
   pthread_mutex_lock (&b->lock);
-  before = b->table_behind;
-  b->table_behind = behind;
+  before = b->unwritten;
+  b->unwritten = unwritten;
   pthread_mutex_unlock (&b->lock);
   return before;
 }
@@ -77,23 +77,23 @@
 
   if (result != CLUSTER_BRAKE_ADDED)
     return result;
-  (void)note_behind (b, true);
+  (void)set_unwritten (b, true);
   return result;
 }
 
 bool
-steward_brakes_behind (StewardBrakes *b)
+steward_brakes_unwritten (StewardBrakes *b)
 {
-  bool behind;
+  bool unwritten;
 
   pthread_mutex_lock (&b->lock);
-  behind = b->table_behind;
+  unwritten = b->unwritten;
   pthread_mutex_unlock (&b->lock);
-  return behind;
+  return unwritten;
 }
 
 void
-steward_brakes_from (const rpc_brake *from, ClusterBrake *out)
+steward_brakes_decode (const rpc_brake *from, ClusterBrake *out)
 {
   *out = (ClusterBrake){ .since = from->since };
   copy_text (out->model, sizeof out->model, from->model_name);
@@ -103,14 +103,14 @@
 }
 
 size_t
-steward_brakes_take (StewardBrakes *b, const rpc_brake *brakes, size_t count)
+steward_brakes_merge (StewardBrakes *b, const rpc_brake *brakes, size_t count)
 {
   size_t added = 0;
 
   for (size_t i = 0; i < count; i++)
     {
       ClusterBrake brake;
-      steward_brakes_from (&brakes[i], &brake);
+      steward_brakes_decode (&brakes[i], &brake);
       added += steward_brakes_add (b, &brake) == CLUSTER_BRAKE_ADDED;
     }
   return added;
@@ -139,8 +139,8 @@
   return count;
 }
 
-/* With more brakes than fit a datagram, each message carries the next share in turn, so that a peer
-   that goes on asking gets them all. */
+/* If more brakes exist than fit into a datagram, successive messages carry successive parts of the
+   set, so that a peer that keeps asking gets them all. */
 void
 steward_brakes_fill (StewardBrakes *b, size_t max, rpc_brake **out, u_int *count)
 {
@@ -177,7 +177,7 @@
 }
 
 void
-steward_brakes_config (StewardBrakes *b, const Config *config)
+steward_brakes_apply_config (StewardBrakes *b, const Config *config)
 {
   pthread_mutex_lock (&b->lock);
   for (size_t i = 0; i < config->version_count; i++)
@@ -268,11 +268,11 @@
   return good;
 }
 
-/** What the table holds for a version. */
+/** What the table has for a version. */
 typedef struct
 {
-  int64_t since;   /**< -1: no row */
-  int64_t version; /**< of the row; 0: absent */
+  int64_t since;   /**< -1: no row, or one that can't be parsed */
+  int64_t version; /**< version of the row; 0: the row is absent */
 } Stored;
 
 static Stored
@@ -325,7 +325,7 @@
       if (stored.since >= brakes[i].since)
         continue;
       code = write_brake (&brakes[i], &stored, p, timeout_ms, st);
-      /* Another steward wrote the same brake first: the next round reads what it wrote. */
+      /* Another steward wrote the same brake first: the next synchronisation reads its row. */
       if (code == STATUS_CONFLICT)
         code = STATUS_OK;
     }
@@ -338,7 +338,7 @@
 {
   PlatformRows rows = { 0 };
   ClusterBrake brake;
-  bool behind = note_behind (b, false);
+  bool unwritten = set_unwritten (b, false);
   StatusCode code = p->ops->scan (p, "brake", "", "", CLUSTER_BRAKES_MAX, timeout_ms, &rows, st);
 
   for (size_t i = 0; code == STATUS_OK && i < rows.count; i++)
@@ -347,7 +347,7 @@
   if (code == STATUS_OK)
     code = write_missing (b, &rows, p, timeout_ms, st);
   platform_rows_clear (&rows);
-  if (code != STATUS_OK && behind)
-    (void)note_behind (b, true);
+  if (code != STATUS_OK && unwritten)
+    (void)set_unwritten (b, true);
   return code;
 }
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -8,11 +8,13 @@
 #include "util_wait.h"
 #include <stdlib.h>
 
-/* With few members each is asked directly more than once a second. */
-#define FEW_MEMBERS 16
-/* Silence after which nothing that a member was granted can be in use any more, in grants. */
-#define DEAD_GRANTS 3
-/* Clocks of VMs run apart by one part in CLUSTER_DRIFT_PARTS, and each side rounds. */
+/* Up to this number of members each is asked directly more than once a second. */
+#define SMALL_CLUSTER_MEMBERS 16
+/* Silence, as a multiple of the grants' duration, after which no grant of a member can be in use
+   any more. */
+#define DEAD_AFTER_GRANTS 3
+/* Added to the drift between the clocks of two VMs, one part in CLUSTER_DRIFT_PARTS, since each
+   side rounds. */
 #define BOUND_MARGIN_MS 20
 
 int64_t
@@ -37,8 +39,9 @@
   pthread_mutex_destroy (&c->lock);
 }
 
-/* The gates are looked at under the cluster's lock, so that none is given a grant for a lower
-   number between the look and the word of ours that we apply this one (see steward_rpc.c). */
+/* The gates are read under the cluster's lock, so that none is given a grant for a lower number
+   between this read and the moment when this steward reports that it applies the number (see
+   steward_rpc.c). */
 void
 steward_cluster_apply (Steward *s)
 {
@@ -47,7 +50,7 @@
   bool applied;
 
   pthread_mutex_lock (&s->cluster.lock);
-  number = steward_gates_lowest (&s->gates, newest, clock_boot_ms ());
+  number = steward_gates_lowest_number (&s->gates, newest, clock_boot_ms ());
   applied = cluster_state_apply (s->cluster.state, number);
   INVARIANT (cluster_state_number (s->cluster.state) <= newest, "applied=\"%lld\" newest=\"%lld\"",
              (long long)cluster_state_number (s->cluster.state), (long long)newest);
@@ -58,10 +61,11 @@
     log_msg (MSG_STEWARD_APPLIED, "config=\"%lld\"", (long long)number);
 }
 
-/* An operator is told that a number is in force when all members apply it. One who is no member,
-   nor at the address of one, is not waited for: were it to take work on its peers' word, it would
-   do so under an older number after that. It stopped as planned, was started again in an outage,
-   and can't be registered yet. */
+/* True if operators wait for this steward before a number counts as in force, which it does when
+   all members apply it. A steward that is no member, nor at the address of one, is not waited for;
+   if it took work on a proof by its peers, it could do so under an older number after that. This
+   occurs after a planned stop and a restart during an outage of the table service, when it can't
+   be registered yet. */
 static bool
 is_waited_for (const Steward *s)
 {
@@ -113,8 +117,8 @@
   return false;
 }
 
-/* A view that is the first we know may have lost a member just before; only the very first of all,
-   number 1, can't. */
+/* The first view that this steward adopts may have lost a member just before. Only view number 1
+   can't. */
 bool
 steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now)
 {
@@ -130,14 +134,14 @@
   return true;
 }
 
-/* A VM that left the view as planned and was started again during an outage of the table service
-   may have got a grant from peers that still knew the view with its address in it. The view without
-   it doesn't count it, so a number would be called in force while it takes work under a lower one.
-   Once the new view is established no majority supports that grant any more (a voter that has heard
-   of a newer view is not counted), so it ends grant_ms later at the latest; until then the members'
-   word is not enough. */
+/* A VM that left the view at a planned stop and was started again during an outage of the table
+   service may have got a grant from peers that still knew the view with its address in it. The
+   view without it doesn't count it, so a number would be called in force while that VM takes work
+   under a lower one. Once the new view is established no majority supports that grant any more (a
+   voter that knows of a newer view is not counted), so it ends grant_ms later at the latest. Until
+   then the members' reports are not sufficient. */
 static bool
-may_work_unseen (const Steward *s, int64_t now)
+unseen_grant_possible (const Steward *s, int64_t now)
 {
   const StewardCluster *c = &s->cluster;
 
@@ -163,7 +167,8 @@
         progress.members_in_force++;
     }
   progress.in_force = progress.accepted && progress.members > 0
-                      && progress.members_in_force == progress.members && !may_work_unseen (s, now);
+                      && progress.members_in_force == progress.members
+                      && !unseen_grant_possible (s, now);
   pthread_mutex_unlock (&s->cluster.lock);
   return progress;
 }
@@ -188,7 +193,7 @@
 }
 
 void
-steward_cluster_changed (Steward *s)
+steward_cluster_notify (Steward *s)
 {
   pthread_mutex_lock (&s->cluster.lock);
   pthread_cond_broadcast (&s->cluster.changed);
@@ -251,17 +256,20 @@
   return count;
 }
 
-/* Among many members news of one takes some rounds of asks on its way to us. */
+/* Among many members information about one takes some rounds of asks to arrive here. */
 static int64_t
 suspect_ms (const Steward *s)
 {
   size_t members = cluster_state_view (s->cluster.state)->count;
 
-  return members <= FEW_MEMBERS ? s->settings.grant_ms / 2 : s->settings.grant_ms;
+  return members <= SMALL_CLUSTER_MEMBERS ? s->settings.grant_ms / 2 : s->settings.grant_ms;
 }
 
 StewardMemberState
-steward_cluster_member (const Steward *s, const ClusterMember *m, int64_t now, int64_t *age_ms)
+steward_cluster_member_state (const Steward *s,
+                              const ClusterMember *m,
+                              int64_t now,
+                              int64_t *age_ms)
 {
   const ClusterProgress *k = cluster_state_progress (s->cluster.state, m->incarnation);
   int64_t grant_ms = s->settings.grant_ms;
@@ -275,7 +283,7 @@
   *age_ms = now > k->as_of ? now - k->as_of : 0;
   if (*age_ms <= suspect_ms (s))
     return STEWARD_MEMBER_ALIVE;
-  return *age_ms <= DEAD_GRANTS * grant_ms ? STEWARD_MEMBER_SUSPECT : STEWARD_MEMBER_DEAD;
+  return *age_ms <= DEAD_AFTER_GRANTS * grant_ms ? STEWARD_MEMBER_SUSPECT : STEWARD_MEMBER_DEAD;
 }
 
 const char *
@@ -300,7 +308,7 @@
   const ClusterView *view = cluster_state_view (s->cluster.state);
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       live += state != STEWARD_MEMBER_DEAD;
       self |= state == STEWARD_MEMBER_SELF;
     }
@@ -309,7 +317,7 @@
 }
 
 bool
-steward_cluster_first (Steward *s, int64_t now)
+steward_cluster_is_first_alive (Steward *s, int64_t now)
 {
   bool first = false;
   int64_t age_ms;
@@ -318,7 +326,7 @@
   const ClusterView *view = cluster_state_view (s->cluster.state);
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       if (state == STEWARD_MEMBER_SELF || state == STEWARD_MEMBER_ALIVE)
         {
           first = state == STEWARD_MEMBER_SELF;
@@ -330,32 +338,32 @@
 }
 
 static StewardSuspicion
-judge (const Steward *s, int64_t now)
+judge_silence (const Steward *s, int64_t now)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   bool silent[CLUSTER_MEMBERS_MAX] = { false };
   int64_t age_ms;
 
-  /* Nobody has been asked often enough yet to be called silent. */
-  if (now - s->started_at < DEAD_GRANTS * s->settings.grant_ms)
+  /* The members have not been asked often enough yet to be called silent. */
+  if (now - s->started_at < DEAD_AFTER_GRANTS * s->settings.grant_ms)
     return (StewardSuspicion){ 0 };
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       silent[i] = state == STEWARD_MEMBER_SUSPECT || state == STEWARD_MEMBER_DEAD;
     }
   return steward_suspicion_judge (view, silent, cluster_view_find (view, s->incarnation));
 }
 
 void
-steward_cluster_suspect (Steward *s, int64_t now)
+steward_cluster_update_suspicion (Steward *s, int64_t now)
 {
   StewardSuspicion *kept = &s->cluster.suspicion;
   StewardSuspicion found;
   bool changed;
 
   pthread_mutex_lock (&s->cluster.lock);
-  found = judge (s, now);
+  found = judge_silence (s, now);
   changed = found.kind != kept->kind;
   *kept = found;
   pthread_mutex_unlock (&s->cluster.lock);
--- a/src/steward_duty.c
+++ b/src/steward_duty.c
@@ -13,21 +13,21 @@
 
 #define TABLE      "duty"
 #define TIMEOUT_MS 1000
-/* Reads a second that all stewards together spend on one duty. */
-#define READS_PER_S 50
-#define ROW_SIZE    128
-#define NUMBER_SIZE 24
+/* Reads per second that all stewards together make for one duty. */
+#define READS_PER_S_MAX 50
+#define ROW_SIZE        128
+#define NUMBER_SIZE     24
 
 struct StewardDuty
 {
   StewardDutyOptions options;
   char holder[CLUSTER_HOLDER_MAX];
-  pthread_mutex_t lock; /**< guards lease */
+  pthread_mutex_t
+      lock; /**< guards lease; the fields below belong to the thread of steward_duty_step */
   ClusterLease lease;
-  /* The rest belongs to the thread of steward_duty_step. */
-  ClusterLeaseRow row; /**< as last read or written */
-  int64_t read_at;     /**< no read of another's row before this */
-  int64_t fence;       /**< under which we hold the duty, for the log; 0: not */
+  ClusterLeaseRow row;  /**< row as last read or written */
+  int64_t next_read_at; /**< no read of a row of another holder before this time */
+  int64_t fence; /**< fencing number under which the duty is held, for the log; 0: not held */
 };
 
 typedef struct
@@ -53,8 +53,8 @@
   ClusterLeaseOptions lease = { .holder = d->holder,
                                 .lease_ms = STEWARD_DUTY_LEASE_MS,
                                 .renew_ms = STEWARD_DUTY_RENEW_MS,
-                                .flight_ms = STEWARD_DUTY_FLIGHT_MS,
-                                .read_ms = STEWARD_DUTY_READ_MS };
+                                .flight_ms = STEWARD_DUTY_ORDER_TIMEOUT_MS,
+                                .read_ms = STEWARD_DUTY_READ_INTERVAL_MS };
   cluster_lease_init (&d->lease, &lease);
   pthread_mutex_init (&d->lock, NULL);
   return d;
@@ -70,11 +70,11 @@
 }
 
 int64_t
-steward_duty_read_ms (size_t members)
+steward_duty_read_interval_ms (size_t members)
 {
-  int64_t least = (int64_t)members * 1000 / READS_PER_S;
+  int64_t min_ms = (int64_t)members * 1000 / READS_PER_S_MAX;
 
-  return least > STEWARD_DUTY_READ_MS ? least : STEWARD_DUTY_READ_MS;
+  return min_ms > STEWARD_DUTY_READ_INTERVAL_MS ? min_ms : STEWARD_DUTY_READ_INTERVAL_MS;
 }
 
 static bool
@@ -103,7 +103,8 @@
   return good;
 }
 
-/* A row that can't be read counts as a failed read: nobody takes over what it can't judge. */
+/* A row that can't be parsed counts as a failed read, so a duty with such a row is not taken
+   over. */
 static void
 read_row (StewardDuty *d, size_t members)
 {
@@ -116,7 +117,7 @@
   int64_t received_at = d->options.clock_ms ();
 
   platform_row_clear (&found);
-  d->read_at = sent_at + steward_duty_read_ms (members);
+  d->next_read_at = sent_at + steward_duty_read_interval_ms (members);
   pthread_mutex_lock (&d->lock);
   if (good)
     cluster_lease_read (&d->lease, sent_at, received_at, &row);
@@ -158,8 +159,8 @@
   return code;
 }
 
-/* A take-over is audited in the transaction that makes it, so that each fencing number has one
-   entry; a renewal is not. */
+/* The transaction of a take-over includes its audit entry, so that each fencing number has one
+   entry. Renewals are not audited. */
 static void
 write_row (StewardDuty *d, const ClusterLeaseRow *row)
 {
@@ -179,7 +180,7 @@
   pthread_mutex_lock (&d->lock);
   cluster_lease_written (&d->lease, sent_at, code, version);
   pthread_mutex_unlock (&d->lock);
-  d->read_at = sent_at;
+  d->next_read_at = sent_at;
   if (code != STATUS_OK)
     return;
   d->row = *row;
@@ -187,7 +188,7 @@
 }
 
 static void
-note_change (StewardDuty *d)
+log_change (StewardDuty *d)
 {
   int64_t fence = steward_duty_fence (d);
 
@@ -208,16 +209,16 @@
   pthread_mutex_lock (&d->lock);
   step = cluster_lease_next (&d->lease, now, &row);
   pthread_mutex_unlock (&d->lock);
-  if (step == CLUSTER_LEASE_READ && now >= d->read_at)
+  if (step == CLUSTER_LEASE_READ && now >= d->next_read_at)
     read_row (d, members);
   if (step == CLUSTER_LEASE_WRITE)
     write_row (d, &row);
-  note_change (d);
+  log_change (d);
 }
 
-/* Without this a successor would wait for the lease to lapse. */
+/* Otherwise a successor would wait for the lease to expire. */
 void
-steward_duty_give_back (StewardDuty *d)
+steward_duty_release (StewardDuty *d)
 {
   char from[NUMBER_SIZE], detail[ROW_SIZE];
   StewardAuditEntry entry
--- a/src/steward_evidence.c
+++ b/src/steward_evidence.c
@@ -4,9 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PACE_LEAST_MS 2000
-/* A row is about 1,100 bytes at most; 6.7 rows a second are 7.3 KB/s of the holder's 14 KB/s. */
-#define PACE_MEMBER_MS 150
+#define INTERVAL_MIN_MS 2000
+/* A row has at most about 1,100 bytes; 6.7 rows per second are 7.3 KB/s of the holder's 14
+   KB/s. */
+#define INTERVAL_PER_MEMBER_MS 150
 
 void
 steward_evidence_init (StewardEvidence *e)
@@ -23,11 +24,11 @@
 }
 
 int64_t
-steward_evidence_pace_ms (size_t members)
+steward_evidence_interval_ms (size_t members)
 {
-  int64_t least = (int64_t)members * PACE_MEMBER_MS;
+  int64_t min_ms = (int64_t)members * INTERVAL_PER_MEMBER_MS;
 
-  return least > PACE_LEAST_MS ? least : PACE_LEAST_MS;
+  return min_ms > INTERVAL_MIN_MS ? min_ms : INTERVAL_MIN_MS;
 }
 
 static void
@@ -37,7 +38,7 @@
 }
 
 static EvidenceRollout *
-find (const EvidenceRollout *rollouts, size_t count, const char *model)
+find_rollout (const EvidenceRollout *rollouts, size_t count, const char *model)
 {
   for (size_t i = 0; i < count; i++)
     if (strcmp (rollouts[i].model, model) == 0)
@@ -46,15 +47,17 @@
 }
 
 static void
-follow (const StewardEvidence *e,
-        const Config *config,
-        const ConfigRollout *from,
-        EvidenceRollout *out)
+follow_rollout (const StewardEvidence *e,
+                const Config *config,
+                const ConfigRollout *from,
+                EvidenceRollout *out)
 {
   const char *model = config->models[from->model].name;
-  const EvidenceRollout *before = find (e->rollouts, e->count, model);
+  const EvidenceRollout *before = find_rollout (e->rollouts, e->count, model);
 
-  *out = (EvidenceRollout){ .stage = from->stage, .since = config->number, .after = e->number };
+  *out = (EvidenceRollout){ .stage = from->stage,
+                            .since = config->number,
+                            .closed_number = e->number };
   copy_name (out->model, model);
   copy_name (out->from, config->versions[from->from].name);
   copy_name (out->to, config->versions[from->to].name);
@@ -66,7 +69,7 @@
 }
 
 void
-steward_evidence_config (StewardEvidence *e, const Config *config)
+steward_evidence_apply_config (StewardEvidence *e, const Config *config)
 {
   EvidenceRollout *next = memory_array (EVIDENCE_ROLLOUTS_MAX, sizeof *next);
   size_t count = 0;
@@ -76,7 +79,7 @@
     {
       const ConfigRollout *rollout = &config->rollouts[i];
       if (rollout->state == ROLLOUT_RUNNING || rollout->state == ROLLOUT_PAUSED)
-        follow (e, config, rollout, &next[count++]);
+        follow_rollout (e, config, rollout, &next[count++]);
     }
   free (e->rollouts);
   e->rollouts = next;
@@ -86,9 +89,10 @@
   pthread_mutex_unlock (&e->lock);
 }
 
-/* The team's place; one that has none takes a free one, or is summed with the rest. */
+/* The sums of a team; a team without any gets unused ones, or the sums for all other teams if
+   there are none left. */
 static EvidenceSums *
-place_of (EvidenceRollout *r, EvidenceSide side, const char *team)
+team_sums (EvidenceRollout *r, EvidenceSide side, const char *team)
 {
   for (size_t i = 0; i < r->counts[side]; i++)
     if (strcmp (r->sums[side][i].team, team) == 0)
@@ -118,12 +122,12 @@
   pthread_mutex_lock (&e->lock);
   for (size_t i = 0; i < count; i++)
     {
-      EvidenceRollout *r = find (e->rollouts, e->count, reports[i].model_name);
+      EvidenceRollout *r = find_rollout (e->rollouts, e->count, reports[i].model_name);
       bool old = r != NULL && strcmp (reports[i].version_name, r->from) == 0;
       bool new = r != NULL &&strcmp (reports[i].version_name, r->to) == 0;
       if (!old && !new)
         continue;
-      add_report (place_of (r, old ? EVIDENCE_OLD : EVIDENCE_NEW, reports[i].team), &reports[i]);
+      add_report (team_sums (r, old ? EVIDENCE_OLD : EVIDENCE_NEW, reports[i].team), &reports[i]);
       e->changed = true;
     }
   pthread_mutex_unlock (&e->lock);
--- a/src/steward_gates.c
+++ b/src/steward_gates.c
@@ -1,6 +1,6 @@
 #include "steward_gates.h"
 
-#define HEARD_MS 5000
+#define ALIVE_MS 5000 /**< a gate that asked within this time counts as alive */
 
 void
 steward_gates_init (StewardGates *g, int64_t inherited_until)
@@ -24,46 +24,47 @@
   return NULL;
 }
 
-/* A gate may be forgotten when its last grant has ended: it can take no new work unless it asks
-   again. */
+/* Finds an entry for a new gate. The entry of a gate whose last grant has ended may be reused:
+   that gate can take no new work unless it asks again. */
 static StewardGate *
-make (StewardGates *g, uint64_t incarnation, int64_t now)
+add_gate (StewardGates *g, uint64_t incarnation, int64_t now)
 {
   StewardGate *gate = find (g, 0);
 
   for (size_t i = 0; gate == NULL && i < STEWARD_GATES_MAX; i++)
-    if (g->gates[i].until <= now && g->gates[i].later_until <= now)
+    if (g->gates[i].until <= now && g->gates[i].pending_until <= now)
       gate = &g->gates[i];
-  /* The gate may hold a grant of a steward that ran here before us. */
+  /* The gate may hold a grant of the steward that ran on this VM before. */
   if (gate != NULL)
     *gate = (StewardGate){ .incarnation = incarnation, .until = g->inherited_until };
   return gate;
 }
 
-/* The gate has reached the number from which on it can use its later grants. */
+/* To be called when the gate has reached the number from which on it can use its pending
+   grants. */
 static void
-merge_later (StewardGate *gate)
+merge_pending (StewardGate *gate)
 {
-  if (gate->later_until > gate->until)
-    gate->until = gate->later_until;
-  gate->later_until = 0;
-  gate->later_number = 0;
+  if (gate->pending_until > gate->until)
+    gate->until = gate->pending_until;
+  gate->pending_until = 0;
+  gate->pending_number = 0;
 }
 
 static void
-grant_later (StewardGate *gate, int64_t number, int64_t until)
+grant_pending (StewardGate *gate, int64_t number, int64_t until)
 {
-  if (gate->later_number == 0 || number < gate->later_number)
-    gate->later_number = number;
-  if (until > gate->later_until)
-    gate->later_until = until;
+  if (gate->pending_number == 0 || number < gate->pending_number)
+    gate->pending_number = number;
+  if (until > gate->pending_until)
+    gate->pending_until = until;
 }
 
-/* The lowest number under which the gate may take new work at now; newest if there is none lower.
-   A gate that was granted a number which it did not have yet fetches it and goes on under it before
-   it asks again: until then only our own grant tells us of it. */
+/* The lowest number under which the gate may take new work at now; newest if none is lower. A gate
+   that was granted a number that it did not have yet fetches it and takes work under it before it
+   asks again; until then only the grant recorded here shows this. */
 static int64_t
-lowest_of (const StewardGate *gate, int64_t newest, int64_t now)
+lowest_number (const StewardGate *gate, int64_t newest, int64_t now)
 {
   int64_t lowest = newest;
 
@@ -71,17 +72,17 @@
     return newest;
   if (gate->until > now && gate->number < lowest)
     lowest = gate->number;
-  if (gate->later_number != 0 && gate->later_until > now && gate->later_number < lowest)
-    lowest = gate->later_number;
+  if (gate->pending_number != 0 && gate->pending_until > now && gate->pending_number < lowest)
+    lowest = gate->pending_number;
   return lowest;
 }
 
 bool
-steward_gates_ask (StewardGates *g,
-                   uint64_t incarnation,
-                   int64_t number,
-                   unsigned in_flight,
-                   int64_t now)
+steward_gates_record_ask (StewardGates *g,
+                          uint64_t incarnation,
+                          int64_t number,
+                          unsigned in_flight,
+                          int64_t now)
 {
   StewardGate *gate;
 
@@ -90,16 +91,16 @@
   pthread_mutex_lock (&g->lock);
   gate = find (g, incarnation);
   if (gate == NULL)
-    gate = make (g, incarnation, now);
+    gate = add_gate (g, incarnation, now);
   if (gate != NULL)
     {
-      g->heard = true;
-      /* An ask that was overtaken by a later one must not lower the number. */
+      g->asked = true;
+      /* An ask that arrives after a later one must not lower the number. */
       if (number > gate->number)
         {
           gate->number = number;
-          if (gate->later_number <= number)
-            merge_later (gate);
+          if (gate->pending_number <= number)
+            merge_pending (gate);
         }
       gate->in_flight = in_flight;
       gate->asked_at = now;
@@ -109,38 +110,38 @@
 }
 
 void
-steward_gates_grant (StewardGates *g, uint64_t incarnation, int64_t number, int64_t until)
+steward_gates_record_grant (StewardGates *g, uint64_t incarnation, int64_t number, int64_t until)
 {
   StewardGate *gate;
 
   pthread_mutex_lock (&g->lock);
   gate = find (g, incarnation);
   if (gate != NULL && gate->number < number)
-    grant_later (gate, number, until);
+    grant_pending (gate, number, until);
   else if (gate != NULL && until > gate->until)
     gate->until = until;
   pthread_mutex_unlock (&g->lock);
 }
 
 int64_t
-steward_gates_lowest (StewardGates *g, int64_t newest, int64_t now)
+steward_gates_lowest_number (StewardGates *g, int64_t newest, int64_t now)
 {
   int64_t lowest = newest;
 
   pthread_mutex_lock (&g->lock);
-  /* A steward that was replaced has forgotten its gate, which goes on with the grant that it has.
-     Until the gate has asked or that grant has ended, nothing is known to be in force here. One
-     gate a VM takes callers' work, since it alone can listen on their port. */
-  if (!g->heard && now < g->inherited_until)
+  /* A steward that has replaced another doesn't know the VM's gate, which goes on with its grant.
+     Until the gate has asked or that grant has ended, no number is known to be in force here. Only
+     one gate per VM takes callers' work, since only one process can listen on their port. */
+  if (!g->asked && now < g->inherited_until)
     lowest = 0;
   for (size_t i = 0; i < STEWARD_GATES_MAX; i++)
-    lowest = lowest_of (&g->gates[i], lowest, now);
+    lowest = lowest_number (&g->gates[i], lowest, now);
   pthread_mutex_unlock (&g->lock);
   return lowest;
 }
 
 int64_t
-steward_gates_end (StewardGates *g)
+steward_gates_grants_end (StewardGates *g)
 {
   int64_t end;
 
@@ -150,8 +151,8 @@
     {
       if (g->gates[i].until > end)
         end = g->gates[i].until;
-      if (g->gates[i].later_until > end)
-        end = g->gates[i].later_until;
+      if (g->gates[i].pending_until > end)
+        end = g->gates[i].pending_until;
     }
   pthread_mutex_unlock (&g->lock);
   return end;
@@ -164,7 +165,7 @@
 
   pthread_mutex_lock (&g->lock);
   for (size_t i = 0; i < STEWARD_GATES_MAX; i++)
-    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < HEARD_MS)
+    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < ALIVE_MS)
       sum += g->gates[i].in_flight;
   pthread_mutex_unlock (&g->lock);
   return sum;
@@ -177,7 +178,7 @@
 
   pthread_mutex_lock (&g->lock);
   for (size_t i = 0; i < STEWARD_GATES_MAX && count < max; i++)
-    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < HEARD_MS)
+    if (g->gates[i].incarnation != 0 && now - g->gates[i].asked_at < ALIVE_MS)
       out[count++] = g->gates[i].incarnation;
   pthread_mutex_unlock (&g->lock);
   return count;
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -14,12 +14,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Beats of many stewards that started together are spread over this part of the time. */
+/* Rounds are spread over one part in JITTER_PARTS of the interval, so that stewards that started
+   together don't all send at the same time. */
 #define JITTER_PARTS 4
-/* An ask and its answer on the wire, with the headers of UDP and IP: measured by make
- * bench-control. */
-#define PAIR_BYTES          430.0
-#define PAIR_BYTES_A_MEMBER 1.6
+/* Bytes of an ask and its answer on the wire, with the headers of UDP and IP (make
+   bench-control). */
+#define EXCHANGE_BYTES            430.0
+#define EXCHANGE_BYTES_PER_MEMBER 1.6
 
 struct StewardHeartbeat
 {
@@ -28,40 +29,41 @@
   pthread_mutex_t lock;
   pthread_cond_t wake;
   bool stop;
-  uint64_t turn; /**< where the next beat goes on in the order of members */
-  uint64_t seed; /**< of our order of members */
-  double credit; /**< asks that may be sent by now */
+  uint64_t next_peer; /**< index of the next member to ask, in this steward's order */
+  uint64_t seed;      /**< seed of this steward's order of members */
+  double credit;      /**< asks that may be sent now */
   int64_t credit_at;
 };
 
-/** What an ask carries besides. */
+/** What an ask carries in addition to the heartbeat. */
 typedef enum
 {
-  WITH_NOTHING,
-  WITH_BRAKES,
-  WITH_DEATHS
-} AskWith;
+  ASK_PLAIN,
+  ASK_WITH_BRAKES,
+  ASK_WITH_DEATHS
+} AskExtra;
 
 /** A member to ask. */
 typedef struct
 {
-  uint64_t order; /**< its place in our order */
-  bool silent;    /**< the process there may be a new one that knows nobody */
+  uint64_t order; /**< sort key in this steward's order */
+  bool silent;    /**< not alive: the process there may be a new one that knows no member */
   struct sockaddr_in address;
 } Peer;
 
-/* One steward sends and receives as many asks as answers: an ask and an answer each way. */
+/* A steward answers as many asks as it sends, on average, so each ask accounts for two
+   exchanges. */
 double
 steward_heartbeat_rate (size_t members)
 {
-  double pair = PAIR_BYTES + PAIR_BYTES_A_MEMBER * (double)members;
-  double rate = STEWARD_HEARTBEAT_BYTES_PER_S / (2 * pair);
+  double exchange_bytes = EXCHANGE_BYTES + EXCHANGE_BYTES_PER_MEMBER * (double)members;
+  double rate = STEWARD_HEARTBEAT_BYTES_PER_S / (2 * exchange_bytes);
 
-  return rate < STEWARD_ASKS_PER_S ? rate : STEWARD_ASKS_PER_S;
+  return rate < STEWARD_HEARTBEAT_ASKS_PER_S_MAX ? rate : STEWARD_HEARTBEAT_ASKS_PER_S_MAX;
 }
 
-/* Where we are reached is in the view, unless we are not in it yet, or the receiver may not have
- * one. */
+/* The address of this steward is in the view, unless it is not registered yet or the receiver may
+   have no view: then the message carries it. */
 static void
 add_address (Steward *s, rpc_heartbeat *message, bool registered)
 {
@@ -79,7 +81,7 @@
 }
 
 static void
-send_ask (Steward *s, const Peer *peer, AskWith with)
+send_ask (Steward *s, const Peer *peer, AskExtra extra)
 {
   ClusterHeartbeat *ask = memory_alloc (sizeof *ask);
   uint64_t nonce = id_random_u64 ();
@@ -90,14 +92,14 @@
   registered = is_registered (s);
   cluster_state_make_ask (s->cluster.state, nonce == 0 ? 1 : nonce, clock_boot_ms (), ask);
   pthread_mutex_unlock (&s->cluster.lock);
-  steward_message_from (ask, &message);
+  steward_message_encode (ask, &message);
   add_address (s, &message, registered && !peer->silent);
   message.brakes_digest = steward_brakes_digest (&s->brakes);
-  if (with == WITH_BRAKES)
-    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_SHARE, &message.brakes.brakes_val,
+  if (extra == ASK_WITH_BRAKES)
+    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_PER_MESSAGE, &message.brakes.brakes_val,
                          &message.brakes.brakes_len);
-  if (with == WITH_DEATHS)
-    steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat, clock_boot_ms (),
+  if (extra == ASK_WITH_DEATHS)
+    steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat_limits, clock_boot_ms (),
                          &message.deaths.deaths_val, &message.deaths.deaths_len);
   counter_add (COUNTER_STEWARD_HEARTBEATS, 1);
   (void)rpc_server_send (s->rpc, &peer->address, LOVAGE_HEARTBEAT_ASK, (xdrproc_t)xdr_rpc_heartbeat,
@@ -120,14 +122,14 @@
 {
   int64_t age_ms;
 
-  return steward_cluster_member (s, m, clock_boot_ms (), &age_ms) != STEWARD_MEMBER_ALIVE;
+  return steward_cluster_member_state (s, m, clock_boot_ms (), &age_ms) != STEWARD_MEMBER_ALIVE;
 }
 
-/* The other members in an order of our own, the same at each beat, so that asking in turn reaches
-   every one equally often. Members with behind_number or a newer one are left out if it is not 0.
-   Freed by the caller. */
+/* Lists the other members in an order specific to this steward, the same in each round, so that
+   asking in turn reaches every member equally often. Members with lagging_number or a newer number
+   are left out if it is not 0. *out is freed by the caller. */
 static size_t
-list_peers (Steward *s, uint64_t seed, int64_t behind_number, Peer **out)
+list_peers (Steward *s, uint64_t seed, int64_t lagging_number, Peer **out)
 {
   ClusterView *view = steward_cluster_view (s);
   size_t count = 0;
@@ -141,7 +143,7 @@
       Peer *peer = &(*out)[count];
       if (m->incarnation == s->incarnation || !rpc_address (m->address, m->port, &peer->address))
         continue;
-      if (behind_number != 0 && k != NULL && k->number >= behind_number)
+      if (lagging_number != 0 && k != NULL && k->number >= lagging_number)
         continue;
       peer->silent = is_silent (s, m);
       peer->order = id_hash (&m->incarnation, sizeof m->incarnation, seed);
@@ -153,7 +155,7 @@
   return count;
 }
 
-/* How many asks this beat may send: at most one to each other member. */
+/* Returns the number of asks that this round may send: at most one to each other member. */
 static size_t
 take_credit (StewardHeartbeat *h, size_t others)
 {
@@ -171,55 +173,55 @@
 }
 
 static void
-beat (StewardHeartbeat *h)
+send_round (StewardHeartbeat *h)
 {
   Peer *peers;
   size_t count = list_peers (h->s, h->seed, 0, &peers);
   size_t asks = take_credit (h, count);
 
   for (size_t i = 0; i < asks && count > 0; i++)
-    send_ask (h->s, &peers[h->turn++ % count], WITH_NOTHING);
+    send_ask (h->s, &peers[h->next_peer++ % count], ASK_PLAIN);
   free (peers);
   steward_cluster_apply (h->s);
-  steward_cluster_suspect (h->s, clock_boot_ms ());
+  steward_cluster_update_suspicion (h->s, clock_boot_ms ());
 }
 
 static void
-ask_all (Steward *s, int64_t behind_number, AskWith with)
+ask_all (Steward *s, int64_t lagging_number, AskExtra extra)
 {
   Peer *peers;
-  size_t count = list_peers (s, s->incarnation, behind_number, &peers);
+  size_t count = list_peers (s, s->incarnation, lagging_number, &peers);
 
   for (size_t i = 0; i < count; i++)
-    send_ask (s, &peers[i], with);
+    send_ask (s, &peers[i], extra);
   free (peers);
 }
 
 void
-steward_heartbeat_ask_behind (Steward *s, int64_t number)
+steward_heartbeat_ask_lagging (Steward *s, int64_t number)
 {
-  ask_all (s, number, WITH_NOTHING);
+  ask_all (s, number, ASK_PLAIN);
 }
 
 void
-steward_heartbeat_tell_brakes (Steward *s)
+steward_heartbeat_broadcast_brakes (Steward *s)
 {
-  ask_all (s, 0, WITH_BRAKES);
+  ask_all (s, 0, ASK_WITH_BRAKES);
 }
 
 void
-steward_heartbeat_tell_deaths (Steward *s)
+steward_heartbeat_broadcast_deaths (Steward *s)
 {
   ClusterView *view = steward_cluster_view (s);
   size_t members = view->count;
 
   free (view);
-  if (members > 1 && steward_deaths_may_tell (&s->deaths, members - 1, clock_boot_ms ()))
-    ask_all (s, 0, WITH_DEATHS);
+  if (members > 1 && steward_deaths_may_broadcast (&s->deaths, members - 1, clock_boot_ms ()))
+    ask_all (s, 0, ASK_WITH_DEATHS);
 }
 
 static int64_t
-beat_pause (const StewardHeartbeat *h)
+round_interval_ms (const StewardHeartbeat *h)
 {
   int64_t ms = h->s->settings.heartbeat_ms;
   int64_t jitter = ms / JITTER_PARTS;
@@ -238,10 +240,10 @@
   while (!h->stop)
     {
       pthread_mutex_unlock (&h->lock);
-      beat (h);
+      send_round (h);
       pthread_mutex_lock (&h->lock);
       if (!h->stop)
-        (void)wait_ms (&h->wake, &h->lock, beat_pause (h));
+        (void)wait_ms (&h->wake, &h->lock, round_interval_ms (h));
     }
   pthread_mutex_unlock (&h->lock);
   return NULL;
@@ -277,9 +279,9 @@
   free (h);
 }
 
-/* News of a newer number or view has to be fetched; other news may end somebody's wait. */
+/* A newer number or view has to be fetched. */
 static void
-after_news (Steward *s)
+wake_fetchers (Steward *s)
 {
   if (steward_cluster_wanted_number (s) > steward_document_number (&s->document)
       || steward_cluster_wants_view (s))
@@ -289,9 +291,10 @@
     }
 }
 
-/* An answer goes to where the asker is reached, which need not be where its datagram came from. */
+/* The answer goes to the asker's registered or stated address, which may differ from the source of
+   its datagram. */
 static bool
-find_asker (const Steward *s, const rpc_heartbeat *ask, struct sockaddr_in *out)
+asker_address (const Steward *s, const rpc_heartbeat *ask, struct sockaddr_in *out)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   int index = cluster_view_find (view, ask->incarnation);
@@ -302,22 +305,22 @@
 }
 
 static void
-answer_ask (Steward *s,
-            const struct sockaddr_in *to,
-            const rpc_heartbeat *ask,
-            ClusterHeartbeat *answer)
+send_answer (Steward *s,
+             const struct sockaddr_in *to,
+             const rpc_heartbeat *ask,
+             ClusterHeartbeat *answer)
 {
   rpc_heartbeat message;
 
-  steward_message_from (answer, &message);
+  steward_message_encode (answer, &message);
   message.gates.gates_val = memory_array (LOVAGE_GATES_MAX, sizeof *message.gates.gates_val);
   message.gates.gates_len = (u_int)steward_gates_alive (&s->gates, clock_boot_ms (),
                                                         message.gates.gates_val, LOVAGE_GATES_MAX);
   message.brakes_digest = steward_brakes_digest (&s->brakes);
   if (ask->brakes_digest != message.brakes_digest)
-    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_SHARE, &message.brakes.brakes_val,
+    steward_brakes_fill (&s->brakes, STEWARD_BRAKES_PER_MESSAGE, &message.brakes.brakes_val,
                          &message.brakes.brakes_len);
-  steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat, clock_boot_ms (),
+  steward_deaths_fill (&s->deaths, &steward_deaths_heartbeat_limits, clock_boot_ms (),
                        &message.deaths.deaths_val, &message.deaths.deaths_len);
   counter_add (COUNTER_STEWARD_HEARTBEATS, 1);
   (void)rpc_server_send (s->rpc, to, LOVAGE_HEARTBEAT_ANSWER, (xdrproc_t)xdr_rpc_heartbeat,
@@ -325,10 +328,11 @@
   steward_message_clear (&message);
 }
 
-/* A process that was restarted in an outage of the table service knows nobody; the others' asks
-   still come to its address, and tell it where to fetch the configuration and the view from. */
+/* A process that was restarted in an outage of the table service knows no member. The others' asks
+   still arrive at its address and carry an address to fetch the configuration and the view
+   from. */
 static void
-note_introducer (Steward *s, const rpc_heartbeat *ask)
+set_introducer (Steward *s, const rpc_heartbeat *ask)
 {
   ClusterMember *introducer = &s->cluster.introducer;
 
@@ -339,13 +343,13 @@
 }
 
 bool
-steward_heartbeat_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+steward_heartbeat_handle_ask (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_heartbeat *message = arg;
   ClusterHeartbeat *ask = memory_alloc (sizeof *ask);
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
-  bool good = steward_message_to (message, ask) && ask->incarnation == peer->sender;
+  bool good = steward_message_decode (message, ask) && ask->incarnation == peer->sender;
   struct sockaddr_in to;
   bool answers = false;
 
@@ -353,19 +357,19 @@
   if (good)
     {
       pthread_mutex_lock (&s->cluster.lock);
-      note_introducer (s, message);
-      answers = cluster_state_handle_ask (s->cluster.state, ask, clock_boot_ms (), answer);
+      set_introducer (s, message);
+      answers = cluster_state_take_ask (s->cluster.state, ask, clock_boot_ms (), answer);
       if (answers)
         cluster_heartbeat_pack (s->cluster.state, answer);
-      answers = answers && find_asker (s, message, &to);
+      answers = answers && asker_address (s, message, &to);
       pthread_mutex_unlock (&s->cluster.lock);
-      (void)steward_brakes_take (&s->brakes, message->brakes.brakes_val,
-                                 message->brakes.brakes_len);
-      (void)steward_deaths_take (&s->deaths, message->deaths.deaths_val, message->deaths.deaths_len,
-                                 clock_boot_ms ());
+      (void)steward_brakes_merge (&s->brakes, message->brakes.brakes_val,
+                                  message->brakes.brakes_len);
+      (void)steward_deaths_merge (&s->deaths, message->deaths.deaths_val,
+                                  message->deaths.deaths_len, clock_boot_ms ());
       if (answers)
-        answer_ask (s, &to, message, answer);
-      after_news (s);
+        send_answer (s, &to, message, answer);
+      wake_fetchers (s);
     }
   free (ask);
   free (answer);
@@ -373,27 +377,27 @@
 }
 
 bool
-steward_heartbeat_answered (void *context, const RpcPeer *peer, const void *arg, void *result)
+steward_heartbeat_handle_answer (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_heartbeat *message = arg;
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
-  bool good = steward_message_to (message, answer) && answer->incarnation == peer->sender;
+  bool good = steward_message_decode (message, answer) && answer->incarnation == peer->sender;
 
   (void)result;
   if (good)
     {
       pthread_mutex_lock (&s->cluster.lock);
-      (void)cluster_state_handle_answer (s->cluster.state, answer, clock_boot_ms ());
-      steward_remote_gates_heard (&s->remote_gates, answer->incarnation, message->gates.gates_val,
-                                  message->gates.gates_len, clock_boot_ms ());
+      (void)cluster_state_take_answer (s->cluster.state, answer, clock_boot_ms ());
+      steward_remote_gates_update (&s->remote_gates, answer->incarnation, message->gates.gates_val,
+                                   message->gates.gates_len, clock_boot_ms ());
       pthread_cond_broadcast (&s->cluster.changed);
       pthread_mutex_unlock (&s->cluster.lock);
-      (void)steward_brakes_take (&s->brakes, message->brakes.brakes_val,
-                                 message->brakes.brakes_len);
-      (void)steward_deaths_take (&s->deaths, message->deaths.deaths_val, message->deaths.deaths_len,
-                                 clock_boot_ms ());
-      after_news (s);
+      (void)steward_brakes_merge (&s->brakes, message->brakes.brakes_val,
+                                  message->brakes.brakes_len);
+      (void)steward_deaths_merge (&s->deaths, message->deaths.deaths_val,
+                                  message->deaths.deaths_len, clock_boot_ms ());
+      wake_fetchers (s);
     }
   free (answer);
   return good;
--- a/src/steward_rollout.c
+++ b/src/steward_rollout.c
@@ -15,12 +15,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ROUND_MS 250
-/* After a step that was not made. */
-#define RETRY_MS 1000
-/* Between reads while no roll-out is open. */
-#define SWEEP_MS    10000
-#define REASON_SIZE 256
+#define ROUND_INTERVAL_MS 250
+/* Delay after a step that could not be submitted. */
+#define RETRY_DELAY_MS 1000
+/* Interval between reads of the evidence rows while no roll-out is open. */
+#define SWEEP_INTERVAL_MS 10000
+#define REASON_SIZE       256
 
 struct StewardRollout
 {
@@ -31,17 +31,17 @@
   bool stop;
   StewardDuty *duty;
   StewardOrders *orders;
-  /* The rest belongs to the thread. */
-  int64_t number; /**< configuration that the evidence follows */
+  /* The fields below belong to the thread. */
+  int64_t number; /**< number of the configuration last applied to the evidence */
   EvidenceRow row;
-  EvidenceRollout *open; /**< this steward's totals of the open roll-outs */
+  EvidenceRollout *open; /**< this VM's totals of the open roll-outs */
   size_t open_count;
-  RolloutSet own;    /**< tests of this VM's evidence: every steward, also without the table */
-  RolloutSet merged; /**< tests of all VMs' evidence: the holder of the duty */
-  int64_t write_at;
-  bool unwritten; /**< totals that are not in the table yet */
-  int64_t merge_at;
-  int64_t step_at; /**< no step before */
+  RolloutSet own;    /**< tests of this VM's evidence, on every steward, also without the table */
+  RolloutSet merged; /**< tests of all VMs' evidence, on the holder of the duty */
+  int64_t next_write_at;
+  bool unwritten; /**< some totals are not in the table yet */
+  int64_t next_merge_at;
+  int64_t next_step_at; /**< no step before this time */
 };
 
 static const ConfigRollout *
@@ -67,8 +67,9 @@
   return braked || v->state == VERSION_WITHDRAWN;
 }
 
-/* A brake needs neither the duty nor the table service: it only takes away work, and merging brakes
-   of several stewards is harmless. So it comes before the patch, and in an outage without it. */
+/* A brake needs neither the duty nor the table service: it only takes work away from a version,
+   and merging the brakes of several stewards is harmless. So it is raised before the patch is
+   submitted and, in an outage, without a patch. */
 static void
 raise_brake (StewardRollout *r, const Config *config, const ConfigRollout *rollout, const char *why)
 {
@@ -88,18 +89,19 @@
 {
   if (config->number != r->number)
     {
-      steward_evidence_config (&r->s->evidence, config);
+      steward_evidence_apply_config (&r->s->evidence, config);
       r->number = config->number;
       r->unwritten = true;
     }
   r->open_count = steward_evidence_copy (&r->s->evidence, r->open);
-  rollout_set_follow (&r->own, r->open, r->open_count, config->team_count,
+  rollout_set_update (&r->own, r->open, r->open_count, config->team_count,
                       steward_cluster_members (r->s), now);
 }
 
-/* Each steward tests its own VM's evidence: in an outage of the table there is no other. */
+/* Each steward tests its own VM's evidence: in an outage of the table service no other is
+   available. */
 static void
-look_at_own (StewardRollout *r, const Config *config, int64_t now)
+test_own_evidence (StewardRollout *r, const Config *config, int64_t now)
 {
   for (size_t i = 0; i < r->open_count; i++)
     {
@@ -108,14 +110,14 @@
       RolloutDecision decision;
       if (rollout == NULL || w == NULL)
         continue;
-      rollout_watch_take (w, r->row.key, &r->open[i]);
+      rollout_watch_add_totals (w, r->row.key, &r->open[i]);
       decision = rollout_watch_decide (w, rollout->stage, now);
       if (decision.verdict == ROLLOUT_BRAKE)
         raise_brake (r, config, rollout, decision.why);
     }
 }
 
-/* Calls of a table service that is away only hold up the look at our own evidence. */
+/* Calls of an unavailable table service would only delay the test of this VM's own evidence. */
 static bool
 table_is_up (StewardRollout *r)
 {
@@ -127,33 +129,35 @@
 {
   char *text;
 
-  if (r->open_count == 0 || now < r->write_at || !table_is_up (r))
+  if (r->open_count == 0 || now < r->next_write_at || !table_is_up (r))
     return;
   r->unwritten |= steward_evidence_changed (&r->s->evidence);
   if (!r->unwritten)
     return;
-  r->write_at = now + steward_evidence_pace_ms (steward_cluster_members (r->s));
+  r->next_write_at = now + steward_evidence_interval_ms (steward_cluster_members (r->s));
   text = steward_evidence_text (r->s->self.vm, r->open, r->open_count);
   r->unwritten = evidence_row_write (&r->row, r->s->platform, text, NULL) != STATUS_OK;
   free (text);
 }
 
 static bool
-take_totals (void *context, const char *key, const EvidenceRollout *totals)
+add_totals (void *context, const char *key, const EvidenceRollout *totals)
 {
-  return rollout_set_take (context, key, totals);
+  return rollout_set_add_totals (context, key, totals);
 }
 
-/* Without open roll-outs the rows are read to be deleted: one may be written late. */
+/* Without open roll-outs the rows are read in order to delete them: one may be written late. */
 static void
 merge_rows (StewardRollout *r, int64_t now)
 {
-  int64_t pace_ms = steward_evidence_pace_ms (steward_cluster_members (r->s));
+  int64_t interval_ms = steward_evidence_interval_ms (steward_cluster_members (r->s));
 
-  if (now < r->merge_at || !table_is_up (r))
+  if (now < r->next_merge_at || !table_is_up (r))
     return;
-  r->merge_at = now + (r->open_count > 0 || pace_ms > SWEEP_MS ? pace_ms : SWEEP_MS);
-  (void)evidence_rows_read (r->s->platform, take_totals, &r->merged, NULL);
+  r->next_merge_at
+      = now
+        + (r->open_count > 0 || interval_ms > SWEEP_INTERVAL_MS ? interval_ms : SWEEP_INTERVAL_MS);
+  (void)evidence_rows_read (r->s->platform, add_totals, &r->merged, NULL);
 }
 
 static void
@@ -171,12 +175,12 @@
             decision->why[0] == '\0' ? "a brake binds the version" : decision->why,
             (long long)callers);
   if (!rollout_submit (r->s, r->duty, config, rollout, step, reason))
-    r->step_at = clock_boot_ms () + RETRY_MS;
+    r->next_step_at = clock_boot_ms () + RETRY_DELAY_MS;
 }
 
-/* True if a step was tried: the configuration may be another one now. */
+/* True if a step was submitted: the configuration may be another one now. */
 static bool
-drive (StewardRollout *r, const Config *config, const EvidenceRollout *open, int64_t now)
+drive_rollout (StewardRollout *r, const Config *config, const EvidenceRollout *open, int64_t now)
 {
   const ConfigRollout *rollout = rollout_of (config, open);
   RolloutWatch *w = rollout_set_find (&r->merged, open);
@@ -188,38 +192,38 @@
   decision = rollout_watch_decide (w, rollout->stage, now);
   if (decision.verdict == ROLLOUT_BRAKE)
     raise_brake (r, config, rollout, decision.why);
-  RolloutLook look
+  RolloutStepInput input
       = { .verdict = decision.verdict,
           .braked = is_stopped (r->s, config, rollout->to),
           .accepted = steward_cluster_progress (r->s, config->number, clock_boot_ms ()).accepted,
-          .ordered = steward_orders_stated (r->orders, config, rollout->to) };
-  step = rollout_step_due (rollout, &look);
-  if (step == ROLLOUT_STEP_NONE || now < r->step_at)
+          .ordered = steward_orders_sent (r->orders, config, rollout->to) };
+  step = rollout_step_due (rollout, &input);
+  if (step == ROLLOUT_STEP_NONE || now < r->next_step_at)
     return false;
   make_step (r, config, rollout, step, &decision, rollout_watch_callers (w));
   return true;
 }
 
-/* A holder that was not one before knows nothing of earlier evidence: it takes the rows' totals,
-   which hold all of it since the roll-out began. */
+/* A new holder knows nothing of earlier evidence. It uses the rows' totals, which contain all
+   evidence since the roll-out began. */
 static void
-hold (StewardRollout *r, const Config *config, int64_t now)
+act_as_holder (StewardRollout *r, const Config *config, int64_t now)
 {
   if (steward_duty_fence (r->duty) == 0)
     {
       rollout_set_clear (&r->merged);
-      r->merge_at = 0;
+      r->next_merge_at = 0;
       return;
     }
-  rollout_set_follow (&r->merged, r->open, r->open_count, config->team_count, 1, now);
+  rollout_set_update (&r->merged, r->open, r->open_count, config->team_count, 1, now);
   merge_rows (r, now);
   for (size_t i = 0; i < r->open_count; i++)
-    if (drive (r, config, &r->open[i], now))
+    if (drive_rollout (r, config, &r->open[i], now))
       return;
 }
 
 static void
-one_round (StewardRollout *r)
+run_round (StewardRollout *r)
 {
   int64_t now = clock_boot_ms ();
   Config *config;
@@ -229,9 +233,9 @@
   if (config == NULL)
     return;
   follow_config (r, config, now);
-  look_at_own (r, config, now);
+  test_own_evidence (r, config, now);
   write_row (r, now);
-  hold (r, config, now);
+  act_as_holder (r, config, now);
   config_unref (config);
 }
 
@@ -244,10 +248,10 @@
   while (!r->stop)
     {
       pthread_mutex_unlock (&r->lock);
-      one_round (r);
+      run_round (r);
       pthread_mutex_lock (&r->lock);
       if (!r->stop)
-        (void)wait_ms (&r->wake, &r->lock, ROUND_MS);
+        (void)wait_ms (&r->wake, &r->lock, ROUND_INTERVAL_MS);
     }
   pthread_mutex_unlock (&r->lock);
   return NULL;
@@ -286,7 +290,7 @@
   pthread_mutex_unlock (&r->lock);
   pthread_join (r->thread, NULL);
   steward_orders_stop (r->orders);
-  steward_duty_give_back (r->duty);
+  steward_duty_release (r->duty);
   steward_duty_free (r->duty);
   rollout_set_clear (&r->own);
   rollout_set_clear (&r->merged);
--- a/src/steward_rollout_submit.c
+++ b/src/steward_rollout_submit.c
@@ -9,9 +9,9 @@
 
 #define QUOTED_SIZE 512
 
-/* The commit is known, so the document counts as read from the table. */
+/* The commit is confirmed, so the document counts as read from the table. */
 static void
-take_document (Steward *s, const StewardSubmitResult *result)
+apply_document (Steward *s, const StewardSubmitResult *result)
 {
   Config *config;
 
@@ -19,7 +19,7 @@
     {
       config = steward_document_config (&s->document);
       if (config != NULL)
-        steward_brakes_config (&s->brakes, config);
+        steward_brakes_apply_config (&s->brakes, config);
       config_unref (config);
       steward_cluster_apply (s);
     }
@@ -47,8 +47,8 @@
 
 /*
  * The lease is checked before the submission, which reads the head row first, and the transaction
- * itself carries the check of the duty's row. The second is what holds when this process is frozen
- * in between: its transaction would come after a successor's steps, and finds the row changed.
+ * itself checks the duty's row. The second check covers a process that is paused in between: its
+ * transaction would arrive after a successor's steps, but finds the row changed.
  */
 bool
 rollout_submit (Steward *s,
@@ -79,7 +79,7 @@
   if (durable)
     {
       counter_add (COUNTER_STEWARD_ROLLOUT_STEPS, 1);
-      take_document (s, &result);
+      apply_document (s, &result);
     }
   steward_submit_clear (&result);
   free (patch);
--- a/src/steward_rollout_table.c
+++ b/src/steward_rollout_table.c
@@ -7,9 +7,10 @@
 
 #define TABLE      "evidence"
 #define TIMEOUT_MS 1000
-/* Rows of the present members and of those that were replaced meanwhile. */
+/* Upper bound on the rows: those of present members and of members replaced while roll-outs are
+   open. */
 #define ROWS_MAX    4096
-#define DELETES_MAX 64 /* of one read */
+#define DELETES_MAX 64 /* rows deleted after one read */
 
 void
 evidence_row_init (EvidenceRow *row, uint64_t incarnation)
@@ -49,20 +50,20 @@
   return code;
 }
 
-/* True if all that the row names is open. */
+/* True if all roll-outs in the row are open. */
 static bool
-take_row (const PlatformRow *row, EvidenceRollout *space, EvidenceTake take, void *context)
+handle_row (const PlatformRow *row, EvidenceRollout *space, EvidenceHandler handle, void *context)
 {
   size_t count = steward_evidence_parse (row->value, space);
   bool open = count > 0;
 
   for (size_t i = 0; i < count; i++)
-    open &= take (context, row->key, &space[i]);
+    open &= handle (context, row->key, &space[i]);
   return open;
 }
 
-/* One transaction for several rows: if one of them changed, none is deleted, and the next read
-   finds what it finds. */
+/* One transaction deletes several rows. If one of them has changed, none is deleted, and the next
+   read decides again. */
 static StatusCode
 delete_rows (Platform *p, const PlatformRow *const *rows, size_t count, Status *st)
 {
@@ -82,7 +83,7 @@
 }
 
 StatusCode
-evidence_rows_read (Platform *p, EvidenceTake take, void *context, Status *st)
+evidence_rows_read (Platform *p, EvidenceHandler handle, void *context, Status *st)
 {
   EvidenceRollout *space = memory_array (EVIDENCE_ROLLOUTS_MAX, sizeof *space);
   const PlatformRow *ended[DELETES_MAX];
@@ -91,7 +92,7 @@
   StatusCode code = p->ops->scan (p, TABLE, "", "", ROWS_MAX, TIMEOUT_MS, &rows, st);
 
   for (size_t i = 0; code == STATUS_OK && i < rows.count; i++)
-    if (!take_row (&rows.rows[i], space, take, context) && ended_count < DELETES_MAX)
+    if (!handle_row (&rows.rows[i], space, handle, context) && ended_count < DELETES_MAX)
       ended[ended_count++] = &rows.rows[i];
   if (ended_count > 0)
     code = delete_rows (p, ended, ended_count, st);
--- a/src/steward_rpc.c
+++ b/src/steward_rpc.c
@@ -10,21 +10,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-static bool grant_asked (void *context, const RpcPeer *peer, const void *arg, void *result);
-static bool document_asked (void *context, const RpcPeer *peer, const void *arg, void *result);
-static bool view_asked (void *context, const RpcPeer *peer, const void *arg, void *result);
-static bool bills_sent (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_grant (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_document (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_view (void *context, const RpcPeer *peer, const void *arg, void *result);
+static bool handle_bill_copy (void *context, const RpcPeer *peer, const void *arg, void *result);
 
 #define ARG(type)    .arg_proc = (xdrproc_t)xdr_##type, .arg_size = sizeof (type)
 #define RESULT(type) .result_proc = (xdrproc_t)xdr_##type, .result_size = sizeof (type)
 
 static const RpcProcedure procedures[] = {
-  { LOVAGE_HEARTBEAT_ASK, ARG (rpc_heartbeat), .handle = steward_heartbeat_asked },
-  { LOVAGE_HEARTBEAT_ANSWER, ARG (rpc_heartbeat), .handle = steward_heartbeat_answered },
-  { LOVAGE_GRANT, ARG (rpc_grant_ask), RESULT (rpc_grant), .handle = grant_asked },
-  { LOVAGE_CONFIG_GET, ARG (rpc_number), RESULT (rpc_document), .handle = document_asked },
-  { LOVAGE_BILL_COPY, ARG (rpc_bill_copy), RESULT (rpc_bill_copy_result), .handle = bills_sent },
-  { LOVAGE_VIEW_GET, ARG (rpc_number), RESULT (rpc_document), .handle = view_asked },
+  { LOVAGE_HEARTBEAT_ASK, ARG (rpc_heartbeat), .handle = steward_heartbeat_handle_ask },
+  { LOVAGE_HEARTBEAT_ANSWER, ARG (rpc_heartbeat), .handle = steward_heartbeat_handle_answer },
+  { LOVAGE_GRANT, ARG (rpc_grant_ask), RESULT (rpc_grant), .handle = handle_grant },
+  { LOVAGE_CONFIG_GET, ARG (rpc_number), RESULT (rpc_document), .handle = handle_document },
+  { LOVAGE_BILL_COPY, ARG (rpc_bill_copy), RESULT (rpc_bill_copy_result),
+    .handle = handle_bill_copy },
+  { LOVAGE_VIEW_GET, ARG (rpc_number), RESULT (rpc_document), .handle = handle_view },
 };
 
 bool
@@ -42,8 +43,9 @@
   return s->rpc != NULL;
 }
 
-/* The gate's grant is noted under the cluster's lock, in which steward_cluster_apply looks at the
-   gates: so a gate that was granted a lower number is seen by the next word of what we apply. */
+/* The grant is recorded under the cluster's lock, under which steward_cluster_apply reads the
+   gates. So a gate that was granted a lower number is taken into account when this steward next
+   reports the number that it applies. */
 static int64_t
 give_grant (Steward *s, uint64_t gate, int64_t now, int64_t *number)
 {
@@ -55,18 +57,18 @@
   grant = steward_cluster_grant_now (s, now);
   left = *number > 0 ? cluster_grant_left (&grant, now) : 0;
   if (left > 0)
-    steward_gates_grant (&s->gates, gate, *number, now + left);
+    steward_gates_record_grant (&s->gates, gate, *number, now + left);
   pthread_mutex_unlock (&s->cluster.lock);
   return left;
 }
 
 static void
-take_brakes (Steward *s, const rpc_grant_ask *ask)
+raise_brakes (Steward *s, const rpc_grant_ask *ask)
 {
   for (u_int i = 0; i < ask->raised.raised_len; i++)
     {
       ClusterBrake brake;
-      steward_brakes_from (&ask->raised.raised_val[i], &brake);
+      steward_brakes_decode (&ask->raised.raised_val[i], &brake);
       (void)steward_brake_raise (s, &brake);
     }
 }
@@ -80,8 +82,8 @@
                     .failure_domain = memory_strdup (m->failure_domain) };
 }
 
-/* Stewards of other failure domains that are alive, beginning behind ourselves in the view's order,
-   so that the copies of all gates are spread evenly. */
+/* Adds live stewards of other failure domains, starting after this steward in the view's order, so
+   that the copies of all gates are spread evenly. */
 static void
 add_peers (const Steward *s, const ClusterView *view, int64_t now, rpc_grant *grant)
 {
@@ -93,13 +95,13 @@
     {
       const ClusterMember *m = &view->members[(first + i) % view->count];
       if (strcmp (m->failure_domain, s->self.failure_domain) != 0
-          && steward_cluster_member (s, m, now, &age_ms) == STEWARD_MEMBER_ALIVE)
+          && steward_cluster_member_state (s, m, now, &age_ms) == STEWARD_MEMBER_ALIVE)
         add_peer (grant, m);
     }
 }
 
-/* Registered members, not those heard of: shares of a limit that grew while a member was only cut
-   off would sum to more than the limit. */
+/* Counts registered members, not live ones: if the shares of a limit grew while a member was only
+   cut off, they would sum to more than the limit. */
 static void
 fill_members (Steward *s, int64_t now, rpc_grant *grant)
 {
@@ -112,7 +114,7 @@
 }
 
 static bool
-grant_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_grant (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_grant_ask *ask = arg;
@@ -122,19 +124,20 @@
 
   if (ask->incarnation != peer->sender)
     return false;
-  take_brakes (s, ask);
+  raise_brakes (s, ask);
   steward_evidence_add (&s->evidence, ask->evidence.evidence_val, ask->evidence.evidence_len);
-  if (steward_deaths_take (&s->deaths, ask->deaths.deaths_val, ask->deaths.deaths_len, now))
-    steward_heartbeat_tell_deaths (s);
+  if (steward_deaths_merge (&s->deaths, ask->deaths.deaths_val, ask->deaths.deaths_len, now))
+    steward_heartbeat_broadcast_deaths (s);
   (void)steward_cluster_grant (s, now);
-  bool known = steward_gates_ask (&s->gates, ask->incarnation, ask->number, ask->in_flight, now);
+  bool known
+      = steward_gates_record_ask (&s->gates, ask->incarnation, ask->number, ask->in_flight, now);
   if (known)
     left = give_grant (s, ask->incarnation, now, &grant->number);
   grant->grant_ms = ask->stopping ? 0 : (u_int)left;
   fill_members (s, now, grant);
   steward_brakes_fill (&s->brakes, CLUSTER_BRAKES_MAX, &grant->brakes.brakes_val,
                        &grant->brakes.brakes_len);
-  steward_deaths_fill (&s->deaths, &steward_deaths_grant, now, &grant->deaths.deaths_val,
+  steward_deaths_fill (&s->deaths, &steward_deaths_grant_limits, now, &grant->deaths.deaths_val,
                        &grant->deaths.deaths_len);
   counter_add (left > 0 ? COUNTER_STEWARD_GRANTS : COUNTER_STEWARD_GRANTS_REFUSED, 1);
   steward_cluster_apply (s);
@@ -149,7 +152,7 @@
 }
 
 static bool
-document_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_document (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_number *ask = arg;
@@ -157,7 +160,8 @@
   char *text = steward_document_text (&s->document, &number);
 
   (void)peer;
-  /* One who asks for an older number is served the newest: numbers are applied upward only. */
+  /* A request for an older number gets the newest document: numbers are applied only in ascending
+     order. */
   if (text != NULL && number < ask->number)
     {
       free (text);
@@ -167,9 +171,9 @@
   return true;
 }
 
-/* Only a view that was taken over is served: its write is known to be committed. */
+/* Only an adopted view is served: its write is known to be committed. */
 static bool
-view_asked (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_view (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_number *ask = arg;
@@ -183,7 +187,7 @@
 }
 
 static bool
-bills_sent (void *context, const RpcPeer *peer, const void *arg, void *result)
+handle_bill_copy (void *context, const RpcPeer *peer, const void *arg, void *result)
 {
   Steward *s = context;
   const rpc_bill_copy *copy = arg;
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -4,29 +4,30 @@
 #include "steward_cluster.h"
 #include "util_clock.h"
 
-/* Between passes over the object store; each costs a scan of the gates' rows. */
-#define RECOVER_MS 60000
-/* Between tries at a planned stop while the table is away. */
-#define LEAVE_TRY_MS 100
+/* Interval between recoveries from the object store; each costs a scan of the gates' rows. */
+#define RECOVERY_INTERVAL_MS 60000
+/* Delay between attempts at a planned stop while the table service is unavailable. */
+#define LEAVE_RETRY_MS 100
 
 /* The cluster's lock is held. */
 static bool
-all_heard (const Steward *s, int64_t now)
+all_alive (const Steward *s, int64_t now)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   int64_t age_ms;
 
   for (size_t i = 0; i < view->count; i++)
     {
-      StewardMemberState state = steward_cluster_member (s, &view->members[i], now, &age_ms);
+      StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       if (state != STEWARD_MEMBER_SELF && state != STEWARD_MEMBER_ALIVE)
         return false;
     }
   return view->count > 0;
 }
 
-/* The VM of a steward that is silent but still registered may run on, with its gate: it is
-   registered until the platform's list lost it or its slot was taken over (steward_removal.h). */
+/* The VM of a steward that is silent but still registered may still run, with its gate: a steward
+   stays registered until the platform's list lacks its VM or another takes its slot
+   (steward_removal.h). The cluster's lock is held. */
 static bool
 vm_may_run (const Steward *s, const StewardRemoteGate *entry, int64_t now)
 {
@@ -34,16 +35,17 @@
   int index = cluster_view_find (view, entry->steward);
   int64_t age_ms;
 
-  if (now - entry->heard_at <= STEWARD_GATE_GONE_MS)
+  if (now - entry->reported_at <= STEWARD_GATE_GONE_MS)
     return true;
-  /* The steward was replaced; the one in its place tells of the gate if it still runs. */
+  /* The steward was replaced; its successor reports the gate if it still runs. */
   if (index < 0)
-    return !all_heard (s, now);
-  return steward_cluster_member (s, &view->members[index], now, &age_ms) != STEWARD_MEMBER_ALIVE;
+    return !all_alive (s, now);
+  return steward_cluster_member_state (s, &view->members[index], now, &age_ms)
+         != STEWARD_MEMBER_ALIVE;
 }
 
 bool
-steward_settle_alive (Steward *s, uint64_t gate, int64_t now)
+steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now)
 {
   const StewardRemoteGate *entry;
   uint64_t own[STEWARD_GATES_MAX];
@@ -58,7 +60,7 @@
   if (entry != NULL)
     alive = vm_may_run (s, entry, now);
   else
-    alive = now - s->started_at <= STEWARD_GATE_GONE_MS || !all_heard (s, now);
+    alive = now - s->started_at <= STEWARD_GATE_GONE_MS || !all_alive (s, now);
   pthread_mutex_unlock (&s->cluster.lock);
   return alive;
 }
@@ -66,7 +68,7 @@
 static bool
 gate_alive (void *context, uint64_t gate)
 {
-  return steward_settle_alive (context, gate, clock_boot_ms ());
+  return steward_settle_gate_alive (context, gate, clock_boot_ms ());
 }
 
 void
@@ -79,9 +81,9 @@
     if (bill_replica_flush (s->bills, s->platform, gate_alive, s, now, &written, NULL) != STATUS_OK)
       return;
   while (written > 0);
-  if (now < s->recover_at || !steward_cluster_first (s, now))
+  if (now < s->next_recovery_at || !steward_cluster_is_first_alive (s, now))
     return;
-  s->recover_at = now + RECOVER_MS;
+  s->next_recovery_at = now + RECOVERY_INTERVAL_MS;
   (void)bill_recover_objects (s->platform, gate_alive, s, &recovery, NULL);
 }
 
@@ -93,9 +95,10 @@
   return false;
 }
 
-/* A VM dies with its records on two others, and these are replaced as planned before the minute is
-   over after which a gate counts as gone: the answers would never be billed. A record that its gate
-   writes as well is there once, since it is inserted if absent. */
+/* Copies must not wait until their gate counts as gone, STEWARD_GATE_GONE_MS after its last
+   report: if a VM fails and the two VMs that hold its copies are replaced within that minute, its
+   answers would never be billed. A record that its gate writes as well is stored once, since it is
+   inserted only if absent. */
 size_t
 steward_settle_leave (Steward *s, int64_t timeout_ms)
 {
@@ -112,6 +115,6 @@
       if (size.count == 0 || clock_boot_ms () >= end)
         return size.count;
       if (code != STATUS_OK || written == 0)
-        clock_sleep_ms (LEAVE_TRY_MS);
+        clock_sleep_ms (LEAVE_RETRY_MS);
     }
 }
--- a/src/steward_table.c
+++ b/src/steward_table.c
@@ -11,44 +11,46 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMEOUT STEWARD_TABLE_TIMEOUT_MS
-
-/* Reads a second that all stewards together may spend on polling, of about two thousand. */
-#define POLLS_PER_S 100
-/* The view row is read without cause each so many polls. */
-#define VIEW_POLLS 8
-/* Between rounds that were caused by news. */
-#define ROUND_LEAST_MS 20
-#define BRAKES_SYNC_MS 5000
-#define SETTLE_MS      50
+#define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
+
+/* Reads per second that all stewards together make for polling; the table service serves about two
+   thousand. */
+#define POLLS_PER_S_MAX 100
+/* Polls of the head row per read of the view row, unless a newer view was reported. */
+#define POLLS_PER_VIEW_READ 8
+/* Minimum pause between rounds. */
+#define ROUND_PAUSE_MS          20
+#define BRAKES_SYNC_INTERVAL_MS 5000
+#define PENDING_POLL_MS         50
 
 struct StewardTable
 {
   Steward *s;
   pthread_t thread;
-  pthread_mutex_t lock; /**< guards stop, woken, accept_soon */
+  pthread_mutex_t
+      lock; /**< guards stop, woken, accept_soon; the fields below belong to the thread */
   pthread_cond_t wake;
   bool stop;
   bool woken;
   int64_t accept_soon;
-  /* The rest belongs to the thread. */
   StewardRows rows;
-  int64_t poll_at;   /**< next read of the head row */
-  int64_t view_at;   /**< next read of the view row without cause */
-  int64_t brakes_at; /**< next synchronisation of the brakes */
-  bool brakes_read;  /**< once since the start */
+  int64_t next_poll_at;        /**< time of the next read of the head row */
+  int64_t next_view_read_at;   /**< time of the next read of the view row, unless a newer view is
+                                  reported */
+  int64_t next_brakes_sync_at; /**< time of the next synchronisation of the brakes */
+  bool brakes_read;            /**< the brakes were synchronised at least once */
 };
 
 int64_t
-steward_table_poll_ms (int64_t poll_ms, size_t members)
+steward_table_poll_interval_ms (int64_t poll_ms, size_t members)
 {
-  int64_t least = (int64_t)members * 1000 / POLLS_PER_S;
+  int64_t min_ms = (int64_t)members * 1000 / POLLS_PER_S_MAX;
 
-  return poll_ms > least ? poll_ms : least;
+  return poll_ms > min_ms ? poll_ms : min_ms;
 }
 
 static void
-note_platform (Steward *s, const Status *st, bool up)
+set_platform_up (Steward *s, const Status *st, bool up)
 {
   char quoted[STATUS_MESSAGE_MAX * 2];
 
@@ -61,16 +63,16 @@
              log_quote (st->message, quoted, sizeof quoted));
 }
 
-/* The proof of freshness counts from before the read was sent. */
+/* The proof of freshness counts from the time before the read was sent. */
 static bool
 read_head (StewardTable *t)
 {
   Steward *s = t->s;
   int64_t sent_at = clock_boot_ms ();
   Status st = { 0 };
-  StatusCode code = steward_head_read (s->platform, TIMEOUT, &t->rows.head, &st);
+  StatusCode code = steward_head_read (s->platform, TIMEOUT_MS, &t->rows.head, &st);
 
-  note_platform (s, &st, code == STATUS_OK);
+  set_platform_up (s, &st, code == STATUS_OK);
   if (code != STATUS_OK)
     return false;
   pthread_mutex_lock (&s->cluster.lock);
@@ -90,7 +92,7 @@
   if (t->rows.head.number <= steward_document_number (&s->document))
     return;
   steward_number_key (t->rows.head.number, key);
-  if (s->platform->ops->get (s->platform, "config_text", key, TIMEOUT, &row, NULL) == STATUS_OK
+  if (s->platform->ops->get (s->platform, "config_text", key, TIMEOUT_MS, &row, NULL) == STATUS_OK
       && row.version != 0)
     (void)steward_publish_document (s, t->rows.head.number, row.value);
   platform_row_clear (&row);
@@ -104,11 +106,13 @@
   StatusCode code;
   char quoted[STATUS_MESSAGE_MAX * 2];
 
-  if (t->rows.row.known && now < t->view_at && !steward_cluster_wants_view (s))
+  if (t->rows.row.known && now < t->next_view_read_at && !steward_cluster_wants_view (s))
     return true;
-  t->view_at
-      = now + VIEW_POLLS * steward_table_poll_ms (s->settings.poll_ms, steward_cluster_members (s));
-  code = steward_view_read (s->platform, TIMEOUT, &t->rows.row, &st);
+  t->next_view_read_at
+      = now
+        + POLLS_PER_VIEW_READ
+              * steward_table_poll_interval_ms (s->settings.poll_ms, steward_cluster_members (s));
+  code = steward_view_read (s->platform, TIMEOUT_MS, &t->rows.row, &st);
   if (code == STATUS_INVALID)
     log_msg (MSG_STEWARD_VIEW_BAD, "error=\"%s\"", log_quote (st.message, quoted, sizeof quoted));
   if (code == STATUS_OK)
@@ -117,7 +121,7 @@
 }
 
 static int64_t
-accept_cause (StewardTable *t)
+number_to_accept (StewardTable *t)
 {
   int64_t number;
 
@@ -128,26 +132,28 @@
 }
 
 static void
-write_waiting (StewardTable *t, int64_t now)
+write_queued (StewardTable *t, int64_t now)
 {
   Steward *s = t->s;
 
-  (void)steward_audit_queue_flush (&s->audit, s->platform, TIMEOUT, NULL);
-  if (!t->brakes_read || now >= t->brakes_at || steward_brakes_behind (&s->brakes))
+  (void)steward_audit_queue_flush (&s->audit, s->platform, TIMEOUT_MS, NULL);
+  if (!t->brakes_read || now >= t->next_brakes_sync_at || steward_brakes_unwritten (&s->brakes))
     {
-      t->brakes_at = now + BRAKES_SYNC_MS * (int64_t)(1 + steward_cluster_members (s) / 16);
-      t->brakes_read = steward_brakes_sync (&s->brakes, s->platform, TIMEOUT, NULL) == STATUS_OK;
+      t->next_brakes_sync_at
+          = now + BRAKES_SYNC_INTERVAL_MS * (int64_t)(1 + steward_cluster_members (s) / 16);
+      t->brakes_read = steward_brakes_sync (&s->brakes, s->platform, TIMEOUT_MS, NULL) == STATUS_OK;
     }
   steward_settle (s, now);
 }
 
-/* One round of reads, then the writes that they call for. */
+/* Reads the rows, then makes the writes that are due. */
 static void
 poll_table (StewardTable *t, int64_t now)
 {
   Steward *s = t->s;
 
-  t->poll_at = now + steward_table_poll_ms (s->settings.poll_ms, steward_cluster_members (s));
+  t->next_poll_at
+      = now + steward_table_poll_interval_ms (s->settings.poll_ms, steward_cluster_members (s));
   if (!read_head (t))
     {
       t->rows.row.known = false;
@@ -158,49 +164,51 @@
   if (!read_view (t, now))
     return;
   steward_rows_adopt (&t->rows);
-  steward_rows_change (&t->rows, accept_cause (t), now);
-  write_waiting (t, now);
+  steward_rows_write_due (&t->rows, number_to_accept (t), now);
+  write_queued (t, now);
 }
 
-/* News came in: read what it tells of, or write what it makes possible. */
+/* Called after a wake-up: reads a newer number or view that was reported, or makes the writes that
+   have become possible. */
 static void
-follow_news (StewardTable *t, int64_t now)
+handle_wake (StewardTable *t, int64_t now)
 {
   Steward *s = t->s;
   bool newer = steward_cluster_wanted_number (s) > t->rows.head.number
-               || steward_cluster_wants_view (s) || accept_cause (t) > t->rows.head.number;
+               || steward_cluster_wants_view (s) || number_to_accept (t) > t->rows.head.number;
 
   if (newer || !t->rows.row.known)
     poll_table (t, now);
   else
     {
       steward_rows_adopt (&t->rows);
-      steward_rows_change (&t->rows, accept_cause (t), now);
+      steward_rows_write_due (&t->rows, number_to_accept (t), now);
     }
 }
 
 static int64_t
-pause_ms (const StewardTable *t, int64_t now)
+wait_time_ms (const StewardTable *t, int64_t now)
 {
-  int64_t ms = t->poll_at - now;
-
-  /* While what we wrote is not settled, look often whether it is by now. */
-  if (t->rows.wrote_pending && ms > SETTLE_MS)
-    ms = SETTLE_MS;
-  if (t->rows.write_at > now && t->rows.write_at - now < ms)
-    ms = t->rows.write_at - now;
+  int64_t ms = t->next_poll_at - now;
+
+  /* While the view that this steward wrote is pending, check often whether it can be
+     established. */
+  if (t->rows.wrote_pending && ms > PENDING_POLL_MS)
+    ms = PENDING_POLL_MS;
+  if (t->rows.next_write_at > now && t->rows.next_write_at - now < ms)
+    ms = t->rows.next_write_at - now;
   return ms;
 }
 
 static void
-one_round (StewardTable *t)
+run_round (StewardTable *t)
 {
   int64_t now = clock_boot_ms ();
 
-  if (now >= t->poll_at)
+  if (now >= t->next_poll_at)
     poll_table (t, now);
   else
-    follow_news (t, now);
+    handle_wake (t, now);
 }
 
 static void *
@@ -213,11 +221,11 @@
     {
       t->woken = false;
       pthread_mutex_unlock (&t->lock);
-      one_round (t);
-      clock_sleep_ms (ROUND_LEAST_MS);
+      run_round (t);
+      clock_sleep_ms (ROUND_PAUSE_MS);
       pthread_mutex_lock (&t->lock);
       if (!t->stop && !t->woken)
-        (void)wait_ms (&t->wake, &t->lock, pause_ms (t, clock_boot_ms ()));
+        (void)wait_ms (&t->wake, &t->lock, wait_time_ms (t, clock_boot_ms ()));
     }
   pthread_mutex_unlock (&t->lock);
   return NULL;
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -33,7 +33,7 @@
 fixture_take (Fixture *w)
 {
   ClaimOutcome out;
-  ClaimResult result = order_take (&w->site, ORDER_BODY, &out);
+  ClaimResult result = order_claim (&w->site, ORDER_BODY, &out);
 
   if (result == CLAIM_TAKEN)
     {
--- a/tests/test_gate_poll.c
+++ b/tests/test_gate_poll.c
@@ -1,7 +1,7 @@
 /**
  * Reading the load reports of many engines: src/gate_poll.c.
  */
-#include "fake_keeper.h"
+#include "fake_http_server.h"
 #include "gate_poll.h"
 #include "suite.h"
 #include "util_clock.h"
@@ -20,7 +20,7 @@
 } Site;
 
 static int
-sum (const Site *site, int (*count) (const FakeKeeper *keeper))
+sum (const Site *site, int (*count) (const FakeHttpServer *keeper))
 {
   int n = 0;
 
@@ -47,7 +47,7 @@
     buffer_printf (&text,
                    "%s\"e%d\":{\"kind\":\"engine\",\"address\":\"127.0.0.1\",\"port\":%d,"
                    "\"failure_domain\":\"oita\",\"serves\":[\"draft@v%d\"],\"slots\":4}",
-                   i > 0 ? "," : "", i, fake_keeper_port (site->keepers[i]), i);
+                   i > 0 ? "," : "", i, fake_http_server_port (site->keepers[i]), i);
   buffer_add_string (&text, "}}");
   config = config_parse (text.data, text.len, number, &list);
   if (config == NULL)
@@ -96,7 +96,7 @@
   int64_t seconds;
 
   for (int i = 0; i < ENGINES; i++)
-    site->keepers[i] = fake_keeper_new ("{\"running\":1,\"queued\":2,\"at_ms\":5}");
+    site->keepers[i] = fake_http_server_new ("{\"running\":1,\"queued\":2,\"at_ms\":5}");
   gate_servers_init (&site->gate.servers, "vm-1", "oita");
   publish (site, ENGINES, 1);
   from_ms = clock_boot_ms ();
@@ -122,7 +122,7 @@
   gate_poll_stop (poll);
   gate_snapshot_put (site->gate.snapshots.newest);
   for (int i = 0; i < ENGINES; i++)
-    fake_keeper_free (site->keepers[i]);
+    fake_http_server_free (site->keepers[i]);
   free (site);
 }
 
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -1,5 +1,6 @@
 /**
- * Parts of the steward without threads: gates, brakes, the audit trail, usage, messages.
+ * Modules of the steward that work without threads: gates, brakes, the audit trail, usage,
+ * messages.
  */
 #include "bill.h"
 #include "fake_platform.h"
@@ -20,46 +21,46 @@
 
 #define TIMEOUT_MS 1000
 
-/* A number is withdrawn work's end only when no gate can still work under the one before. A steward
- * that said "applied" while its gate was frozen with a valid grant would have an operator told "in
- * force" too soon. */
+/* A steward that reported a number as applied while its gate was paused with a valid grant for a
+   lower one would let an operator see "in force" too soon. */
 static void
-test_gate_with_grant_holds_number (void)
+test_grant_in_use_keeps_lower_number (void)
 {
   StewardGates g;
 
   steward_gates_init (&g, 0);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 0), 5);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 4, 0, 100));
-  steward_gates_grant (&g, 77, 4, 3100);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 200), 4);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 3099), 4);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 3100), 5);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 5, 0, 300));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 300), 5);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 0), 5);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 4, 0, 100));
+  steward_gates_record_grant (&g, 77, 4, 3100);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 200), 4);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 3099), 4);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 3100), 5);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 5, 0, 300));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 300), 5);
   steward_gates_clear (&g);
 }
 
-/* A grant for number 5 can't be used under 4, so it does not keep the gate at 4; but once the gate
- * has 5 it counts for 5. */
+/* A grant for number 5 can't be used under 4, so it must not keep the gate at 4; once the gate has
+   5, the grant counts for 5. */
 static void
-test_grant_counts_for_its_number (void)
+test_pending_grant_counts_from_its_number (void)
 {
   StewardGates g;
 
   steward_gates_init (&g, 0);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 0, 0, 100));
-  steward_gates_grant (&g, 77, 5, 3100);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 5, 200), 5);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 77, 5, 0, 350));
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 6, 400), 5);
-  CU_ASSERT_EQUAL (steward_gates_lowest (&g, 6, 3100), 6);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 0, 0, 100));
+  steward_gates_record_grant (&g, 77, 5, 3100);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 5, 200), 5);
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 77, 5, 0, 350));
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 6, 400), 5);
+  CU_ASSERT_EQUAL (steward_gates_lowest_number (&g, 6, 3100), 6);
   steward_gates_clear (&g);
 }
 
-/* More gates than there is room for: none that may still hold a grant is forgotten. */
+/* With more gates than there is room for, the entry of a gate that may still hold a grant must not
+   be reused. */
 static void
-test_gates_full (void)
+test_full_gates_keep_grants (void)
 {
   StewardGates g;
   uint64_t alive[STEWARD_GATES_MAX];
@@ -67,13 +68,13 @@
   steward_gates_init (&g, 0);
   for (uint64_t i = 1; i <= STEWARD_GATES_MAX; i++)
     {
-      CU_ASSERT_TRUE (steward_gates_ask (&g, i, 1, 1, 0));
-      steward_gates_grant (&g, i, 1, 3000);
+      CU_ASSERT_TRUE (steward_gates_record_ask (&g, i, 1, 1, 0));
+      steward_gates_record_grant (&g, i, 1, 3000);
     }
-  CU_ASSERT_FALSE (steward_gates_ask (&g, 100, 1, 1, 2999));
-  CU_ASSERT_FALSE (steward_gates_ask (&g, 0, 1, 1, 2999));
+  CU_ASSERT_FALSE (steward_gates_record_ask (&g, 100, 1, 1, 2999));
+  CU_ASSERT_FALSE (steward_gates_record_ask (&g, 0, 1, 1, 2999));
   CU_ASSERT_EQUAL (steward_gates_in_flight (&g, 2999), STEWARD_GATES_MAX);
-  CU_ASSERT_TRUE (steward_gates_ask (&g, 100, 1, 1, 3000));
+  CU_ASSERT_TRUE (steward_gates_record_ask (&g, 100, 1, 1, 3000));
   CU_ASSERT_EQUAL (steward_gates_alive (&g, 5500, alive, STEWARD_GATES_MAX), 1);
   CU_ASSERT_EQUAL (alive[0], 100);
   steward_gates_clear (&g);
@@ -91,10 +92,10 @@
   return brake;
 }
 
-/* A brake raised in an outage must be in the table afterwards, or it is lost when all VMs are
- * replaced; and a new steward must learn it from there. */
+/* A brake raised in an outage must be written to the table afterwards, or it is lost when all VMs
+   are replaced. A new steward must read it from there. */
 static void
-test_brakes_reach_table (void)
+test_brakes_are_synced_with_table (void)
 {
   Platform *p = fake_platform_new ();
   ClusterBrake brake = brake_of ("v1", 3);
@@ -106,10 +107,10 @@
   CU_ASSERT_EQUAL (steward_brakes_raise (&a, &brake), CLUSTER_BRAKE_ADDED);
   CU_ASSERT_EQUAL (steward_brakes_raise (&a, &brake), CLUSTER_BRAKE_KNOWN);
   CU_ASSERT_NOT_EQUAL (steward_brakes_sync (&a, p, TIMEOUT_MS, NULL), STATUS_OK);
-  CU_ASSERT_TRUE (steward_brakes_behind (&a));
+  CU_ASSERT_TRUE (steward_brakes_unwritten (&a));
   fake_platform_fault (p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (steward_brakes_sync (&a, p, TIMEOUT_MS, NULL), STATUS_OK);
-  CU_ASSERT_FALSE (steward_brakes_behind (&a));
+  CU_ASSERT_FALSE (steward_brakes_unwritten (&a));
   CU_ASSERT_EQUAL (steward_brakes_sync (&b, p, TIMEOUT_MS, NULL), STATUS_OK);
   CU_ASSERT_NOT_EQUAL (steward_brakes_digest (&a), 0);
   CU_ASSERT_EQUAL (steward_brakes_digest (&a), steward_brakes_digest (&b));
@@ -118,7 +119,8 @@
   platform_free (p);
 }
 
-/* The older brake in the table must not hide the newer one, nor the other way round. */
+/* An older brake in the table must not hide a newer one, nor a newer one be overwritten by an
+   older one. */
 static void
 test_newer_brake_wins_in_table (void)
 {
@@ -140,9 +142,9 @@
   platform_free (p);
 }
 
-/* With more brakes than one datagram carries, a peer that asks again and again gets them all. */
+/* With more brakes than one datagram carries, a peer that keeps asking must get them all. */
 static void
-test_brakes_in_shares (void)
+test_messages_carry_brakes_in_turn (void)
 {
   StewardBrakes a, b;
   char version[8];
@@ -150,7 +152,7 @@
 
   steward_brakes_init (&a);
   steward_brakes_init (&b);
-  for (int i = 0; i < 3 * STEWARD_BRAKES_SHARE / 2; i++)
+  for (int i = 0; i < 3 * STEWARD_BRAKES_PER_MESSAGE / 2; i++)
     {
       snprintf (version, sizeof version, "v%d", i);
       ClusterBrake brake = brake_of (version, 1);
@@ -159,10 +161,10 @@
   for (int round = 0; round < 2; round++)
     {
       message = (rpc_heartbeat){ 0 };
-      steward_brakes_fill (&a, STEWARD_BRAKES_SHARE, &message.brakes.brakes_val,
+      steward_brakes_fill (&a, STEWARD_BRAKES_PER_MESSAGE, &message.brakes.brakes_val,
                            &message.brakes.brakes_len);
-      CU_ASSERT_EQUAL (message.brakes.brakes_len, STEWARD_BRAKES_SHARE);
-      (void)steward_brakes_take (&b, message.brakes.brakes_val, message.brakes.brakes_len);
+      CU_ASSERT_EQUAL (message.brakes.brakes_len, STEWARD_BRAKES_PER_MESSAGE);
+      (void)steward_brakes_merge (&b, message.brakes.brakes_val, message.brakes.brakes_len);
       steward_message_clear (&message);
     }
   CU_ASSERT_EQUAL (steward_brakes_digest (&a), steward_brakes_digest (&b));
@@ -170,9 +172,9 @@
   steward_brakes_clear (&b);
 }
 
-/* An entry whose write lost its reply is written again, and must be there once. */
+/* An entry is written again after a lost reply, and must be stored once. */
 static void
-test_audit_once (void)
+test_repeated_audit_write_leaves_one_row (void)
 {
   Platform *p = fake_platform_new ();
   StewardAuditQueue q;
@@ -195,13 +197,13 @@
 }
 
 static void
-test_audit_full (void)
+test_full_audit_queue_refuses (void)
 {
   StewardAuditQueue q;
   StewardAuditEntry entry = { .who = "ana", .action = "brake" };
 
   steward_audit_queue_init (&q);
-  for (int i = 0; i < STEWARD_AUDIT_QUEUE; i++)
+  for (int i = 0; i < STEWARD_AUDIT_QUEUE_MAX; i++)
     CU_ASSERT_TRUE (steward_audit_queue_add (&q, &entry));
   CU_ASSERT_FALSE (steward_audit_queue_add (&q, &entry));
   steward_audit_queue_clear (&q);
@@ -240,9 +242,9 @@
   return number;
 }
 
-/* Sums over more rows than one page; a record's attempts count once each. */
+/* The sums must span several pages of rows, and count each attempt of a record once. */
 static void
-test_usage_sums (void)
+test_usage_sums_span_pages (void)
 {
   Platform *p = fake_platform_new ();
 
@@ -277,8 +279,8 @@
                            .news_count = 1 };
   h->news[0]
       = (ClusterNews){ .incarnation = 9, .number = 4, .view = 2, .age_ms = CLUSTER_AGE_UNKNOWN };
-  steward_message_from (h, &message);
-  CU_ASSERT_TRUE (steward_message_to (&message, back));
+  steward_message_encode (h, &message);
+  CU_ASSERT_TRUE (steward_message_decode (&message, back));
   CU_ASSERT_EQUAL (back->nonce, 1);
   CU_ASSERT_EQUAL (back->incarnation, 2);
   CU_ASSERT_EQUAL (back->view, 3);
@@ -294,36 +296,38 @@
   CU_ASSERT_EQUAL (back->news[0].view, 2);
   CU_ASSERT_EQUAL (back->news[0].age_ms, CLUSTER_AGE_UNKNOWN);
   message.incarnation = 0;
-  CU_ASSERT_FALSE (steward_message_to (&message, back));
+  CU_ASSERT_FALSE (steward_message_decode (&message, back));
   message.ages.ages_val = NULL;
   steward_message_clear (&message);
   free (h);
   free (back);
 }
 
-/* The bytes of heartbeats stay within their bound at any size, and asks never stop. */
+/* Heartbeats must stay within their bound of bytes with any number of members, and asks must never
+   stop. */
 static void
-test_heartbeat_rate (void)
+test_heartbeat_rate_is_bounded (void)
 {
-  CU_ASSERT_TRUE (steward_heartbeat_rate (3) <= STEWARD_ASKS_PER_S);
+  CU_ASSERT_TRUE (steward_heartbeat_rate (3) <= STEWARD_HEARTBEAT_ASKS_PER_S_MAX);
   CU_ASSERT_TRUE (steward_heartbeat_rate (360) < steward_heartbeat_rate (36));
   CU_ASSERT_TRUE (steward_heartbeat_rate (360) > 3);
   CU_ASSERT_TRUE (steward_heartbeat_rate (CLUSTER_MEMBERS_MAX) > 2);
 }
 
-/* All stewards together must leave the table service to the requests. */
+/* The polls of all stewards together must leave most of the table service's capacity to
+   requests. */
 static void
-test_poll_time (void)
+test_poll_interval_grows_with_members (void)
 {
-  CU_ASSERT_EQUAL (steward_table_poll_ms (500, 9), 500);
-  CU_ASSERT_EQUAL (steward_table_poll_ms (500, 36), 500);
-  CU_ASSERT_EQUAL (steward_table_poll_ms (500, 360), 3600);
+  CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 9), 500);
+  CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 36), 500);
+  CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 360), 3600);
 }
 
-/* A gate whose records would be taken for left behind while it lives would have its row deleted and
- * its later objects never looked for; so doubt counts as alive. */
+/* If a gate that still runs were taken to be gone, its row would be deleted and its later objects
+   never be looked for. So a gate of unknown state counts as alive. */
 static void
-test_gate_alive_when_unsure (void)
+test_unknown_gate_counts_as_alive (void)
 {
   Steward *s = memory_alloc (sizeof *s);
   uint64_t gate = 55;
@@ -333,31 +337,31 @@
   s->started_at = 0;
   steward_cluster_init (&s->cluster, 1, 3000);
   steward_gates_init (&s->gates, 0);
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, 1000));
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 1000));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
   ClusterView *view = memory_alloc (sizeof *view);
   *view = (ClusterView){ .number = 1, .established = true, .count = 1 };
   view->members[0].incarnation = 1;
   CU_ASSERT_TRUE (cluster_state_adopt_view (s->cluster.state, view));
-  CU_ASSERT_FALSE (steward_settle_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
-  steward_remote_gates_heard (&s->remote_gates, 2, &gate, 1, STEWARD_GATE_GONE_MS);
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
-  CU_ASSERT_FALSE (steward_settle_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
-  CU_ASSERT_TRUE (steward_gates_ask (&s->gates, gate, 1, 0, 2 * STEWARD_GATE_GONE_MS));
-  CU_ASSERT_TRUE (steward_settle_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
+  steward_remote_gates_update (&s->remote_gates, 2, &gate, 1, STEWARD_GATE_GONE_MS);
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_TRUE (steward_gates_record_ask (&s->gates, gate, 1, 0, 2 * STEWARD_GATE_GONE_MS));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
   free (view);
   steward_gates_clear (&s->gates);
   steward_cluster_clear (&s->cluster);
   free (s);
 }
 
-/* What an operator would see: "in force" for a number that withdraws a version, and after it an
- * answer by the number before. vm0 stopped as planned and left the view; the table service went
- * away; vm0 started again, learned the old view from its peers and got a grant by their word. Then
- * the service was back, the peers took over the view without vm0, accepted the next number and had
- * it in force among themselves, while vm0's grant still lasted. */
+/* An operator sees "in force" for a number that withdraws a version, but a later request is
+   answered under the number before. vm0 left the view at a planned stop, was started again in an
+   outage of the table service, learned the old view from its peers and got a grant on their
+   reports. After the outage the peers adopted the view without vm0, accepted the next number and
+   had it in force among themselves, while vm0's grant still lasted. */
 static void
-test_in_force_waits_for_one_that_left (void)
+test_in_force_waits_for_grant_of_removed_member (void)
 {
   enum
   {
@@ -396,7 +400,7 @@
   CU_ASSERT_FALSE (steward_cluster_progress (s, 12, end).in_force);
   CU_ASSERT_TRUE (steward_cluster_progress (s, 12, end + 1).in_force);
 
-  /* A new process at the same address takes the place over: nobody works unseen. */
+  /* A new process at the same address takes the slot over: no address is missing. */
   view->number = 4;
   view->members[0].incarnation = 1;
   CU_ASSERT_TRUE (steward_cluster_adopt_view (s, view, end + 2));
@@ -410,20 +414,21 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "gate_with_grant_holds_number", test_gate_with_grant_holds_number },
-    { "grant_counts_for_its_number", test_grant_counts_for_its_number },
-    { "gates_full", test_gates_full },
-    { "brakes_reach_table", test_brakes_reach_table },
+    { "grant_in_use_keeps_lower_number", test_grant_in_use_keeps_lower_number },
+    { "pending_grant_counts_from_its_number", test_pending_grant_counts_from_its_number },
+    { "full_gates_keep_grants", test_full_gates_keep_grants },
+    { "brakes_are_synced_with_table", test_brakes_are_synced_with_table },
     { "newer_brake_wins_in_table", test_newer_brake_wins_in_table },
-    { "brakes_in_shares", test_brakes_in_shares },
-    { "audit_once", test_audit_once },
-    { "audit_full", test_audit_full },
-    { "usage_sums", test_usage_sums },
+    { "messages_carry_brakes_in_turn", test_messages_carry_brakes_in_turn },
+    { "repeated_audit_write_leaves_one_row", test_repeated_audit_write_leaves_one_row },
+    { "full_audit_queue_refuses", test_full_audit_queue_refuses },
+    { "usage_sums_span_pages", test_usage_sums_span_pages },
     { "message_round_trip", test_message_round_trip },
-    { "heartbeat_rate", test_heartbeat_rate },
-    { "poll_time", test_poll_time },
-    { "gate_alive_when_unsure", test_gate_alive_when_unsure },
-    { "in_force_waits_for_one_that_left", test_in_force_waits_for_one_that_left },
+    { "heartbeat_rate_is_bounded", test_heartbeat_rate_is_bounded },
+    { "poll_interval_grows_with_members", test_poll_interval_grows_with_members },
+    { "unknown_gate_counts_as_alive", test_unknown_gate_counts_as_alive },
+    { "in_force_waits_for_grant_of_removed_member",
+      test_in_force_waits_for_grant_of_removed_member },
   };
 
   return suite_main (argc, argv, "steward_parts", cases, SUITE_COUNT (cases));
