--- a/src/steward_fetch.c
+++ b/src/steward_fetch.c
@@ -36,7 +36,7 @@
   /** The lowest number to fetch, or 0 if there is nothing to fetch. */
   int64_t (*wanted) (Steward *s);
   /** True if a member is known to have that number or a newer one. */
-  bool (*has) (const ClusterKnown *k, int64_t wanted);
+  bool (*has) (const ClusterProgress *k, int64_t wanted);
   void (*apply) (Steward *s, const rpc_document *document);
 } FetchKind;
 
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -358,7 +358,7 @@
     {
       pthread_mutex_lock (&s->cluster.lock);
       set_introducer (s, message);
-      answers = cluster_state_take_ask (s->cluster.state, ask, clock_boot_ms (), answer);
+      answers = cluster_state_handle_ask (s->cluster.state, ask, clock_boot_ms (), answer);
       if (answers)
         cluster_heartbeat_pack (s->cluster.state, answer);
       answers = answers && asker_address (s, message, &to);
@@ -388,7 +388,7 @@
   if (good)
     {
       pthread_mutex_lock (&s->cluster.lock);
-      (void)cluster_state_take_answer (s->cluster.state, answer, clock_boot_ms ());
+      (void)cluster_state_handle_answer (s->cluster.state, answer, clock_boot_ms ());
       steward_remote_gates_update (&s->remote_gates, answer->incarnation, message->gates.gates_val,
                                    message->gates.gates_len, clock_boot_ms ());
       pthread_cond_broadcast (&s->cluster.changed);
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -146,7 +146,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_DOWN, CALL_ALL, 0);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_FALSE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
@@ -169,7 +169,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_LOSE_REPLY, CALL_ALL, 0);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_TRUE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
@@ -189,7 +189,7 @@
   ClaimOutcome out;
 
   fake_platform_fault (site.p, FAULT_SLOW, CALL_ALL, 0);
-  CU_ASSERT_EQUAL (order_take (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
+  CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_TRUE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (claim_release (site.p, &out.claim, NULL), STATUS_OK);
--- a/tests/test_gate_poll.c
+++ b/tests/test_gate_poll.c
@@ -15,7 +15,7 @@
 typedef struct
 {
   Gate gate;
-  FakeKeeper *keepers[ENGINES];
+  FakeHttpServer *keepers[ENGINES];
   int expected; /**< number of requests or open connections to wait for */
 } Site;
 
@@ -64,7 +64,7 @@
 {
   Site *site = context;
 
-  return sum (site, fake_keeper_requests) >= site->expected;
+  return sum (site, fake_http_server_requests) >= site->expected;
 }
 
 static bool
@@ -72,13 +72,13 @@
 {
   Site *site = context;
 
-  return sum (site, fake_keeper_open) == site->expected;
+  return sum (site, fake_http_server_open) == site->expected;
 }
 
 static void
 wait_requests (Site *site, int more)
 {
-  site->expected = sum (site, fake_keeper_requests) + more;
+  site->expected = sum (site, fake_http_server_requests) + more;
   CU_ASSERT_TRUE (suite_wait (enough_requests, site));
 }
 
@@ -104,8 +104,8 @@
   wait_requests (site, 2 * ENGINES);
   seconds = (clock_boot_ms () - from_ms) / 1000;
   /* seconds is rounded down, and each thread may begin one round at either end of the interval. */
-  CU_ASSERT_TRUE (sum (site, fake_keeper_requests) <= GATE_POLL_READS_MAX * (seconds + 2));
-  CU_ASSERT_EQUAL (sum (site, fake_keeper_connections), ENGINES);
+  CU_ASSERT_TRUE (sum (site, fake_http_server_requests) <= GATE_POLL_READS_MAX * (seconds + 2));
+  CU_ASSERT_EQUAL (sum (site, fake_http_server_connections), ENGINES);
   for (int i = 0; i < ENGINES; i++)
     {
       ServerView view;
@@ -116,9 +116,9 @@
   site->expected = REMAINING;
   CU_ASSERT_TRUE (suite_wait (expected_open, site));
   wait_requests (site, 2 * REMAINING);
-  CU_ASSERT_EQUAL (sum (site, fake_keeper_open), REMAINING);
+  CU_ASSERT_EQUAL (sum (site, fake_http_server_open), REMAINING);
   /* A remaining engine may now belong to another thread, which opens its own connection. */
-  CU_ASSERT_TRUE (sum (site, fake_keeper_connections) <= ENGINES + REMAINING);
+  CU_ASSERT_TRUE (sum (site, fake_http_server_connections) <= ENGINES + REMAINING);
   gate_poll_stop (poll);
   gate_snapshot_put (site->gate.snapshots.newest);
   for (int i = 0; i < ENGINES; i++)
