--- a/standin/common_fault.c
+++ b/standin/common_fault.c
@@ -54,7 +54,7 @@
   if (!text && json_object_object_get_ex (obj, "value", &member))
     fault->number = json_object_get_double (member);
   if (json_object_object_get_ex (obj, "count", &member))
-    fault->left = (unsigned)json_object_get_int (member);
+    fault->remaining = (unsigned)json_object_get_int (member);
 }
 
 bool
@@ -82,27 +82,27 @@
 }
 
 static bool
-meet (FaultKind kind, const char *path, bool count, Fault *out)
+match (FaultKind kind, const char *path, bool count, Fault *out)
 {
   pthread_mutex_lock (&lock);
   Fault *fault = &faults[kind];
-  bool met = fault->set && strncmp (path, fault->path, strlen (fault->path)) == 0;
-  if (met && out)
+  bool matched = fault->set && strncmp (path, fault->path, strlen (fault->path)) == 0;
+  if (matched && out)
     *out = *fault;
-  if (met && count && fault->left && --fault->left == 0)
+  if (matched && count && fault->remaining && --fault->remaining == 0)
     fault->set = false;
   pthread_mutex_unlock (&lock);
-  return met;
+  return matched;
 }
 
 bool
-fault_take (FaultKind kind, const char *path, Fault *out)
+fault_consume (FaultKind kind, const char *path, Fault *out)
 {
-  return meet (kind, path, true, out);
+  return match (kind, path, true, out);
 }
 
 bool
-fault_look (FaultKind kind, const char *path, Fault *out)
+fault_peek (FaultKind kind, const char *path, Fault *out)
 {
-  return meet (kind, path, false, out);
+  return match (kind, path, false, out);
 }
--- a/standin/common_fault.h
+++ b/standin/common_fault.h
@@ -1,6 +1,7 @@
 /**
- * Faults on command, POST /v1/fault {"kind":K,"value":V,"count":N,"path":P}: the next N calls (0:
- * all) whose path begins with P (all, without it) meet the fault. DELETE /v1/fault ends all faults.
+ * Fault injection. POST /v1/fault {"kind":K,"value":V,"count":N,"path":P} sets a fault: it applies
+ * to the next N requests (0: until cleared) whose path begins with P (no "path": to every request).
+ * Each kind holds one setting, which a later POST replaces. DELETE /v1/fault clears all faults.
  */
 #ifndef COMMON_FAULT_H
 #define COMMON_FAULT_H
@@ -12,39 +13,40 @@
 
 typedef enum
 {
-  FAULT_DOWN,           /**< 503, no effect */
-  FAULT_SLOW,           /**< value: ms before the effect, which comes though the caller has left */
-  FAULT_LOSE_CALL,      /**< closed without effect and without an answer */
-  FAULT_LOSE_REPLY,     /**< closed without an answer after the effect */
-  FAULT_LATE_EVENTS,    /**< value: ms before cache events are seen */
-  FAULT_GAPPY_EVENTS,   /**< value: every which cache event is missing */
+  FAULT_DOWN,           /**< answered with 503; the request has no effect */
+  FAULT_SLOW,           /**< value: ms before the request takes effect, even if the caller left */
+  FAULT_LOSE_CALL,      /**< connection closed without an answer; the request has no effect */
+  FAULT_LOSE_REPLY,     /**< connection closed without an answer; the request takes effect */
+  FAULT_LATE_EVENTS,    /**< value: ms before a cache event is reported */
+  FAULT_GAPPY_EVENTS,   /**< value N: every Nth cache event is left out */
   FAULT_LAG_LOAD,       /**< value: age in ms of the load that is reported */
-  FAULT_CRASH_ON,       /**< value: text; a prompt that holds it ends the process at once */
+  FAULT_CRASH_ON,       /**< value: text; a prompt that contains it ends the process at once */
   FAULT_CUT_AT,         /**< value: bytes of a stream after which its connection is closed */
-  FAULT_DUPLICATE,      /**< value: every which event of a stream is sent twice */
-  FAULT_REORDER,        /**< value: every which event is sent after the one that follows it */
-  FAULT_IGNORE_FENCING, /**< orders with old fencing numbers are obeyed */
-  FAULT_NOT_RUN,        /**< 503 with code not_run, no run */
-  FAULT_BAD_VERSION,    /**< value: MODEL@VERSION whose answers are bad from now on */
-  FAULT_DRAIN,          /**< the engine says that it drains, and takes no new work */
+  FAULT_DUPLICATE,      /**< value N: every Nth event of a stream is sent twice */
+  FAULT_REORDER,        /**< value N: every Nth event of a stream is swapped with the next one */
+  FAULT_IGNORE_FENCING, /**< orders with outdated fencing numbers are executed */
+  FAULT_NOT_RUN,        /**< answered with 503 and code not_run; no run starts */
+  FAULT_BAD_VERSION,    /**< value: MODEL@VERSION whose answers are bad while the fault is set */
+  FAULT_DRAIN,          /**< the engine reports that it is draining and refuses new requests */
   FAULT_KINDS
 } FaultKind;
 
 typedef struct
 {
   bool set;
-  double number;             /**< 0 if the value is no number */
-  char text[FAULT_TEXT_MAX]; /**< "" if the value is no string */
-  char path[FAULT_TEXT_MAX]; /**< "" matches all */
-  unsigned left;             /**< 0: without end */
+  double number;             /**< value; 0 if it is not a number */
+  char text[FAULT_TEXT_MAX]; /**< value; "" if it is not a string */
+  char path[FAULT_TEXT_MAX]; /**< prefix of the request's path; "" matches all */
+  unsigned remaining;        /**< requests to which it still applies; 0: unlimited */
 } Fault;
 
-/** Sets a fault from its JSON text; false if it isn't one. */
+/** Sets a fault from the body of a POST; false if it is not valid or its kind is unknown. */
 bool fault_set (const char *text);
 void fault_clear (void);
-/** True if a call of this path meets the fault now, which counts; *out may be NULL. */
-bool fault_take (FaultKind kind, const char *path, Fault *out);
-/** The same without counting. */
-bool fault_look (FaultKind kind, const char *path, Fault *out);
+/** True if the fault applies to a request of this path, which uses up one of its count. Copies the
+ *  fault to *out, which may be NULL. */
+bool fault_consume (FaultKind kind, const char *path, Fault *out);
+/** Like fault_consume, but leaves the count as it is. */
+bool fault_peek (FaultKind kind, const char *path, Fault *out);
 
 #endif
--- a/standin/common_http.c
+++ b/standin/common_http.c
@@ -7,9 +7,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STACK_SIZE      ((size_t)192 * 1024)
+#define STACK_SIZE      ((size_t)192 * 1024) /* bytes, of each connection's thread */
 #define CONNECTIONS_MAX 8192U
-#define BODY_MAX        ((size_t)64 * 1024 * 1024)
+#define LISTEN_BACKLOG  4096U
+#define BODY_MAX        ((size_t)64 * 1024 * 1024) /* bytes of a request */
 
 static enum MHD_Result handle_fault (StandinRequest *request);
 
@@ -123,7 +124,7 @@
 }
 
 static enum MHD_Result
-run_request (const StandinRoutes *routes, StandinRequest *request)
+dispatch_request (const StandinRoutes *routes, StandinRequest *request)
 {
   const StandinRoute *route = route_find (routes, request);
   Fault fault;
@@ -131,13 +132,13 @@
     return standin_reply_error (request, MHD_HTTP_NOT_FOUND, "no_such_call");
   if (route->control)
     return route->handle (request);
-  if (fault_take (FAULT_DOWN, request->path, NULL))
+  if (fault_consume (FAULT_DOWN, request->path, NULL))
     return standin_reply_error (request, MHD_HTTP_SERVICE_UNAVAILABLE, "not_run");
-  if (fault_take (FAULT_LOSE_CALL, request->path, NULL))
+  if (fault_consume (FAULT_LOSE_CALL, request->path, NULL))
     return MHD_NO;
-  if (fault_take (FAULT_SLOW, request->path, &fault))
+  if (fault_consume (FAULT_SLOW, request->path, &fault))
     clock_sleep_ms ((int64_t)fault.number);
-  request->lose_reply = fault_take (FAULT_LOSE_REPLY, request->path, NULL);
+  request->lose_reply = fault_consume (FAULT_LOSE_REPLY, request->path, NULL);
   return route->handle (request);
 }
 
@@ -173,14 +174,14 @@
   request->handled = true;
   request->method = method;
   request->path = url;
-  return run_request (cls, request);
+  return dispatch_request (cls, request);
 }
 
 static void
-completed (void *cls,
-           struct MHD_Connection *connection,
-           void **con_cls,
-           enum MHD_RequestTerminationCode toe)
+request_completed (void *cls,
+                   struct MHD_Connection *connection,
+                   void **con_cls,
+                   enum MHD_RequestTerminationCode toe)
 {
   (void)cls;
   (void)connection;
@@ -196,20 +197,20 @@
 struct MHD_Daemon *
 standin_http_start (const char *address, int port, const StandinRoutes *routes)
 {
-  struct sockaddr_in where = { .sin_family = AF_INET, .sin_port = htons ((uint16_t)port) };
-  if (inet_pton (AF_INET, address, &where.sin_addr) != 1)
+  struct sockaddr_in address_in = { .sin_family = AF_INET, .sin_port = htons ((uint16_t)port) };
+  if (inet_pton (AF_INET, address, &address_in.sin_addr) != 1)
     {
-      fprintf (stderr, "not an IP number: %s\n", address);
+      fprintf (stderr, "not an IPv4 address: %s\n", address);
       return NULL;
     }
   struct MHD_Daemon *daemon = MHD_start_daemon (
       MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL,
       (uint16_t)port, NULL, NULL, access_handler, (void *)routes, MHD_OPTION_SOCK_ADDR,
-      (struct sockaddr *)&where, MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX,
-      MHD_OPTION_THREAD_STACK_SIZE, STACK_SIZE, MHD_OPTION_NOTIFY_COMPLETED, completed, NULL,
-      MHD_OPTION_LISTEN_BACKLOG_SIZE, 4096U, MHD_OPTION_END);
+      (struct sockaddr *)&address_in, MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX,
+      MHD_OPTION_THREAD_STACK_SIZE, STACK_SIZE, MHD_OPTION_NOTIFY_COMPLETED, request_completed,
+      NULL, MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG, MHD_OPTION_END);
   if (!daemon)
-    fprintf (stderr, "can't listen on %s port %d\n", address, port);
+    fprintf (stderr, "cannot listen on %s port %d\n", address, port);
   return daemon;
 }
 
--- a/standin/common_main.c
+++ b/standin/common_main.c
@@ -8,20 +8,20 @@
 static error_t
 parse_option (int key, char *arg, struct argp_state *state)
 {
-  StandinAddress *where = state->input;
+  StandinEndpoint *endpoint = state->input;
   switch (key)
     {
     case 'a':
-      where->address = arg;
+      endpoint->address = arg;
       return 0;
     case 'p':
-      where->port = (int)strtol (arg, NULL, 10);
-      if (where->port < 1 || where->port > PORT_MAX)
-        argp_error (state, "the port is a number from 1 to %d", PORT_MAX);
+      endpoint->port = (int)strtol (arg, NULL, 10);
+      if (endpoint->port < 1 || endpoint->port > PORT_MAX)
+        argp_error (state, "--port must be a number from 1 to %d", PORT_MAX);
       return 0;
     case ARGP_KEY_END:
-      if (!where->address || !where->port)
-        argp_error (state, "--address and --port are needed");
+      if (!endpoint->address || !endpoint->port)
+        argp_error (state, "--address and --port are required");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -33,10 +33,10 @@
         { "port", 'p', "PORT", 0, "listen at this port", 0 },
         { 0 } };
 
-const struct argp standin_address_argp = { options, parse_option, NULL, NULL, NULL, NULL, NULL };
+const struct argp standin_endpoint_argp = { options, parse_option, NULL, NULL, NULL, NULL, NULL };
 
 static void
-end_signals (sigset_t *set)
+termination_signals (sigset_t *set)
 {
   sigemptyset (set);
   sigaddset (set, SIGTERM);
@@ -44,19 +44,19 @@
 }
 
 void
-standin_hold_signals (void)
+standin_block_signals (void)
 {
   sigset_t set;
-  end_signals (&set);
+  termination_signals (&set);
   pthread_sigmask (SIG_BLOCK, &set, NULL);
   signal (SIGPIPE, SIG_IGN);
 }
 
 void
-standin_wait_end (void)
+standin_wait_termination (void)
 {
   sigset_t set;
-  int which;
-  end_signals (&set);
-  sigwait (&set, &which);
+  int signal_number;
+  termination_signals (&set);
+  sigwait (&set, &signal_number);
 }
--- a/standin/common_main.h
+++ b/standin/common_main.h
@@ -1,5 +1,6 @@
 /**
- * What the stand-ins' programs share: the options --address and --port, and waiting for the end.
+ * Common parts of the stand-ins' main programs: the options --address and --port, and waiting for
+ * a termination signal.
  */
 #ifndef COMMON_MAIN_H
 #define COMMON_MAIN_H
@@ -10,14 +11,15 @@
 {
   const char *address;
   int port;
-} StandinAddress;
+} StandinEndpoint;
 
-/** Child parser; its input is a StandinAddress. */
-extern const struct argp standin_address_argp;
+/** Child parser for --address and --port; its input is a StandinEndpoint. */
+extern const struct argp standin_endpoint_argp;
 
-/** Call before any thread is started: SIGTERM and SIGINT then wait for standin_wait_end. */
-void standin_hold_signals (void);
+/** Blocks SIGTERM and SIGINT, so that standin_wait_termination can receive them, and ignores
+ *  SIGPIPE. Call it before any thread is started, so that all threads inherit the mask. */
+void standin_block_signals (void);
 /** Waits for SIGTERM or SIGINT. */
-void standin_wait_end (void);
+void standin_wait_termination (void);
 
 #endif
--- a/standin/engine_cache.c
+++ b/standin/engine_cache.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define EVENTS_MAX 4096
+#define EVENTS_MAX 4096 /* events kept; older ones are lost */
 
 typedef struct
 {
@@ -19,9 +19,9 @@
 } CacheEvent;
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static uint64_t *prefixes; /* the one used last comes first */
+static uint64_t *prefixes; /* most recently used first */
 static int prefix_count;
-static CacheEvent events[EVENTS_MAX]; /* a ring by seq */
+static CacheEvent events[EVENTS_MAX]; /* ring buffer; seq modulo its size is the index */
 static int64_t next_seq;
 
 static void
@@ -32,7 +32,7 @@
 }
 
 static int
-find (uint64_t prefix)
+find_prefix (uint64_t prefix)
 {
   for (int i = 0; i < prefix_count; i++)
     if (prefixes[i] == prefix)
@@ -48,7 +48,7 @@
   pthread_mutex_lock (&lock);
   if (!prefixes)
     prefixes = memory_array ((size_t)engine_options.prefixes, sizeof *prefixes);
-  int at = find (prefix);
+  int at = find_prefix (prefix);
   bool cached = at >= 0;
   if (!cached && prefix_count == engine_options.prefixes)
     add_event (prefixes[--prefix_count], false);
@@ -82,8 +82,8 @@
   int64_t seq = text ? strtoll (text, NULL, 10) : 0;
   Fault late = { 0 };
   Fault gappy = { 0 };
-  fault_look (FAULT_LATE_EVENTS, request->path, &late);
-  fault_look (FAULT_GAPPY_EVENTS, request->path, &gappy);
+  fault_peek (FAULT_LATE_EVENTS, request->path, &late);
+  fault_peek (FAULT_GAPPY_EVENTS, request->path, &gappy);
   int64_t newest_ms = clock_boot_ms () - (int64_t)late.number;
   struct json_object *list = json_object_new_array ();
   pthread_mutex_lock (&lock);
--- a/standin/engine_calls.c
+++ b/standin/engine_calls.c
@@ -12,7 +12,7 @@
 #define STREAM_PATH "/v1/streams/"
 
 static const char *
-text_of (struct json_object *body, const char *name)
+member_string (struct json_object *body, const char *name)
 {
   struct json_object *member;
   if (!json_object_object_get_ex (body, name, &member)
@@ -22,7 +22,7 @@
 }
 
 static int64_t
-number_of (struct json_object *body, const char *name)
+member_number (struct json_object *body, const char *name)
 {
   struct json_object *member;
   if (!json_object_object_get_ex (body, name, &member))
@@ -46,7 +46,7 @@
 }
 
 static struct json_object *
-choice_of (const Run *run)
+choice_json (const Run *run)
 {
   Buffer text = { 0 };
   run_text (run, run->length, &text);
@@ -62,7 +62,7 @@
 }
 
 static enum MHD_Result
-answer_whole (StandinRequest *request, Run *run, unsigned attachment)
+reply_complete (StandinRequest *request, Run *run, unsigned attachment)
 {
   RunState state;
   unsigned tokens = 0;
@@ -76,7 +76,7 @@
   json_object_object_add (usage, "prompt_tokens", json_object_new_int64 (run->prompt.tokens));
   json_object_object_add (usage, "completion_tokens", json_object_new_int64 (run->length));
   struct json_object *choices = json_object_new_array ();
-  json_object_array_add (choices, choice_of (run));
+  json_object_array_add (choices, choice_json (run));
   struct json_object *reply = json_object_new_object ();
   json_object_object_add (reply, "id", json_object_new_string (run->request));
   json_object_object_add (reply, "model", json_object_new_string (run->model));
@@ -92,32 +92,32 @@
           const Prompt *prompt)
 {
   const char *priority = standin_header (request, "X-Lovage-Priority");
-  int64_t length = number_of (body, "max_tokens");
-  Run *run = run_begin (&(RunAsk){ .request = standin_header (request, "X-Lovage-Request"),
-                                   .idempotency = standin_header (request, "Idempotency-Key"),
-                                   .user = text_of (body, "user"),
-                                   .model = model,
-                                   .prompt = prompt,
-                                   .priority = priority ? (int)strtol (priority, NULL, 10) : 0,
-                                   .length = length > 0 ? (unsigned)length : 0 });
+  int64_t length = member_number (body, "max_tokens");
+  Run *run = run_begin (&(RunParams){ .request = standin_header (request, "X-Lovage-Request"),
+                                      .idempotency = standin_header (request, "Idempotency-Key"),
+                                      .user = member_string (body, "user"),
+                                      .model = model,
+                                      .prompt = prompt,
+                                      .priority = priority ? (int)strtol (priority, NULL, 10) : 0,
+                                      .length = length > 0 ? (unsigned)length : 0 });
   bool stream = wants_stream (body);
   unsigned attachment
       = run_attach (run, connection_fd (request), stream ? engine_options.resume_ms : 0);
   if (stream)
     return stream_answer (request, run, attachment, 0);
-  return answer_whole (request, run, attachment);
+  return reply_complete (request, run, attachment);
 }
 
 static enum MHD_Result
 handle_chat (StandinRequest *request)
 {
   struct json_object *body = standin_json (request);
-  const char *model = body ? text_of (body, "model") : NULL;
+  const char *model = body ? member_string (body, "model") : NULL;
   Prompt prompt;
   enum MHD_Result result;
   if (!model || !prompt_read (body, &prompt))
     result = standin_reply_error (request, MHD_HTTP_BAD_REQUEST, "bad_request");
-  else if (fault_take (FAULT_NOT_RUN, request->path, NULL) || fault_look (FAULT_DRAIN, "", NULL))
+  else if (fault_consume (FAULT_NOT_RUN, request->path, NULL) || fault_peek (FAULT_DRAIN, "", NULL))
     result = standin_reply_error (request, MHD_HTTP_SERVICE_UNAVAILABLE, "not_run");
   else if (!models_loaded (model))
     result = standin_reply_error (request, MHD_HTTP_CONFLICT, "wrong_version");
@@ -155,8 +155,8 @@
                                        { "DELETE", STREAM_PATH, false, handle_stream },
                                        { "GET", "/v1/load", false, load_report },
                                        { "GET", "/v1/cache_events", false, cache_events },
-                                       { "POST", "/v1/orders", false, models_order },
-                                       { "GET", "/v1/orders", true, models_orders },
+                                       { "POST", "/v1/orders", false, models_handle_order },
+                                       { "GET", "/v1/orders", true, models_list_orders },
                                        { "GET", "/v1/record", true, handle_record } };
 
 const StandinRoutes engine_routes = { routes, sizeof routes / sizeof routes[0] };
--- a/standin/engine_calls.h
+++ b/standin/engine_calls.h
@@ -1,5 +1,5 @@
 /**
- * The calls of the stand-in engine, docs/PLATFORM.md.
+ * HTTP API of the stand-in engine, specified in docs/PLATFORM.md.
  */
 #ifndef ENGINE_CALLS_H
 #define ENGINE_CALLS_H
--- a/standin/engine_main.c
+++ b/standin/engine_main.c
@@ -1,6 +1,6 @@
 /*
- * standin-engine: a model engine that batches continuously, for tests only. It generates no text:
- * tokens are words drawn from the prompt's hash.
+ * standin-engine: simulates a model engine with continuous batching, for tests only. It runs no
+ * model: the tokens of an answer are words chosen by the prompt's hash.
  */
 #include "common_main.h"
 #include "engine_calls.h"
@@ -31,18 +31,20 @@
   OPTION_RECORD
 };
 
-static const struct argp_option option_list[]
-    = { { "serves", OPTION_SERVES, "MODEL@VERSION[,...]", 0, "versions carried at the start", 0 },
-        { "slots", OPTION_SLOTS, "N", 0, "requests that run at once", 0 },
-        { "token-ms", OPTION_TOKEN_MS, "T", 0, "time between two tokens", 0 },
-        { "first-ms", OPTION_FIRST_MS, "T", 0, "time to the first token", 0 },
-        { "prefixes", OPTION_PREFIXES, "N", 0, "prefixes that the cache holds", 0 },
-        { "resume-ms", OPTION_RESUME_MS, "T", 0, "time in which a cut stream may be resumed", 0 },
-        { "checks-fencing", OPTION_CHECKS_FENCING, NULL, 0, "refuse orders with old numbers", 0 },
-        { "quality", OPTION_QUALITY, "[VERSION=]Q", 0, "mean quality of a version's answers", 0 },
-        { "spread", OPTION_SPREAD, "S", 0, "an answer's quality is the mean plus or minus S", 0 },
-        { "record", OPTION_RECORD, "FILE", 0, "add a line for each run that starts", 0 },
-        { 0 } };
+static const struct argp_option option_list[] = {
+  { "serves", OPTION_SERVES, "MODEL@VERSION[,...]", 0, "versions loaded at start", 0 },
+  { "slots", OPTION_SLOTS, "N", 0, "requests that run at once", 0 },
+  { "token-ms", OPTION_TOKEN_MS, "T", 0, "time between two tokens", 0 },
+  { "first-ms", OPTION_FIRST_MS, "T", 0, "time from admission to the first token", 0 },
+  { "prefixes", OPTION_PREFIXES, "N", 0, "prefixes that the cache holds", 0 },
+  { "resume-ms", OPTION_RESUME_MS, "T", 0, "time within which a cut stream can be resumed", 0 },
+  { "checks-fencing", OPTION_CHECKS_FENCING, NULL, 0, "refuse orders with outdated fencing numbers",
+    0 },
+  { "quality", OPTION_QUALITY, "[VERSION=]Q", 0, "mean quality of a version's answers", 0 },
+  { "spread", OPTION_SPREAD, "S", 0, "answers' qualities vary by up to S around the mean", 0 },
+  { "record", OPTION_RECORD, "FILE", 0, "append a line when a run starts and ends", 0 },
+  { 0 }
+};
 
 static int64_t
 number (const char *arg, struct argp_state *state)
@@ -50,7 +52,7 @@
   char *end;
   long long n = strtoll (arg, &end, 10);
   if (end == arg || *end || n < 0)
-    argp_error (state, "not a number: %s", arg);
+    argp_error (state, "not a number from 0: %s", arg);
   return n;
 }
 
@@ -84,8 +86,8 @@
       engine_options.checks_fencing = true;
       return 0;
     case OPTION_QUALITY:
-      if (!models_quality (arg))
-        argp_error (state, "not a quality: %s", arg);
+      if (!models_set_quality (arg))
+        argp_error (state, "not a quality from 0 to 1: %s", arg);
       return 0;
     case OPTION_SPREAD:
       engine_options.spread = strtod (arg, NULL);
@@ -101,20 +103,20 @@
 int
 main (int argc, char **argv)
 {
-  const struct argp_child children[] = { { &standin_address_argp, 0, NULL, 0 }, { 0 } };
+  const struct argp_child children[] = { { &standin_endpoint_argp, 0, NULL, 0 }, { 0 } };
   const struct argp argp = { .options = option_list,
                              .parser = parse_option,
-                             .doc = "A model engine for tests.",
+                             .doc = "Simulates a model engine, for tests.",
                              .children = children };
-  StandinAddress where = { 0 };
-  argp_parse (&argp, argc, argv, 0, NULL, &where);
-  standin_hold_signals ();
+  StandinEndpoint endpoint = { 0 };
+  argp_parse (&argp, argc, argv, 0, NULL, &endpoint);
+  standin_block_signals ();
   runs_start ();
   load_start ();
-  struct MHD_Daemon *daemon = standin_http_start (where.address, where.port, &engine_routes);
+  struct MHD_Daemon *daemon = standin_http_start (endpoint.address, endpoint.port, &engine_routes);
   if (!daemon)
     return EXIT_FAILURE;
-  standin_wait_end ();
+  standin_wait_termination ();
   runs_stop ();
   standin_http_stop (daemon);
   return EXIT_SUCCESS;
--- a/standin/engine_models.c
+++ b/standin/engine_models.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define QUALITY_DEFAULT 0.8
-#define QUALITY_BAD     0.05
+#define QUALITY_BAD     0.05 /* with the fault bad_version */
 
 typedef struct
 {
@@ -18,7 +18,7 @@
 
 typedef struct
 {
-  char name[ENGINE_NAME_MAX]; /* "": all */
+  char name[ENGINE_NAME_MAX]; /* VERSION or MODEL@VERSION; "": all */
   double mean;
 } Quality;
 
@@ -31,7 +31,7 @@
 static struct json_object *orders;
 
 static int
-find (const char *name)
+find_model (const char *name)
 {
   for (size_t i = 0; i < model_count; i++)
     if (strcmp (models[i].name, name) == 0)
@@ -42,7 +42,7 @@
 static void
 load (const char *name)
 {
-  if (find (name) >= 0)
+  if (find_model (name) >= 0)
     return;
   models = memory_grow (models, model_count + 1, sizeof *models);
   snprintf (models[model_count++].name, ENGINE_NAME_MAX, "%s", name);
@@ -51,7 +51,7 @@
 static void
 unload (const char *name)
 {
-  int i = find (name);
+  int i = find_model (name);
   if (i >= 0)
     models[i] = models[--model_count];
 }
@@ -69,7 +69,7 @@
 }
 
 bool
-models_quality (const char *text)
+models_set_quality (const char *text)
 {
   const char *equals = strrchr (text, '=');
   const char *number = equals ? equals + 1 : text;
@@ -88,18 +88,18 @@
 models_loaded (const char *name)
 {
   pthread_mutex_lock (&lock);
-  bool loaded = find (name) >= 0;
+  bool loaded = find_model (name) >= 0;
   pthread_mutex_unlock (&lock);
   return loaded;
 }
 
 double
-models_mean (const char *name)
+models_mean_quality (const char *name)
 {
   Fault fault;
   double mean = QUALITY_DEFAULT;
   const char *at = strchr (name, '@');
-  if (fault_look (FAULT_BAD_VERSION, "", &fault) && strcmp (fault.text, name) == 0)
+  if (fault_peek (FAULT_BAD_VERSION, "", &fault) && strcmp (fault.text, name) == 0)
     return QUALITY_BAD;
   for (size_t i = 0; i < quality_count; i++)
     if (!*qualities[i].name || strcmp (qualities[i].name, name) == 0
@@ -127,7 +127,7 @@
 }
 
 static void
-each_name (struct json_object *order, const char *member, void (*change) (const char *name))
+for_each_name (struct json_object *order, const char *member, void (*change) (const char *name))
 {
   struct json_object *list;
   if (!json_object_object_get_ex (order, member, &list)
@@ -138,7 +138,7 @@
 }
 
 static void
-note_order (struct json_object *order, bool obeyed)
+record_order (struct json_object *order, bool obeyed)
 {
   if (!orders)
     orders = json_object_new_array ();
@@ -147,26 +147,26 @@
   json_object_array_add (orders, order);
 }
 
-/* Obeys the order unless its fencing number is old and this engine checks them; takes the
- * reference to order. */
+/* Executes the order unless its fencing number is outdated and this engine checks them; consumes
+ * the reference to order. */
 static bool
-obey (struct json_object *order, int64_t fence)
+execute_order (struct json_object *order, int64_t fence)
 {
-  bool checks = engine_options.checks_fencing && !fault_look (FAULT_IGNORE_FENCING, "", NULL);
+  bool checks = engine_options.checks_fencing && !fault_peek (FAULT_IGNORE_FENCING, "", NULL);
   bool obeyed = !checks || fence >= highest_fence;
   if (obeyed)
     {
-      each_name (order, "load", load);
-      each_name (order, "unload", unload);
+      for_each_name (order, "load", load);
+      for_each_name (order, "unload", unload);
     }
   if (fence > highest_fence)
     highest_fence = fence;
-  note_order (order, obeyed);
+  record_order (order, obeyed);
   return obeyed;
 }
 
 enum MHD_Result
-models_order (StandinRequest *request)
+models_handle_order (StandinRequest *request)
 {
   struct json_object *order = standin_json (request);
   struct json_object *fence;
@@ -177,7 +177,7 @@
       return standin_reply_error (request, MHD_HTTP_BAD_REQUEST, "bad_order");
     }
   pthread_mutex_lock (&lock);
-  bool obeyed = obey (order, json_object_get_int64 (fence));
+  bool obeyed = execute_order (order, json_object_get_int64 (fence));
   struct json_object *reply = json_object_new_object ();
   json_object_object_add (reply, "fence", json_object_new_int64 (highest_fence));
   json_object_object_add (reply, "models", list_names ());
@@ -186,7 +186,7 @@
 }
 
 enum MHD_Result
-models_orders (StandinRequest *request)
+models_list_orders (StandinRequest *request)
 {
   pthread_mutex_lock (&lock);
   const char *text = orders ? json_object_to_json_string (orders) : "[]";
--- a/standin/engine_record.c
+++ b/standin/engine_record.c
@@ -15,8 +15,8 @@
     perror (path);
 }
 
-/* One write for each line, so that lines never mix and those of a killed process survive. Takes the
- * reference to obj. */
+/* One write per line, so that lines of several processes do not mix and those written before a kill
+ * remain. Consumes the reference to obj. */
 static void
 record_line (struct json_object *obj)
 {
--- a/standin/engine_record.h
+++ b/standin/engine_record.h
@@ -1,13 +1,13 @@
 /**
- * The record of the stand-in engine's runs, from which a test's oracle counts what ran: as JSON
- * over HTTP, and as lines in a file that survive the process.
+ * Log of the stand-in engine's runs, with which a test checks what ran and how often: as JSON over
+ * HTTP, and as lines of a file, which outlive the process.
  */
 #ifndef ENGINE_RECORD_H
 #define ENGINE_RECORD_H
 
 #include "engine_run.h"
 
-/** Opens the file; without it record_start and record_end do nothing. */
+/** Opens the file for appending; without it record_start and record_end do nothing. */
 void record_open (const char *path);
 void record_start (const Run *run);
 void record_end (const Run *run);
--- a/standin/engine_run.c
+++ b/standin/engine_run.c
@@ -12,8 +12,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TICK_MS       2
-#define CONNECTION_MS 40 /* between two looks for closed connections */
+#define TICK_INTERVAL_MS             2
+#define CONNECTION_CHECK_INTERVAL_MS 40 /* between two checks for closed connections */
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t work = PTHREAD_COND_INITIALIZER;
@@ -21,8 +21,8 @@
 static CDS_LIST_HEAD (running);
 static int queued_count;
 static int running_count;
-static CDS_LIST_HEAD (record); /* all, in order of their start */
-static void *run_tree;         /* the newest of each request */
+static CDS_LIST_HEAD (record); /* all runs, in order of their start */
+static void *run_tree;         /* the newest run of each request */
 static int64_t next_number;
 static bool stopping;
 static pthread_t scheduler;
@@ -52,14 +52,14 @@
 }
 
 void
-run_note_cut (Run *run)
+run_mark_cut (Run *run)
 {
   pthread_mutex_lock (&lock);
   run->cut = true;
   pthread_mutex_unlock (&lock);
 }
 
-/* Behind those of the same or a higher priority. */
+/* Inserts the run behind those of the same or a higher priority. */
 static void
 queue_add (Run *run)
 {
@@ -70,21 +70,22 @@
 }
 
 static Run *
-run_new (const RunAsk *ask)
+run_new (const RunParams *params)
 {
   Run *run = memory_alloc (sizeof *run);
-  char drawn[ID_SIZE];
-  id_random (drawn);
-  snprintf (run->request, sizeof run->request, "%s", ask->request ? ask->request : drawn);
-  snprintf (run->model, sizeof run->model, "%s", ask->model);
-  if (ask->idempotency)
-    snprintf (run->idempotency, sizeof run->idempotency, "%s", ask->idempotency);
-  if (ask->user)
-    snprintf (run->user, sizeof run->user, "%s", ask->user);
-  run->prompt = *ask->prompt;
-  run->quality = answer_quality (ask->prompt, models_mean (ask->model), engine_options.spread);
-  run->priority = ask->priority;
-  run->length = ask->length ? ask->length : answer_length (ask->prompt);
+  char generated[ID_SIZE];
+  id_random (generated);
+  snprintf (run->request, sizeof run->request, "%s", params->request ? params->request : generated);
+  snprintf (run->model, sizeof run->model, "%s", params->model);
+  if (params->idempotency)
+    snprintf (run->idempotency, sizeof run->idempotency, "%s", params->idempotency);
+  if (params->user)
+    snprintf (run->user, sizeof run->user, "%s", params->user);
+  run->prompt = *params->prompt;
+  run->quality
+      = answer_quality (params->prompt, models_mean_quality (params->model), engine_options.spread);
+  run->priority = params->priority;
+  run->length = params->length ? params->length : answer_length (params->prompt);
   run->started_ms = clock_boot_ms ();
   run->fd = -1;
   pthread_cond_init (&run->changed, NULL);
@@ -92,9 +93,9 @@
 }
 
 Run *
-run_begin (const RunAsk *ask)
+run_begin (const RunParams *params)
 {
-  Run *run = run_new (ask);
+  Run *run = run_new (params);
   pthread_mutex_lock (&lock);
   run->number = next_number++;
   record_start (run);
@@ -167,7 +168,7 @@
   pthread_mutex_lock (&lock);
   run->fd = fd;
   run->resume_ms = resume_ms;
-  run->leave_ms = 0;
+  run->cancel_at_ms = 0;
   unsigned attachment = ++run->attachments;
   pthread_mutex_unlock (&lock);
   return attachment;
@@ -180,7 +181,7 @@
   if (run->attachments == attachment)
     {
       run->fd = -1;
-      run->leave_ms = clock_boot_ms () + run->resume_ms;
+      run->cancel_at_ms = clock_boot_ms () + run->resume_ms;
     }
   pthread_mutex_unlock (&lock);
 }
@@ -203,7 +204,7 @@
 }
 
 static void
-give_tokens (Run *run, int64_t now)
+generate_tokens (Run *run, int64_t now)
 {
   unsigned before = run->tokens;
   while (run->tokens < run->length && run->next_ms <= now)
@@ -218,29 +219,30 @@
 }
 
 static void
-cancel_left (struct cds_list_head *list, int64_t now)
+cancel_abandoned (struct cds_list_head *list, int64_t now)
 {
   Run *run;
   Run *next;
   cds_list_for_each_entry_safe (run, next, list, node)
   {
-    if (run->leave_ms && run->leave_ms <= now)
+    if (run->cancel_at_ms && run->cancel_at_ms <= now)
       end_run (run, RUN_CANCELLED);
   }
 }
 
-/* A caller that left shows as a closed read side of its connection. */
+/* A caller that has left closes its side of the connection, which poll reports as POLLRDHUP. */
 static void
-look_for_closed (struct cds_list_head *list, int64_t now)
+detect_closed_connections (struct cds_list_head *list, int64_t now)
 {
   Run *run;
   cds_list_for_each_entry (run, list, node)
   {
-    struct pollfd look = { .fd = run->fd, .events = POLLRDHUP };
-    if (run->fd >= 0 && poll (&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLERR | POLLHUP)))
+    struct pollfd poll_fd = { .fd = run->fd, .events = POLLRDHUP };
+    if (run->fd >= 0 && poll (&poll_fd, 1, 0) > 0
+        && (poll_fd.revents & (POLLRDHUP | POLLERR | POLLHUP)))
       {
         run->fd = -1;
-        run->leave_ms = now + run->resume_ms;
+        run->cancel_at_ms = now + run->resume_ms;
       }
   }
 }
@@ -248,26 +250,26 @@
 static void
 tick (int64_t now)
 {
-  static int64_t looked_ms;
+  static int64_t checked_ms;
   Run *run;
   Run *next;
   admit (now);
   cds_list_for_each_entry_safe (run, next, &running, node)
   {
-    give_tokens (run, now);
+    generate_tokens (run, now);
   }
-  if (now - looked_ms >= CONNECTION_MS)
+  if (now - checked_ms >= CONNECTION_CHECK_INTERVAL_MS)
     {
-      looked_ms = now;
-      look_for_closed (&queue, now);
-      look_for_closed (&running, now);
-      cancel_left (&queue, now);
-      cancel_left (&running, now);
+      checked_ms = now;
+      detect_closed_connections (&queue, now);
+      detect_closed_connections (&running, now);
+      cancel_abandoned (&queue, now);
+      cancel_abandoned (&running, now);
     }
 }
 
 static void *
-schedule (void *unused)
+scheduler_thread (void *unused)
 {
   (void)unused;
   pthread_mutex_lock (&lock);
@@ -280,7 +282,7 @@
         }
       tick (clock_boot_ms ());
       pthread_mutex_unlock (&lock);
-      clock_sleep_ms (TICK_MS);
+      clock_sleep_ms (TICK_INTERVAL_MS);
       pthread_mutex_lock (&lock);
     }
   pthread_mutex_unlock (&lock);
@@ -292,7 +294,7 @@
 {
   if (engine_options.record)
     record_open (engine_options.record);
-  pthread_create (&scheduler, NULL, schedule, NULL);
+  pthread_create (&scheduler, NULL, scheduler_thread, NULL);
 }
 
 void
@@ -318,11 +320,11 @@
 }
 
 void
-runs_count (int *in_slots, int *in_queue)
+runs_count (int *running_out, int *queued_out)
 {
   pthread_mutex_lock (&lock);
-  *in_slots = running_count;
-  *in_queue = queued_count;
+  *running_out = running_count;
+  *queued_out = queued_count;
   pthread_mutex_unlock (&lock);
 }
 
--- a/standin/engine_run.h
+++ b/standin/engine_run.h
@@ -1,7 +1,7 @@
 /**
  * Runs of the stand-in engine and their scheduler: continuous batching over a number of slots, with
- * a queue by priority. One thread gives tokens to all runs. Runs are kept to the end of the process
- * as the record from which a test's oracle counts what ran.
+ * a priority queue. One thread generates the tokens of all runs. Runs are kept until the process
+ * ends, so that a test can check what ran and how often.
  */
 #ifndef ENGINE_RUN_H
 #define ENGINE_RUN_H
@@ -26,8 +26,8 @@
 
 typedef struct
 {
-  struct cds_list_head node;        /**< of the queue or of the running */
-  struct cds_list_head record_node; /**< of all */
+  struct cds_list_head node;        /**< in the list of queued or of running runs */
+  struct cds_list_head record_node; /**< in the list of all runs */
   int64_t number;                   /**< from 0, in order of their start */
   char request[REQUEST_MAX];
   char model[ENGINE_NAME_MAX];
@@ -35,15 +35,15 @@
   char user[IDEMPOTENCY_MAX]; /**< member "user" of the body */
   Prompt prompt;
   double quality;
-  int priority; /**< higher first */
-  unsigned length;
+  int priority;    /**< higher first */
+  unsigned length; /**< tokens of the complete answer */
   unsigned tokens; /**< generated so far */
   RunState state;
-  int64_t started_ms;   /**< boot-time clock, when the whole request was there */
+  int64_t started_ms;   /**< boot-time clock, when the complete request had arrived */
   int64_t ended_ms;     /**< boot-time clock; 0: not ended */
   int64_t next_ms;      /**< boot-time clock of the next token */
   int64_t resume_ms;    /**< how long it waits for another connection when its own has closed */
-  int64_t leave_ms;     /**< boot-time clock at which it is cancelled; 0: someone is connected */
+  int64_t cancel_at_ms; /**< boot-time clock at which it is cancelled; 0: a caller is connected */
   int fd;               /**< of the connection that it answers; -1: none */
   unsigned attachments; /**< connections that it has answered so far */
   bool cut;             /**< the engine itself closed the connection */
@@ -52,38 +52,38 @@
 
 typedef struct
 {
-  const char *request; /**< NULL: an id is drawn */
+  const char *request; /**< NULL: a random id */
   const char *idempotency;
   const char *user;
   const char *model;
   const Prompt *prompt;
   int priority;
-  unsigned length; /**< 0: as the prompt says */
-} RunAsk;
+  unsigned length; /**< tokens of the answer; 0: chosen by the prompt's hash */
+} RunParams;
 
 /** Starts the scheduler's thread. */
 void runs_start (void);
-/** Ends all runs and the thread. */
+/** Cancels all runs, as cut by the engine, and ends the thread. */
 void runs_stop (void);
 
-Run *run_begin (const RunAsk *ask);
-/** The newest run of that request, or NULL. */
+Run *run_begin (const RunParams *ask);
+/** The newest run of the request with this id, or NULL. */
 Run *run_find (const char *request);
-/** Waits until the run has more than seen tokens or has ended; returns the tokens that it has. */
+/** Waits until the run has more than seen tokens or has ended; returns its number of tokens. */
 unsigned run_wait (Run *run, unsigned seen, RunState *state);
 void run_cancel (Run *run);
-/** Notes that the engine itself closed the run's connection early. */
-void run_note_cut (Run *run);
-/** Adds the text of the run's first tokens. */
+/** Records that the engine itself closed the run's connection before the answer's end. */
+void run_mark_cut (Run *run);
+/** Appends the text of the run's first tokens to out. */
 void run_text (const Run *run, unsigned tokens, Buffer *out);
-/** Gives the run the connection that it answers now; once that has closed, the run is cancelled
- * unless another attaches within resume_ms. Returns the number to detach it by. */
+/** Sets the connection that the run answers from now on; once that has closed, the run is cancelled
+ *  unless another one attaches within resume_ms. Returns the number to pass to run_detach. */
 unsigned run_attach (Run *run, int fd, int64_t resume_ms);
-/** Says that the connection has ended. No effect if another has attached meanwhile. */
+/** Called when the connection has ended; no effect if another one has attached since. */
 void run_detach (Run *run, unsigned attachment);
 
 void runs_count (int *running, int *queued);
-/** Array of the runs from index from on. */
+/** JSON array of the runs from index from on, in order of their start. */
 struct json_object *runs_record (size_t from);
 
 #endif
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -4,18 +4,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BLOCK_SIZE 4096
+#define BLOCK_SIZE 4096 /* bytes, of one read by libmicrohttpd */
 
 typedef struct
 {
   Run *run;
   unsigned attachment;
   unsigned next;  /* sequence number of the next event */
-  bool ended;     /* the end mark is in pending */
-  Buffer pending; /* written, not yet sent */
+  bool ended;     /* the stream's last event is in pending */
+  Buffer pending; /* formatted, not yet sent */
   Buffer held;    /* an event that is sent after the one that follows it */
-  size_t sent;
-  size_t cut_at; /* bytes; 0: never */
+  size_t sent;    /* bytes */
+  size_t cut_at;  /* bytes after which the connection is closed; 0: never */
   unsigned duplicate_every;
   unsigned reorder_every;
 } Stream;
@@ -62,7 +62,7 @@
   buffer_clear (&s->held);
 }
 
-/* Writes what the run has by now; false if it was cancelled. */
+/* Waits for further tokens and adds their events to pending; false if the run was cancelled. */
 static bool
 fill (Stream *s)
 {
@@ -95,7 +95,7 @@
   size_t n = s->pending.len < max ? s->pending.len : max;
   if (s->cut_at && s->sent >= s->cut_at)
     {
-      run_note_cut (s->run);
+      run_mark_cut (s->run);
       return MHD_CONTENT_READER_END_WITH_ERROR;
     }
   if (s->cut_at && n > s->cut_at - s->sent)
@@ -122,9 +122,9 @@
   Fault cut = { 0 };
   Fault duplicate = { 0 };
   Fault reorder = { 0 };
-  fault_take (FAULT_CUT_AT, request->path, &cut);
-  fault_take (FAULT_DUPLICATE, request->path, &duplicate);
-  fault_take (FAULT_REORDER, request->path, &reorder);
+  fault_consume (FAULT_CUT_AT, request->path, &cut);
+  fault_consume (FAULT_DUPLICATE, request->path, &duplicate);
+  fault_consume (FAULT_REORDER, request->path, &reorder);
   Stream *s = memory_alloc (sizeof *s);
   *s = (Stream){ .run = run,
                  .attachment = attachment,
--- a/standin/engine_stream.h
+++ b/standin/engine_stream.h
@@ -1,5 +1,6 @@
 /**
- * The event stream of a run, from any sequence number on, with the faults that spoil it.
+ * Event stream of a run, from any sequence number on, with the faults cut_at, duplicate and
+ * reorder.
  */
 #ifndef ENGINE_STREAM_H
 #define ENGINE_STREAM_H
@@ -7,7 +8,8 @@
 #include "common_http.h"
 #include "engine_run.h"
 
-/** Answers with the run's events from sequence number from on; attachment is run_attach's. */
+/** Answers with the run's events from sequence number from on; attachment is the value returned by
+ *  run_attach. */
 enum MHD_Result
 stream_answer (StandinRequest *request, Run *run, unsigned attachment, unsigned from);
 
--- a/standin/engine_text.c
+++ b/standin/engine_text.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LENGTH_LEAST 16U
-#define LENGTH_RANGE 48U
+#define LENGTH_MIN   16U /* tokens */
+#define LENGTH_RANGE 48U /* tokens */
 #define MARK_BEGIN   "[id="
 
 static const char *const words[]
@@ -29,7 +29,8 @@
     }
 }
 
-/* Only letters, digits, '-', '_' and '.': the mark is written into JSON as it is. */
+/* A mark ends at the first other character than a letter, digit, '-', '_' or '.': it is written
+ * into JSON without escaping. */
 static void
 read_mark (const char *text, char out[MARK_MAX])
 {
@@ -72,7 +73,7 @@
   out->hash = id_hash (text.data, text.len, 0);
   out->prefix_hash = id_hash (text.data, text.len < PREFIX_BYTES ? text.len : PREFIX_BYTES, 0);
   out->tokens = count_words (text.data);
-  out->crash = fault_look (FAULT_CRASH_ON, "", &fault) && *fault.text
+  out->crash = fault_peek (FAULT_CRASH_ON, "", &fault) && *fault.text
                && strstr (text.data, fault.text) != NULL;
   buffer_free (&text);
   return true;
@@ -81,14 +82,14 @@
 unsigned
 answer_length (const Prompt *prompt)
 {
-  return LENGTH_LEAST + (unsigned)(prompt->hash % LENGTH_RANGE);
+  return LENGTH_MIN + (unsigned)(prompt->hash % LENGTH_RANGE);
 }
 
 double
 answer_quality (const Prompt *prompt, double mean, double spread)
 {
-  double share = (double)(id_hash (&prompt->hash, sizeof prompt->hash, 1) >> 11) / 0x1p53;
-  double quality = mean + spread * (2 * share - 1);
+  double fraction = (double)(id_hash (&prompt->hash, sizeof prompt->hash, 1) >> 11) / 0x1p53;
+  double quality = mean + spread * (2 * fraction - 1);
   return quality < 0 ? 0 : quality > 1 ? 1 : quality;
 }
 
--- a/standin/platform_calls.c
+++ b/standin/platform_calls.c
@@ -7,7 +7,7 @@
 #define OBJECT_PATH "/v1/object/"
 
 static pthread_mutex_t vms_lock = PTHREAD_MUTEX_INITIALIZER;
-static Buffer vms_text;
+static Buffer vms_json;
 
 static enum MHD_Result
 reply_txn (StandinRequest *request, struct json_object *results, int failed)
@@ -97,8 +97,8 @@
   if (!good)
     return standin_reply_error (request, MHD_HTTP_BAD_REQUEST, "bad_vms");
   pthread_mutex_lock (&vms_lock);
-  buffer_clear (&vms_text);
-  buffer_add (&vms_text, request->body.data, request->body.len);
+  buffer_clear (&vms_json);
+  buffer_add (&vms_json, request->body.data, request->body.len);
   pthread_mutex_unlock (&vms_lock);
   return standin_reply_empty (request, MHD_HTTP_NO_CONTENT);
 }
@@ -108,7 +108,7 @@
 {
   static const char none[] = "{\"vms\":[]}";
   pthread_mutex_lock (&vms_lock);
-  const char *text = vms_text.len ? vms_text.data : none;
+  const char *text = vms_json.len ? vms_json.data : none;
   enum MHD_Result result
       = standin_reply_bytes (request, MHD_HTTP_OK, text, strlen (text), "application/json");
   pthread_mutex_unlock (&vms_lock);
--- a/standin/platform_calls.h
+++ b/standin/platform_calls.h
@@ -1,5 +1,5 @@
 /**
- * The calls of the stand-in platform, docs/PLATFORM.md.
+ * HTTP API of the stand-in platform, specified in docs/PLATFORM.md.
  */
 #ifndef PLATFORM_CALLS_H
 #define PLATFORM_CALLS_H
@@ -9,8 +9,10 @@
 
 extern const StandinRoutes platform_routes;
 
-/** Noise of the rating service: standard deviation, and the seed it is drawn from. */
-void platform_rate_noise (double deviation, uint64_t seed);
+/** Sets the noise that is added to ratings: its standard deviation and the seed of its generator.
+ */
+void platform_set_rate_noise (double deviation, uint64_t seed);
+/** POST /v1/rate */
 enum MHD_Result platform_rate (StandinRequest *request);
 
 #endif
--- a/standin/platform_rate.c
+++ b/standin/platform_rate.c
@@ -1,6 +1,6 @@
 /*
- * The rating service: an answer's score is what its first marker "[q=0.82]" says, plus noise that
- * depends on nothing but the seed and the texts, so that a run can be repeated.
+ * Rating service: an answer's score is the value of its first marker "[q=0.82]", plus noise that
+ * depends only on the seed, the prompt and the answer, so that runs are repeatable.
  */
 #include "platform_calls.h"
 #include "util_id.h"
@@ -16,7 +16,7 @@
 static uint64_t noise_seed;
 
 void
-platform_rate_noise (double deviation, uint64_t seed)
+platform_set_rate_noise (double deviation, uint64_t seed)
 {
   noise_deviation = deviation;
   noise_seed = seed;
@@ -30,13 +30,13 @@
   uint64_t hash = id_hash_string (answer, id_hash_string (prompt, noise_seed));
   gsl_rng *random = gsl_rng_alloc (gsl_rng_taus2);
   gsl_rng_set (random, (unsigned long)hash);
-  double drawn = gsl_ran_gaussian (random, noise_deviation);
+  double value = gsl_ran_gaussian (random, noise_deviation);
   gsl_rng_free (random);
-  return drawn;
+  return value;
 }
 
 static const char *
-text_of (struct json_object *obj, const char *name)
+member_string (struct json_object *obj, const char *name)
 {
   struct json_object *member;
   if (!json_object_object_get_ex (obj, name, &member))
@@ -47,19 +47,19 @@
 enum MHD_Result
 platform_rate (StandinRequest *request)
 {
-  struct json_object *ask = standin_json (request);
-  const char *prompt = ask ? text_of (ask, "prompt") : NULL;
-  const char *answer = ask ? text_of (ask, "answer") : NULL;
+  struct json_object *body = standin_json (request);
+  const char *prompt = body ? member_string (body, "prompt") : NULL;
+  const char *answer = body ? member_string (body, "answer") : NULL;
   if (!prompt || !answer)
     {
-      json_object_put (ask);
+      json_object_put (body);
       return standin_reply_error (request, MHD_HTTP_BAD_REQUEST, "bad_rating");
     }
   const char *marker = strstr (answer, MARKER);
   double score = marker ? strtod (marker + strlen (MARKER), NULL) : SCORE_UNMARKED;
   score += noise (prompt, answer);
   score = score < 0 ? 0 : score > 1 ? 1 : score;
-  json_object_put (ask);
+  json_object_put (body);
   struct json_object *reply = json_object_new_object ();
   json_object_object_add (reply, "score", json_object_new_double (score));
   return standin_reply (request, MHD_HTTP_OK, reply);
--- a/standin/platform_table.c
+++ b/standin/platform_table.c
@@ -49,7 +49,7 @@
 static sqlite3_stmt *sql[SQL_COUNT];
 static TableStats stats;
 
-/* A statement that fails is a fault of the stand-in itself: the test must not go on. */
+/* A failing statement is a bug in the stand-in itself; aborting stops the test. */
 static void
 die (const char *what)
 {
@@ -78,7 +78,7 @@
 }
 
 static sqlite3_stmt *
-bind_two (SqlId id, const char *a, const char *b)
+bind_texts (SqlId id, const char *a, const char *b)
 {
   sqlite3_reset (sql[id]);
   sqlite3_clear_bindings (sql[id]);
@@ -102,7 +102,7 @@
 row_get (const char *table, const char *key, char **value)
 {
   int64_t version = 0;
-  sqlite3_stmt *s = bind_two (SQL_GET, table, key);
+  sqlite3_stmt *s = bind_texts (SQL_GET, table, key);
   if (sqlite3_step (s) == SQLITE_ROW)
     {
       version = sqlite3_column_int64 (s, 1);
@@ -116,7 +116,7 @@
 static void
 row_put (const char *table, const char *key, const char *value)
 {
-  sqlite3_stmt *s = bind_two (SQL_PUT, table, key);
+  sqlite3_stmt *s = bind_texts (SQL_PUT, table, key);
   sqlite3_bind_text (s, 3, value, -1, SQLITE_TRANSIENT);
   run (s);
 }
@@ -124,15 +124,15 @@
 static const char *
 member (struct json_object *op, const char *name)
 {
-  struct json_object *found;
-  if (!json_object_object_get_ex (op, name, &found)
-      || !json_object_is_type (found, json_type_string))
+  struct json_object *value;
+  if (!json_object_object_get_ex (op, name, &value)
+      || !json_object_is_type (value, json_type_string))
     return NULL;
-  return json_object_get_string (found);
+  return json_object_get_string (value);
 }
 
 static bool
-op_understood (struct json_object *op)
+op_is_valid (struct json_object *op)
 {
   const char *kind = member (op, "op");
   struct json_object *version;
@@ -146,7 +146,7 @@
   return strcmp (kind, "delete") == 0;
 }
 
-/* Checks are made on the state before the transaction, whatever their place. */
+/* Checks apply to the state before the transaction, wherever they stand among the operations. */
 static int
 failed_check (struct json_object *ops)
 {
@@ -167,14 +167,14 @@
 static void
 apply_insert (struct json_object *op, struct json_object *result)
 {
-  char *existing = NULL;
-  bool absent = row_get (member (op, "table"), member (op, "key"), &existing) == 0;
+  char *existing_value = NULL;
+  bool absent = row_get (member (op, "table"), member (op, "key"), &existing_value) == 0;
   json_object_object_add (result, "inserted", json_object_new_boolean (absent));
   if (absent)
     row_put (member (op, "table"), member (op, "key"), member (op, "value"));
   else
-    json_object_object_add (result, "existing", json_object_new_string (existing));
-  free (existing);
+    json_object_object_add (result, "existing", json_object_new_string (existing_value));
+  free (existing_value);
 }
 
 static struct json_object *
@@ -189,7 +189,7 @@
   else if (strcmp (kind, "insert") == 0)
     apply_insert (op, result);
   else if (strcmp (kind, "delete") == 0)
-    run (bind_two (SQL_DELETE, table, key));
+    run (bind_texts (SQL_DELETE, table, key));
   return result;
 }
 
@@ -212,12 +212,12 @@
   size_t count = json_object_array_length (ops);
   *failed = -2;
   for (size_t i = 0; i < count; i++)
-    if (!op_understood (json_object_array_get_idx (ops, i)))
+    if (!op_is_valid (json_object_array_get_idx (ops, i)))
       return NULL;
   pthread_mutex_lock (&lock);
   stats.txns++;
   stats.ops += (int64_t)count;
-  run (bind_two (SQL_BEGIN, NULL, NULL));
+  run (bind_texts (SQL_BEGIN, NULL, NULL));
   struct json_object *results = NULL;
   *failed = failed_check (ops);
   if (*failed < 0)
@@ -227,7 +227,7 @@
         json_object_array_add (results, apply_op (json_object_array_get_idx (ops, i)));
       add_versions (ops, results);
     }
-  run (bind_two (*failed < 0 ? SQL_COMMIT : SQL_ROLLBACK, NULL, NULL));
+  run (bind_texts (*failed < 0 ? SQL_COMMIT : SQL_ROLLBACK, NULL, NULL));
   pthread_mutex_unlock (&lock);
   return results;
 }
@@ -261,7 +261,7 @@
   struct json_object *rows = json_object_new_array ();
   pthread_mutex_lock (&lock);
   stats.reads++;
-  sqlite3_stmt *s = bind_two (SQL_SCAN, table, from);
+  sqlite3_stmt *s = bind_texts (SQL_SCAN, table, from);
   sqlite3_bind_text (s, 3, prefix, -1, SQLITE_TRANSIENT);
   sqlite3_bind_int (s, 4, limit > 0 ? limit : INT_MAX);
   while (sqlite3_step (s) == SQLITE_ROW)
@@ -278,7 +278,7 @@
 {
   pthread_mutex_lock (&lock);
   stats.objects_put++;
-  sqlite3_stmt *s = bind_two (SQL_OBJECT_PUT, name, NULL);
+  sqlite3_stmt *s = bind_texts (SQL_OBJECT_PUT, name, NULL);
   sqlite3_bind_blob (s, 2, data ? data : "", (int)len, SQLITE_TRANSIENT);
   run (s);
   pthread_mutex_unlock (&lock);
@@ -289,7 +289,7 @@
 {
   pthread_mutex_lock (&lock);
   stats.reads++;
-  sqlite3_stmt *s = bind_two (SQL_OBJECT_GET, name, NULL);
+  sqlite3_stmt *s = bind_texts (SQL_OBJECT_GET, name, NULL);
   bool found = sqlite3_step (s) == SQLITE_ROW;
   if (found)
     buffer_add (out, sqlite3_column_blob (s, 0), (size_t)sqlite3_column_bytes (s, 0));
@@ -311,7 +311,7 @@
 {
   struct json_object *counts = json_object_new_object ();
   pthread_mutex_lock (&lock);
-  sqlite3_stmt *s = bind_two (SQL_COUNT_ROWS, NULL, NULL);
+  sqlite3_stmt *s = bind_texts (SQL_COUNT_ROWS, NULL, NULL);
   while (sqlite3_step (s) == SQLITE_ROW)
     json_object_object_add (counts, (const char *)sqlite3_column_text (s, 0),
                             json_object_new_int64 (sqlite3_column_int64 (s, 1)));
--- a/standin/platform_table.h
+++ b/standin/platform_table.h
@@ -1,6 +1,6 @@
 /**
- * Table service and object store of the stand-in platform, in an sqlite3 database in memory. One
- * lock: a transaction at a time. Thread-safe.
+ * Table service and object store of the stand-in platform, in an SQLite database in memory.
+ * Thread-safe; one lock serializes all transactions and reads.
  */
 #ifndef PLATFORM_TABLE_H
 #define PLATFORM_TABLE_H
@@ -12,23 +12,26 @@
 
 typedef struct
 {
-  int64_t txns;  /**< transactions asked for */
-  int64_t ops;   /**< their operations */
-  int64_t reads; /**< rows and scans asked for */
+  int64_t txns;  /**< transactions requested, committed or not */
+  int64_t ops;   /**< operations of these transactions */
+  int64_t reads; /**< rows, scans and objects requested */
   int64_t objects_put;
 } TableStats;
 
 bool table_open (void);
 void table_close (void);
 
-/** Runs the operations; *failed is the index of the check that did not hold, -1 if committed.
- *  Returns the results (NULL unless committed), or NULL with *failed -2 if ops isn't understood. */
+/** Executes the operations as one transaction. Returns their results, with *failed -1; NULL if it
+ *  was not committed, with *failed the index of the first check that failed, or -2 if an operation
+ *  is not valid. */
 struct json_object *table_txn (struct json_object *ops, int *failed);
 /** {"key","value","version"}, or NULL if there is no such row. */
 struct json_object *table_row (const char *table, const char *key);
-/** Array of rows. */
+/** JSON array of the rows whose key is not below from and begins with prefix, in order of their
+ *  keys; limit 0: all of them. */
 struct json_object *table_scan (const char *table, const char *from, const char *prefix, int limit);
 void table_object_put (const char *name, const void *data, size_t len);
+/** Appends the object's data to out; false if there is no such object. */
 bool table_object_get (const char *name, Buffer *out);
 void table_stats (TableStats *out);
 /** Object with the number of rows of each table. */
--- a/standin/service_main.c
+++ b/standin/service_main.c
@@ -1,6 +1,7 @@
 /*
- * standin-service: a plain service beside the engines, for tests only. It answers every call with
- * what it got, and keeps a record from which a test's oracle counts what ran.
+ * standin-service: a backend server that is no model engine, for tests only. It answers every call
+ * with a description of the request, and logs all requests, so that a test can check what ran and
+ * how often.
  */
 #include "common_fault.h"
 #include "common_http.h"
@@ -14,7 +15,7 @@
 
 typedef struct
 {
-  StandinAddress where;
+  StandinEndpoint endpoint;
   int64_t work_ms;
 } Options;
 
@@ -34,7 +35,7 @@
 }
 
 static struct json_object *
-note_run (StandinRequest *request)
+record_run (StandinRequest *request)
 {
   char hash[20];
   const char *body = request->body.data ? request->body.data : "";
@@ -57,9 +58,9 @@
 static enum MHD_Result
 handle_call (StandinRequest *request)
 {
-  if (fault_take (FAULT_NOT_RUN, request->path, NULL))
+  if (fault_consume (FAULT_NOT_RUN, request->path, NULL))
     return standin_reply_error (request, MHD_HTTP_SERVICE_UNAVAILABLE, "not_run");
-  struct json_object *run = note_run (request);
+  struct json_object *run = record_run (request);
   if (options.work_ms)
     clock_sleep_ms (options.work_ms);
   return standin_reply (request, MHD_HTTP_OK, run);
@@ -90,7 +91,7 @@
   switch (key)
     {
     case ARGP_KEY_INIT:
-      state->child_inputs[0] = &options.where;
+      state->child_inputs[0] = &options.endpoint;
       return 0;
     case OPTION_WORK_MS:
       options.work_ms = strtoll (arg, NULL, 10);
@@ -103,19 +104,19 @@
 int
 main (int argc, char **argv)
 {
-  const struct argp_child children[] = { { &standin_address_argp, 0, NULL, 0 }, { 0 } };
+  const struct argp_child children[] = { { &standin_endpoint_argp, 0, NULL, 0 }, { 0 } };
   const struct argp argp = { .options = option_list,
                              .parser = parse_option,
-                             .doc = "A plain service for tests.",
+                             .doc = "A service that echoes its requests, for tests.",
                              .children = children };
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
-  standin_hold_signals ();
+  standin_block_signals ();
   record = json_object_new_array ();
   struct MHD_Daemon *daemon
-      = standin_http_start (options.where.address, options.where.port, &routes);
+      = standin_http_start (options.endpoint.address, options.endpoint.port, &routes);
   if (!daemon)
     return EXIT_FAILURE;
-  standin_wait_end ();
+  standin_wait_termination ();
   standin_http_stop (daemon);
   json_object_put (record);
   return EXIT_SUCCESS;
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -254,11 +254,11 @@
   /* One slot: of two that wait, the later one with the higher priority runs first. */
   Prompt prompt = { .mark = "first", .hash = 1 };
   CU_ASSERT_TRUE (suite_wait (is_idle, NULL));
-  Run *first = run_begin (&(RunAsk){ .model = "m@v1", .prompt = &prompt, .length = 20 });
+  Run *first = run_begin (&(RunParams){ .model = "m@v1", .prompt = &prompt, .length = 20 });
   CU_ASSERT_TRUE (suite_wait (is_running, NULL));
-  Run *low = run_begin (&(RunAsk){ .model = "m@v1", .prompt = &prompt, .length = 20 });
+  Run *low = run_begin (&(RunParams){ .model = "m@v1", .prompt = &prompt, .length = 20 });
   Run *high
-      = run_begin (&(RunAsk){ .model = "m@v1", .prompt = &prompt, .length = 20, .priority = 1 });
+      = run_begin (&(RunParams){ .model = "m@v1", .prompt = &prompt, .length = 20, .priority = 1 });
   RunState state = RUN_QUEUED;
   CU_ASSERT_EQUAL (run_wait (high, 19, &state), 20);
   CU_ASSERT_EQUAL (run_wait (first, 19, &state), 20);
@@ -372,7 +372,7 @@
   Prompt prompt = { .mark = "load", .hash = 1 };
   bool yes = true;
   bool no = false;
-  Run *run = run_begin (&(RunAsk){ .model = "m@v1", .prompt = &prompt, .length = 100000 });
+  Run *run = run_begin (&(RunParams){ .model = "m@v1", .prompt = &prompt, .length = 100000 });
   CU_ASSERT_TRUE (suite_wait (reports_running, &yes));
   set_fault ("{\"kind\":\"lag_load\",\"value\":500}");
   /* Long since idle half a second ago, or still so reported; it shows the run only later. */
