--- a/bench/bench_bill.c
+++ b/bench/bench_bill.c
@@ -1,7 +1,8 @@
 /**
- * Usage records through the group commit: records and transactions a second at several numbers of
- * committers, what a site of nine gates writes at 300 requests a second, the bytes of a spooled
- * record, and how fast a backlog is written. The table service is a counter with a fixed latency.
+ * Throughput of usage records with group commit: records and transactions per second for several
+ * numbers of committers, the writes of a site of nine gates at 300 requests per second, the bytes
+ * of a spooled record, and the time to write a backlog. The table service is replaced by a counter
+ * with a fixed latency.
  */
 #include "bill_entry.h"
 #include "bill_spool.h"
@@ -19,22 +20,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LATENCY_MS    2
-#define CLOSED_MS     3000
-#define SITE_MS       10000
-#define SITE_GATES    9
-#define FEWER_GATES   6
-#define SITE_RATE     300
-#define SITE_THREADS  16
-#define CLAIM_SHARE   0.1
-#define TIMEOUT_MS    1000
-#define OPS_MAX       256
-#define SPOOL_MAX     (64U << 20)
-#define SAMPLES_MAX   400000
-#define BACKLOG       20000
-#define SPOOL_RECORDS 10000
-
-/* A table service that takes everything after its latency, and counts. */
+#define LATENCY_MS      2 /**< of the table service */
+#define CLOSED_LOOP_MS  3000
+#define SITE_MS         10000
+#define SITE_GATES      9
+#define FEWER_GATES     6
+#define SITE_RATE       300 /**< requests per second of the site */
+#define SITE_THREADS    16  /**< committers of each gate */
+#define CLAIM_SHARE     0.1 /**< of requests that also write a claim */
+#define TIMEOUT_MS      1000
+#define OPS_MAX         256
+#define SPOOL_MAX       (64U << 20) /**< bytes */
+#define SAMPLES_MAX     400000
+#define BACKLOG_RECORDS 20000
+#define SPOOL_RECORDS   10000
+
+/* A table service that accepts every transaction after its latency, and counts them. */
 typedef struct
 {
   Platform base;
@@ -42,7 +43,7 @@
   bool down;
 } Service;
 
-/* One gate: its writer, and what its committers measured. */
+/* One gate's writer of usage records. */
 typedef struct
 {
   PlatformGroup *group;
@@ -54,7 +55,7 @@
   pthread_t thread;
   Gate *gate;
   unsigned seed;
-  double rate; /* of this thread, a second; 0: one after the other */
+  double rate; /* of this thread, per second; 0: one after the other without a pause */
   int64_t end_ms;
   double *samples_ms;
   size_t samples;
@@ -138,11 +139,12 @@
 static void
 gate_free (Gate *gate)
 {
-  INVARIANT (bill_writer_free (gate->writer, TIMEOUT_MS) == 0, "records are left");
+  INVARIANT (bill_writer_free (gate->writer, TIMEOUT_MS) == 0, "records are not written");
   platform_group_free (gate->group);
 }
 
-/* One request: for some a claim, then the bill; the time that the end of the answer waits. */
+/* Commits the records of one request: for some a claim, then the bill. Returns the milliseconds by
+ * which the commit of the bill delays the end of the answer. */
 static double
 commit_one (Committer *c, bool claimed)
 {
@@ -194,7 +196,7 @@
   return (x > y) - (x < y);
 }
 
-/* Runs the committers for ms and prints one line. */
+/* Runs the committers for ms milliseconds and prints a line with the results. */
 static void
 run (const char *name, Service *service, Committer *committers, size_t count, int64_t ms)
 {
@@ -242,7 +244,7 @@
   for (size_t i = 0; i < count; i++)
     committers[i].gate = &gate;
   snprintf (name, sizeof name, "committers %3zu interval_ms %2d", count, interval_ms);
-  run (name, &service, committers, count, CLOSED_MS);
+  run (name, &service, committers, count, CLOSED_LOOP_MS);
   gate_free (&gate);
   free (committers);
 }
@@ -306,7 +308,7 @@
   BillBacklog backlog = { .count = 1 };
   int64_t start;
 
-  for (int i = 0; i < BACKLOG; i++)
+  for (int i = 0; i < BACKLOG_RECORDS; i++)
     {
       BillRecord record = record_new (2);
 
@@ -319,7 +321,7 @@
       clock_sleep_ms (5);
       bill_backlog (gate.writer, &backlog);
     }
-  printf ("backlog of %d records written in %lld ms, %lld transactions\n", BACKLOG,
+  printf ("backlog of %d records written in %lld ms, %lld transactions\n", BACKLOG_RECORDS,
           (long long)(clock_boot_ms () - start), (long long)service.transactions);
   gate_free (&gate);
 }
--- a/bench/bench_cluster.c
+++ b/bench/bench_cluster.c
@@ -1,7 +1,7 @@
 /**
- * Cost of the cluster protocol at 9, 36 and 360 members: merging one answer with news of all of
- * them, in full and in packed form, filling one, and one look at the grant; with the answer's size
- * on the wire (28 bytes for each piece of news, 1 for each packed age).
+ * Cost of the cluster protocol with 9, 36 and 360 members: filling and merging an answer with news
+ * of all members, in full and in packed form, and computing the grant; also the answer's size on
+ * the wire (28 bytes per news entry in full form, 1 per age in packed form).
  */
 #include "cluster_grant.h"
 #include "cluster_state.h"
@@ -24,7 +24,7 @@
   ClusterHeartbeat *ask;
   ClusterHeartbeat *answer;
   int64_t now;
-  int64_t sink; /**< keeps results from being thrown away */
+  int64_t sink; /**< uses the results, so that the compiler does not remove the calls */
 } Bench;
 
 static ClusterView *
@@ -39,7 +39,7 @@
 }
 
 static void
-hear_from_all (Bench *b, ClusterState *s, const ClusterView *v)
+exchange_with_all (Bench *b, ClusterState *s, const ClusterView *v)
 {
   for (size_t i = 0; i < v->count; i++)
     {
@@ -65,7 +65,7 @@
   cluster_state_apply (b.answerer, 7);
   cluster_state_adopt_view (b.asker, v);
   cluster_state_adopt_view (b.answerer, v);
-  hear_from_all (&b, b.answerer, v);
+  exchange_with_all (&b, b.answerer, v);
   free (v);
   return b;
 }
@@ -99,7 +99,7 @@
 }
 
 static void
-look_at_grant (Bench *b)
+compute_grant (Bench *b)
 {
   b->sink += cluster_grant (b->asker, b->now).until;
 }
@@ -113,9 +113,9 @@
   return (x > y) - (x < y);
 }
 
-/* Median over batches, so that other work on the machine shows little. */
+/* Median over batches, which other load on the machine affects little. */
 static double
-nanoseconds (Bench *b, void (*run) (Bench *b))
+median_ns (Bench *b, void (*run) (Bench *b))
 {
   double times[BATCHES];
 
@@ -143,13 +143,13 @@
 
   b.now += 200;
   cluster_state_ask (b.asker, 999, b.now, b.ask);
-  double fill_ns = nanoseconds (&b, fill);
-  double merge_ns = nanoseconds (&b, merge);
+  double fill_ns = median_ns (&b, fill);
+  double merge_ns = median_ns (&b, merge);
   size_t bytes = wire_bytes (b.answer);
-  double fill_packed_ns = nanoseconds (&b, fill_packed);
-  double merge_packed_ns = nanoseconds (&b, merge);
+  double fill_packed_ns = median_ns (&b, fill_packed);
+  double merge_packed_ns = median_ns (&b, merge);
   size_t packed_bytes = wire_bytes (b.answer);
-  double grant_ns = nanoseconds (&b, look_at_grant);
+  double grant_ns = median_ns (&b, compute_grant);
   printf ("%7zu  %8.0f %8.0f %7zu  %8.0f %8.0f %7zu  %8.0f\n", members, fill_ns, merge_ns, bytes,
           fill_packed_ns, merge_packed_ns, packed_bytes, grant_ns);
   free_bench (&b);
--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -1,12 +1,12 @@
 /**
- * One decision for each of many requests, to be counted by callgrind:
+ * Makes one routing decision for each of many requests, for callgrind to count their instructions:
  *
  *   bench_decision SERVERS MODELS TEAMS DECISIONS PART [cold]
  *
- * PART is "all", "admit", "plan" or "pick", or "gate" for all with the states of servers copied as
- * the gate does it. Cold: nothing was learned yet, so that every set of stages has to be looked at.
- * Collect only what is inside decide_many: valgrind --tool=callgrind
- * --toggle-collect=decide_many bench_decision ...
+ * PART is "admit", "plan" or "pick" for one part of a decision, "all" for all parts, or "gate" for
+ * all parts with copies of the servers' states as in the gate. With "cold" nothing has been learned
+ * yet, so that every set of stages has to be evaluated. To count only decide_many: valgrind
+ * --tool=callgrind --toggle-collect=decide_many bench_decision ...
  */
 #include "choose_cascade.h"
 #include "choose_index.h"
@@ -22,14 +22,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BASE_MODELS  4 /**< of the model site: three drafts and the ledger */
-#define LEDGERS      4
-#define DOMAINS      6
-#define START_MS     1000000
-#define DECISION_MS  2
-#define WARM_RATINGS 200
-#define GATE_PART    30 /**< requests in progress that the gate can bear */
-#define CLASS_NAMES  3
+#define BASE_MODELS   4 /**< of the simulated site: three draft models and the ledger model */
+#define LEDGERS       4 /**< engines of the ledger model */
+#define DOMAINS       6
+#define START_MS      1000000
+#define DECISION_MS   2   /**< virtual time between two decisions */
+#define WARM_RATINGS  200 /**< of each version and class */
+#define GATE_CAPACITY 30  /**< requests in progress that the gate admits */
+#define CLASS_NAMES   3
 
 typedef struct
 {
@@ -67,7 +67,7 @@
     .config = bench->config,
     .team = team,
     .tokens = 500,
-    .capacity = GATE_PART,
+    .capacity = GATE_CAPACITY,
     .now_ms = now_ms,
     .deadline_ms = request.deadline_ms,
   };
@@ -114,7 +114,7 @@
     decide (bench, i);
 }
 
-/** Ratings and times of every version in every class, so that no look-up comes back empty. */
+/** Records ratings and times of every version in every class: each estimate has evidence. */
 static void
 warm (Bench *bench)
 {
@@ -141,9 +141,9 @@
         }
 }
 
-/** The gate's own states of the servers, alike the views. */
+/** Creates the gate's states of the servers, with the same loads as the views. */
 static void
-make_servers (Bench *bench)
+create_servers (Bench *bench)
 {
   unsigned i;
 
@@ -206,7 +206,7 @@
                                    .report_ms = START_MS,
                                    .taken_ms = START_MS,
                                    .reported_load = i % 9 };
-  make_servers (&bench);
+  create_servers (&bench);
   bench.estimates = estimates_new (&estimate_settings_default);
   bench.limiter = limiter_new (&limit_settings_default);
   limiter_set_view (bench.limiter, 1, 0, 0);
--- a/bench/bench_front.c
+++ b/bench/bench_front.c
@@ -1,10 +1,13 @@
 /**
- * Policies of lovage-front against each other over seeded scenarios on a virtual clock: which
- * server, which size of model.
+ * Compares policies of lovage-front, for the choice of the server and of the model's size, over
+ * seeded scenarios on a virtual clock.
  *
- *   bench_front [SEEDS [SCENARIO]]   a table a scenario: mean and deviation over the seeds
- *   bench_front data [SEEDS]         one line a figure, for plots: scenario policy figure mean
- * deviation bench_front check                what must hold with a few seeds; part of CI
+ *   bench_front [SEEDS [SCENARIO]]
+ *     Prints a table per scenario: mean and standard deviation over the seeds.
+ *   bench_front data [SEEDS]
+ *     Prints a line per figure, for plots: scenario policy figure mean deviation
+ *   bench_front check
+ *     Checks with one seed that the product leads the other policies as required; part of CI.
  */
 #include "front_model.h"
 #include "util_span.h"
@@ -30,7 +33,7 @@
   { "net", offsetof (ModelResult, net) },
   { "first50-ms", offsetof (ModelResult, first_p50_ms) },
   { "first99-ms", offsetof (ModelResult, first_p99_ms) },
-  { "far", offsetof (ModelResult, far) },
+  { "far", offsetof (ModelResult, other_domain) },
   { "reread", offsetof (ModelResult, reread) },
 };
 #define FIGURES (sizeof figures / sizeof figures[0])
@@ -54,16 +57,19 @@
   };
 }
 
-/* Seeds are 1, 2, 3 and so on: the same for each policy, so that they meet the same requests. */
+/* Runs seeds 1, 2, 3 and so on: the same for every policy, so that all get the same requests. */
 static void
-play_all (const Scenario *scenario, const Policy *policy, unsigned seeds, ModelResult *results)
+simulate_seeds (const Scenario *scenario,
+                const Policy *policy,
+                unsigned seeds,
+                ModelResult *results)
 {
   for (unsigned i = 0; i < seeds; i++)
-    results[i] = model_play (scenario, policy, i + 1);
+    results[i] = model_simulate (scenario, policy, i + 1);
 }
 
 static void
-table (const Scenario *scenario, unsigned seeds)
+print_table (const Scenario *scenario, unsigned seeds)
 {
   printf ("%-15s", scenario->name);
   for (size_t f = 0; f < FIGURES; f++)
@@ -73,7 +79,7 @@
     {
       ModelResult results[SEEDS_MAX];
 
-      play_all (scenario, &model_policies[i], seeds, results);
+      simulate_seeds (scenario, &model_policies[i], seeds, results);
       printf ("  %-13s", model_policies[i].name);
       for (size_t f = 0; f < FIGURES; f++)
         {
@@ -86,7 +92,7 @@
 }
 
 static void
-data (unsigned seeds)
+print_data (unsigned seeds)
 {
   for (unsigned s = 0; s < model_scenario_count; s++)
     {
@@ -94,7 +100,7 @@
         {
           ModelResult results[SEEDS_MAX];
 
-          play_all (&model_scenarios[s], &model_policies[i], seeds, results);
+          simulate_seeds (&model_scenarios[s], &model_policies[i], seeds, results);
           for (size_t f = 0; f < FIGURES; f++)
             {
               Spread spread = spread_of (results, seeds, &figures[f]);
@@ -112,16 +118,16 @@
   ModelResult results[SEEDS_CHECK];
   FigureKind net = { "net", offsetof (ModelResult, net) };
 
-  play_all (scenario, policy, SEEDS_CHECK, results);
+  simulate_seeds (scenario, policy, SEEDS_CHECK, results);
   return spread_of (results, SEEDS_CHECK, &net).mean;
 }
 
-/* The product, which is the first policy, earns as much more than the others as each scenario asks.
+/* Checks that the product, the first policy, leads every other one by the scenario's net_lead_min.
  */
 static int
 check (void)
 {
-  unsigned wrong = 0;
+  unsigned failures = 0;
 
   for (unsigned s = 0; s < model_scenario_count; s++)
     {
@@ -130,17 +136,17 @@
       for (unsigned i = 1; i < model_policy_count; i++)
         {
           double other = net_of (&model_scenarios[s], &model_policies[i]);
-          bool good = product >= other + model_scenarios[s].ahead_least;
+          bool passed = product >= other + model_scenarios[s].net_lead_min;
 
           printf ("%s: product %.3f, %s %.3f%s\n", model_scenarios[s].name, product,
-                  model_policies[i].name, other, good ? "" : " FAILED");
-          wrong += !good;
+                  model_policies[i].name, other, passed ? "" : " FAILED");
+          failures += !passed;
         }
     }
-  return wrong > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
+  return failures > 0 ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
-/* 0 if the text is no number of seeds. */
+/* Returns 0 if the text is not a valid number of seeds. */
 static unsigned
 read_seeds (const char *text)
 {
@@ -161,7 +167,7 @@
 }
 
 static int
-tables (unsigned seeds, const char *only)
+print_tables (unsigned seeds, const char *only)
 {
   unsigned shown = 0;
 
@@ -169,7 +175,7 @@
     {
       if (only && strcmp (only, model_scenarios[s].name) != 0)
         continue;
-      table (&model_scenarios[s], seeds);
+      print_table (&model_scenarios[s], seeds);
       shown++;
     }
   return shown > 0 ? EXIT_SUCCESS : usage ();
@@ -187,7 +193,7 @@
   if (seeds == 0 || argc > 3)
     return usage ();
   if (!is_data)
-    return tables (seeds, argc == 3 ? argv[2] : NULL);
-  data (seeds);
+    return print_tables (seeds, argc == 3 ? argv[2] : NULL);
+  print_data (seeds);
   return EXIT_SUCCESS;
 }
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -1,11 +1,15 @@
 /**
- * Policies against their baselines over seeded scenarios on a virtual clock: one table a scenario.
+ * Compares the policies of the gate and the steward with baselines, over seeded scenarios on a
+ * virtual clock.
  *
  *   bench_policy [all|GROUP [SEEDS [SCENARIO]]]
- *   bench_policy data [SEEDS]     one line a figure: group scenario policy figure mean deviation
+ *     Prints a table per scenario: mean and standard deviation over the seeds.
+ *   bench_policy data [SEEDS]
+ *     Prints a line per figure, for plots: group scenario policy figure mean deviation
  *   bench_policy check
+ *     Checks the regression bounds of model_check.c; part of CI.
  *
- * Groups: servers, cascade, limits, retries, crash, rollout. The same seeds give the same table.
+ * Groups: servers, cascade, limits, retries, crash, rollout. The same seeds give the same results.
  */
 #include "model_check.h"
 #include "model_group.h"
@@ -20,7 +24,7 @@
 #define SEEDS_MAX     32
 #define SEEDS_DEFAULT 5
 
-/** A figure over the seeds. */
+/** Values of a figure, one per seed. */
 typedef struct
 {
   double values[SEEDS_MAX];
@@ -77,20 +81,20 @@
 };
 
 static double
-share (double part, double whole)
+ratio (double part, double whole)
 {
   return whole > 0 ? part / whole : 0;
 }
 
 static void
-figures_take (Figure *figures, unsigned seed, const ModelScenario *scenario, ModelResult *r)
+figures_set (Figure *figures, unsigned seed, const ModelScenario *scenario, ModelResult *r)
 {
   double seconds = (double)(scenario->length_ms - scenario->warm_ms) / 1000;
   double callers;
 
-  figures[FIGURE_COST].values[seed] = share (r->cost, r->answered);
-  figures[FIGURE_GOOD].values[seed] = 100 * share (r->good, r->classed);
-  figures[FIGURE_SCORE].values[seed] = result_least_over_target (r);
+  figures[FIGURE_COST].values[seed] = ratio (r->cost, r->answered);
+  figures[FIGURE_GOOD].values[seed] = 100 * ratio (r->good, r->with_class);
+  figures[FIGURE_SCORE].values[seed] = result_min_over_target (r);
   figures[FIGURE_FIRST_50].values[seed] = times_quantile (&r->first, 0.5);
   figures[FIGURE_FIRST_95].values[seed] = times_quantile (&r->first, 0.95);
   figures[FIGURE_FIRST_99].values[seed] = times_quantile (&r->first, 0.99);
@@ -98,21 +102,22 @@
   figures[FIGURE_WHOLE_95].values[seed] = times_quantile (&r->whole, 0.95);
   figures[FIGURE_WHOLE_99].values[seed] = times_quantile (&r->whole, 0.99);
   figures[FIGURE_GOODPUT].values[seed] = r->in_time / seconds;
-  figures[FIGURE_REFUSED].values[seed] = 100 * share (result_refused (r), r->asked);
-  figures[FIGURE_FAILED].values[seed] = 100 * share (r->failed, r->asked);
+  figures[FIGURE_REFUSED].values[seed] = 100 * ratio (result_refused (r), r->submitted);
+  figures[FIGURE_FAILED].values[seed] = 100 * ratio (r->failed, r->submitted);
   callers = (double)scenario->callers * scenario->config.teams;
   figures[FIGURE_OTHERS_99].values[seed] = times_quantile (&r->others, 0.99);
-  figures[FIGURE_OTHERS_REFUSED].values[seed] = 100 * share (r->others_refused, r->others_asked);
+  figures[FIGURE_OTHERS_REFUSED].values[seed]
+      = 100 * ratio (r->others_refused, r->others_submitted);
   figures[FIGURE_CRASHED].values[seed] = r->crashed;
-  figures[FIGURE_INNOCENT].values[seed] = r->innocent;
+  figures[FIGURE_INNOCENT].values[seed] = r->false_quarantines;
   figures[FIGURE_EXPOSED].values[seed] = 100 * r->exposed / callers;
   figures[FIGURE_EXPOSED_BAD].values[seed] = 100 * r->exposed_bad / callers;
   figures[FIGURE_BRAKE].values[seed] = r->brake_s;
   figures[FIGURE_DONE].values[seed] = r->done_s;
-  figures[FIGURE_RETRIES].values[seed] = 100 * share (r->retries, r->attempts);
+  figures[FIGURE_RETRIES].values[seed] = 100 * ratio (r->retries, r->attempts);
 }
 
-/** Four digits or so. */
+/** Decimal places to print, for three or four significant digits. */
 static int
 decimals (double x)
 {
@@ -138,7 +143,7 @@
 }
 
 static void
-print_head (const char *group, const char *scenario, unsigned seeds)
+print_header (const char *group, const char *scenario, unsigned seeds)
 {
   unsigned i;
 
@@ -148,7 +153,7 @@
   printf ("\n");
 }
 
-/** The same as lines for a plot. */
+/** Prints the figures of one policy as lines for a plot. */
 static void
 print_data (const char *group,
             const char *scenario,
@@ -175,7 +180,7 @@
   unsigned seed;
 
   if (!data)
-    print_head (group->name, scenario->name, seeds);
+    print_header (group->name, scenario->name, seeds);
   for (i = 0; i < count; i++)
     {
       Figure figures[FIGURE_COUNT];
@@ -184,7 +189,7 @@
         {
           ModelResult result = model_run (scenario, &policies[i], seed + 1);
 
-          figures_take (figures, seed, scenario, &result);
+          figures_set (figures, seed, scenario, &result);
           result_free (&result);
         }
       if (data)
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -1,7 +1,8 @@
 /**
- * How old the word of a majority is when stewards can't reach the table service, at 9 to 360
- * members and several asks a second each: grant_ms must be longer. Also the time until a number
- * that one steward has is known to all, and the bytes a second for it. Virtual time; no loss.
+ * Age of the newest evidence from a majority, on which a grant rests while the table service is
+ * unreachable: with 9 to 360 members and 1, 2 and 4 asks per second from each. grant_ms must be
+ * longer than this age. Also measures the time until a configuration number that one steward has
+ * reached all others, and the bytes per second that a steward sends. Virtual time; no message loss.
  */
 #include "cluster_grant.h"
 #include "cluster_state.h"
@@ -12,7 +13,7 @@
 
 #define GRANT_MS   8000
 #define STEP_MS    10
-#define DELAY_MS   20
+#define DELAY_MS   20 /**< from sending an ask to receiving its answer */
 #define WARM_UP_MS 20000
 #define END_MS     40000
 #define ASK_BYTES  INT64_C (48)
@@ -22,7 +23,7 @@
 {
   size_t count;
   ClusterState **states;
-  int64_t *ask_at; /**< next ask of each, ms */
+  int64_t *next_ask_at; /**< of each, ms */
   ClusterHeartbeat *ask;
   ClusterHeartbeat *answer;
   gsl_rng *rng;
@@ -39,7 +40,7 @@
 
   *v = (ClusterView){ .number = 1, .established = true, .count = count };
   site.states = memory_array (count, sizeof (ClusterState *));
-  site.ask_at = memory_array (count, sizeof *site.ask_at);
+  site.next_ask_at = memory_array (count, sizeof *site.next_ask_at);
   site.ask = memory_alloc (sizeof *site.ask);
   site.answer = memory_alloc (sizeof *site.answer);
   gsl_rng_set (site.rng, 1);
@@ -50,7 +51,7 @@
       site.states[i] = cluster_state_new (v->members[i].incarnation, GRANT_MS);
       cluster_state_apply (site.states[i], 7);
       cluster_state_adopt_view (site.states[i], v);
-      site.ask_at[i] = (int64_t)gsl_rng_uniform_int (site.rng, 1000);
+      site.next_ask_at[i] = (int64_t)gsl_rng_uniform_int (site.rng, 1000);
     }
   free (v);
   return site;
@@ -62,13 +63,14 @@
   for (size_t i = 0; i < site->count; i++)
     cluster_state_free (site->states[i]);
   free (site->states);
-  free (site->ask_at);
+  free (site->next_ask_at);
   free (site->ask);
   free (site->answer);
   gsl_rng_free (site->rng);
 }
 
-/* A steward asks any other; the round trip is done at once, sent DELAY_MS ago. */
+/* A steward asks a random other one. The round trip is processed at once, with an ask that counts
+ * as sent DELAY_MS ago. */
 static void
 ask_next (Site *site, size_t i)
 {
@@ -86,63 +88,63 @@
 }
 
 static void
-run_until (Site *site, int64_t end, int64_t pause_ms)
+run_until (Site *site, int64_t end, int64_t ask_interval_ms)
 {
   for (; site->now < end; site->now += STEP_MS)
     for (size_t i = 0; i < site->count; i++)
-      if (site->ask_at[i] <= site->now)
+      if (site->next_ask_at[i] <= site->now)
         {
           ask_next (site, i);
-          site->ask_at[i] += pause_ms;
+          site->next_ask_at[i] += ask_interval_ms;
         }
 }
 
-/* The oldest word that a grant rests on, over all stewards. */
+/* Age of the oldest evidence that a steward's grant rests on, over all stewards. */
 static int64_t
-worst_age (const Site *site)
+oldest_evidence_ms (const Site *site)
 {
-  int64_t worst = 0;
+  int64_t oldest = 0;
 
   for (size_t i = 0; i < site->count; i++)
     {
       ClusterGrant grant = cluster_grant (site->states[i], site->now);
       int64_t age = grant.until == CLUSTER_NEVER ? GRANT_MS : site->now - (grant.until - GRANT_MS);
-      if (age > worst)
-        worst = age;
+      if (age > oldest)
+        oldest = age;
     }
-  return worst;
+  return oldest;
 }
 
 static size_t
-count_knowing (const Site *site, int64_t number)
+count_informed (const Site *site, int64_t number)
 {
-  size_t knowing = 0;
+  size_t informed = 0;
 
   for (size_t i = 0; i < site->count; i++)
-    knowing += cluster_state_wanted_number (site->states[i]) >= number;
-  return knowing;
+    informed += cluster_state_wanted_number (site->states[i]) >= number;
+  return informed;
 }
 
 static void
 run (size_t count, int64_t asks_per_s)
 {
   Site site = new_site (count);
-  int64_t pause_ms = 1000 / asks_per_s;
-  int64_t worst = 0;
+  int64_t ask_interval_ms = 1000 / asks_per_s;
+  int64_t oldest = 0;
 
-  run_until (&site, WARM_UP_MS, pause_ms);
+  run_until (&site, WARM_UP_MS, ask_interval_ms);
   while (site.now < END_MS)
     {
-      run_until (&site, site.now + 100, pause_ms);
-      int64_t age = worst_age (&site);
-      worst = age > worst ? age : worst;
+      run_until (&site, site.now + 100, ask_interval_ms);
+      int64_t age = oldest_evidence_ms (&site);
+      oldest = age > oldest ? age : oldest;
     }
   double bytes = (double)site.bytes / (double)count / ((END_MS - WARM_UP_MS) / 1000.0);
   int64_t from = site.now;
   cluster_state_apply (site.states[0], 8);
-  while (count_knowing (&site, 8) < count)
-    run_until (&site, site.now + 50, pause_ms);
-  printf ("%7zu %6lld %18lld %18lld %16.0f\n", count, (long long)asks_per_s, (long long)worst,
+  while (count_informed (&site, 8) < count)
+    run_until (&site, site.now + 50, ask_interval_ms);
+  printf ("%7zu %6lld %18lld %18lld %16.0f\n", count, (long long)asks_per_s, (long long)oldest,
           (long long)(site.now - from), bytes);
   free_site (&site);
 }
@@ -152,7 +154,7 @@
 {
   static const size_t counts[] = { 9, 36, 72, 180, 360 };
 
-  printf ("members asks/s  oldest word (ms)  all have heard (ms)  bytes/s sent\n");
+  printf ("members asks/s   grant basis (ms)  all have heard (ms)  bytes/s sent\n");
   for (size_t i = 0; i < sizeof counts / sizeof *counts; i++)
     for (int64_t asks = 1; asks <= 4; asks *= 2)
       run (counts[i], asks);
--- a/bench/front_policies.c
+++ b/bench/front_policies.c
@@ -1,4 +1,4 @@
-/* The product's policy and what it is played against. */
+/* The product's policy and the policies that it is compared with. */
 #include "front_model.h"
 #include <string.h>
 
@@ -8,7 +8,7 @@
   return front_pick (servers, query, clock->now_ms);
 }
 
-/* Any server, at random. */
+/* A random server that was not tried yet. */
 static PickAnswer
 pick_random (FrontServers *servers, const PickQuery *query, Clock *clock)
 {
@@ -24,7 +24,7 @@
   return answer;
 }
 
-/* The server with the fewest requests of this front, the first of several. */
+/* The server with the fewest requests from this front; the first one of several. */
 static PickAnswer
 pick_least_running (FrontServers *servers, const PickQuery *query, Clock *clock)
 {
@@ -42,24 +42,27 @@
 }
 
 static CascadeStep
-never (const CascadeCase *c)
+never_escalate (const CascadeCase *c)
 {
   (void)c;
   return CASCADE_KEEP;
 }
 
-/* One bar for all requests, whatever the largest model's queue. */
+/* The same confidence threshold for all requests, regardless of the largest model's queue. */
 static CascadeStep
-below_bar (const CascadeCase *c)
+below_threshold (const CascadeCase *c)
 {
   return c->confidence < 56 ? CASCADE_LARGEST : CASCADE_KEEP;
 }
 
 const Policy model_policies[] = {
   { .name = "product", .pick = pick_product, .step = front_cascade_step },
-  { .name = "one-bar", .pick = pick_product, .step = below_bar },
-  { .name = "smallest-only", .pick = pick_product, .step = never },
-  { .name = "largest-only", .first_model = MODELS - 1, .pick = pick_product, .step = never },
+  { .name = "one-bar", .pick = pick_product, .step = below_threshold },
+  { .name = "smallest-only", .pick = pick_product, .step = never_escalate },
+  { .name = "largest-only",
+    .first_model = MODELS - 1,
+    .pick = pick_product,
+    .step = never_escalate },
   { .name = "random-server", .pick = pick_random, .step = front_cascade_step },
   { .name = "least-running", .pick = pick_least_running, .step = front_cascade_step },
 };
--- a/bench/fuzz_config.c
+++ b/bench/fuzz_config.c
@@ -1,6 +1,6 @@
 /**
- * Fuzz harness of config_parse: any bytes either give errors or a document whose canonical text
- * parses to itself, and a patch of it to itself that is empty. Run by `make fuzz`.
+ * Fuzz target for config_parse: any input either gives errors, or a document whose canonical text
+ * parses to the same text and whose difference to itself is empty. Run by `make fuzz`.
  */
 #include "config.h"
 #include "util_assert.h"
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* libFuzzer's name. NOLINTNEXTLINE(readability-identifier-naming) */
+/* The name is given by libFuzzer. NOLINTNEXTLINE(readability-identifier-naming) */
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
 static void
@@ -27,7 +27,7 @@
 }
 
 static void
-check_good (const Config *config)
+check_document (const Config *config)
 {
   CheckList list = { 0 };
   Config *again = config_parse (config->text, strlen (config->text), 1, &list);
@@ -42,7 +42,8 @@
   check_free (&list);
 }
 
-/** A text that is JSON but no configuration still has a canonical form that is stable. */
+/** The canonical form of any JSON text, also if it is no valid configuration, is its own canonical
+ *  form. */
 static void
 check_canonical (const char *text, size_t len)
 {
@@ -66,7 +67,7 @@
 
   INVARIANT ((config == NULL) == (list.count > 0), "errors=\"%u\"", list.count);
   if (config != NULL)
-    check_good (config);
+    check_document (config);
   check_canonical ((const char *)data, size);
   config_unref (config);
   check_free (&list);
--- a/bench/load_call.c
+++ b/bench/load_call.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define BLOCK_SIZE 8192
-#define END_MARK   "data: [DONE]"
+#define END_MARKER "data: [DONE]"
 #define EVENT_END  "\n\n"
 
 static const char *const result_names[LOAD_RESULTS] = { [LOAD_WHOLE] = "whole",
@@ -19,7 +19,7 @@
 }
 
 static void
-note_event (LoadAnswer *out, int64_t now_us)
+record_event (LoadAnswer *out, int64_t now_us)
 {
   if (!out->first_us)
     out->first_us = now_us;
@@ -29,19 +29,19 @@
   out->events++;
 }
 
-/* Takes the events that are whole out of pending; true once the end mark was among them. */
+/* Removes the complete events from pending; true if the end marker was among them. */
 static bool
-take_events (Buffer *pending, LoadAnswer *out)
+consume_events (Buffer *pending, LoadAnswer *out)
 {
   int64_t now_us = clock_boot_us ();
   bool done = false;
   char *end;
   while (pending->len && (end = strstr (pending->data, EVENT_END)))
     {
-      if (strncmp (pending->data, END_MARK, strlen (END_MARK)) == 0)
+      if (strncmp (pending->data, END_MARKER, strlen (END_MARKER)) == 0)
         done = true;
       else
-        note_event (out, now_us);
+        record_event (out, now_us);
       buffer_consume (pending, (size_t)(end - pending->data) + strlen (EVENT_END));
     }
   return done;
@@ -57,12 +57,12 @@
   while ((n = http_exchange_read (exchange, block, sizeof block, NULL)) > 0)
     {
       buffer_add (&pending, block, (size_t)n);
-      done |= take_events (&pending, out);
+      done |= consume_events (&pending, out);
     }
   buffer_free (&pending);
   if (n < 0 || !done)
     return LOAD_CUT;
-  /* An event for each token and the last one with the usage. */
+  /* One event per token, and a last one with the usage. */
   return out->events == (size_t)tokens + 1 ? LOAD_WHOLE : LOAD_WRONG_COUNT;
 }
 
--- a/bench/load_call.h
+++ b/bench/load_call.h
@@ -1,5 +1,5 @@
 /**
- * One request of the load tool and the times of its answer.
+ * One streamed request of the load tool, and the times of its answer.
  */
 #ifndef LOAD_CALL_H
 #define LOAD_CALL_H
@@ -11,11 +11,11 @@
 
 typedef enum
 {
-  LOAD_WHOLE,       /**< HTTP status 200, every event, the end mark and the proper end */
-  LOAD_NOT_TAKEN,   /**< no connection */
+  LOAD_WHOLE, /**< complete: HTTP status 200, every event, the end marker and the end of the body */
+  LOAD_NOT_TAKEN,   /**< no connection could be made */
   LOAD_REFUSED,     /**< another HTTP status */
-  LOAD_CUT,         /**< the answer ended early or broke off */
-  LOAD_WRONG_COUNT, /**< ended properly with too few or too many events */
+  LOAD_CUT,         /**< the connection closed before the end marker or the end of the body */
+  LOAD_WRONG_COUNT, /**< complete, but with too few or too many events */
   LOAD_RESULTS
 } LoadResult;
 
@@ -23,14 +23,14 @@
 {
   LoadResult result;
   int http_status;
-  int64_t first_us; /**< clock_boot_us of the first event; 0: none */
-  int64_t end_us;
-  double gaps[LOAD_TOKENS_MAX]; /**< ms between events */
+  int64_t first_us;             /**< clock_boot_us of the first event; 0: none */
+  int64_t end_us;               /**< clock_boot_us of the last event; 0: none */
+  double gaps[LOAD_TOKENS_MAX]; /**< ms between successive events */
   size_t gap_count;
-  size_t events; /**< with the last, without the end mark */
+  size_t events; /**< received, without the end marker */
 } LoadAnswer;
 
-/** Runs the request; tokens is the number that was asked for. */
+/** Runs the request; tokens is the number of tokens that it asks for. */
 void load_call (const HttpRequest *request, unsigned tokens, LoadAnswer *out);
 const char *load_result_name (LoadResult result);
 
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -1,8 +1,8 @@
 /*
- * load-stream: streamed requests against a gate or an engine, many at once, and the times of their
- * answers. Closed loop: each of the streams starts its next request when one has ended. Open loop
- * (--rate): requests arrive by a seeded Poisson process, and a request's times count from its
- * arrival, also when all streams were busy then.
+ * load-stream: sends concurrent streamed requests to a gate or an engine and measures the times of
+ * their answers. Closed loop (default): each stream starts its next request when its last one has
+ * ended. Open loop (--rate): requests arrive by a seeded Poisson process, and their times count
+ * from the arrival, even if all streams were busy then.
  */
 #include "load_call.h"
 #include "load_stats.h"
@@ -46,9 +46,9 @@
   unsigned results[LOAD_RESULTS];
   unsigned statuses[STATUSES_MAX];
   unsigned open;
-  unsigned open_most;
+  unsigned open_max;
   int64_t started_us;
-  int64_t arrival_us; /* of the request taken last, after started_us */
+  int64_t arrival_us; /* of the latest request, relative to started_us */
   gsl_rng *random;
   LoadSamples first;
   LoadSamples gap;
@@ -71,15 +71,15 @@
 static const struct argp_option option_list[]
     = { { "address", 'a', "IP", 0, "of the gate or engine", 0 },
         { "port", 'p', "PORT", 0, "of the gate or engine", 0 },
-        { "key", OPTION_KEY, "KEY", 0, "team key sent as the bearer's", 0 },
-        { "model", OPTION_MODEL, "NAME", 0, "member model of each request", 0 },
-        { "streams", OPTION_STREAMS, "N", 0, "most requests open at once", 0 },
-        { "requests", OPTION_REQUESTS, "N", 0, "requests in all", 0 },
+        { "key", OPTION_KEY, "KEY", 0, "team key, sent as bearer credentials", 0 },
+        { "model", OPTION_MODEL, "NAME", 0, "model of each request", 0 },
+        { "streams", OPTION_STREAMS, "N", 0, "maximum of requests open at once", 0 },
+        { "requests", OPTION_REQUESTS, "N", 0, "requests in total", 0 },
         { "tokens", OPTION_TOKENS, "N", 0, "tokens of each answer", 0 },
-        { "prompt-bytes", OPTION_PROMPT_BYTES, "N", 0, "length of each prompt", 0 },
-        { "rate", OPTION_RATE, "R", 0, "open loop at so many requests a second", 0 },
-        { "seed", OPTION_SEED, "N", 0, "of the arrivals", 0 },
-        { "timeout-ms", OPTION_TIMEOUT_MS, "T", 0, "silence that ends a request", 0 },
+        { "prompt-bytes", OPTION_PROMPT_BYTES, "N", 0, "approximate length of each prompt", 0 },
+        { "rate", OPTION_RATE, "R", 0, "open loop, R requests a second on average", 0 },
+        { "seed", OPTION_SEED, "N", 0, "of the arrival times", 0 },
+        { "timeout-ms", OPTION_TIMEOUT_MS, "T", 0, "time without input that ends a request", 0 },
         { 0 } };
 
 static unsigned
@@ -133,16 +133,16 @@
       return 0;
     case ARGP_KEY_END:
       if (!o->port || !o->model)
-        argp_error (state, "--port and --model are needed");
+        argp_error (state, "--port and --model are required");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
     }
 }
 
-/* Takes the next request's number and arrival; false when there is none. */
+/* Gets the next request's number and arrival time; false if all requests have been started. */
 static bool
-take_request (Load *load, unsigned *number_out, int64_t *arrival_us)
+next_request (Load *load, unsigned *number_out, int64_t *arrival_us)
 {
   pthread_mutex_lock (&load->lock);
   bool taken = load->next < load->options.requests;
@@ -158,17 +158,17 @@
 }
 
 static void
-change_open (Load *load, int by)
+change_open (Load *load, int delta)
 {
   pthread_mutex_lock (&load->lock);
-  load->open = (unsigned)((int)load->open + by);
-  if (load->open > load->open_most)
-    load->open_most = load->open;
+  load->open = (unsigned)((int)load->open + delta);
+  if (load->open > load->open_max)
+    load->open_max = load->open;
   pthread_mutex_unlock (&load->lock);
 }
 
 static void
-note_answer (Load *load, const LoadAnswer *answer, int64_t from_us)
+record_answer (Load *load, const LoadAnswer *answer, int64_t from_us)
 {
   pthread_mutex_lock (&load->lock);
   load->results[answer->result]++;
@@ -210,7 +210,7 @@
   change_open (load, 1);
   load_call (&request, o->tokens, answer);
   change_open (load, -1);
-  note_answer (load, answer, arrival_us);
+  record_answer (load, answer, arrival_us);
   buffer_free (&body);
 }
 
@@ -221,7 +221,7 @@
   LoadAnswer *answer = memory_alloc (sizeof *answer);
   unsigned n;
   int64_t arrival_us;
-  while (take_request (load, &n, &arrival_us))
+  while (next_request (load, &n, &arrival_us))
     {
       int64_t now_us = clock_boot_us ();
       if (load->options.rate > 0 && arrival_us > now_us)
@@ -243,7 +243,7 @@
   for (unsigned i = 0; i < load->options.streams; i++)
     if (pthread_create (&threads[i], &attr, run_stream, load) != 0)
       {
-        fprintf (stderr, "load-stream: no thread for stream %u\n", i);
+        fprintf (stderr, "load-stream: no thread available for stream %u\n", i);
         exit (EXIT_FAILURE);
       }
   for (unsigned i = 0; i < load->options.streams; i++)
@@ -262,7 +262,7 @@
   for (int i = 1; i < STATUSES_MAX; i++)
     if (load->statuses[i])
       printf ("http_%d %u\n", i, load->statuses[i]);
-  printf ("open_most %u\n", load->open_most);
+  printf ("open_most %u\n", load->open_max);
   printf ("seconds %.3f\n", seconds);
   printf ("requests_per_s %.1f\n", load->options.requests / seconds);
   load_samples_print (&load->first, "first_ms");
@@ -282,9 +282,10 @@
 int
 main (int argc, char **argv)
 {
-  const struct argp argp = { .options = option_list,
-                             .parser = parse_option,
-                             .doc = "Streamed requests, many at once, and their times in ms." };
+  const struct argp argp
+      = { .options = option_list,
+          .parser = parse_option,
+          .doc = "Sends many streamed requests at once and prints their times in ms." };
   Load load = { .options = { .address = "127.0.0.1",
                              .streams = 1,
                              .requests = 1,
--- a/bench/load_stats.h
+++ b/bench/load_stats.h
@@ -1,5 +1,5 @@
 /**
- * Samples of the load tool and their quantiles. Thread-safe.
+ * Samples of the load tool, and their quantiles. Adding samples is thread-safe.
  */
 #ifndef LOAD_STATS_H
 #define LOAD_STATS_H
@@ -12,7 +12,7 @@
   pthread_mutex_t lock;
   double *values;
   size_t count;
-  size_t max; /**< further samples are dropped */
+  size_t max; /**< capacity; further samples are dropped */
 } LoadSamples;
 
 void load_samples_init (LoadSamples *samples, size_t max);
--- a/bench/model_attempt.c
+++ b/bench/model_attempt.c
@@ -1,15 +1,16 @@
 /**
- * The attempts of a request at engines: server, batch, death, timeout, retry.
+ * Attempts of a request: choice of a server, its run in the engine's batch, an engine's death,
+ * time-outs and retries.
  */
 #include "model_site.h"
 
 #include "choose_breaker.h"
 #include "util_assert.h"
 
-#define US_PER_MS         1000
-#define LOCAL_HOP_MS      1
-#define NO_SERVER_WAIT_MS 1000
-#define REVIVE_MS         30000 /**< until an engine that a request crashed is back */
+#define US_PER_MS                1000
+#define LOCAL_HOP_MS             1
+#define NO_SERVER_RETRY_AFTER_MS 1000
+#define RESTART_MS               30000 /**< until an engine that a request crashed runs again */
 
 ModelGate *
 site_gate (ModelSite *site, const ModelRequest *request)
@@ -36,7 +37,7 @@
     .subject = index,
     .attempt = request->attempt,
     .engine = engine,
-    .engine_life = site->engines[engine].life,
+    .engine_incarnation = site->engines[engine].incarnation,
   };
 
   event_push (&site->events, &event);
@@ -84,14 +85,14 @@
   request->attempt++;
   request->stage_attempts++;
   request->engine = (int)server;
-  request->begun = false;
+  request->started = false;
   request->sent_us = site->now_us;
   if (request->tried_count < TRIED_MAX)
     request->tried[request->tried_count++] = server;
   view->in_flight++;
   breaker_sent (view, site_ms (site));
   load_history_add (&site_gate (site, request)->histories[server], view, site_ms (site));
-  cds_list_add_tail (&request->at_engine, &site->engine_requests[server]);
+  cds_list_add_tail (&request->engine_node, &site->engine_requests[server]);
   site->result.attempts += request_measured (site, request);
   push_attempt (site, hop_us (site, request, server), EVENT_ENQUEUE, index);
   push_attempt (site, site->scenario->timeout_ms * US_PER_MS, EVENT_TIMEOUT, index);
@@ -108,7 +109,7 @@
   server = pick_server (site, request);
   if (server < 0)
     {
-      request_refuse (site, index, REASON_NO_SERVER, NO_SERVER_WAIT_MS);
+      request_refuse (site, index, REASON_NO_SERVER, NO_SERVER_RETRY_AFTER_MS);
       return;
     }
   retry_budget_add_first (site_gate (site, request)->budget, site_ms (site));
@@ -124,12 +125,12 @@
   INVARIANT (gate->views[server].in_flight > 0, "server=%u", server);
   gate->views[server].in_flight--;
   load_history_add (&gate->histories[server], &gate->views[server], site_ms (site));
-  cds_list_del (&request->at_engine);
+  cds_list_del (&request->engine_node);
   request->engine = -1;
 }
 
 static void
-pump (ModelSite *site, unsigned engine)
+start_queued (ModelSite *site, unsigned engine)
 {
   EngineWork work;
   EngineTimes times;
@@ -143,33 +144,33 @@
         .subject = work.request,
         .attempt = work.attempt,
         .engine = engine,
-        .engine_life = site->engines[engine].life,
+        .engine_incarnation = site->engines[engine].incarnation,
       };
 
       if (work.crashes)
         {
           site->result.crashed++;
           attempt_engine_died (site, engine);
-          site_push (site, (int64_t)REVIVE_MS * US_PER_MS, EVENT_REVIVE, engine);
+          site_push (site, (int64_t)RESTART_MS * US_PER_MS, EVENT_RESTART, engine);
           return;
         }
       event_push (&site->events, &done);
       if (request->attempt != work.attempt || request->engine != (int)engine)
         continue;
-      request->begun = true;
+      request->started = true;
       request->first_us = site->now_us + times.first_us + hop_us (site, request, engine);
     }
 }
 
 static double
-speed_of (const ModelSite *site, ModelKind kind)
+kind_time_factor (const ModelSite *site, ModelKind kind)
 {
-  static const double speeds[MODEL_KINDS] = {
+  static const double factors[MODEL_KINDS] = {
     [KIND_SMALL] = 0.5, [KIND_MEDIUM] = 1,      [KIND_LARGE] = 2,
     [KIND_LEDGER] = 1,  [KIND_CANDIDATE] = 0.5,
   };
 
-  return kind == KIND_CANDIDATE ? speeds[kind] * site->slow : speeds[kind];
+  return kind == KIND_CANDIDATE ? factors[kind] * site->candidate_time_factor : factors[kind];
 }
 
 void
@@ -186,12 +187,12 @@
   work = (EngineWork){
     .request = event->subject,
     .attempt = event->attempt,
-    .speed = speed_of (site, kind),
+    .time_factor = kind_time_factor (site, kind),
     .prompt_tokens = request->prompt_tokens,
     .prefix_tokens = request->prefix_tokens,
     .output_tokens = request->output_tokens,
     .prefix = request->prefix,
-    .low = request->borrowed,
+    .low_priority = request->borrowed,
     .crashes = request->crashes,
   };
   if (!engine->up || !engine_enqueue (engine, &work))
@@ -199,7 +200,7 @@
       push_attempt (site, hop_us (site, request, event->engine), EVENT_FAILED, event->subject);
       return;
     }
-  pump (site, event->engine);
+  start_queued (site, event->engine);
 }
 
 void
@@ -208,18 +209,18 @@
   ModelRequest *request = site->requests[event->subject];
   ModelEngine *engine = &site->engines[event->engine];
 
-  if (engine->life != event->engine_life)
+  if (engine->incarnation != event->engine_incarnation)
     return;
   if (!engine_end (engine, event->subject, event->attempt))
     return;
-  pump (site, event->engine);
+  start_queued (site, event->engine);
   if (request->attempt == event->attempt && request->engine >= 0)
-    request_answer (site, event->subject);
+    request_answered (site, event->subject);
 }
 
-/** An attempt has failed: again elsewhere, or the caller is told. */
+/** After a failed attempt: retries at another server, or refuses the request. */
 static void
-after_failure (ModelSite *site, unsigned index, bool streamed)
+retry_or_refuse (ModelSite *site, unsigned index, bool streamed)
 {
   ModelRequest *request = site->requests[index];
   ModelGate *gate = site_gate (site, request);
@@ -252,13 +253,13 @@
 fail_attempt (ModelSite *site, unsigned index)
 {
   ModelRequest *request = site->requests[index];
-  bool last = !request->plan.rated || request->stage + 1 == request->plan.count;
-  bool streamed = last && request->begun && site->now_us >= request->first_us;
+  bool last_stage = !request->plan.rated || request->stage + 1 == request->plan.count;
+  bool streamed = last_stage && request->started && site->now_us >= request->first_us;
   ServerView *view = &site_gate (site, request)->views[request->engine];
 
   breaker_failure (view, site_ms (site), site_random (site));
   attempt_end (site, request);
-  after_failure (site, index, streamed);
+  retry_or_refuse (site, index, streamed);
 }
 
 void
@@ -275,7 +276,7 @@
 {
   ModelRequest *request = site->requests[event->subject];
 
-  if (request->attempt != event->attempt || request->engine < 0 || request->begun)
+  if (request->attempt != event->attempt || request->engine < 0 || request->started)
     return;
   engine_cancel (&site->engines[event->engine], event->subject, event->attempt);
   fail_attempt (site, event->subject);
@@ -286,9 +287,9 @@
 {
   ModelRequest *request;
 
-  crash_note_death (site, engine);
+  crash_record_death (site, engine);
   engine_die (&site->engines[engine]);
-  cds_list_for_each_entry (request, &site->engine_requests[engine], at_engine)
+  cds_list_for_each_entry (request, &site->engine_requests[engine], engine_node)
   {
     Event failed = {
       .at_us = site->now_us + hop_us (site, request, engine),
--- a/bench/model_callers.c
+++ b/bench/model_callers.c
@@ -1,5 +1,6 @@
 /**
- * The callers: when they ask, for what, and who they are. Their draws don't depend on the policy.
+ * Callers: when requests arrive, from whom and for what. Their random numbers do not depend on the
+ * policy.
  */
 #include "model_site.h"
 
@@ -9,15 +10,15 @@
 #include <math.h>
 
 #define US_PER_S           1e6
-#define PREFIXES           200 /**< shared prompt beginnings, of unlike use */
-#define PREFIX_TOKENS      800
-#define PROMPT_MEAN        200
-#define OUTPUT_LOG_MEAN    4.8 /**< of the logarithm of the tokens: about 120 in the middle */
+#define PREFIXES           200 /**< number of shared prompt prefixes */
+#define PREFIX_TOKENS      800 /**< length of a shared prefix */
+#define PROMPT_MEAN        200 /**< tokens, without a shared prefix */
+#define OUTPUT_LOG_MEAN    4.8 /**< of the logarithm of an answer's tokens: a median of about 120 */
 #define OUTPUT_LOG_DEV     0.6
-#define OUTPUT_MAX         1500
+#define OUTPUT_MAX         1500 /**< tokens */
 #define CALLER_DEADLINE_MS 30000
 #define US_PER_MS          1000
-#define CRASH_RESENDS      20
+#define CRASH_RESENDS      20 /**< times that a request that crashes engines is sent again */
 #define CRASH_TEAM         0
 #define CRASH_CALLER       0
 
@@ -37,7 +38,7 @@
 
   for (i = 0; i < site->config->team_count; i++)
     total += site->team_rates[i];
-  x = gsl_rng_uniform (site->callers) * total;
+  x = gsl_rng_uniform (site->callers_rng) * total;
   for (i = 0; i + 1 < site->config->team_count; i++)
     {
       x -= site->team_rates[i];
@@ -50,14 +51,14 @@
 static int
 draw_class (ModelSite *site)
 {
-  double x = gsl_rng_uniform (site->callers);
+  double x = gsl_rng_uniform (site->callers_rng);
 
   if (x < site->scenario->direct_share)
     return -1;
-  x = gsl_rng_uniform (site->callers);
+  x = gsl_rng_uniform (site->callers_rng);
   if (x < site->scenario->issue_share)
     return CLASS_ISSUE;
-  x = gsl_rng_uniform (site->callers);
+  x = gsl_rng_uniform (site->callers_rng);
   if (x < 0.5)
     return CLASS_QUERY;
   return x < 0.85 ? CLASS_REPORT : CLASS_WORDING;
@@ -66,13 +67,13 @@
 static void
 draw_prompt (ModelSite *site, ModelRequest *request)
 {
-  bool shared = gsl_rng_uniform (site->callers) < site->scenario->prefix_share;
-  /* The square makes some prefixes much more common than others. */
-  double x = gsl_rng_uniform (site->callers);
+  bool shared = gsl_rng_uniform (site->callers_rng) < site->scenario->prefix_share;
+  /* Squaring makes the low numbers much more frequent than the others. */
+  double x = gsl_rng_uniform (site->callers_rng);
   unsigned prefix = (unsigned)(x * x * PREFIXES);
-  double output = gsl_ran_lognormal (site->callers, OUTPUT_LOG_MEAN, OUTPUT_LOG_DEV);
+  double output = gsl_ran_lognormal (site->callers_rng, OUTPUT_LOG_MEAN, OUTPUT_LOG_DEV);
 
-  request->prompt_tokens = (unsigned)gsl_ran_exponential (site->callers, PROMPT_MEAN) + 1;
+  request->prompt_tokens = (unsigned)gsl_ran_exponential (site->callers_rng, PROMPT_MEAN) + 1;
   request->output_tokens = (unsigned)fmin (output, OUTPUT_MAX) + 1;
   if (!shared)
     return;
@@ -95,11 +96,11 @@
   site->requests[site->request_count++] = request;
   request->index = *index;
   request->engine = -1;
-  request->asked_us = site->now_us;
+  request->submitted_us = site->now_us;
   request->deadline_us = site->now_us + (int64_t)CALLER_DEADLINE_MS * US_PER_MS;
-  request->draw = gsl_rng_get (site->callers);
-  request->draw = request->draw << 32 | gsl_rng_get (site->callers);
-  request->fingerprint = request->draw | 1;
+  request->quality_seed = gsl_rng_get (site->callers_rng);
+  request->quality_seed = request->quality_seed << 32 | gsl_rng_get (site->callers_rng);
+  request->fingerprint = request->quality_seed | 1;
   return request;
 }
 
@@ -108,18 +109,18 @@
 {
   unsigned index;
   ModelRequest *request = request_new (site, &index);
-  double flood = 0, wait;
+  double total_rate = 0, next_us;
   unsigned i;
 
   request->team = draw_team (site);
-  request->caller = (unsigned)gsl_rng_uniform_int (site->callers, site->scenario->callers);
+  request->caller = (unsigned)gsl_rng_uniform_int (site->callers_rng, site->scenario->callers);
   request->class_index = draw_class (site);
   draw_prompt (site, request);
-  site_push (site, 0, EVENT_ASK, index);
+  site_push (site, 0, EVENT_SUBMIT, index);
   for (i = 0; i < site->config->team_count; i++)
-    flood += site->team_rates[i];
-  wait = gsl_ran_exponential (site->callers, US_PER_S / (site->rate * flood));
-  site_push (site, (int64_t)wait, EVENT_ARRIVAL, 0);
+    total_rate += site->team_rates[i];
+  next_us = gsl_ran_exponential (site->callers_rng, US_PER_S / (site->rate * total_rate));
+  site_push (site, (int64_t)next_us, EVENT_ARRIVAL, 0);
 }
 
 void
@@ -135,5 +136,5 @@
   request->output_tokens = PROMPT_MEAN;
   request->crashes = true;
   request->resends = CRASH_RESENDS;
-  site_push (site, 0, EVENT_ASK, index);
+  site_push (site, 0, EVENT_SUBMIT, index);
 }
--- a/bench/model_check.c
+++ b/bench/model_check.c
@@ -1,6 +1,6 @@
 /**
- * Regression bounds: ratios and counts on the virtual clock, the same on any machine but for the
- * last bits of the mathematical library.
+ * Regression bounds of the policies: ratios and counts on the virtual clock. They are the same on
+ * any machine, except for rounding differences of the mathematical library.
  */
 #include "model_check.h"
 
@@ -9,10 +9,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SEED         1
-#define WANTED_P99   0.7  /**< of round-robin's, at most */
-#define WANTED_COST  1.1  /**< of the oracle's, at most */
-#define TARGET_SLACK 0.01 /**< by which a class's mean rating may miss its target in one seed */
+#define SEED             1
+#define P99_RATIO_MAX    0.7  /**< of round-robin's p99 */
+#define COST_RATIO_MAX   1.1  /**< of the oracle's cost */
+#define TARGET_TOLERANCE 0.01 /**< by which a class's mean rating may miss its target */
 
 static unsigned failed, passed;
 
@@ -39,7 +39,7 @@
   check (value >= bound, scenario, what, value, bound);
 }
 
-/** Runs GROUP/SCENARIO under the named policy. A name that is not there fails. */
+/** Runs GROUP/SCENARIO under the named policy. An unknown name counts as a failed check. */
 static ModelResult
 run (const char *path, const char *policy_name)
 {
@@ -64,7 +64,7 @@
   return (ModelResult){ 0 };
 }
 
-/** First token's p99; frees the result. */
+/** Runs GROUP/SCENARIO and returns the 99th percentile of the time to the first token. */
 static double
 first_99 (const char *path, const char *policy)
 {
@@ -81,12 +81,12 @@
   ModelResult a = run ("servers/steady", "power-of-two");
   ModelResult b = run ("servers/steady", "power-of-two");
 
-  at_most ("servers/steady", "answered, once more the same", a.answered, b.answered);
-  at_most ("servers/steady", "attempts, once more the same", a.attempts, b.attempts);
-  at_least ("servers/steady", "answered, once more the same", a.answered, b.answered);
-  at_least ("servers/steady", "first p99, once more the same", times_quantile (&a.first, 0.99),
+  at_most ("servers/steady", "answered, same on repetition", a.answered, b.answered);
+  at_most ("servers/steady", "attempts, same on repetition", a.attempts, b.attempts);
+  at_least ("servers/steady", "answered, same on repetition", a.answered, b.answered);
+  at_least ("servers/steady", "first p99, same on repetition", times_quantile (&a.first, 0.99),
             times_quantile (&b.first, 0.99));
-  at_most ("servers/steady", "first p99, once more the same", times_quantile (&a.first, 0.99),
+  at_most ("servers/steady", "first p99, same on repetition", times_quantile (&a.first, 0.99),
            times_quantile (&b.first, 0.99));
   result_free (&a);
   result_free (&b);
@@ -104,7 +104,7 @@
       double ours = first_99 (paths[i], "power-of-two");
 
       at_most (paths[i], "first p99 against 0.7 of round-robin's", ours,
-               WANTED_P99 * first_99 (paths[i], "round-robin"));
+               P99_RATIO_MAX * first_99 (paths[i], "round-robin"));
       at_most (paths[i], "first p99 against least-reported's", ours,
                first_99 (paths[i], "least-reported"));
       at_most (paths[i], "first p99 against random's", ours, first_99 (paths[i], "random"));
@@ -112,7 +112,7 @@
 }
 
 static double
-cost_each (const ModelResult *result)
+cost_per_answer (const ModelResult *result)
 {
   return result->answered > 0 ? result->cost / result->answered : 0;
 }
@@ -125,12 +125,12 @@
   ModelResult oracle = run (path, "oracle");
   ModelResult fixed = run (path, "fixed");
 
-  at_most (path, "cost an answer against 1.1 of the oracle's", cost_each (&ours),
-           WANTED_COST * cost_each (&oracle));
-  at_most (path, "cost an answer against the fixed cascade's", cost_each (&ours),
-           cost_each (&fixed));
-  at_least (path, "rating over target of the worst class", result_least_over_target (&ours),
-            -TARGET_SLACK);
+  at_most (path, "cost per answer against 1.1 of the oracle's", cost_per_answer (&ours),
+           COST_RATIO_MAX * cost_per_answer (&oracle));
+  at_most (path, "cost per answer against the fixed cascade's", cost_per_answer (&ours),
+           cost_per_answer (&fixed));
+  at_least (path, "rating over target of the worst class", result_min_over_target (&ours),
+            -TARGET_TOLERANCE);
   result_free (&ours);
   result_free (&oracle);
   result_free (&fixed);
@@ -143,7 +143,7 @@
   ModelResult fair = run (path, "fair");
   ModelResult first = run (path, "first-come");
 
-  at_most (path, "others' requests refused for good", fair.others_refused, 0);
+  at_most (path, "others' requests refused in the end", fair.others_refused, 0);
   at_most (path, "others' first p99 against 0.25 of first-come's",
            times_quantile (&fair.others, 0.99), 0.25 * times_quantile (&first.others, 0.99));
   result_free (&fair);
@@ -159,11 +159,11 @@
   ModelResult budget = run ("retries/after-burst-no-cancel", "budget");
 
   at_least (path, "answered in time of 1,000, budget and limits",
-            1000.0 * limited.in_time / limited.asked, 980);
+            1000.0 * limited.in_time / limited.submitted, 980);
   at_most (path, "answered in time of 1,000, always retrying",
-           1000.0 * always.in_time / always.asked, 500);
+           1000.0 * always.in_time / always.submitted, 500);
   at_least ("retries/after-burst-no-cancel", "answered in time of 1,000, budget",
-            1000.0 * budget.in_time / budget.asked, 980);
+            1000.0 * budget.in_time / budget.submitted, 980);
   result_free (&limited);
   result_free (&always);
   result_free (&budget);
@@ -176,21 +176,21 @@
   ModelResult outage = run ("crash/pool-outage", "quarantine");
 
   at_most ("crash/crash-prompt", "engines crashed", prompt.crashed, 2);
-  at_most ("crash/crash-prompt", "innocents refused", prompt.innocent, 0);
-  at_most ("crash/pool-outage", "innocents refused", outage.innocent, 0);
+  at_most ("crash/crash-prompt", "harmless ones refused", prompt.false_quarantines, 0);
+  at_most ("crash/pool-outage", "harmless ones refused", outage.false_quarantines, 0);
   result_free (&prompt);
   result_free (&outage);
 }
 
-/** Brakes, if it is bad, before more than the share of callers met it. */
+/** Checks that a bad candidate is braked before too large a share of callers got its answers. */
 static void
-check_brake (const char *path, double exposed_most)
+check_brake (const char *path, double exposed_max)
 {
   ModelResult result = run (path, "sequential");
 
   at_least (path, "seconds until the brake", result.brake_s, 1);
   /* The roll-out site has 10 teams of 300 callers. */
-  at_most (path, "callers exposed of 3,000", result.exposed, 3000 * exposed_most);
+  at_most (path, "callers exposed of 3,000", result.exposed, 3000 * exposed_max);
   result_free (&result);
 }
 
@@ -200,7 +200,7 @@
   ModelResult good = run ("rollout/good", "sequential");
 
   at_most ("rollout/good", "braked", good.brake_s, 0);
-  at_least ("rollout/good", "seconds until all callers are at it", good.done_s, 1);
+  at_least ("rollout/good", "seconds until it has all callers", good.done_s, 1);
   result_free (&good);
   check_brake ("rollout/bad-at-once", 0.01);
   check_brake ("rollout/slow", 0.01);
--- a/bench/model_config.c
+++ b/bench/model_config.c
@@ -1,6 +1,3 @@
-/**
- * Configuration documents of model sites.
- */
 #include "model_config.h"
 
 #include "util_assert.h"
--- a/bench/model_engine.c
+++ b/bench/model_engine.c
@@ -1,15 +1,12 @@
-/**
- * A small fake of a model engine.
- */
 #include "model_engine.h"
 
 #include "util_assert.h"
 #include <string.h>
 
 #define PREFILL_BASE_MS     20.0
-#define PREFILL_TOKEN_MS    0.25
-#define TOKEN_MS            10.0 /**< with an empty batch */
-#define TOKEN_FULL_BATCH_MS 8.0  /**< more with a full batch */
+#define PREFILL_TOKEN_MS    0.25 /**< per prompt token that is not cached */
+#define TOKEN_MS            10.0 /**< per generated token, with an empty batch */
+#define TOKEN_FULL_BATCH_MS 8.0  /**< added to TOKEN_MS with a full batch */
 #define US_PER_MS           1000.0
 
 void
@@ -22,30 +19,30 @@
 bool
 engine_enqueue (ModelEngine *engine, const EngineWork *work)
 {
-  EngineQueue *queue = &engine->queues[work->low];
+  EngineQueue *queue = &engine->queues[work->low_priority];
 
   if (queue->count == ENGINE_QUEUE_MAX)
     return false;
-  queue->works[(queue->head + queue->count) % ENGINE_QUEUE_MAX] = *work;
+  queue->entries[(queue->head + queue->count) % ENGINE_QUEUE_MAX] = *work;
   queue->count++;
   return true;
 }
 
-/** The next work, of low priority only if there is no other. */
+/** Removes the next work from the queues; low priority only if there is no other. */
 static bool
-queue_take (ModelEngine *engine, EngineWork *work)
+queue_pop (ModelEngine *engine, EngineWork *work)
 {
   EngineQueue *queue = &engine->queues[engine->queues[0].count == 0];
 
   if (queue->count == 0)
     return false;
-  *work = queue->works[queue->head];
+  *work = queue->entries[queue->head];
   queue->head = (queue->head + 1) % ENGINE_QUEUE_MAX;
   queue->count--;
   return true;
 }
 
-/** True if the cache holds the prefix, which then is its most recent. */
+/** Makes the prefix the cache's most recent one; returns true if it was cached already. */
 static bool
 prefix_use (ModelEngine *engine, uint64_t prefix)
 {
@@ -70,7 +67,7 @@
 
   for (;;)
     {
-      if (!engine->up || engine->running == engine->slots || !queue_take (engine, work))
+      if (!engine->up || engine->running == engine->slots || !queue_pop (engine, work))
         return false;
       if (!work->dropped)
         break;
@@ -82,10 +79,10 @@
   prompt = work->prompt_tokens;
   if (work->prefix != 0 && prefix_use (engine, work->prefix))
     prompt -= work->prefix_tokens;
-  first_ms = PREFILL_BASE_MS + prompt * PREFILL_TOKEN_MS * work->speed;
+  first_ms = PREFILL_BASE_MS + prompt * PREFILL_TOKEN_MS * work->time_factor;
   token_ms = TOKEN_MS + TOKEN_FULL_BATCH_MS * engine->running / engine->slots;
   first_ms *= engine->slowness;
-  token_ms *= engine->slowness * work->speed;
+  token_ms *= engine->slowness * work->time_factor;
   times->first_us = (int64_t)(first_ms * US_PER_MS);
   times->done_us = (int64_t)((first_ms + token_ms * work->output_tokens) * US_PER_MS);
   return true;
@@ -114,7 +111,7 @@
   return running_remove (engine, request, attempt);
 }
 
-/** Marks a queued work as dropped; false if it isn't there. */
+/** Marks a queued work as dropped; false if it is not in the queue. */
 static bool
 queue_drop (EngineQueue *queue, unsigned request, unsigned attempt)
 {
@@ -122,7 +119,7 @@
 
   for (i = 0; i < queue->count; i++)
     {
-      EngineWork *work = &queue->works[(queue->head + i) % ENGINE_QUEUE_MAX];
+      EngineWork *work = &queue->entries[(queue->head + i) % ENGINE_QUEUE_MAX];
 
       if (work->request != request || work->attempt != attempt || work->dropped)
         continue;
@@ -148,7 +145,7 @@
 engine_die (ModelEngine *engine)
 {
   engine->up = false;
-  engine->life++;
+  engine->incarnation++;
   engine->running = 0;
   engine->queues[0].count = 0;
   engine->queues[1].count = 0;
@@ -157,7 +154,7 @@
 }
 
 void
-engine_revive (ModelEngine *engine)
+engine_restart (ModelEngine *engine)
 {
   engine->up = true;
 }
@@ -186,7 +183,7 @@
 }
 
 bool
-engine_holds (const ModelEngine *engine, uint64_t prefix)
+engine_has_prefix (const ModelEngine *engine, uint64_t prefix)
 {
   unsigned i;
 
--- a/bench/model_engine.h
+++ b/bench/model_engine.h
@@ -1,6 +1,6 @@
 /**
- * A small fake of a model engine on a virtual clock: a batch of slots, a queue in order of arrival,
- * and a cache of prompt prefixes. Tokens slow down as the batch fills.
+ * Simulated model engine on a virtual clock: a batch of slots, a queue per priority in order of
+ * arrival, and a cache of prompt prefixes. The time per token rises as the batch fills.
  */
 #ifndef MODEL_ENGINE_H
 #define MODEL_ENGINE_H
@@ -10,30 +10,32 @@
 #include <stdint.h>
 
 #define ENGINE_SLOTS_MAX 64
-#define ENGINE_PREFIXES  24  /**< prompt prefixes that the cache holds */
-#define ENGINE_HISTORY   128 /**< samples of the load */
-#define ENGINE_SAMPLE_US 100000
+#define ENGINE_PREFIXES  24     /**< prompt prefixes that the cache holds */
+#define ENGINE_HISTORY   128    /**< samples of the load that are kept */
+#define ENGINE_SAMPLE_US 100000 /**< between two samples */
 #define ENGINE_QUEUE_MAX 2048
 
+/** One attempt of a request at the engine. */
+
 typedef struct
 {
   unsigned request;
-  unsigned attempt;       /**< of the request, counted over its life */
+  unsigned attempt;       /**< of the request, counted over all its stages */
   unsigned version;       /**< of the configuration */
-  double speed;           /**< 1: as the engine; 2: twice the time per token */
-  unsigned prompt_tokens; /**< of which prefix_tokens are saved if cached */
+  double time_factor;     /**< of the version: 2 takes twice the time per token */
+  unsigned prompt_tokens; /**< of which prefix_tokens need no reading if cached */
   unsigned prefix_tokens;
   unsigned output_tokens;
   uint64_t prefix;
-  bool low;     /**< runs after all that isn't */
-  bool crashes; /**< the engine dies when this begins to run */
-  bool dropped; /**< nobody waits any more; still runs if the engine ignores cancels */
+  bool low_priority; /**< waits until no other work is queued */
+  bool crashes;      /**< the engine dies when this work starts */
+  bool dropped;      /**< cancelled while queued; skipped when its turn comes */
 } EngineWork;
 
-/** A ring in order of arrival. */
+/** Ring buffer in order of arrival. */
 typedef struct
 {
-  EngineWork works[ENGINE_QUEUE_MAX];
+  EngineWork entries[ENGINE_QUEUE_MAX];
   unsigned head, count;
 } EngineQueue;
 
@@ -42,19 +44,20 @@
   bool up;
   bool ignores_cancel;
   unsigned slots;
-  double slowness; /**< 1: as most engines */
-  unsigned life;   /**< rises at each death */
+  double slowness;      /**< factor of all times; 1: as most engines */
+  unsigned incarnation; /**< incremented at each death */
   unsigned running;
   unsigned running_requests[ENGINE_SLOTS_MAX];
   unsigned running_attempts[ENGINE_SLOTS_MAX];
-  EngineQueue queues[2]; /**< the second of low priority */
-  unsigned dropped; /**< of those queued, that nobody waits for any more and that will not run */
+  EngineQueue queues[2];              /**< normal and low priority */
+  unsigned dropped;                   /**< queued works that were cancelled and will not run */
   uint64_t prefixes[ENGINE_PREFIXES]; /**< most recent first */
-  unsigned history[ENGINE_HISTORY];   /**< running and queued, a sample each ENGINE_SAMPLE_US */
+  unsigned history[ENGINE_HISTORY];   /**< ring buffer of loads: running and queued, one per
+                                         ENGINE_SAMPLE_US */
   unsigned samples;
 } ModelEngine;
 
-/** When a started work gives its first token and its last, from the start. */
+/** Times from the start of a work to its first and to its last token. */
 typedef struct
 {
   int64_t first_us;
@@ -64,22 +67,25 @@
 void engine_init (ModelEngine *engine, unsigned slots, double slowness);
 /** False if the queue is full. */
 bool engine_enqueue (ModelEngine *engine, const EngineWork *work);
-/** Takes the next work of the queue into a free slot. */
+/** Moves the next queued work into a free slot and sets *work and *times; false if no work is
+ * queued, no slot is free or the engine is down. If the work crashes the engine, the caller calls
+ *  engine_die. */
 bool engine_start (ModelEngine *engine, EngineWork *work, EngineTimes *times);
-/** Frees the slot of a work that ended; false if it was cancelled before. */
+/** Frees the slot of a work that ended; false if it was cancelled earlier. */
 bool engine_end (ModelEngine *engine, unsigned request, unsigned attempt);
 /** The caller left: removes the work from the queue or from its slot, unless the engine ignores
  *  cancels. */
 void engine_cancel (ModelEngine *engine, unsigned request, unsigned attempt);
-/** Loses everything; comes back only by engine_revive. */
+/** Loses the running and queued works and the cache. The engine stays down until engine_restart. */
 void engine_die (ModelEngine *engine);
-void engine_revive (ModelEngine *engine);
-/** Notes the load now. */
+void engine_restart (ModelEngine *engine);
+/** Adds the present load to the history. */
 void engine_sample (ModelEngine *engine);
-/** The load as it was lag_us ago. */
+/** The load lag_us ago, from the history. */
 unsigned engine_load_before (const ModelEngine *engine, int64_t lag_us);
+/** Number of running and queued works. */
 unsigned engine_load (const ModelEngine *engine);
 /** True if the cache holds the prefix. */
-bool engine_holds (const ModelEngine *engine, uint64_t prefix);
+bool engine_has_prefix (const ModelEngine *engine, uint64_t prefix);
 
 #endif
--- a/bench/model_event.c
+++ b/bench/model_event.c
@@ -1,6 +1,4 @@
-/**
- * A binary heap of events.
- */
+/* The queue is a binary heap. */
 #include "model_event.h"
 
 #include "util_memory.h"
@@ -19,10 +17,10 @@
 static void
 event_swap (Event *a, Event *b)
 {
-  Event kept = *a;
+  Event saved = *a;
 
   *a = *b;
-  *b = kept;
+  *b = saved;
 }
 
 void
@@ -36,7 +34,7 @@
       queue->heap = memory_grow (queue->heap, queue->cap, sizeof *queue->heap);
     }
   queue->heap[i] = *event;
-  queue->heap[i].order = queue->made++;
+  queue->heap[i].order = queue->pushed++;
   queue->count++;
   while (i > 0 && event_before (&queue->heap[i], &queue->heap[(i - 1) / 2]))
     {
@@ -56,18 +54,18 @@
   queue->heap[0] = queue->heap[--queue->count];
   for (;;)
     {
-      size_t least = i;
+      size_t earliest = i;
       size_t child;
 
       for (child = 2 * i + 1; child <= 2 * i + 2 && child < queue->count; child++)
         {
-          if (event_before (&queue->heap[child], &queue->heap[least]))
-            least = child;
+          if (event_before (&queue->heap[child], &queue->heap[earliest]))
+            earliest = child;
         }
-      if (least == i)
+      if (earliest == i)
         return true;
-      event_swap (&queue->heap[i], &queue->heap[least]);
-      i = least;
+      event_swap (&queue->heap[i], &queue->heap[earliest]);
+      i = earliest;
     }
 }
 
--- a/bench/model_event.h
+++ b/bench/model_event.h
@@ -1,5 +1,6 @@
 /**
- * The virtual clock: events in the order of their time, and of their making when times are equal.
+ * Event queue of the virtual clock: events in order of their time; those of the same time in the
+ * order in which they were pushed.
  */
 #ifndef MODEL_EVENT_H
 #define MODEL_EVENT_H
@@ -10,29 +11,30 @@
 
 typedef enum
 {
-  EVENT_ARRIVAL, /**< the next new request of all callers */
-  EVENT_ASK,     /**< a request reaches a gate, for the first time or again; subject: request */
+  EVENT_ARRIVAL, /**< a caller makes a new request */
+  EVENT_SUBMIT,  /**< a request reaches a gate, for the first time or again; subject: request */
   EVENT_ENQUEUE, /**< an attempt reaches its engine; subject: request */
-  EVENT_DONE,    /**< an engine ends a work; subject: request */
-  EVENT_FAILED,  /**< the gate learns that an attempt's engine died or refused; subject: request */
-  EVENT_TIMEOUT, /**< an attempt has not begun in time; subject: request */
-  EVENT_RATED,   /**< the rating of a stage's answer is there; subject: request */
-  EVENT_SAMPLE,  /**< engines note their load */
-  EVENT_REPORT,  /**< a gate reads the engines' reports; subject: gate */
-  EVENT_CONTROL, /**< a steward merges evidence and moves the roll-out */
-  EVENT_REVIVE,  /**< an engine that a request crashed is back; subject: engine */
-  EVENT_FAULT    /**< a fault of the scenario; subject: index into its faults */
+  EVENT_DONE,    /**< an engine has completed an answer; subject: request */
+  EVENT_FAILED,  /**< a gate learns that an attempt's engine died or refused it; subject: request */
+  EVENT_TIMEOUT, /**< an attempt's time-out is over; subject: request */
+  EVENT_RATED,   /**< the rating of a stage's answer has arrived; subject: request */
+  EVENT_SAMPLE,  /**< engines sample their load */
+  EVENT_REPORT,  /**< a gate reads the engines' load reports; subject: gate */
+  EVENT_CONTROL, /**< a steward merges the gates' evidence and advances or stops the roll-out */
+  EVENT_RESTART, /**< an engine that a request crashed runs again; subject: engine */
+  EVENT_FAULT    /**< a fault of the scenario begins or ends; subject: index into its faults */
 } EventKind;
 
 typedef struct
 {
   int64_t at_us;
-  uint64_t order; /**< of its making */
+  uint64_t order; /**< in which it was pushed; set by event_push */
   EventKind kind;
   unsigned subject;
-  unsigned attempt; /**< of the request when made; a later attempt makes most events void */
+  unsigned attempt; /**< of the request when pushed; most events are ignored once it has a later
+                       attempt */
   unsigned engine;
-  unsigned engine_life; /**< of the engine when made; its death makes the event void */
+  unsigned engine_incarnation; /**< of the engine when pushed; its death makes the event void */
 } Event;
 
 typedef struct
@@ -40,12 +42,12 @@
   Event *heap;
   size_t count;
   size_t cap;
-  uint64_t made;
+  uint64_t pushed;
 } EventQueue;
 
-/** Adds an event; its order is set here. */
+/** Adds a copy of the event. */
 void event_push (EventQueue *queue, const Event *event);
-/** False if there is none. */
+/** Removes the next event; false if there is none. */
 bool event_pop (EventQueue *queue, Event *out);
 void event_queue_free (EventQueue *queue);
 
--- a/bench/model_group.c
+++ b/bench/model_group.c
@@ -1,6 +1,3 @@
-/**
- * The scenarios that are run, and the policies that are compared in each group of them.
- */
 #include "model_group.h"
 
 #define POLICIES_MAX 8
@@ -112,7 +109,7 @@
 
 static const ModelScenario limit_scenarios[] = {
   { .name = "calm", LIMIT_SITE (48), .rate = 34 },
-  /* As many answers a second as the flood leaves the gates to give, with no flood. */
+  /* No flood, at the rate of answers that the gates still deliver during the flood. */
   { .name = "calm-as-full", LIMIT_SITE (0), .rate = 40 },
   { .name = "team-floods",
     LIMIT_SITE (48),
@@ -185,8 +182,8 @@
   return policies;
 }
 
-/* A burst of half a minute, measured from a minute after its end: an engine runs what a gate gave
-   up on, unless it heeds cancels. */
+/* A burst of half a minute, measured from a minute after its end. Engines that ignore cancels go on
+   to run the attempts that gates have given up. */
 #define RETRY_SITE                                                                                 \
   .config = { .draft_engines = 20,                                                                 \
               .ledger_engines = 4,                                                                 \
@@ -200,7 +197,7 @@
   .faults = { { 120000, FAULT_RATE, 0, 2 }, { 150000, FAULT_RATE, 0, 1 } }
 
 static const ModelScenario retry_scenarios[] = {
-  { .name = "after-burst-no-cancel", RETRY_SITE, .ignore_cancel = true, .no_comebacks = true },
+  { .name = "after-burst-no-cancel", RETRY_SITE, .ignore_cancel = true, .no_caller_retries = true },
   { .name = "after-burst-no-cancel-comebacks", RETRY_SITE, .ignore_cancel = true },
   { .name = "after-burst", RETRY_SITE },
 };
@@ -223,8 +220,8 @@
   return policies;
 }
 
-/* Draft-s goes from v1 to v2 after two minutes; half of the callers name draft-s, and get its
-   answers as they are. */
+/* The roll-out of draft-s from v1 to v2 starts after two minutes. Half of the requests name draft-s
+   and get its answers without a cascade. */
 #define ROLLOUT_SITE(length)                                                                       \
   .config = { .draft_engines = 20,                                                                 \
               .ledger_engines = 4,                                                                 \
--- a/bench/model_group.h
+++ b/bench/model_group.h
@@ -1,5 +1,5 @@
 /**
- * Groups of scenarios with the policies that are compared in them.
+ * Groups of scenarios, with the policies that are compared in each group.
  */
 #ifndef MODEL_GROUP_H
 #define MODEL_GROUP_H
@@ -11,7 +11,7 @@
   const char *name;
   const ModelScenario *scenarios;
   size_t scenario_count;
-  const ModelPolicy *(*policies) (size_t *count);
+  const ModelPolicy *(*policies) (size_t *count); /**< a static array */
 } ModelGroup;
 
 extern const ModelGroup model_groups[];
--- a/bench/model_quality.c
+++ b/bench/model_quality.c
@@ -1,6 +1,6 @@
 /**
- * The truth that the policies under test don't know: how good each answer is, and the oracle that
- * decides by it.
+ * Ground truth that the policies under test do not know: the quality of each answer; and the
+ * oracle, which decides by it.
  */
 #include "model_site.h"
 
@@ -8,17 +8,17 @@
 #include <math.h>
 #include <string.h>
 
-#define DIFFICULTY_SHARE  0.7 /**< of what decides whether an answer is good; the rest is chance */
-#define FAIL_SCORE_MAX    0.5
-#define DIRECT_CLASS      2 /**< as which requests that name a model are rated */
-#define ORACLE_DRAWS      4000
-#define ORACLE_SEED       17
-#define ORACLE_STAGES_MAX 3
-#define ORACLE_CACHED     1.0 /**< load of a batch that a cached prompt beginning is worth */
-#define RATING_COST       0.02
-#define TWO_TO_53         9007199254740992.0
-
-/** Share of answers that are good, by kind and by class in name order. */
+#define DIFFICULTY_SHARE    0.7 /**< weight of a request's difficulty against chance */
+#define FAIL_SCORE_MAX      0.5
+#define DIRECT_CLASS        2 /**< class by which requests that name a model are rated */
+#define ORACLE_SAMPLES      4000
+#define ORACLE_SEED         17
+#define ORACLE_STAGES_MAX   3
+#define ORACLE_CACHE_CREDIT 1.0 /**< load, in batches, that a cached prompt prefix makes up for */
+#define RATING_COST         0.02
+#define TWO_TO_53           9007199254740992.0
+
+/** Share of answers that are good, by kind and class; classes in order of their names. */
 static const double pass_chances[MODEL_KINDS][CLASSES_COUNT] = {
   /* issue, query, report, wording */
   [KIND_SMALL] = { 0.5, 0.85, 0.62, 0.30 },     [KIND_MEDIUM] = { 0.7, 0.94, 0.84, 0.60 },
@@ -26,16 +26,16 @@
   [KIND_CANDIDATE] = { 0.5, 0.85, 0.62, 0.30 },
 };
 
-/** Uniform in [0, 1), the same for the same request and salt. */
+/** Uniformly distributed in [0, 1); the same for the same request and salt. */
 static double
-uniform (uint64_t draw, uint64_t salt)
+uniform (uint64_t seed, uint64_t salt)
 {
-  return (double)(id_hash (&draw, sizeof draw, salt) >> 11) / TWO_TO_53;
+  return (double)(id_hash (&seed, sizeof seed, salt) >> 11) / TWO_TO_53;
 }
 
-/** The x below which a share p lies of DIFFICULTY_SHARE * U1 + (1 - DIFFICULTY_SHARE) * U2. */
+/** Quantile p of DIFFICULTY_SHARE * U1 + (1 - DIFFICULTY_SHARE) * U2, with U1 and U2 uniform. */
 static double
-threshold (double p)
+difficulty_quantile (double p)
 {
   double a = 1 - DIFFICULTY_SHARE, b = DIFFICULTY_SHARE;
   double corner = a / (2 * b);
@@ -61,20 +61,20 @@
 }
 
 static double
-score_of (double chance, double target, uint64_t draw, ModelKind kind)
+score_of (double chance, double target, uint64_t seed, ModelKind kind)
 {
-  double x = DIFFICULTY_SHARE * uniform (draw, 1)
-             + (1 - DIFFICULTY_SHARE) * uniform (draw, 2 + (uint64_t)kind);
-  double spread = uniform (draw, 2 + MODEL_KINDS + (uint64_t)kind);
+  double x = DIFFICULTY_SHARE * uniform (seed, 1)
+             + (1 - DIFFICULTY_SHARE) * uniform (seed, 2 + (uint64_t)kind);
+  double spread = uniform (seed, 2 + MODEL_KINDS + (uint64_t)kind);
 
-  if (x < threshold (chance))
+  if (x < difficulty_quantile (chance))
     return target + (1 - target) * spread;
   return FAIL_SCORE_MAX * spread;
 }
 
 static double
 score_in_class (const ModelSite *site,
-                uint64_t draw,
+                uint64_t seed,
                 unsigned version,
                 int class_index,
                 double factor)
@@ -82,7 +82,7 @@
   ModelKind kind = quality_kind (site->config, version);
   double chance = pass_chances[kind][class_index] * site->quality[kind] * factor;
 
-  return score_of (chance, site->config->classes[class_index].quality_target, draw, kind);
+  return score_of (chance, site->config->classes[class_index].quality_target, seed, kind);
 }
 
 double
@@ -93,12 +93,12 @@
   double factor
       = kind == KIND_CANDIDATE && request->team == site->bad_team ? site->bad_team_quality : 1;
 
-  return score_in_class (site, request->draw, version, class_index, factor);
+  return score_in_class (site, request->quality_seed, version, class_index, factor);
 }
 
-/** Mean rating and cost of a set of stages, tried in the order of the array. */
+/** Mean true rating and cost of a set of stages, tried in the order of the array. */
 static void
-truth_of_plan (const ModelSite *site,
+evaluate_plan (const ModelSite *site,
                int class_index,
                const unsigned *versions,
                size_t count,
@@ -111,99 +111,100 @@
 
   *quality = 0;
   *cost = 0;
-  for (n = 0; n < ORACLE_DRAWS; n++)
+  for (n = 0; n < ORACLE_SAMPLES; n++)
     {
-      uint64_t draw = id_hash (&n, sizeof n, ORACLE_SEED);
+      uint64_t seed = id_hash (&n, sizeof n, ORACLE_SEED);
       double score = 0;
 
       for (i = 0; i < count; i++)
         {
           bool last = i + 1 == count;
 
-          score = score_in_class (site, draw, versions[i], class_index, 1);
+          score = score_in_class (site, seed, versions[i], class_index, 1);
           *cost += site->config->versions[versions[i]].cost_per_1k + (last ? 0 : RATING_COST);
           if (score >= target)
             break;
         }
       *quality += score;
     }
-  *quality /= ORACLE_DRAWS;
-  *cost /= ORACLE_DRAWS;
+  *quality /= ORACLE_SAMPLES;
+  *cost /= ORACLE_SAMPLES;
 }
 
-/** One set of stages with its truth. */
+/** A set of stages with its true mean rating and cost. */
 typedef struct
 {
   ChoosePlan plan;
   double quality, cost;
-} Truth;
+} EvaluatedPlan;
 
-/** All sets of stages that miss the target by at most what the learned policy may mix in. */
+/** Lists all sets of stages that miss the target by no more than the learned policy accepts in a
+ *  mixture; returns their number. */
 static unsigned
-list_truths (const ModelSite *site, const ChoosePlan *candidates, Truth *truths)
+evaluate_plans (const ModelSite *site, const ChoosePlan *candidates, EvaluatedPlan *evaluated)
 {
-  double least = candidates->quality_target - cascade_settings_default.mix_shortfall_max;
-  unsigned most = candidates->idempotent && site->rating_up ? ORACLE_STAGES_MAX : 1;
+  double quality_min = candidates->quality_target - cascade_settings_default.mix_shortfall_max;
+  unsigned stages_max = candidates->idempotent && site->rating_up ? ORACLE_STAGES_MAX : 1;
   unsigned mask, n = 0;
 
   for (mask = 1; mask < 1U << candidates->count; mask++)
     {
-      Truth *truth = &truths[n];
+      EvaluatedPlan *entry = &evaluated[n];
       size_t i;
 
-      truth->plan = *candidates;
-      truth->plan.count = 0;
+      entry->plan = *candidates;
+      entry->plan.count = 0;
       for (i = 0; i < candidates->count; i++)
         {
           if ((mask >> i & 1) != 0)
-            truth->plan.versions[truth->plan.count++] = candidates->versions[i];
+            entry->plan.versions[entry->plan.count++] = candidates->versions[i];
         }
-      truth->plan.rated = truth->plan.count > 1;
-      if (truth->plan.count > most)
+      entry->plan.rated = entry->plan.count > 1;
+      if (entry->plan.count > stages_max)
         continue;
-      truth_of_plan (site, candidates->class_index, truth->plan.versions, truth->plan.count,
-                     &truth->quality, &truth->cost);
-      n += truth->quality >= least;
+      evaluate_plan (site, candidates->class_index, entry->plan.versions, entry->plan.count,
+                     &entry->quality, &entry->cost);
+      n += entry->quality >= quality_min;
     }
   return n;
 }
 
-/** The cheapest plan or mixture of two whose mean rating meets the target; the candidates are by
- *  rising cost, as the model's configuration lists them. */
+/** The cheapest plan, or mixture of two, whose mean rating meets the target. The candidates must be
+ *  in order of rising cost, as in the simulated configuration. */
 static OraclePlan
 search_plans (const ModelSite *site, const ChoosePlan *candidates)
 {
-  Truth truths[1 << CHOOSE_STAGES_MAX];
-  unsigned count = list_truths (site, candidates, truths);
+  EvaluatedPlan evaluated[1 << CHOOSE_STAGES_MAX];
+  unsigned count = evaluate_plans (site, candidates, evaluated);
   double target = candidates->quality_target;
   OraclePlan best = { .above = *candidates };
-  double least = INFINITY;
+  double cost_min = INFINITY;
   unsigned i, j;
 
   for (i = 0; i < count; i++)
     {
-      if (truths[i].quality < target)
+      if (evaluated[i].quality < target)
         continue;
       for (j = 0; j < count; j++)
         {
-          bool mixed = truths[j].quality < target;
-          double spare = truths[i].quality - target;
-          double share = mixed ? spare / (truths[i].quality - truths[j].quality) : 0;
-          double cost = share * truths[j].cost + (1 - share) * truths[i].cost;
+          bool mixed = evaluated[j].quality < target;
+          double surplus = evaluated[i].quality - target;
+          double share = mixed ? surplus / (evaluated[i].quality - evaluated[j].quality) : 0;
+          double cost = share * evaluated[j].cost + (1 - share) * evaluated[i].cost;
 
-          if (cost >= least)
+          if (cost >= cost_min)
             continue;
-          least = cost;
-          best = (OraclePlan){ truths[i].plan, truths[j].plan, share };
+          cost_min = cost;
+          best = (OraclePlan){ evaluated[i].plan, evaluated[j].plan, share };
         }
     }
   return best;
 }
 
 Reason
-quality_oracle_plan (ModelSite *site, const ChooseRequest *ask, ChoosePlan *plan)
+quality_oracle_plan (ModelSite *site, const ChooseRequest *request, ChoosePlan *plan)
 {
-  Reason reason = choose_candidates (ask, plan);
+  Reason reason = choose_candidates (request, plan);
   int class_index = plan->class_index;
   OraclePlan *oracle;
 
@@ -213,14 +214,14 @@
   if (!site->oracle_known[class_index][site->rating_up])
     *oracle = search_plans (site, plan);
   site->oracle_known[class_index][site->rating_up] = true;
-  *plan = gsl_rng_uniform (site->choices) < oracle->share ? oracle->below : oracle->above;
+  *plan = gsl_rng_uniform (site->policy_rng) < oracle->share ? oracle->below : oracle->above;
   return REASON_NONE;
 }
 
 int
 quality_oracle_server (const ModelSite *site, const ServerQuery *query)
 {
-  double least = INFINITY;
+  double load_min = INFINITY;
   int best = -1;
   unsigned i;
 
@@ -232,12 +233,12 @@
       if (!engine->up || !server_usable (query, i))
         continue;
       load = engine->slowness * (engine_load (engine) + 1) / engine->slots;
-      if (query->prefix_hash != 0 && engine_holds (engine, query->prefix_hash)
+      if (query->prefix_hash != 0 && engine_has_prefix (engine, query->prefix_hash)
           && engine_load (engine) < engine->slots)
-        load -= ORACLE_CACHED;
-      if (load >= least)
+        load -= ORACLE_CACHE_CREDIT;
+      if (load >= load_min)
         continue;
-      least = load;
+      load_min = load;
       best = (int)i;
     }
   return best;
--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -1,45 +1,45 @@
 /**
- * The life of one request: plan, stages, ratings, answer or refusal.
+ * Handling of one request by a gate: admission, plan, stages, ratings, answer or refusal.
  */
 #include "model_site.h"
 
 #include "choose_breaker.h"
 #include "util_id.h"
 
-#define US_PER_MS       1000
-#define RATING_MS       150
-#define RATING_WRONG    0.02 /**< share of ratings that are the wrong way round */
-#define WRONG_PASS      0.95
-#define WRONG_FAIL      0.2
-#define WRONG_MIDDLE    0.6
-#define SAMPLE_SHARE    0.1 /**< of answers that no stage's rating gates */
-#define COMEBACKS_MAX   3
-#define COMEBACK_SPREAD 0.2
-#define RESEND_MS       5000 /**< until a caller sends a request again that crashes engines */
-#define FLOOD_TEAM      0
-#define CAPACITY_PART   1.1 /**< of the slots that may be taken or waited for */
-#define WORK_MS         2500
-#define EXPECTED_OUTPUT 150
-#define LATENCY_WEIGHT  0.05
+#define US_PER_MS              1000
+#define RATING_MS              150
+#define RATING_FLIP_SHARE      0.02 /**< share of ratings that are wrong */
+#define FLIPPED_PASS_SCORE     0.95
+#define FLIPPED_FAIL_SCORE     0.2
+#define FLIP_THRESHOLD         0.6
+#define SAMPLE_SHARE           0.1 /**< of the answers of stages without rating */
+#define CALLER_RETRIES_MAX     3
+#define CALLER_RETRY_JITTER    0.2
+#define RESEND_MS              5000 /**< until a request that crashes engines is sent again */
+#define FLOOD_TEAM             0
+#define CAPACITY_FACTOR        1.1 /**< of the slots: requests that may run or wait */
+#define EXPECTED_WORK_MS       2500
+#define EXPECTED_OUTPUT_TOKENS 150
+#define LATENCY_WEIGHT         0.05
 
 bool
 request_measured (const ModelSite *site, const ModelRequest *request)
 {
-  return request->asked_us >= site->scenario->warm_ms * US_PER_MS;
+  return request->submitted_us >= site->scenario->warm_ms * US_PER_MS;
 }
 
-static void release (ModelSite *site, ModelRequest *request);
+static void release_admission (ModelSite *site, ModelRequest *request);
 
 static void
-end_answered (ModelSite *site, ModelRequest *request, int64_t first_us)
+finish_answered (ModelSite *site, ModelRequest *request, int64_t first_us)
 {
   ModelResult *result = &site->result;
-  double first_ms = (double)(first_us - request->asked_us) / US_PER_MS;
-  double whole_ms = (double)(site->now_us - request->asked_us) / US_PER_MS;
+  double first_ms = (double)(first_us - request->submitted_us) / US_PER_MS;
+  double whole_ms = (double)(site->now_us - request->submitted_us) / US_PER_MS;
 
   request->ended = true;
-  release (site, request);
-  rollout_note_delivered (site, request);
+  release_admission (site, request);
+  rollout_record_delivered (site, request);
   if (!request_measured (site, request))
     return;
   result->answered++;
@@ -50,19 +50,19 @@
     times_add (&result->others, first_ms);
   if (request->class_index < 0)
     return;
-  result->classed++;
+  result->with_class++;
   result->good += request->score >= request->plan.quality_target;
   result->by_class[request->class_index]++;
   result->over_target[request->class_index] += request->score - request->plan.quality_target;
 }
 
-/** A caller comes back when it is told to, if that is before its deadline. */
+/** A caller sends a refused request again after retry_after_ms, if that is before its deadline. */
 static bool
-comes_back (const ModelSite *site, const ModelRequest *request, int64_t retry_after_ms)
+caller_retries_later (const ModelSite *site, const ModelRequest *request, int64_t retry_after_ms)
 {
-  if (retry_after_ms <= 0 || site->scenario->no_comebacks)
+  if (retry_after_ms <= 0 || site->scenario->no_caller_retries)
     return false;
-  return request->comebacks < COMEBACKS_MAX
+  return request->caller_retries < CALLER_RETRIES_MAX
          && site->now_us + retry_after_ms * US_PER_MS < request->deadline_us;
 }
 
@@ -72,27 +72,27 @@
   ModelRequest *request = site->requests[index];
   double wait_us;
 
-  release (site, request);
-  if (comes_back (site, request, retry_after_ms))
+  release_admission (site, request);
+  if (caller_retries_later (site, request, retry_after_ms))
     {
-      request->comebacks++;
-      site->result.comebacks += request_measured (site, request);
+      request->caller_retries++;
+      site->result.caller_retries += request_measured (site, request);
       wait_us = (double)(retry_after_ms * US_PER_MS)
-                * (1 + COMEBACK_SPREAD * gsl_rng_uniform (site->choices));
-      site_push (site, (int64_t)wait_us, EVENT_ASK, index);
+                * (1 + CALLER_RETRY_JITTER * gsl_rng_uniform (site->policy_rng));
+      site_push (site, (int64_t)wait_us, EVENT_SUBMIT, index);
       return;
     }
   if (request->resends > 0)
     {
       request->resends--;
       request->deadline_us += (int64_t)RESEND_MS * US_PER_MS;
-      site_push (site, (int64_t)RESEND_MS * US_PER_MS, EVENT_ASK, index);
+      site_push (site, (int64_t)RESEND_MS * US_PER_MS, EVENT_SUBMIT, index);
       return;
     }
   request->ended = true;
   if (!request_measured (site, request))
     return;
-  site->result.innocent += reason == REASON_QUARANTINED && !request->crashes;
+  site->result.false_quarantines += reason == REASON_QUARANTINED && !request->crashes;
   site->result.others_refused += request->team != FLOOD_TEAM;
   if (reason == REASON_NONE)
     site->result.failed++;
@@ -124,7 +124,7 @@
 static Reason
 make_plan (ModelSite *site, ModelRequest *request)
 {
-  ChooseRequest ask = {
+  ChooseRequest choose = {
     .config = site->config,
     .team = request->team,
     .model = request->class_index < 0 ? direct_model (site)
@@ -135,7 +135,7 @@
     .deadline_ms = request->deadline_us / US_PER_MS,
   };
   CascadeQuery query = {
-    .request = &ask,
+    .request = &choose,
     .estimates = site_gate (site, request)->estimates,
     .settings = &cascade_settings_default,
     .rating_available = site->rating_up,
@@ -144,17 +144,18 @@
   };
 
   if (site->policy->cascade == NULL)
-    return quality_oracle_plan (site, &ask, &request->plan);
+    return quality_oracle_plan (site, &choose, &request->plan);
   return site->policy->cascade->plan (&query, &request->plan);
 }
 
-/** Expected until the first token: how far the gate's watched engines are beyond their slots. */
+/** Expected wait for a slot, from the load by which the engines that the gate watches exceed their
+ *  slots. */
 static int64_t
 expected_wait_ms (ModelSite *site, const ModelGate *gate)
 {
   ServerQuery query = { .config = site->config, .views = gate->views, .now_ms = site_ms (site) };
   const IndexList *list = &gate->index->versions[0];
-  double beyond = 0;
+  double overload = 0;
   unsigned i;
 
   for (i = 0; i < list->count; i++)
@@ -162,9 +163,9 @@
       double slots = (double)site->config->servers[list->servers[i]].slots;
       double load = server_load (&query, list->servers[i]);
 
-      beyond += load > slots ? (load - slots) / slots : 0;
+      overload += load > slots ? (load - slots) / slots : 0;
     }
-  return list->count > 0 ? (int64_t)(beyond / list->count * WORK_MS) : 0;
+  return list->count > 0 ? (int64_t)(overload / list->count * EXPECTED_WORK_MS) : 0;
 }
 
 static LimitVerdict
@@ -175,10 +176,10 @@
   LimitQuery query = {
     .config = site->config,
     .team = request->team,
-    .tokens = request->prompt_tokens + EXPECTED_OUTPUT,
-    .capacity = (unsigned)(CAPACITY_PART * slots / site->scenario->gates),
+    .tokens = request->prompt_tokens + EXPECTED_OUTPUT_TOKENS,
+    .capacity = (unsigned)(CAPACITY_FACTOR * slots / site->scenario->gates),
     .wait_ms = expected_wait_ms (site, gate),
-    .work_ms = WORK_MS,
+    .work_ms = EXPECTED_WORK_MS,
     .now_ms = site_ms (site),
     .deadline_ms = request->deadline_us / US_PER_MS,
   };
@@ -191,7 +192,7 @@
 }
 
 static void
-release (ModelSite *site, ModelRequest *request)
+release_admission (ModelSite *site, ModelRequest *request)
 {
   if (!request->admitted)
     return;
@@ -201,17 +202,17 @@
 }
 
 void
-request_ask (ModelSite *site, unsigned index)
+request_submit (ModelSite *site, unsigned index)
 {
   ModelRequest *request = site->requests[index];
   Reason reason;
 
   request->gate = pick_gate (site);
-  if (!request->asked)
-    site->result.asked += request_measured (site, request);
-  if (!request->asked && request->team != FLOOD_TEAM)
-    site->result.others_asked += request_measured (site, request);
-  request->asked = true;
+  if (!request->submitted)
+    site->result.submitted += request_measured (site, request);
+  if (!request->submitted && request->team != FLOOD_TEAM)
+    site->result.others_submitted += request_measured (site, request);
+  request->submitted = true;
   if (site->policy->quarantine
       && quarantine_contains (site_gate (site, request)->quarantine, request->fingerprint,
                               site_ms (site)))
@@ -240,7 +241,7 @@
 }
 
 static CascadeOutcome
-outcome_of (const ModelSite *site, const ModelRequest *request)
+make_outcome (const ModelSite *site, const ModelRequest *request)
 {
   unsigned stage = request->stage;
 
@@ -255,19 +256,19 @@
   };
 }
 
-/** What the rating service says of the stage's answer. */
+/** Rating of the stage's answer by the rating service, which is wrong for a share of answers. */
 static double
-rating_of (ModelSite *site, const ModelRequest *request)
+draw_rating (ModelSite *site, const ModelRequest *request)
 {
-  if (gsl_rng_uniform (site->choices) >= RATING_WRONG)
+  if (gsl_rng_uniform (site->policy_rng) >= RATING_FLIP_SHARE)
     return request->score;
-  return request->score >= WRONG_MIDDLE ? WRONG_FAIL : WRONG_PASS;
+  return request->score >= FLIP_THRESHOLD ? FLIPPED_FAIL_SCORE : FLIPPED_PASS_SCORE;
 }
 
 static void
-note_answer (ModelSite *site, ModelRequest *request)
+record_answer (ModelSite *site, ModelRequest *request)
 {
-  CascadeOutcome outcome = outcome_of (site, request);
+  CascadeOutcome outcome = make_outcome (site, request);
   ModelGate *gate = site_gate (site, request);
   ServerView *view = &gate->views[request->engine];
   const ConfigVersion *version = &site->config->versions[outcome.version];
@@ -289,30 +290,30 @@
                       (double)(site->now_us - request->sent_us) / US_PER_MS);
 }
 
-/** A share of the answers that no stage's rating gates is rated for what is learned of it; of a
- *  candidate's, all are. */
+/** Rates a sample of the answers of stages without rating, to learn from them; all answers of a
+ *  candidate are rated. */
 static void
 sample_rating (ModelSite *site, const ModelRequest *request, const CascadeOutcome *outcome)
 {
   bool candidate = quality_kind (site->config, outcome->version) == KIND_CANDIDATE;
   double score;
 
-  if (!site->rating_up || (gsl_rng_uniform (site->choices) >= SAMPLE_SHARE && !candidate))
+  if (!site->rating_up || (gsl_rng_uniform (site->policy_rng) >= SAMPLE_SHARE && !candidate))
     return;
-  score = rating_of (site, request);
-  rollout_note_rating (site, request, score);
+  score = draw_rating (site, request);
+  rollout_record_rating (site, request, score);
   cascade_record_rating (site_gate (site, request)->estimates, outcome, score);
 }
 
 void
-request_answer (ModelSite *site, unsigned index)
+request_answered (ModelSite *site, unsigned index)
 {
   ModelRequest *request = site->requests[index];
-  CascadeOutcome outcome = outcome_of (site, request);
+  CascadeOutcome outcome = make_outcome (site, request);
 
   request->score = quality_score (site, request, outcome.version);
-  note_answer (site, request);
-  rollout_note_answer (site, request, (double)(site->now_us - request->sent_us) / US_PER_MS);
+  record_answer (site, request);
+  rollout_record_answer (site, request, (double)(site->now_us - request->sent_us) / US_PER_MS);
   attempt_end (site, request);
   if (request->plan.rated && request->stage + 1 < request->plan.count)
     {
@@ -320,25 +321,25 @@
       return;
     }
   sample_rating (site, request, &outcome);
-  /* A stage that is not rated streams. */
-  end_answered (site, request, request->first_us);
+  /* The answer of a stage without rating is streamed, so that it begins with its first token. */
+  finish_answered (site, request, request->first_us);
 }
 
 void
 request_rated (ModelSite *site, const Event *event)
 {
   ModelRequest *request = site->requests[event->subject];
-  CascadeOutcome outcome = outcome_of (site, request);
+  CascadeOutcome outcome = make_outcome (site, request);
   double score;
 
   if (site->rating_up)
     {
-      score = rating_of (site, request);
-      rollout_note_rating (site, request, score);
+      score = draw_rating (site, request);
+      rollout_record_rating (site, request, score);
       cascade_record_rating (site_gate (site, request)->estimates, &outcome, score);
       if (cascade_passes (&request->plan, score))
         {
-          end_answered (site, request, site->now_us);
+          finish_answered (site, request, site->now_us);
           return;
         }
     }
--- a/bench/model_result.c
+++ b/bench/model_result.c
@@ -1,6 +1,3 @@
-/**
- * What a run measured.
- */
 #include "model_result.h"
 
 #include "util_memory.h"
@@ -35,17 +32,17 @@
 }
 
 double
-result_least_over_target (const ModelResult *result)
+result_min_over_target (const ModelResult *result)
 {
-  double least = 1;
+  double min_over_target = 1;
   unsigned i;
 
   for (i = 0; i < CLASSES_MAX; i++)
     {
       if (result->by_class[i] > 0)
-        least = fmin (least, result->over_target[i] / result->by_class[i]);
+        min_over_target = fmin (min_over_target, result->over_target[i] / result->by_class[i]);
     }
-  return result->classed > 0 ? least : 0;
+  return result->with_class > 0 ? min_over_target : 0;
 }
 
 unsigned
--- a/bench/model_result.h
+++ b/bench/model_result.h
@@ -1,5 +1,5 @@
 /**
- * What a run measured.
+ * Results of a simulation run.
  */
 #ifndef MODEL_RESULT_H
 #define MODEL_RESULT_H
@@ -10,7 +10,7 @@
 
 #define CLASSES_MAX 8
 
-/** Times of answers in milliseconds. */
+/** Growing array of times of answers, in milliseconds. */
 typedef struct
 {
   double *values;
@@ -21,37 +21,38 @@
 
 typedef struct
 {
-  unsigned asked;
+  unsigned submitted; /**< requests, without those that callers sent again */
   unsigned answered;
   unsigned in_time;                /**< answered before the deadline */
   unsigned good;                   /**< answered with a rating of at least the class's target */
-  unsigned classed;                /**< answered, of those that named a class */
+  unsigned with_class;             /**< answered, of those that named a class */
   unsigned by_class[CLASSES_MAX];  /**< answered, by class */
   double over_target[CLASSES_MAX]; /**< sum of true rating less target */
-  double cost;                     /**< of all that ran, answered or not */
+  double cost; /**< of all stages' complete answers, relayed to the caller or not */
   unsigned refused[REASON_COUNT];
-  unsigned failed;         /**< given up after an attempt */
-  unsigned others_asked;   /**< by teams that do not flood */
-  unsigned others_refused; /**< refused or failed, of them */
+  unsigned failed;           /**< refused after a failed attempt */
+  unsigned others_submitted; /**< by teams other than the one that floods */
+  unsigned others_refused;   /**< of them: refused or failed */
   unsigned attempts;
   unsigned retries;
-  unsigned comebacks;   /**< of callers who were told when to come back */
-  unsigned crashed;     /**< engines that died of a request */
-  unsigned innocent;    /**< requests refused as crashing that don't crash */
-  unsigned exposed;     /**< callers that met the candidate version */
-  unsigned exposed_bad; /**< callers that got a bad answer of it */
-  double brake_s;       /**< from the roll-out's start until the brake; 0: none */
-  double done_s;        /**< until all callers are at it; 0: not reached */
-  ModelTimes first;     /**< until the first token */
-  ModelTimes whole;
-  ModelTimes others; /**< first token of teams that do not flood */
+  unsigned caller_retries;    /**< requests sent again after a refusal with a retry-after time */
+  unsigned crashed;           /**< engines that a request crashed */
+  unsigned false_quarantines; /**< requests refused by the quarantine that crash no engine */
+  unsigned exposed;           /**< callers that got an answer of the candidate version */
+  unsigned exposed_bad;       /**< callers that got a bad answer of it */
+  double brake_s;             /**< from the roll-out's start until the brake; 0: none */
+  double done_s;              /**< until the candidate serves all callers; 0: not reached */
+  ModelTimes first;           /**< to the first token */
+  ModelTimes whole;           /**< to the complete answer */
+  ModelTimes others;          /**< to the first token, of teams other than the one that floods */
 } ModelResult;
 
 void times_add (ModelTimes *times, double ms);
-/** The value below which the share lies; 0 if there are none. */
+/** The quantile of this share; 0 if there are no times. Sorts the times. */
 double times_quantile (ModelTimes *times, double share);
-/** Mean true rating less the target, of the class that does worst. */
-double result_least_over_target (const ModelResult *result);
+/** Mean true rating minus the target, of the class with the lowest difference. */
+double result_min_over_target (const ModelResult *result);
+/** Number of refusals over all reasons. */
 unsigned result_refused (const ModelResult *result);
 void result_free (ModelResult *result);
 
--- a/bench/model_scenario.h
+++ b/bench/model_scenario.h
@@ -1,5 +1,5 @@
 /**
- * What happens in a run: the site, its load and its faults; and the policies that are compared.
+ * Input of a simulation run: the site, its load and its faults, and the policies to compare.
  */
 #ifndef MODEL_SCENARIO_H
 #define MODEL_SCENARIO_H
@@ -14,20 +14,20 @@
 
 typedef enum
 {
-  FAULT_RATE,        /**< the callers' rate times factor */
-  FAULT_DOMAIN_DOWN, /**< engines and gates of failure domain subject */
+  FAULT_RATE,        /**< the callers' rate is multiplied by factor */
+  FAULT_DOMAIN_DOWN, /**< engines and gates of failure domain subject go down */
   FAULT_DOMAIN_UP,
-  FAULT_ENGINES_DOWN, /**< the first subject engines */
+  FAULT_ENGINES_DOWN, /**< engines 0 to subject - 1 die */
   FAULT_ENGINES_UP,
-  FAULT_LAG, /**< reports come factor milliseconds late */
+  FAULT_LAG, /**< load reports are factor milliseconds old */
   FAULT_RATING_DOWN,
   FAULT_RATING_UP,
-  FAULT_QUALITY,      /**< the pass chances of kind subject times factor */
+  FAULT_QUALITY,      /**< the pass chances of kind subject are multiplied by factor */
   FAULT_ROLLOUT,      /**< the roll-out of the candidate begins */
-  FAULT_TEAM_QUALITY, /**< the candidate's pass chances for team subject times factor */
+  FAULT_TEAM_QUALITY, /**< the candidate's pass chances for team subject are multiplied by factor */
   FAULT_SLOW,         /**< the candidate takes factor times as long */
-  FAULT_FLOOD,        /**< the rate of team subject times factor */
-  FAULT_CRASH         /**< a caller sends a request that crashes engines, and sends it again */
+  FAULT_FLOOD,        /**< the rate of team subject is multiplied by factor */
+  FAULT_CRASH         /**< a caller sends a request that crashes engines, again and again */
 } FaultKind;
 
 typedef struct
@@ -40,8 +40,8 @@
 
 #define FAULTS_MAX 8
 
-/** Draft models by cost; MODEL_KINDS with the ledger's. The candidate version of draft-s is a kind
- *  of its own. */
+/** Kinds of versions, by quality and speed: the draft models by rising cost, the ledger model, and
+ *  the candidate version of draft-s. */
 typedef enum
 {
   KIND_SMALL,
@@ -58,30 +58,30 @@
   ModelConfigOptions config;
   unsigned gates;
   unsigned callers;         /**< of each team */
-  double rate;              /**< new requests a second */
-  double direct_share;      /**< of requests that name draft-m */
-  const char *direct_model; /**< in place of draft-m */
-  double issue_share;       /**< of requests of the non-idempotent class */
+  double rate;              /**< new requests per second */
+  double direct_share;      /**< of requests that name a model instead of a class */
+  const char *direct_model; /**< that they name; NULL: draft-m */
+  double issue_share;       /**< of the other requests: those of the non-idempotent class "issue" */
   double prefix_share;      /**< of prompts that begin with one of the shared prefixes */
-  unsigned slow_every;      /**< each so manyth engine takes half as long again; 0: none */
-  int64_t warm_ms;          /**< not measured */
-  int64_t length_ms;        /**< the warm-up included */
-  int64_t report_every_ms;
-  int64_t report_lag_ms;
-  int64_t timeout_ms; /**< of an attempt that has not begun */
-  int64_t hop_ms;     /**< between failure domains */
-  bool no_comebacks;  /**< callers who are told when to come back don't */
-  bool ignore_cancel;
+  unsigned slow_every;      /**< N: every Nth engine takes half as long again; 0: none */
+  int64_t warm_ms;          /**< warm-up, not measured */
+  int64_t length_ms;        /**< of the run, including the warm-up */
+  int64_t report_every_ms;  /**< between two readings of the load reports by a gate */
+  int64_t report_lag_ms;    /**< age of a load report when it is read */
+  int64_t timeout_ms;       /**< of an attempt that has not started to run */
+  int64_t hop_ms;           /**< one way, between failure domains */
+  bool no_caller_retries;   /**< callers do not send refused requests again */
+  bool ignore_cancel;       /**< engines run attempts to their end although they were cancelled */
   ModelFault faults[FAULTS_MAX];
 } ModelScenario;
 
 typedef struct
 {
   const char *name;
-  const ServerPolicy *server;   /**< NULL: the least true load */
-  const CascadePolicy *cascade; /**< NULL: the best plan by the true pass chances */
+  const ServerPolicy *server;   /**< NULL: the oracle, by the engines' true loads */
+  const CascadePolicy *cascade; /**< NULL: the oracle, by the true pass chances */
   const RetryPolicy *retry;
-  const RolloutPolicy *rollout; /**< NULL: the first stage stands */
+  const RolloutPolicy *rollout; /**< NULL: the roll-out stays in its first stage */
   const LimitPolicy *limit;     /**< NULL: everything is admitted */
   bool quarantine;              /**< requests that crash engines are refused */
 } ModelPolicy;
--- a/bench/model_site.c
+++ b/bench/model_site.c
@@ -1,5 +1,5 @@
 /**
- * The site: its making, its events, its faults.
+ * Set-up of the simulated site, its event loop and its faults.
  */
 #include "model_site.h"
 
@@ -8,12 +8,12 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define US_PER_MS       1000
-#define CHOICES_SEED    1000003 /**< keeps the policies' draws apart from the callers' */
-#define BIG_TEAMS       2       /**< have half of the load */
-#define BIG_TEAMS_SHARE 0.5
-#define VIEW_AGE_MS     100000 /**< the gates' view is settled at the start */
-#define SLOWNESS        1.5
+#define US_PER_MS          1000
+#define POLICY_SEED_OFFSET 1000003 /**< the policies' generator is independent of the callers' */
+#define BIG_TEAMS          2       /**< number of teams that share BIG_TEAMS_SHARE of the load */
+#define BIG_TEAMS_SHARE    0.5
+#define VIEW_AGE_MS        100000 /**< of the gates at the start: the view counts as settled */
+#define SLOWNESS           1.5    /**< of slow engines */
 
 int64_t
 site_ms (const ModelSite *site)
@@ -24,9 +24,9 @@
 uint64_t
 site_random (ModelSite *site)
 {
-  uint64_t high = gsl_rng_get (site->choices);
+  uint64_t high = gsl_rng_get (site->policy_rng);
 
-  return high << 32 | gsl_rng_get (site->choices);
+  return high << 32 | gsl_rng_get (site->policy_rng);
 }
 
 void
@@ -38,7 +38,7 @@
 }
 
 static void
-make_engines (ModelSite *site)
+create_engines (ModelSite *site)
 {
   const ModelScenario *scenario = site->scenario;
   unsigned i;
@@ -58,7 +58,7 @@
 }
 
 static void
-make_gates (ModelSite *site)
+create_gates (ModelSite *site)
 {
   const ModelScenario *scenario = site->scenario;
   unsigned i;
@@ -79,17 +79,18 @@
       gate->limiter = limiter_new (&limit_settings_default);
       gate->quarantine = quarantine_new (&quarantine_settings_default);
       limiter_set_view (gate->limiter, scenario->gates, (int)i, -VIEW_AGE_MS);
-      gate->fresh = memory_array (site->config->team_count * REQUEST_KINDS, sizeof *gate->fresh);
+      gate->candidate
+          = memory_array (site->config->team_count * REQUEST_KINDS, sizeof *gate->candidate);
       gate->control
           = memory_array (site->config->team_count * REQUEST_KINDS, sizeof *gate->control);
-      /* Gates don't read the reports at one moment. */
+      /* Spreads the gates' readings of the reports over the interval. */
       site_push (site, scenario->report_every_ms * US_PER_MS * (i + 1) / scenario->gates,
                  EVENT_REPORT, i);
     }
 }
 
 static void
-make_teams (ModelSite *site)
+set_team_rates (ModelSite *site)
 {
   unsigned i, count = (unsigned)site->config->team_count;
 
@@ -104,28 +105,28 @@
 }
 
 static void
-site_make (ModelSite *site, uint64_t seed)
+site_init (ModelSite *site, uint64_t seed)
 {
   const ModelScenario *scenario = site->scenario;
   unsigned i;
 
   site->config = model_config (&scenario->config);
-  site->callers = gsl_rng_alloc (gsl_rng_mt19937);
-  site->choices = gsl_rng_alloc (gsl_rng_mt19937);
-  gsl_rng_set (site->callers, seed);
-  gsl_rng_set (site->choices, seed + CHOICES_SEED);
+  site->callers_rng = gsl_rng_alloc (gsl_rng_mt19937);
+  site->policy_rng = gsl_rng_alloc (gsl_rng_mt19937);
+  gsl_rng_set (site->callers_rng, seed);
+  gsl_rng_set (site->policy_rng, seed + POLICY_SEED_OFFSET);
   site->rate = scenario->rate;
   site->lag_ms = scenario->report_lag_ms;
   site->rating_up = true;
-  site->slow = 1;
+  site->candidate_time_factor = 1;
   site->bad_team_quality = 1;
   site->braked = memory_array (site->config->version_count, sizeof *site->braked);
   site->exposed = memory_array ((size_t)site->config->team_count * scenario->callers, 1);
   for (i = 0; i < MODEL_KINDS; i++)
     site->quality[i] = 1;
-  make_engines (site);
-  make_gates (site);
-  make_teams (site);
+  create_engines (site);
+  create_gates (site);
+  set_team_rates (site);
   for (i = 0; i < FAULTS_MAX && scenario->faults[i].at_ms != 0; i++)
     site_push (site, scenario->faults[i].at_ms * US_PER_MS, EVENT_FAULT, i);
   rollout_prepare (site);
@@ -147,7 +148,7 @@
       retry_budget_free (site->gates[i].budget);
       limiter_free (site->gates[i].limiter);
       quarantine_free (site->gates[i].quarantine);
-      free (site->gates[i].fresh);
+      free (site->gates[i].candidate);
       free (site->gates[i].control);
     }
   for (i = 0; i < site->request_count; i++)
@@ -163,8 +164,8 @@
     rollout_test_free (site->test);
   free (site->team_rates);
   event_queue_free (&site->events);
-  gsl_rng_free (site->callers);
-  gsl_rng_free (site->choices);
+  gsl_rng_free (site->callers_rng);
+  gsl_rng_free (site->policy_rng);
   config_unref (site->config);
 }
 
@@ -192,7 +193,7 @@
                    engine_load_before (&site->engines[i], site->lag_ms * US_PER_MS),
                    site_ms (site) - site->lag_ms, site_ms (site));
     }
-  crash_hear_news (site, gate_index);
+  crash_exchange_deaths (site, gate_index);
   site_push (site, site->scenario->report_every_ms * US_PER_MS, EVENT_REPORT, gate_index);
 }
 
@@ -200,7 +201,7 @@
 set_engine (ModelSite *site, unsigned engine, bool up)
 {
   if (up)
-    engine_revive (&site->engines[engine]);
+    engine_restart (&site->engines[engine]);
   else
     attempt_engine_died (site, engine);
 }
@@ -215,8 +216,8 @@
       if (i % site->scenario->config.domains == domain)
         set_engine (site, i, up);
     }
-  /* The balancer sends callers to the gates of other domains; what the lost gates had in progress
-     goes on here, since only the engines' side of the loss is measured. */
+  /* The load balancer sends callers to the gates of other domains. Requests in progress at the lost
+     gates go on in the simulation, which measures only the loss of engines. */
   for (i = 0; i < site->scenario->gates; i++)
     {
       if (site->gates[i].domain == domain)
@@ -271,7 +272,7 @@
       site->bad_team_quality = fault->factor;
       break;
     case FAULT_SLOW:
-      site->slow = fault->factor;
+      site->candidate_time_factor = fault->factor;
       break;
     case FAULT_FLOOD:
       site->team_rates[fault->subject] *= fault->factor;
@@ -283,15 +284,15 @@
 }
 
 static void
-handle (ModelSite *site, const Event *event)
+handle_event (ModelSite *site, const Event *event)
 {
   switch (event->kind)
     {
     case EVENT_ARRIVAL:
       callers_arrival (site);
       break;
-    case EVENT_ASK:
-      request_ask (site, event->subject);
+    case EVENT_SUBMIT:
+      request_submit (site, event->subject);
       break;
     case EVENT_ENQUEUE:
       attempt_enqueue (site, event);
@@ -317,8 +318,8 @@
     case EVENT_CONTROL:
       rollout_control (site);
       break;
-    case EVENT_REVIVE:
-      engine_revive (&site->engines[event->subject]);
+    case EVENT_RESTART:
+      engine_restart (&site->engines[event->subject]);
       break;
     case EVENT_FAULT:
       apply_fault (site, &site->scenario->faults[event->subject]);
@@ -326,7 +327,7 @@
     }
 }
 
-/** Events that go on for ever; they end with the arrivals. */
+/** Events that schedule their successor; they stop at the end of the run. */
 static bool
 event_is_periodic (EventKind kind)
 {
@@ -341,18 +342,18 @@
   ModelResult result;
   Event event;
 
-  site_make (&site, seed);
+  site_init (&site, seed);
   while (event_pop (&site.events, &event))
     {
       INVARIANT (event.at_us >= site.now_us, "at=%lld", (long long)event.at_us);
       site.now_us = event.at_us;
       if (site.now_us >= scenario->length_ms * US_PER_MS && event_is_periodic (event.kind))
         continue;
-      handle (&site, &event);
+      handle_event (&site, &event);
     }
   result = site.result;
-  INVARIANT (result.asked == result.answered + result.failed + result_refused (&result),
-             "asked=%u answered=%u failed=%u refused=%u", result.asked, result.answered,
+  INVARIANT (result.submitted == result.answered + result.failed + result_refused (&result),
+             "asked=%u answered=%u failed=%u refused=%u", result.submitted, result.answered,
              result.failed, result_refused (&result));
   site_clear (&site);
   return result;
--- a/bench/model_site.h
+++ b/bench/model_site.h
@@ -1,5 +1,6 @@
 /**
- * A site on a virtual clock: callers, gates that decide by the modules under test, and engines.
+ * Simulated site on a virtual clock: callers, gates that decide by the modules under test, and
+ * engines.
  */
 #ifndef MODEL_SITE_H
 #define MODEL_SITE_H
@@ -12,11 +13,12 @@
 #include <gsl/gsl_rng.h>
 #include <urcu/list.h>
 
-/** issue, query, report, wording: in name order, as config_parse has them. */
+/** Classes issue, query, report and wording, in order of their names as config_parse sorts them. */
 #define CLASSES_COUNT 4
+/** The classes, and requests that name a model. */
 #define REQUEST_KINDS (CLASSES_COUNT + 1)
 
-#define TRIED_MAX 32 /**< servers that one stage remembers to have tried */
+#define TRIED_MAX 32 /**< tried servers that are remembered in a stage */
 
 typedef struct
 {
@@ -24,41 +26,41 @@
   unsigned gate;
   unsigned team;
   unsigned caller;
-  int class_index; /**< -1: names draft-m */
+  int class_index; /**< -1: names a model */
   unsigned prompt_tokens, prefix_tokens, output_tokens;
   uint64_t prefix;
-  uint64_t draw; /**< from which the quality of its answers follows */
+  uint64_t quality_seed; /**< random number that determines the quality of its answers */
   bool crashes;
-  int64_t asked_us; /**< for the first time */
+  int64_t submitted_us; /**< when it was sent for the first time */
   int64_t deadline_us;
-  unsigned comebacks;
-  uint64_t fingerprint;
-  bool asked;
-  unsigned resends; /**< of a request that crashes engines, by its caller */
+  unsigned caller_retries;
+  uint64_t fingerprint; /**< by which the quarantine recognizes it */
+  bool submitted;
+  unsigned resends; /**< left for the caller of a request that crashes engines */
   bool ended;
   bool admitted;
-  bool borrowed;
-  int64_t tokens; /**< that it was admitted for */
+  bool borrowed;  /**< admitted beyond the team's fair share */
+  int64_t tokens; /**< with which it was admitted */
 
   ChoosePlan plan;
   unsigned stage;
-  unsigned attempt; /**< over its whole life */
+  unsigned attempt; /**< counted over all stages */
   unsigned stage_attempts;
   unsigned tried[TRIED_MAX]; /**< servers tried in this stage */
   unsigned tried_count;
-  int engine; /**< of the attempt in progress, or -1 */
-  bool begun;
-  int64_t sent_us;
-  int64_t first_us;
-  double score; /**< true rating of the stage's answer */
-  struct cds_list_head at_engine;
+  int engine;                       /**< of the attempt in progress, or -1 */
+  bool started;                     /**< the attempt runs in the engine's batch */
+  int64_t sent_us;                  /**< of the attempt */
+  int64_t first_us;                 /**< the attempt's first token */
+  double score;                     /**< true rating of the stage's answer */
+  struct cds_list_head engine_node; /**< in ModelSite.engine_requests */
 } ModelRequest;
 
-/** What the oracle gives a class's requests: two plans, mixed. */
+/** The oracle's plan for a class: a mixture of two plans. */
 typedef struct
 {
   ChoosePlan above; /**< meets the target */
-  ChoosePlan below; /**< misses it by little */
+  ChoosePlan below; /**< misses the target by a little */
   double share;     /**< of requests that get below */
 } OraclePlan;
 
@@ -74,10 +76,9 @@
   RetryBudget *budget;
   Limiter *limiter;
   Quarantine *quarantine;
-  double old_count, old_mean, old_variance; /**< milliseconds a token of the replaced version */
-  RolloutEvidence
-      *fresh; /**< by team and kind of request: of the candidate, since the last control */
-  RolloutEvidence *control; /**< of the version that it replaces */
+  double old_count, old_mean, old_variance; /**< milliseconds per token of the old version */
+  RolloutEvidence *candidate; /**< by team and kind of request, since the last EVENT_CONTROL */
+  RolloutEvidence *control;   /**< the same of the old version */
 } ModelGate;
 
 typedef struct
@@ -85,83 +86,89 @@
   const ModelScenario *scenario;
   const ModelPolicy *policy;
   Config *config;
-  gsl_rng *callers; /**< the callers' draws: the same for every policy */
-  gsl_rng *choices; /**< the policies' draws */
+  gsl_rng *callers_rng; /**< random numbers of the callers, the same for every policy */
+  gsl_rng *policy_rng;  /**< random numbers of the policies and of all else */
   EventQueue events;
   int64_t now_us;
-  double rate;
-  double *team_rates;
-  double quality[MODEL_KINDS]; /**< factor of the pass chances */
+  double rate;                 /**< requests per second */
+  double *team_rates;          /**< share of rate of each team */
+  double quality[MODEL_KINDS]; /**< factor of the pass chances, by kind */
   int64_t lag_ms;
   bool *braked; /**< by version */
   RolloutTest *test;
-  int64_t rollout_ms; /**< its start; 0: none */
-  int64_t change_ms;  /**< when the decision made is in force everywhere */
-  RolloutVerdict change;
-  unsigned bad_team; /**< for which the candidate is worse */
+  int64_t rollout_ms; /**< when the roll-out started; 0: not yet */
+  int64_t verdict_ms; /**< when the verdict is in force at all gates */
+  RolloutVerdict verdict;
+  unsigned bad_team; /**< for which the candidate is worse, by bad_team_quality */
   double bad_team_quality;
-  double slow; /**< factor of the candidate's time */
+  double candidate_time_factor; /**< of the candidate's answers */
   bool rating_up;
   unsigned next_gate;
   ModelGate *gates;
   ModelEngine *engines;
-  struct cds_list_head *engine_requests; /**< those sent to each engine and not ended */
+  struct cds_list_head *engine_requests; /**< list of the requests in progress at each engine */
   unsigned engine_count;
   ModelRequest **requests;
   size_t request_count, request_cap;
   uint8_t *excluded;
-  OraclePlan oracle_plans[CLASSES_COUNT][2]; /**< by class, and whether ratings can be had */
+  OraclePlan oracle_plans[CLASSES_COUNT][2]; /**< by class, and by rating_up */
   bool oracle_known[CLASSES_COUNT][2];
-  unsigned char *exposed; /**< by team and caller: 1 met the candidate, 2 got a bad answer of it */
+  unsigned char
+      *exposed; /**< by team and caller, bits: 1 got an answer of the candidate, 2 a bad one */
   ModelResult result;
 } ModelSite;
 
-/** Runs a scenario; the same seed gives the same result. Freed by result_free. */
+/** Runs a scenario; the same seed gives the same result, to be freed by result_free. */
 ModelResult model_run (const ModelScenario *scenario, const ModelPolicy *policy, uint64_t seed);
 
-/* Between the parts of the model. */
+/* Interfaces between the parts of the simulation. */
 
 int64_t site_ms (const ModelSite *site);
 uint64_t site_random (ModelSite *site);
-void site_push (ModelSite *site, int64_t in_us, EventKind kind, unsigned request);
+/** Schedules an event in_us from now. */
+void site_push (ModelSite *site, int64_t in_us, EventKind kind, unsigned subject);
 
-/** A new request of some caller, and the time until the next. */
+/** Creates a new request of a random caller, and schedules the next arrival. */
 void callers_arrival (ModelSite *site);
+/** Creates a request that crashes engines. */
 void callers_crash_request (ModelSite *site);
 
-/** Events of one request. */
-void request_ask (ModelSite *site, unsigned index);
+/** Handlers of a request's events. */
+void request_submit (ModelSite *site, unsigned index);
 void request_rated (ModelSite *site, const Event *event);
-/** The attempt in progress has its whole answer. */
-void request_answer (ModelSite *site, unsigned index);
-/** The caller is told at once; if it is told when, it comes back then, a few times. */
+/** The attempt in progress has its complete answer. */
+void request_answered (ModelSite *site, unsigned index);
+/** Refuses a request, at once. Given a retry-after time, its caller sends it again then, at most a
+ *  few times. */
 void request_refuse (ModelSite *site, unsigned index, Reason reason, int64_t retry_after_ms);
+/** True if the request was sent after the warm-up. */
 bool request_measured (const ModelSite *site, const ModelRequest *request);
 
-/** Events of its attempts. */
+/** Starts a request's stage, and handlers of its attempts' events. */
 void attempt_start_stage (ModelSite *site, unsigned index);
 void attempt_enqueue (ModelSite *site, const Event *event);
 void attempt_done (ModelSite *site, const Event *event);
 void attempt_failed (ModelSite *site, const Event *event);
 void attempt_timeout (ModelSite *site, const Event *event);
-/** The engine dies: what was sent to it fails. */
+/** The engine dies: all attempts in progress at it fail. */
 void attempt_engine_died (ModelSite *site, unsigned engine);
-/** The attempt in progress is over for the gate. */
+/** Ends the attempt in progress on the gate's side. */
 void attempt_end (ModelSite *site, ModelRequest *request);
 ModelGate *site_gate (ModelSite *site, const ModelRequest *request);
 
-/** What gates learn when an engine dies, and tell each other. */
-void crash_note_death (ModelSite *site, unsigned engine);
-void crash_hear_news (ModelSite *site, unsigned gate);
+/** Records an engine's death at all gates that had requests in progress at it. */
+void crash_record_death (ModelSite *site, unsigned engine);
+/** Merges the recent death reports of the other gates into this gate's quarantine. */
+void crash_exchange_deaths (ModelSite *site, unsigned gate);
 
-/** The roll-out as a steward drives it. */
+/** Roll-out as a steward drives it. */
 void rollout_prepare (ModelSite *site);
 void rollout_start (ModelSite *site);
 void rollout_control (ModelSite *site);
-/** Evidence at the gate, and what callers met. */
-void rollout_note_answer (ModelSite *site, const ModelRequest *request, double ms);
-void rollout_note_rating (ModelSite *site, const ModelRequest *request, double score);
-void rollout_note_delivered (ModelSite *site, const ModelRequest *request);
+/** Record evidence at the gate, and which callers got an answer of the candidate. */
+void rollout_record_answer (ModelSite *site, const ModelRequest *request, double ms);
+void rollout_record_rating (ModelSite *site, const ModelRequest *request, double score);
+void rollout_record_delivered (ModelSite *site, const ModelRequest *request);
 
 /** The true rating of a version's answer to a request. */
 double quality_score (const ModelSite *site, const ModelRequest *request, unsigned version);
--- a/standin/common_http.c
+++ b/standin/common_http.c
@@ -200,7 +200,7 @@
   struct sockaddr_in address_in = { .sin_family = AF_INET, .sin_port = htons ((uint16_t)port) };
   if (inet_pton (AF_INET, address, &address_in.sin_addr) != 1)
     {
-      fprintf (stderr, "not an IPv4 address: %s\n", address);
+      fprintf (stderr, "not an IP number (IPv4): %s\n", address);
       return NULL;
     }
   struct MHD_Daemon *daemon = MHD_start_daemon (
--- a/standin/common_main.c
+++ b/standin/common_main.c
@@ -17,7 +17,7 @@
     case 'p':
       endpoint->port = (int)strtol (arg, NULL, 10);
       if (endpoint->port < 1 || endpoint->port > PORT_MAX)
-        argp_error (state, "--port must be a number from 1 to %d", PORT_MAX);
+        argp_error (state, "the port must be a number from 1 to %d", PORT_MAX);
       return 0;
     case ARGP_KEY_END:
       if (!endpoint->address || !endpoint->port)
--- a/standin/engine_main.c
+++ b/standin/engine_main.c
@@ -41,7 +41,7 @@
   { "checks-fencing", OPTION_CHECKS_FENCING, NULL, 0, "refuse orders with outdated fencing numbers",
     0 },
   { "quality", OPTION_QUALITY, "[VERSION=]Q", 0, "mean quality of a version's answers", 0 },
-  { "spread", OPTION_SPREAD, "S", 0, "answers' qualities vary by up to S around the mean", 0 },
+  { "spread", OPTION_SPREAD, "S", 0, "an answer's quality differs by up to S from the mean", 0 },
   { "record", OPTION_RECORD, "FILE", 0, "append a line when a run starts and ends", 0 },
   { 0 }
 };
--- a/standin/service_main.c
+++ b/standin/service_main.c
@@ -107,7 +107,7 @@
   const struct argp_child children[] = { { &standin_endpoint_argp, 0, NULL, 0 }, { 0 } };
   const struct argp argp = { .options = option_list,
                              .parser = parse_option,
-                             .doc = "A service that echoes its requests, for tests.",
+                             .doc = "An echo service for tests.",
                              .children = children };
   argp_parse (&argp, argc, argv, 0, NULL, NULL);
   standin_block_signals ();
