--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,12 +1,13 @@
 #!/bin/bash
-# Runs real stewards on loopback with the stand-in platform, for each of several numbers of them, and
-# prints what control costs one steward, and how long a patch takes until it is in force everywhere.
+# Measures the cost of the control plane: runs sites of COUNT real stewards each on loopback, with the
+# stand-in platform, and prints the processor time, memory and traffic of a steward, and how long a
+# patch takes until it is in force everywhere.
 #
 # usage: bench/control.sh BUILD WINDOW_S PATCHES COUNT...
 #
 # Processor time is utime + stime of /proc/PID/stat over a window without patches; memory is VmRSS of
-# /proc/PID/status, and the private part of it from smaps_rollup; bytes are the stewards' own counters
-# of messages sent and received, with their headers. Slopes are by least squares over the counts.
+# /proc/PID/status, and its private part from smaps_rollup; bytes come from the stewards' own counters
+# of messages sent and received, including headers. Slopes are fitted by least squares over the counts.
 set -uo pipefail
 
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -17,8 +18,9 @@
 
 START_MAX_S=120
 HTTP_MAX_S=30
-# Below this many members the number of asks is bounded by the number of members, not by bytes.
-FIT_LEAST=18
+# Counts below this are left out of the fit: there the number of asks is limited by the number of
+# members, not by bytes.
+FIT_COUNT_MIN=18
 TICKS=$(getconf CLK_TCK)
 FAILURE_DOMAINS=(fukuoka kumamoto kagoshima oita)
 OPERATOR_KEY=control-bench-key
@@ -52,7 +54,7 @@
 trap cleanup EXIT
 trap 'exit 143' TERM INT
 
-# --- one site
+# --- a site
 
 rpc_port() { echo $((base_port + 4 * $1)); }
 operators_port() { echo $((base_port + 4 * $1 + 1)); }
@@ -106,7 +108,7 @@
 
 start_site() {
   local n vms= started=$SECONDS
-  # Below the ephemeral ports, and above those of regress/lib.sh, so that other runs don't meet ours.
+  # Below the ephemeral ports and above those of regress/lib.sh, to avoid conflicts with other runs.
   base_port=$((30000 + RANDOM % (2760 - 4 * (count + 1))))
   od -An -N32 -tx1 /dev/urandom | tr -d ' \n' >"$work/site.key"
   "$build/standin-platform" --address 127.0.0.1 --port $base_port 2>"$work/platform.err" &
@@ -115,7 +117,7 @@
     vms+="${vms:+,}{\"name\":\"vm-$n\",\"address\":\"127.0.0.1\",\"failure_domain\":\"f\",\"leaving\":false}"
   done
   until curl -sf --max-time 2 -X PUT -d "{\"vms\":[$vms]}" "http://127.0.0.1:$base_port/v1/vms"; do
-    kill -0 $platform_pid || fail "the platform ended"
+    kill -0 $platform_pid || fail "the stand-in platform exited"
     sleep 0.05
   done
   for ((n = 1; n <= count; n++)); do
@@ -131,9 +133,9 @@
   settle_s=$((SECONDS - started))
 }
 
-# --- measures over all stewards
+# --- measurements over all stewards
 
-# Sum of a column of /proc/PID/stat over the stewards, in clock ticks.
+# Processor time of all stewards so far (utime + stime of /proc/PID/stat), in clock ticks.
 ticks_now() {
   local p
   for p in "${pids[@]}"; do
@@ -149,7 +151,7 @@
   done
 }
 
-# counters NAME...: their sums over the stewards.
+# counters NAME...: prints the sum of each counter over the stewards.
 counters() {
   local n
   for ((n = 1; n <= count; n++)); do
@@ -181,7 +183,8 @@
   private=$(awk '{ sum += $1 } END { printf "%.1f", sum / NR / 1024 }' "$work/private")
 }
 
-# A patch that turns one version off or on, against the newest number, to a random steward.
+# Sends a patch that withdraws a version or makes it active again, based on the newest configuration
+# number, to a random steward; adds its time to $work/times, in milliseconds.
 one_patch() {
   local state=withdrawn answer
   [ $((base % 2)) -eq 1 ] || state=active
@@ -213,7 +216,7 @@
 # --- all counts
 
 cp "$root/examples/site/routing.json" "$work/first.json"
-# Comments are for people; the API takes plain JSON.
+# The example has comments, which the API does not accept.
 sed -i -e 's#^\s*//.*##' -e 's#\s//.*$##' "$work/first.json"
 
 printf '%8s %9s %9s %9s %11s %9s %10s %9s %8s %8s %8s %8s %9s\n' stewards 'cpu %' 'rss MB' 'max MB' \
@@ -233,14 +236,14 @@
 done
 
 echo
-echo "per steward: cpu, rss, private, rpc and table bytes; over all: reads and writes of the table service"
+echo "per steward: cpu, rss, private, rpc and table bytes; of all stewards: reads and writes of the table service"
 echo "patches timed at each count: $patches; window $window_s s; writes for one patch at the last count: $writes"
 [ $# -gt 1 ] || exit 0
 echo
-echo "least squares over counts of $FIT_LEAST and more: value = a + b * stewards, and that line at 360"
+echo "least squares over counts of $FIT_COUNT_MIN and more: value = a + b * stewards, and its value at 360"
 for column in "2 cpu_percent" "3 rss_MB" "4 private_MB" "5 rpc_bytes_s" "6 table_bytes_s" "7 table_reads_s"; do
   read -r index name <<<"$column"
-  awk -v c="$index" -v name="$name" -v least="$FIT_LEAST" '$1 >= least { n++; x += $1; y += $c; xx += $1 * $1; xy += $1 * $c }
+  awk -v c="$index" -v name="$name" -v count_min="$FIT_COUNT_MIN" '$1 >= count_min { n++; x += $1; y += $c; xx += $1 * $1; xy += $1 * $c }
     END { if (n < 2) exit
       b = (n * xy - x * y) / (n * xx - x * x); a = (y - b * x) / n
       printf "%-14s a=%.3f b=%.5f at360=%.2f\n", name, a, b, a + 360 * b }' "$work/rows"
--- a/bench/gate.sh
+++ b/bench/gate.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# What a gate adds and what it carries, on the small site on loopback, against the stand-in engine
-# called directly in the same run. Bounds only on counts and ratios: times depend on the machine.
+# Measures the latency that a gate adds, its throughput, memory and processor time, on a small site on
+# loopback, compared with direct calls of the stand-in engine in the same run. Only counts and ratios
+# are checked against bounds: times depend on the machine.
 #
 # usage: bench/gate.sh BUILD-FOLDER; LONG_REQUESTS=n and ROUNDS=n change its length.
 build=${1:-build}
@@ -11,7 +12,7 @@
 GROWTH_MAX_PERCENT=10
 broken=0
 
-# One fast engine for draft-small, so that a direct call meets the same one.
+# One fast engine for draft-small, so that direct calls use the same engine as the gate.
 start_engine() {
   local n=$1 serves=draft-small@v1,draft-small@v2
   [ "$n" -le 2 ] || serves=draft-large@v1,draft-large@v2
@@ -28,7 +29,7 @@
   [ -n "$(head_number)" ]
 }
 
-# load NAME PORT MODEL OPTION...: one run of the load tool, its lines in $site/out/NAME.
+# load NAME PORT MODEL OPTION...: runs the load tool, with its output in $site/out/NAME.
 load() {
   local name=$1 to=$2 model=$3
   shift 3
@@ -56,7 +57,8 @@
   awk '$1 == "VmRSS:" { print $2 }' "/proc/${pid[gate-1]}/status"
 }
 
-# bound WHAT CONDITION...: prints what was broken, and goes on.
+# bound WHAT CONDITION...: reports a condition that does not hold; the run continues and fails at its
+# end.
 bound() {
   local what=$1
   shift
@@ -87,7 +89,7 @@
   echo
 }
 
-# Middle one of the differences over the rounds between two runs' figures.
+# added FROM TO FIGURE: median over the rounds of the figure of run TO minus that of run FROM.
 added() {
   local from=$1 to=$2 figure=$3 round
   for ((round = 1; round <= ROUNDS; round++)); do
@@ -97,7 +99,7 @@
 }
 
 print_added() {
-  echo "added, middle of $ROUNDS rounds: first token p50 $(added "$1" "$2" first_ms_p50) ms," \
+  echo "added, median of $ROUNDS rounds: first token p50 $(added "$1" "$2" first_ms_p50) ms," \
     "p99 $(added "$1" "$2" first_ms_p99) ms; between tokens p50 $(added "$1" "$2" gap_ms_p50) ms," \
     "p99 $(added "$1" "$2" gap_ms_p99) ms"
 }
@@ -119,8 +121,8 @@
     "$(((open - idle) * 1024 / 1000)) bytes an open stream"
 }
 
-# Rounds of the same load on the engine and through the gate, in turn, so that what else the machine
-# does meets both.
+# Rounds of the same load on the engine and through the gate, in turn, so that other load on the
+# machine affects both.
 bench_pair() {
   local name=$1 round
   shift
@@ -149,7 +151,7 @@
   awk -v tick="$(getconf CLK_TCK)" '{ print ($14 + $15) * 1000 / tick }' "/proc/${pid[gate-1]}/stat"
 }
 
-# Processor time of the gate for one run, in milliseconds.
+# cpu_of NAME OPTION...: processor time of the gate for a run of the load tool, in milliseconds.
 cpu_of() {
   local before after
   before=$(gate_cpu_ms)
@@ -159,7 +161,7 @@
   awk -v a="$after" -v b="$before" 'BEGIN { print a - b }'
 }
 
-# Two loads of unlike length give what a request and what a token cost.
+# The cost of a request and of a token follow from two loads with short and long answers.
 bench_cost() {
   local short_requests=4000 short_tokens=2 long_requests=1000 long_tokens=200 short long
   short=$(cpu_of cost-short --streams 200 --requests $short_requests --tokens $short_tokens)
@@ -204,7 +206,7 @@
   echo "bills: $(bill_rows) for $sent answers"
 }
 
-# A site that starts at the same time may have taken a port: its answers are not ours to measure.
+# Another site that starts at the same time may have taken a port; its answers must not be measured.
 check_alive() {
   local name
   for name in "${started[@]}"; do
--- a/bench/gate_idle.sh
+++ b/bench/gate_idle.sh
@@ -1,12 +1,14 @@
 #!/bin/bash
-# What a gate without requests spends on control: asks to its steward, and load reports of 4 and of 24
-# engines. Prints processor time and reads of a window each, and the slope.
+# Measures the processor time of a gate without requests, for asks to its steward and for reading the
+# load reports of 4 and of 24 engines. Prints processor time and load reports for a window of each, and
+# the time per load report from their difference.
 #
 # usage: bench/gate_idle.sh BUILD-FOLDER; WINDOW_S=n changes the windows.
 build=${1:-build}
 . "$(dirname "$0")/../regress/lib.sh"
 
 WINDOW_S=${WINDOW_S:-60}
+# Engines added for the second window.
 EXTRA=20
 EXTRA_PORT=19777
 
@@ -18,7 +20,7 @@
   awk -v tick="$(getconf CLK_TCK)" '{ print ($14 + $15) * 1000 / tick }' "/proc/${pid[gate-1]}/stat"
 }
 
-# window NAME: sets $spent_ms and $reads.
+# window NAME: measures for WINDOW_S seconds, prints a line, and sets $spent_ms and $reads.
 window() {
   local cpu before
   cpu=$(cpu_ms)
--- a/bench/plot_front.gp
+++ b/bench/plot_front.gp
@@ -1,6 +1,6 @@
-# Plot of bench_front's data: gnuplot -e "data='FILE'; out='FILE.svg'" bench/plot_front.gp
-# What each policy earns less the price of models, and the 99th percentile of the first event, by scenario,
-# each with its standard deviation over the seeds.
+# Plots the output of "bench_front data": gnuplot -e "data='FILE'; out='FILE.svg'" bench/plot_front.gp
+# By scenario and policy: the worth earned minus the price of models, and the 99th percentile of the time
+# to the first event, with their standard deviations over the seeds.
 set terminal svg size 1100,900 background "white"
 set output out
 set multiplot layout 2,1
@@ -13,7 +13,7 @@
 pick(policy, figure) = sprintf("< awk '$2==\"%s\" && $3==\"%s\"' %s", policy, figure, data)
 policies = "product one-bar smallest-only largest-only random-server least-running"
 
-set title "Earned, less the price of models (share of what could be earned)"
+set title "Worth earned minus price of models (share of the possible worth)"
 set yrange [0:1]
 plot for [p in policies] pick(p, "net") using 4:5:xtic(1) title p
 
--- a/bench/plot_policy.gp
+++ b/bench/plot_policy.gp
@@ -1,6 +1,6 @@
-# Plot of bench_policy's data: gnuplot -e "data='FILE'; out='FILE.svg'" bench/plot_policy.gp
-# The 99th percentile of the first token by scenario and policy of server choice, and the cost an answer of
-# the cascades, each with its standard deviation over the seeds.
+# Plots the output of "bench_policy data": gnuplot -e "data='FILE'; out='FILE.svg'" bench/plot_policy.gp
+# By scenario and policy: the 99th percentile of the time to the first token (server choice), and the cost
+# per answer (cascades), with their standard deviations over the seeds.
 set terminal svg size 1100,900 background "white"
 set output out
 set multiplot layout 2,1
@@ -19,7 +19,7 @@
 plot for [p in "round-robin least-reported random power-of-two oracle"] \
   pick("servers", p, "first99") using 5:6:xtic(2) title p
 
-set title "Cost an answer (units)"
+set title "Cost per answer (units)"
 unset logscale y
 set yrange [0:*]
 plot for [p in "cheapest best fixed learned oracle"] \
--- a/bench/rollout.sh
+++ b/bench/rollout.sh
@@ -1,14 +1,14 @@
 #!/bin/bash
-# Roll-outs that drive themselves, measured on a site of real processes on loopback.
+# Measures automatic roll-outs on a site of real processes on loopback.
 #
 # usage: bench/rollout.sh BUILD exposure RUNS STAGE-SHARE SAMPLE-SHARE [CALLERS]
 #        bench/rollout.sh BUILD writes VMS SECONDS
 # SPREAD=S: the quality of an answer differs from its version's mean by up to S (default 0.2).
 #
-# exposure: a version of which one of two engines gives bad answers, so that about half of them are
-# bad: callers that it answered before it was stopped, a line a run.
-# writes: transactions a second that renewals of the duty and rows of evidence cost, without a
-# roll-out and with one under traffic.
+# exposure: rolls out a version of which one of two engines gives bad answers, so that about half of
+# its answers are bad. Prints for each run how many callers it answered before it was braked.
+# writes: prints the transactions per second for renewals of the roll-out duty and for rows of
+# evidence, without a roll-out and with one under traffic.
 build=${1:-build}
 what=${2:-exposure}
 . "$(dirname "$0")/../regress/lib.sh"
@@ -16,10 +16,10 @@
 WAIT_MAX_S=240
 sample=0.1
 
-# Engines as in the cases, but with answers of unlike quality.
-eval "$(declare -f start_engine | sed 's/^start_engine/start_even_engine/')"
+# Engines as in the regression cases, but with answers of varying quality.
+eval "$(declare -f start_engine | sed 's/^start_engine/start_default_engine/')"
 start_engine() {
-  start_even_engine "$@" --spread "${SPREAD:-0.2}"
+  start_default_engine "$@" --spread "${SPREAD:-0.2}"
 }
 
 adjust_settings() {
@@ -36,7 +36,7 @@
   engine_fault 1 '{"kind":"bad_version","value":"draft-small@v2"}'
   rollout_start draft-small "$share,0.5,1" >/dev/null
   begun=$SECONDS
-  wait_for "the end" rollout_state_is draft-small backed_out
+  wait_for "the roll-out to be backed out" rollout_state_is draft-small backed_out
   wait_for_number "$(head_number)"
   printf '%s of %s callers, %s answers, %s s, at %s requests/s\n' \
     "$(exposed_callers draft-small draft-small@v2)" "$callers" \
