--- a/tests/fake_engine.c
+++ b/tests/fake_engine.c
@@ -12,19 +12,19 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define HEAD                                                                                       \
+#define STREAM_HEAD                                                                                \
   "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-#define PIECE(n, text)                                                                             \
+#define TOKEN_CHUNK(n, text)                                                                       \
   "id: " #n "\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" text                    \
   "\"},\"finish_reason\":null}]}\n\n"
-#define END                                                                                        \
+#define LAST_CHUNK                                                                                 \
   "id: 3\ndata: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],"             \
   "\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":3}}\n\ndata: [DONE]\n\n"
 
 struct FakeEngine
 {
   int listening;
-  int hanging; /* connection that waits for its answer; -1: none */
+  int hanging; /* connection kept without an answer (ENGINE_HANGS); -1: none */
   int port;
   pthread_t thread;
   int behaviour;     /* atomic */
@@ -34,7 +34,7 @@
   size_t cancelled;  /* atomic */
 };
 
-/* Reads a request until its stated end; true if all of it came. */
+/* Reads a request; true if it arrived completely. */
 static bool
 read_request (int fd, Buffer *request)
 {
@@ -96,15 +96,15 @@
 }
 
 static void
-send_stream (int fd, bool whole)
+send_stream (int fd, bool complete)
 {
-  send_text (fd, HEAD);
-  send_chunk (fd, PIECE (0, "one"));
-  send_chunk (fd, PIECE (1, " two"));
-  if (!whole)
+  send_text (fd, STREAM_HEAD);
+  send_chunk (fd, TOKEN_CHUNK (0, "one"));
+  send_chunk (fd, TOKEN_CHUNK (1, " two"));
+  if (!complete)
     return;
-  send_chunk (fd, PIECE (2, " three"));
-  send_chunk (fd, END);
+  send_chunk (fd, TOKEN_CHUNK (2, " three"));
+  send_chunk (fd, LAST_CHUNK);
   send_text (fd, "0\r\n\r\n");
 }
 
@@ -155,9 +155,9 @@
   engine->hanging = -1;
 }
 
-/* True if the connection is kept without an answer. */
+/* Keeps the connection without an answer if the behaviour is ENGINE_HANGS; returns true if so. */
 static bool
-hang (FakeEngine *engine, int fd)
+keep_hanging (FakeEngine *engine, int fd)
 {
   if (__atomic_load_n (&engine->behaviour, __ATOMIC_ACQUIRE) != ENGINE_HANGS)
     return false;
@@ -170,22 +170,22 @@
 serve (FakeEngine *engine, int fd)
 {
   Buffer request = { 0 };
-  bool whole = read_request (fd, &request);
+  bool complete = read_request (fd, &request);
 
-  if (!whole && request.len > 0)
+  if (!complete && request.len > 0)
     __atomic_add_fetch (&engine->unfinished, 1, __ATOMIC_ACQ_REL);
-  else if (whole && strncmp (request.data, "DELETE ", 7) == 0)
+  else if (complete && strncmp (request.data, "DELETE ", 7) == 0)
     {
       __atomic_add_fetch (&engine->cancelled, 1, __ATOMIC_ACQ_REL);
       end_hanging (engine);
       send_error (fd, "200 OK", "{}");
     }
-  else if (whole && strncmp (request.data, "GET /v1/streams/", 16) == 0)
+  else if (complete && strncmp (request.data, "GET /v1/streams/", 16) == 0)
     send_error (fd, "404 Not Found", "{}");
-  else if (whole)
+  else if (complete)
     {
       __atomic_add_fetch (&engine->ran, 1, __ATOMIC_ACQ_REL);
-      if (hang (engine, fd))
+      if (keep_hanging (engine, fd))
         {
           buffer_free (&request);
           return;
@@ -205,7 +205,7 @@
   for (;;)
     {
       int fd = accept (engine->listening, NULL, NULL);
-      bool dead = fd < 0 && errno == EINVAL; /* shut down for listening */
+      bool dead = fd < 0 && errno == EINVAL; /* the listening socket was shut down */
       if (dead || __atomic_load_n (&engine->stop, __ATOMIC_ACQUIRE))
         {
           if (fd >= 0)
--- a/tests/fake_engine.h
+++ b/tests/fake_engine.h
@@ -1,7 +1,7 @@
 /**
- * A backend server for tests, on a free port of loopback: answers each request that runs as it was
- * told, and counts those whose body came whole. One thread; connections are taken one after
- * another.
+ * A simple backend server for tests, on a free port of loopback: answers requests according to its
+ * behaviour, and counts those that arrived completely. A single thread, which accepts one
+ * connection after the other.
  */
 #ifndef FAKE_ENGINE_H
 #define FAKE_ENGINE_H
@@ -10,30 +10,31 @@
 
 typedef enum
 {
-  ENGINE_ANSWERS,  /**< a stream of three tokens; a plain body for other paths */
+  ENGINE_ANSWERS,  /**< a stream of three tokens; for paths other than chat a JSON body */
   ENGINE_NOT_RUN,  /**< 503 with code not_run */
   ENGINE_BREAKS,   /**< closes the connection without an answer */
-  ENGINE_CUTS,     /**< closes the connection within the stream, and can't resume it */
+  ENGINE_CUTS,     /**< closes the connection within the stream; resuming it gives 404 */
   ENGINE_FAILS,    /**< 500 */
   ENGINE_REFUSES,  /**< 400 */
-  ENGINE_HANGS,    /**< gives no answer until it is told to end it by DELETE */
-  ENGINE_DIES,     /**< closes the connection without an answer, and takes no further one */
-  ENGINE_PLAIN_503 /**< 503 with a body that says nothing about not_run */
+  ENGINE_HANGS,    /**< gives no answer; closes the connection when it gets a DELETE */
+  ENGINE_DIES,     /**< closes the connection without an answer, and stops listening */
+  ENGINE_PLAIN_503 /**< 503 with a body without the code not_run */
 } EngineBehaviour;
 
 typedef struct FakeEngine FakeEngine;
 
 FakeEngine *fake_engine_start (EngineBehaviour behaviour);
 void fake_engine_stop (FakeEngine *engine);
-/** Takes no further connections: they are refused. */
+/** Stops listening: further connections are refused. */
 void fake_engine_die (FakeEngine *engine);
 int fake_engine_port (const FakeEngine *engine);
 void fake_engine_behave (FakeEngine *engine, EngineBehaviour behaviour);
-/** Requests whose body came whole: those that ran or could have. */
+/** Number of requests that arrived completely, without DELETE and resumption: those that ran, or
+ *  could have run. */
 size_t fake_engine_ran (const FakeEngine *engine);
-/** Connections whose request ended before its body did. */
+/** Number of connections that were closed in the middle of a request. */
 size_t fake_engine_unfinished (const FakeEngine *engine);
-/** Streams that were ended by DELETE. */
+/** Number of DELETE requests. */
 size_t fake_engine_cancelled (const FakeEngine *engine);
 
 #endif
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -1,5 +1,6 @@
 /*
- * The stand-in engine: the proofs of the other tests rest on its faults and on its record.
+ * The stand-in engine. Other tests rely on its faults and on its record of runs: if these were
+ * wrong, the tests could pass without checking anything.
  */
 #include "../standin/engine_calls.h"
 #include "../standin/engine_load.h"
@@ -39,7 +40,7 @@
                         .read_timeout_ms = 5000 };
 }
 
-/* HTTP status of a call, 0 if its answer was cut; the answer's body goes to *out. */
+/* Returns the HTTP status of a call, 0 if there was no complete answer; the body goes to *out. */
 static int
 call (const char *method, const char *path, const char *body, Buffer *out)
 {
@@ -74,7 +75,8 @@
             tokens, stream ? "true" : "false", mark);
 }
 
-/* The run of a mark in the record; NULL if there is none. Freed with json_object_put. */
+/* The last run in the record whose prompt has this mark, to be freed with json_object_put; NULL if
+ * there is none. */
 static struct json_object *
 run_of (const char *mark)
 {
@@ -131,7 +133,7 @@
   return running == 1;
 }
 
-/* Number of ids of a stream that are new in ascending order, and of all. */
+/* Counts the ids of a stream: all of them, and those that continue the sequence 0, 1, 2... */
 static void
 count_ids (const char *stream, int *all, int *next)
 {
@@ -146,13 +148,13 @@
 }
 
 static void
-test_spoilt_streams (void)
+test_stream_faults (void)
 {
   const struct
   {
     const char *fault;
     int all;
-    int next; /* ids that come in order */
+    int next; /* ids that continue the sequence */
   } cases[] = { { NULL, TOKENS + 1, TOKENS + 1 },
                 { "{\"kind\":\"duplicate\",\"value\":4,\"count\":1}", TOKENS + 4, TOKENS + 1 },
                 { "{\"kind\":\"reorder\",\"value\":4,\"count\":1}", TOKENS + 1, 4 } };
@@ -177,8 +179,8 @@
 static void
 test_cut_and_resume (void)
 {
-  /* The stream breaks off after some bytes; what is resumed from the next number on and what came
-   * before make the same text as an unspoilt stream. */
+  /* After the fault has cut a stream, resuming it from event 2 gives the same bytes as an
+   * undisturbed stream from there on. */
   char body[256];
   char path[128];
   Buffer whole = { 0 };
@@ -204,7 +206,7 @@
 }
 
 static void
-test_leaving_cancels (void)
+test_caller_left_cancels (void)
 {
   const char *const marks[] = { "left-stream", "left-whole" };
   for (size_t i = 0; i < SUITE_COUNT (marks); i++)
@@ -251,7 +253,7 @@
 static void
 test_priority (void)
 {
-  /* One slot: of two that wait, the later one with the higher priority runs first. */
+  /* With one slot, the later of two queued runs goes first if it has the higher priority. */
   Prompt prompt = { .mark = "first", .hash = 1 };
   CU_ASSERT_TRUE (suite_wait (is_idle, NULL));
   Run *first = run_begin (&(RunParams){ .model = "m@v1", .prompt = &prompt, .length = 20 });
@@ -270,6 +272,8 @@
 static void
 test_not_run (void)
 {
+  /* The faults that refuse or lose a request, and an unknown version, leave no run in the record;
+   * the fault lose_reply leaves a complete one. */
   char body[256];
   Buffer out = { 0 };
   make_chat (body, sizeof body, "never", TOKENS, false);
@@ -343,7 +347,7 @@
       CU_ASSERT_EQUAL (call ("POST", CHAT, body, &out), 200);
       buffer_free (&out);
     }
-  /* Four new prefixes, each used twice; the cache held four others. */
+  /* Four new prefixes, each used twice, replace the four that the cache held: eight events. */
   snprintf (path, sizeof path, "/v1/cache_events?from=%lld", (long long)from);
   CU_ASSERT_EQUAL (count_events (path, &next), 8);
   CU_ASSERT_EQUAL (next, from + 8);
@@ -367,7 +371,7 @@
 }
 
 static void
-test_lagging_load (void)
+test_load_lag (void)
 {
   Prompt prompt = { .mark = "load", .hash = 1 };
   bool yes = true;
@@ -375,7 +379,7 @@
   Run *run = run_begin (&(RunParams){ .model = "m@v1", .prompt = &prompt, .length = 100000 });
   CU_ASSERT_TRUE (suite_wait (reports_running, &yes));
   set_fault ("{\"kind\":\"lag_load\",\"value\":500}");
-  /* Long since idle half a second ago, or still so reported; it shows the run only later. */
+  /* The report is half a second old, so that it shows the run's start and end only later. */
   CU_ASSERT_TRUE (suite_wait (reports_running, &yes));
   run_cancel (run);
   CU_ASSERT_TRUE (reports_running (&yes));
@@ -386,15 +390,15 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "spoilt_streams", test_spoilt_streams },
+  const SuiteCase cases[] = { { "stream_faults", test_stream_faults },
                               { "cut_and_resume", test_cut_and_resume },
-                              { "leaving_cancels", test_leaving_cancels },
+                              { "caller_left_cancels", test_caller_left_cancels },
                               { "delete_cancels", test_delete_cancels },
                               { "priority", test_priority },
                               { "not_run", test_not_run },
                               { "fencing", test_fencing },
                               { "cache_events", test_cache_events },
-                              { "lagging_load", test_lagging_load } };
+                              { "load_lag", test_load_lag } };
   port = suite_free_port ();
   models_serve ("m@v1");
   runs_start ();
