--- a/tests/fake_engine.c
+++ b/tests/fake_engine.c
@@ -124,7 +124,7 @@
     case ENGINE_NOT_RUN:
       send_error (fd, "503 Service Unavailable", "{\"error\":{\"code\":\"not_run\"}}");
       break;
-    case ENGINE_BREAKS:
+    case ENGINE_CLOSES:
     case ENGINE_HANGS:
       break;
     case ENGINE_DIES:
@@ -261,7 +261,7 @@
 }
 
 void
-fake_engine_behave (FakeEngine *engine, EngineBehaviour behaviour)
+fake_engine_set_behaviour (FakeEngine *engine, EngineBehaviour behaviour)
 {
   __atomic_store_n (&engine->behaviour, (int)behaviour, __ATOMIC_RELEASE);
 }
@@ -273,7 +273,7 @@
 }
 
 size_t
-fake_engine_unfinished (const FakeEngine *engine)
+fake_engine_incomplete (const FakeEngine *engine)
 {
   return __atomic_load_n (&engine->unfinished, __ATOMIC_ACQUIRE);
 }
--- a/tests/fake_engine.h
+++ b/tests/fake_engine.h
@@ -12,7 +12,7 @@
 {
   ENGINE_ANSWERS,  /**< a stream of three tokens; for paths other than chat a JSON body */
   ENGINE_NOT_RUN,  /**< 503 with code not_run */
-  ENGINE_BREAKS,   /**< closes the connection without an answer */
+  ENGINE_CLOSES,   /**< closes the connection without an answer */
   ENGINE_CUTS,     /**< closes the connection within the stream; resuming it gives 404 */
   ENGINE_FAILS,    /**< 500 */
   ENGINE_REFUSES,  /**< 400 */
@@ -28,12 +28,12 @@
 /** Stops listening: further connections are refused. */
 void fake_engine_die (FakeEngine *engine);
 int fake_engine_port (const FakeEngine *engine);
-void fake_engine_behave (FakeEngine *engine, EngineBehaviour behaviour);
+void fake_engine_set_behaviour (FakeEngine *engine, EngineBehaviour behaviour);
 /** Number of requests that arrived completely, without DELETE and resumption: those that ran, or
  *  could have run. */
 size_t fake_engine_ran (const FakeEngine *engine);
 /** Number of connections that were closed in the middle of a request. */
-size_t fake_engine_unfinished (const FakeEngine *engine);
+size_t fake_engine_incomplete (const FakeEngine *engine);
 /** Number of DELETE requests. */
 size_t fake_engine_cancelled (const FakeEngine *engine);
 
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -245,7 +245,7 @@
   PlatformRows rows = { 0 };
 
   /* One engine of three cuts; its turn comes once. */
-  fake_engine_behave (site->engines[0], ENGINE_CUTS);
+  fake_engine_set_behaviour (site->engines[0], ENGINE_CUTS);
   for (int i = 0; i < SERVERS - 1; i++)
     check_answered (request_new (site, "draft", "", BODY), "one two three");
   CU_ASSERT_EQUAL (fake_engine_ran (site->engines[0]), 1);
@@ -272,7 +272,7 @@
 static void
 test_at_most_once (void)
 {
-  Site *site = site_new (ENGINE_BREAKS);
+  Site *site = site_new (ENGINE_CLOSES);
   BillRecord bill;
 
   check_refused (request_new (site, "issue", "order-1", BODY), REFUSAL_BACKEND_FAILED,
@@ -309,7 +309,7 @@
 static void
 test_crash_prompt (void)
 {
-  Site *site = site_new (ENGINE_BREAKS);
+  Site *site = site_new (ENGINE_CLOSES);
 
   check_refused (request_new (site, "draft", "", BODY), REFUSAL_BACKEND_FAILED, REQUEST_UNKNOWN);
   CU_ASSERT_EQUAL (ran (site), REQUEST_LOST_MAX);
@@ -336,7 +336,7 @@
   check_refused (request_new (site, "draft", "", BODY), REASON_QUARANTINED, REQUEST_NOT_RUN);
   CU_ASSERT_EQUAL (ran (site), REQUEST_LOST_MAX);
   for (int i = 0; i < SERVERS; i++)
-    fake_engine_behave (site->engines[i], ENGINE_BREAKS);
+    fake_engine_set_behaviour (site->engines[i], ENGINE_CLOSES);
   for (int i = 0; i < 2; i++)
     check_refused (request_new (site, "draft", "", STREAMED), REFUSAL_BACKEND_FAILED,
                    REQUEST_UNKNOWN);
@@ -422,7 +422,7 @@
     {
       clock_sleep_ms (10);
       for (int j = 0; j < SERVERS; j++)
-        unfinished += fake_engine_unfinished (site->engines[j]);
+        unfinished += fake_engine_incomplete (site->engines[j]);
     }
   CU_ASSERT_EQUAL (unfinished, 1);
   site_free (site);
