--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -81,9 +81,9 @@
 };
 
 static double
-ratio (double part, double whole)
+ratio (double part, double total)
 {
-  return whole > 0 ? part / whole : 0;
+  return total > 0 ? part / total : 0;
 }
 
 static void
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -145,8 +145,8 @@
 next_request (Load *load, unsigned *number_out, int64_t *arrival_us)
 {
   pthread_mutex_lock (&load->lock);
-  bool taken = load->next < load->options.requests;
-  if (taken)
+  bool available = load->next < load->options.requests;
+  if (available)
     {
       *number_out = load->next++;
       if (load->options.rate > 0)
@@ -154,7 +154,7 @@
       *arrival_us = load->started_us + load->arrival_us;
     }
   pthread_mutex_unlock (&load->lock);
-  return taken;
+  return available;
 }
 
 static void
--- a/bench/model_site.h
+++ b/bench/model_site.h
@@ -174,7 +174,7 @@
 double quality_score (const ModelSite *site, const ModelRequest *request, unsigned version);
 ModelKind quality_kind (const Config *config, unsigned version);
 /** The best plan by the true pass chances. */
-Reason quality_oracle_plan (ModelSite *site, const ChooseRequest *ask, ChoosePlan *plan);
+Reason quality_oracle_plan (ModelSite *site, const ChooseRequest *request, ChoosePlan *plan);
 /** The server with the least true load, or -1. */
 int quality_oracle_server (const ModelSite *site, const ServerQuery *query);
 
--- a/bench/rollout.sh
+++ b/bench/rollout.sh
@@ -27,7 +27,7 @@
 }
 
 run_exposure() {
-  local share=$1 callers=$2 begun rate
+  local share=$1 callers=$2 started_at rate
   site_start 3 >/dev/null
   wait_for "a holder of the duty" duty_is_held
   traffic_start draft-small "$callers"
@@ -35,12 +35,12 @@
   rate=$(($(wc -l <"$site/out/traffic-draft-small") / 10))
   engine_fault 1 '{"kind":"bad_version","value":"draft-small@v2"}'
   rollout_start draft-small "$share,0.5,1" >/dev/null
-  begun=$SECONDS
+  started_at=$SECONDS
   wait_for "the roll-out to be backed out" rollout_state_is draft-small backed_out
   wait_for_number "$(head_number)"
   printf '%s of %s callers, %s answers, %s s, at %s requests/s\n' \
     "$(exposed_callers draft-small draft-small@v2)" "$callers" \
-    "$(answers_of draft-small draft-small@v2)" $((SECONDS - begun)) "$rate"
+    "$(answers_of draft-small draft-small@v2)" $((SECONDS - started_at)) "$rate"
   traffic_stop draft-small
   site_cleanup
 }
--- a/standin/common_fault.h
+++ b/standin/common_fault.h
@@ -9,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define FAULT_TEXT_MAX 128
+#define FAULT_TEXT_MAX 128 /**< bytes, with the NUL; longer texts are cut */
 
 typedef enum
 {
--- a/standin/engine_models.h
+++ b/standin/engine_models.h
@@ -9,7 +9,7 @@
 #include <json-c/json.h>
 #include <stdbool.h>
 
-#define ENGINE_NAME_MAX 96
+#define ENGINE_NAME_MAX 96 /**< bytes of MODEL@VERSION, with the NUL */
 
 /** Loads each version of a comma-separated list of MODEL@VERSION. */
 void models_serve (const char *list);
--- a/standin/engine_run.h
+++ b/standin/engine_run.h
@@ -13,8 +13,8 @@
 #include <stdint.h>
 #include <urcu/list.h>
 
-#define REQUEST_MAX     72
-#define IDEMPOTENCY_MAX 136
+#define REQUEST_MAX     72  /**< bytes of a request id, with the NUL */
+#define IDEMPOTENCY_MAX 136 /**< bytes of a key or user, with the NUL */
 
 typedef enum
 {
@@ -66,7 +66,7 @@
 /** Cancels all runs, as cut by the engine, and ends the thread. */
 void runs_stop (void);
 
-Run *run_begin (const RunParams *ask);
+Run *run_begin (const RunParams *params);
 /** The newest run of the request with this id, or NULL. */
 Run *run_find (const char *request);
 /** Waits until the run has more than seen tokens or has ended; returns its number of tokens. */
--- a/standin/engine_text.h
+++ b/standin/engine_text.h
@@ -10,8 +10,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define MARK_MAX  64
-#define TOKEN_MAX 96
+#define MARK_MAX  64 /**< bytes, with the NUL */
+#define TOKEN_MAX 96 /**< bytes, with the NUL */
 
 typedef struct
 {
@@ -22,7 +22,7 @@
   bool crash;           /**< contains the text of the fault crash_on */
 } Prompt;
 
-#define PREFIX_BYTES 256 /**< part of a prompt that the prefix cache goes by */
+#define PREFIX_BYTES 256 /**< of a prompt, by which the prefix cache identifies it */
 
 /** Reads "messages" of a request's body; false if it has no messages or they have no text. */
 bool prompt_read (struct json_object *body, Prompt *out);
--- a/standin/platform_calls.h
+++ b/standin/platform_calls.h
@@ -9,8 +9,7 @@
 
 extern const StandinRoutes platform_routes;
 
-/** Sets the noise that is added to ratings: its standard deviation and the seed of its generator.
- */
+/** Sets the noise that is added to ratings: its standard deviation, and the generator's seed. */
 void platform_set_rate_noise (double deviation, uint64_t seed);
 /** POST /v1/rate */
 enum MHD_Result platform_rate (StandinRequest *request);
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -183,24 +183,24 @@
    * undisturbed stream from there on. */
   char body[256];
   char path[128];
-  Buffer whole = { 0 };
+  Buffer complete = { 0 };
   Buffer cut = { 0 };
   Buffer rest = { 0 };
   make_chat (body, sizeof body, "cut", TOKENS, true);
-  CU_ASSERT_EQUAL (call ("POST", CHAT, body, &whole), 200);
+  CU_ASSERT_EQUAL (call ("POST", CHAT, body, &complete), 200);
   set_fault ("{\"kind\":\"cut_at\",\"value\":300,\"count\":1}");
   CU_ASSERT_EQUAL (call ("POST", CHAT, body, &cut), 0);
   CU_ASSERT_EQUAL (cut.len, 300);
-  CU_ASSERT_EQUAL (strncmp (cut.data, whole.data, 300), 0);
+  CU_ASSERT_EQUAL (strncmp (cut.data, complete.data, 300), 0);
   struct json_object *run = run_of ("cut");
   struct json_object *request;
   json_object_object_get_ex (run, "request", &request);
   snprintf (path, sizeof path, "/v1/streams/%s?from=2", json_object_get_string (request));
   CU_ASSERT_EQUAL (call ("GET", path, NULL, &rest), 200);
-  CU_ASSERT_STRING_EQUAL (rest.data, strstr (whole.data, "id: 2\n"));
+  CU_ASSERT_STRING_EQUAL (rest.data, strstr (complete.data, "id: 2\n"));
   CU_ASSERT_EQUAL (run_value ("cut", "cancelled"), 0);
   json_object_put (run);
-  buffer_free (&whole);
+  buffer_free (&complete);
   buffer_free (&cut);
   buffer_free (&rest);
 }
