--- a/bench/bench_cluster.c
+++ b/bench/bench_cluster.c
@@ -11,10 +11,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEADER_BYTES 48
-#define NEWS_BYTES   28
+#define HEADER_BYTES 48 /**< of an answer without news and ages */
+#define NEWS_BYTES   28 /**< of a news entry in an answer */
 #define GRANT_MS     4000
-#define BATCH        100
+#define BATCH        100 /**< calls that are timed together */
 #define BATCHES      41
 
 typedef struct
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -1,8 +1,9 @@
 /**
  * Age of the newest evidence from a majority, on which a grant rests while the table service is
- * unreachable: with 9 to 360 members and 1, 2 and 4 asks per second from each. grant_ms must be
- * longer than this age. Also measures the time until a configuration number that one steward has
- * reached all others, and the bytes per second that a steward sends. Virtual time; no message loss.
+ * unreachable ("grant basis"): with 9 to 360 members and 1, 2 and 4 asks per second from each.
+ * grant_ms must be longer than this age. Also measures the time until a configuration number that
+ * one steward has reached all others, and the bytes per second that a steward sends. Virtual time;
+ * no message loss.
  */
 #include "cluster_grant.h"
 #include "cluster_state.h"
@@ -12,12 +13,12 @@
 #include <stdlib.h>
 
 #define GRANT_MS   8000
-#define STEP_MS    10
+#define STEP_MS    10 /**< of the virtual time */
 #define DELAY_MS   20 /**< from sending an ask to receiving its answer */
 #define WARM_UP_MS 20000
 #define END_MS     40000
-#define ASK_BYTES  INT64_C (48)
-#define NEWS_BYTES 28
+#define ASK_BYTES  INT64_C (48) /**< of an ask, and of an answer without news and ages */
+#define NEWS_BYTES 28           /**< of a news entry in an answer */
 
 typedef struct
 {
@@ -154,7 +155,7 @@
 {
   static const size_t counts[] = { 9, 36, 72, 180, 360 };
 
-  printf ("members asks/s  grant basis age (ms)  all have heard (ms)  bytes/s sent\n");
+  printf ("members asks/s  grant basis (ms)  all have heard (ms)  bytes/s sent\n");
   for (size_t i = 0; i < sizeof counts / sizeof *counts; i++)
     for (int64_t asks = 1; asks <= 4; asks *= 2)
       run (counts[i], asks);
--- a/bench/front_simulation.c
+++ b/bench/front_simulation.c
@@ -15,7 +15,7 @@
 #define ENGINES         88
 #define LENGTH_MS       24000 /* of a scenario; its faults are active in the middle third */
 #define TRIES_MAX       3
-#define REUSE_WINDOW_MS 6000
+#define REUSE_WINDOW_MS 6000 /* in which fronts expect a shared prefix to be used again */
 #define FIRST_TOKEN_MS  60.0 /* added to a predicted time to the first token */
 #define US_PER_MS       1000
 #define MS_PER_S        1000.0
@@ -60,9 +60,9 @@
   FrontLag lags[FRONTS];
   Call *calls;
   unsigned call_count;
-  double possible, earned, price;
+  double possible, earned, price; /* worth of all calls, worth earned, price of the models' work */
   unsigned in_time, attempts, other_domain;
-  int64_t tokens, reread;
+  int64_t tokens, reread; /* prompt tokens sent, and those read again */
 } Simulation;
 
 static bool
@@ -367,6 +367,7 @@
     }
 }
 
+/* Of the kinds of events, EVENT_RATED stands for the beginning of an answer. */
 static void
 handle_event (Simulation *sim, const Event *event)
 {
--- a/bench/model_quality.c
+++ b/bench/model_quality.c
@@ -8,14 +8,14 @@
 #include <math.h>
 #include <string.h>
 
-#define DIFFICULTY_SHARE    0.7 /**< weight of a request's difficulty against chance */
-#define FAIL_SCORE_MAX      0.5
-#define DIRECT_CLASS        2 /**< class by which requests that name a model are rated */
-#define ORACLE_SAMPLES      4000
+#define DIFFICULTY_SHARE    0.7  /**< weight of a request's difficulty against chance */
+#define FAIL_SCORE_MAX      0.5  /**< upper bound of a bad answer's true rating */
+#define DIRECT_CLASS        2    /**< class by which requests that name a model are rated */
+#define ORACLE_SAMPLES      4000 /**< simulated requests by which a plan is evaluated */
 #define ORACLE_SEED         17
 #define ORACLE_STAGES_MAX   3
-#define ORACLE_CACHE_CREDIT 1.0 /**< load, in batches, that a cached prompt prefix makes up for */
-#define RATING_COST         0.02
+#define ORACLE_CACHE_CREDIT 1.0  /**< load, in batches, that a cached prompt prefix makes up for */
+#define RATING_COST         0.02 /**< of rating an answer */
 #define TWO_TO_53           9007199254740992.0
 
 /** Share of answers that are good, by kind and class; classes in order of their names. */
@@ -96,7 +96,7 @@
   return score_in_class (site, request->quality_seed, version, class_index, factor);
 }
 
-/** Mean true rating and cost of a set of stages, tried in the order of the array. */
+/** Evaluates the mean true rating and cost of a set of stages, tried in the order of the array. */
 static void
 evaluate_plan (const ModelSite *site,
                int class_index,
--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -7,20 +7,20 @@
 #include "util_id.h"
 
 #define US_PER_MS              1000
-#define RATING_MS              150
+#define RATING_MS              150  /**< time of the rating service for an answer */
 #define RATING_FLIP_SHARE      0.02 /**< share of ratings that are wrong */
-#define FLIPPED_PASS_SCORE     0.95
-#define FLIPPED_FAIL_SCORE     0.2
+#define FLIPPED_PASS_SCORE     0.95 /**< wrong rating of an answer below FLIP_THRESHOLD */
+#define FLIPPED_FAIL_SCORE     0.2  /**< wrong rating of other answers */
 #define FLIP_THRESHOLD         0.6
 #define SAMPLE_SHARE           0.1 /**< of the answers of stages without rating */
 #define CALLER_RETRIES_MAX     3
-#define CALLER_RETRY_JITTER    0.2
+#define CALLER_RETRY_JITTER    0.2  /**< largest share added to the retry-after time */
 #define RESEND_MS              5000 /**< until a request that crashes engines is sent again */
-#define FLOOD_TEAM             0
-#define CAPACITY_FACTOR        1.1 /**< of the slots: requests that may run or wait */
-#define EXPECTED_WORK_MS       2500
+#define FLOOD_TEAM             0    /**< subject of the scenarios' FAULT_FLOOD */
+#define CAPACITY_FACTOR        1.1  /**< of the slots: requests that may run or wait */
+#define EXPECTED_WORK_MS       2500 /**< time of an answer that the limiter assumes */
 #define EXPECTED_OUTPUT_TOKENS 150
-#define LATENCY_WEIGHT         0.05
+#define LATENCY_WEIGHT         0.05 /**< of a new sample in a moving average */
 
 bool
 request_measured (const ModelSite *site, const ModelRequest *request)
