--- a/bench/front_model.h
+++ b/bench/front_model.h
@@ -82,7 +82,7 @@
   double net;     /**< worth minus price */
   double first_p50_ms;
   double first_p99_ms;
-  double other_domain; /**< share of attempts in another failure domain */
+  double other_domain; /**< share of attempts in another failure domain, printed as "far" */
   double reread; /**< share of prompt tokens read again although a cache could have held them */
 } ModelResult;
 
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -18,8 +18,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STACK_SIZE   ((size_t)512 * 1024)
-#define GAPS_MAX     ((size_t)4000000)
+#define STACK_SIZE   ((size_t)512 * 1024) /* bytes, of each stream's thread */
+#define GAPS_MAX     ((size_t)4000000)    /* samples kept */
 #define STATUSES_MAX 600
 
 typedef struct
@@ -42,17 +42,17 @@
   Options options;
   char *prompt;
   pthread_mutex_t lock;
-  unsigned next;
-  unsigned results[LOAD_RESULTS];
-  unsigned statuses[STATUSES_MAX];
-  unsigned open;
+  unsigned next;                   /* number of the next request */
+  unsigned results[LOAD_RESULTS];  /* requests by result */
+  unsigned statuses[STATUSES_MAX]; /* requests by HTTP status */
+  unsigned open;                   /* requests in progress */
   unsigned open_max;
   int64_t started_us;
   int64_t arrival_us; /* of the latest request, relative to started_us */
   gsl_rng *random;
-  LoadSamples first;
-  LoadSamples gap;
-  LoadSamples whole;
+  LoadSamples first; /* ms to the first event */
+  LoadSamples gap;   /* ms between events */
+  LoadSamples whole; /* ms to the last event */
 } Load;
 
 enum
--- a/bench/model_attempt.c
+++ b/bench/model_attempt.c
@@ -8,8 +8,8 @@
 #include "util_assert.h"
 
 #define US_PER_MS                1000
-#define LOCAL_HOP_MS             1
-#define NO_SERVER_RETRY_AFTER_MS 1000
+#define LOCAL_HOP_MS             1     /**< one way, within a failure domain */
+#define NO_SERVER_RETRY_AFTER_MS 1000  /**< told to callers if no server is usable */
 #define RESTART_MS               30000 /**< until an engine that a request crashed runs again */
 
 ModelGate *
--- a/bench/model_engine.c
+++ b/bench/model_engine.c
@@ -111,7 +111,7 @@
   return running_remove (engine, request, attempt);
 }
 
-/** Marks a queued work as dropped; false if it is not in the queue. */
+/** Marks a queued work item as dropped; false if it is not in the queue. */
 static bool
 queue_drop (EngineQueue *queue, unsigned request, unsigned attempt)
 {
--- a/bench/model_engine.h
+++ b/bench/model_engine.h
@@ -50,14 +50,14 @@
   unsigned running_requests[ENGINE_SLOTS_MAX];
   unsigned running_attempts[ENGINE_SLOTS_MAX];
   EngineQueue queues[2];              /**< normal and low priority */
-  unsigned dropped;                   /**< queued works that were cancelled and will not run */
+  unsigned dropped;                   /**< queued work items that were cancelled and will not run */
   uint64_t prefixes[ENGINE_PREFIXES]; /**< most recent first */
   unsigned history[ENGINE_HISTORY];   /**< ring buffer of loads: running and queued, one per
                                          ENGINE_SAMPLE_US */
   unsigned samples;
 } ModelEngine;
 
-/** Times from the start of a work to its first and to its last token. */
+/** Times from the start of a work item to its first and to its last token. */
 typedef struct
 {
   int64_t first_us;
@@ -68,22 +68,22 @@
 /** False if the queue is full. */
 bool engine_enqueue (ModelEngine *engine, const EngineWork *work);
 /** Moves the next queued work into a free slot and sets *work and *times; false if no work is
- * queued, no slot is free or the engine is down. If the work crashes the engine, the caller calls
- *  engine_die. */
+ *  queued, no slot is free or the engine is down. If the work crashes the engine, the caller
+ *  calls engine_die. */
 bool engine_start (ModelEngine *engine, EngineWork *work, EngineTimes *times);
-/** Frees the slot of a work that ended; false if it was cancelled earlier. */
+/** Frees the slot of a work item that ended; false if it was cancelled earlier. */
 bool engine_end (ModelEngine *engine, unsigned request, unsigned attempt);
 /** The caller left: removes the work from the queue or from its slot, unless the engine ignores
  *  cancels. */
 void engine_cancel (ModelEngine *engine, unsigned request, unsigned attempt);
-/** Loses the running and queued works and the cache. The engine stays down until engine_restart. */
+/** Loses the running and queued work and the cache. The engine stays down until engine_restart. */
 void engine_die (ModelEngine *engine);
 void engine_restart (ModelEngine *engine);
 /** Adds the present load to the history. */
 void engine_sample (ModelEngine *engine);
 /** The load lag_us ago, from the history. */
 unsigned engine_load_before (const ModelEngine *engine, int64_t lag_us);
-/** Number of running and queued works. */
+/** Number of running and queued work items. */
 unsigned engine_load (const ModelEngine *engine);
 /** True if the cache holds the prefix. */
 bool engine_has_prefix (const ModelEngine *engine, uint64_t prefix);
--- a/bench/model_result.h
+++ b/bench/model_result.h
@@ -37,7 +37,7 @@
   unsigned retries;
   unsigned caller_retries;    /**< requests sent again after a refusal with a retry-after time */
   unsigned crashed;           /**< engines that a request crashed */
-  unsigned false_quarantines; /**< requests refused by the quarantine that crash no engine */
+  unsigned false_quarantines; /**< quarantined, but crash no engine; printed as "innocent" */
   unsigned exposed;           /**< callers that got an answer of the candidate version */
   unsigned exposed_bad;       /**< callers that got a bad answer of it */
   double brake_s;             /**< from the roll-out's start until the brake; 0: none */
--- a/bench/model_site.h
+++ b/bench/model_site.h
@@ -33,11 +33,11 @@
   bool crashes;
   int64_t submitted_us; /**< when it was sent for the first time */
   int64_t deadline_us;
-  unsigned caller_retries;
-  uint64_t fingerprint; /**< by which the quarantine recognizes it */
-  bool submitted;
-  unsigned resends; /**< left for the caller of a request that crashes engines */
-  bool ended;
+  unsigned caller_retries; /**< times sent again after a refusal */
+  uint64_t fingerprint;    /**< by which the quarantine recognizes it */
+  bool submitted;          /**< counted in the result */
+  unsigned resends;        /**< times that its caller will still resend it, if it crashes engines */
+  bool ended;              /**< answered, or refused for the last time */
   bool admitted;
   bool borrowed;  /**< admitted beyond the team's fair share */
   int64_t tokens; /**< with which it was admitted */
--- a/standin/common_http.h
+++ b/standin/common_http.h
@@ -36,7 +36,7 @@
 } StandinRoutes;
 
 /** Listens until standin_http_stop; NULL, with a message on standard error, if it cannot. The
- * routes must stay valid until then. Every stand-in also serves POST and DELETE of /v1/fault. */
+ *  routes must stay valid until then. Every stand-in also serves POST and DELETE of /v1/fault. */
 struct MHD_Daemon *standin_http_start (const char *address, int port, const StandinRoutes *routes);
 void standin_http_stop (struct MHD_Daemon *daemon);
 
