--- a/bench/bench_bill.c
+++ b/bench/bench_bill.c
@@ -337,8 +337,8 @@
     bench_committers (5, counts[i]);
   for (size_t i = 0; i < sizeof intervals / sizeof intervals[0]; i++)
     bench_site (SITE_GATES, intervals[i]);
-  bench_site (SITE_GATES, platform_group_interval (SITE_GATES));
-  bench_site (FEWER_GATES, platform_group_interval (FEWER_GATES));
+  bench_site (SITE_GATES, platform_group_site_interval_ms (SITE_GATES));
+  bench_site (FEWER_GATES, platform_group_site_interval_ms (FEWER_GATES));
   bench_bytes (1, 0);
   bench_bytes (2, 0);
   bench_bytes (8, 0);
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -99,8 +99,8 @@
   if (writer->breaker.open)
     store_again (writer);
   writer->flush_next_ms = clock_boot_ms () + FLUSH_PAUSE_MS;
-  if (writer->breaker.open && writer->breaker.try_next_ms > writer->flush_next_ms)
-    writer->flush_next_ms = writer->breaker.try_next_ms;
+  if (writer->breaker.open && writer->breaker.next_try_at_ms > writer->flush_next_ms)
+    writer->flush_next_ms = writer->breaker.next_try_at_ms;
 }
 
 /* Writes the gate's row, by which others find its objects: at the start, and when the table has all
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -13,7 +13,7 @@
 
 #define CTL_STEWARDS_MAX 32
 #define CTL_ADDRESS_SIZE 48
-#define CTL_WORDS_MAX    3 /**< arguments behind the command's own words */
+#define CTL_OPERANDS_MAX 3 /**< arguments behind the command's own words */
 
 /** Exit statuses; scripts rely on them. */
 typedef enum
@@ -44,8 +44,8 @@
 /** What the command line gave to one command. */
 typedef struct
 {
-  const char *words[CTL_WORDS_MAX];
-  size_t word_count;
+  const char *operands[CTL_OPERANDS_MAX];
+  size_t operand_count;
   int64_t base; /**< -1: not given */
   int64_t wait_ms;
   int64_t limit;
@@ -60,13 +60,13 @@
 
 typedef struct
 {
-  const char *group; /**< first word */
-  const char *name;  /**< second word, or NULL */
-  const char *words; /**< of the arguments, for help */
+  const char *group;    /**< first word */
+  const char *name;     /**< second word, or NULL */
+  const char *operands; /**< of the arguments, for help */
   const char *doc;
   const struct argp_option *options; /**< NULL: none */
-  size_t words_min;
-  size_t words_max;
+  size_t operands_min;
+  size_t operands_max;
   bool local; /**< no steward is asked */
   CtlExit (*run) (Ctl *ctl, const CtlArgs *args);
 } CtlCommand;
--- a/src/ctl_check.c
+++ b/src/ctl_check.c
@@ -67,7 +67,7 @@
 CtlExit
 ctl_settings_check (Ctl *ctl, const CtlArgs *args)
 {
-  const char *path = args->words[0];
+  const char *path = args->operands[0];
   CheckList list = { .file = path };
   struct json_object *object = field_parse_file (path, &list);
   const FileKind *kind = NULL;
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -99,35 +99,35 @@
   for (size_t i = 0; i < ctl->steward_count; i++)
     {
       const CtlSteward *steward = &ctl->stewards[i];
-      bool doubtful = answer->doubtful;
+      bool doubtful = answer->outcome_unknown;
       Status st = { 0 };
       StatusCode code = ask_one (ctl, steward, request, answer, &st);
 
-      answer->doubtful = doubtful;
+      answer->outcome_unknown = doubtful;
       if (code != STATUS_OK)
         {
           /* With both nothing was sent: no connection, or a request or trust file that can't be
            * used. */
-          answer->doubtful |= code != STATUS_UNAVAILABLE && code != STATUS_INVALID;
+          answer->outcome_unknown |= code != STATUS_UNAVAILABLE && code != STATUS_INVALID;
           note_failure (failures, steward, st.message);
           continue;
         }
       answered = true;
       if (answer->http_status != 503)
         break;
-      answer->doubtful |= says_unknown (answer);
+      answer->outcome_unknown |= says_unknown (answer);
       note_failure (failures, steward, "can't do it now (503)");
     }
   return answered;
 }
 
 CtlExit
-ctl_http_ask (const Ctl *ctl,
-              const char *method,
-              const char *path,
-              Json *body,
-              int64_t wait_ms,
-              CtlAnswer *answer)
+ctl_http_call (const Ctl *ctl,
+               const char *method,
+               const char *path,
+               Json *body,
+               int64_t wait_ms,
+               CtlAnswer *answer)
 {
   char authorization[AUTHORIZATION_SIZE];
   HttpHeader headers[HEADERS] = { { "Authorization", authorization },
@@ -156,7 +156,7 @@
     {
       fputs (failures.data == NULL ? "" : failures.data, stderr);
       ctl_error ("no steward answered%s",
-                 answer->doubtful && body != NULL
+                 answer->outcome_unknown && body != NULL
                      ? "; one may have done it: see `lovagectl version list`"
                      : "");
     }
@@ -168,14 +168,14 @@
 ctl_answer_clear (CtlAnswer *answer)
 {
   json_object_put (answer->body);
-  *answer = (CtlAnswer){ .doubtful = answer->doubtful };
+  *answer = (CtlAnswer){ .outcome_unknown = answer->outcome_unknown };
 }
 
 CtlExit
 ctl_http_get (const Ctl *ctl, const char *path, Json **body)
 {
   CtlAnswer answer;
-  CtlExit status = ctl_http_ask (ctl, "GET", path, NULL, 0, &answer);
+  CtlExit status = ctl_http_call (ctl, "GET", path, NULL, 0, &answer);
 
   *body = NULL;
   if (status != CTL_DONE)
@@ -183,7 +183,7 @@
   if (answer.http_status == 200 && json_object_is_type (answer.body, json_type_object))
     *body = json_object_get (answer.body);
   else
-    status = ctl_refusal (ctl, &answer);
+    status = ctl_print_refusal (ctl, &answer);
   ctl_answer_clear (&answer);
   return status;
 }
@@ -199,7 +199,7 @@
 }
 
 CtlExit
-ctl_refusal (const Ctl *ctl, const CtlAnswer *answer)
+ctl_print_refusal (const Ctl *ctl, const CtlAnswer *answer)
 {
   Json *error = json_object_object_get (answer->body, "error");
   const char *reason = ctl_text (error, "reason", "refused");
--- a/src/ctl_main.c
+++ b/src/ctl_main.c
@@ -112,13 +112,13 @@
       state->child_inputs[0] = parse->ctl;
       return 0;
     case ARGP_KEY_ARG:
-      if (parse->args.word_count >= parse->command->words_max)
+      if (parse->args.operand_count >= parse->command->operands_max)
         argp_error (state, "too many arguments");
-      parse->args.words[parse->args.word_count++] = arg;
+      parse->args.operands[parse->args.operand_count++] = arg;
       return 0;
     case ARGP_KEY_END:
-      if (parse->args.word_count < parse->command->words_min)
-        argp_error (state, "expected %s", parse->command->words);
+      if (parse->args.operand_count < parse->command->operands_min)
+        argp_error (state, "expected %s", parse->command->operands);
       return 0;
     default:
       return parse_option (key, arg, state, &parse->args);
@@ -177,8 +177,8 @@
       char words[PROGRAM_NAME_LEN];
 
       snprintf (words, sizeof words, "%s%s%s%s%s", command->group, command->name == NULL ? "" : " ",
-                command->name == NULL ? "" : command->name, command->words[0] == '\0' ? "" : " ",
-                command->words);
+                command->name == NULL ? "" : command->name, command->operands[0] == '\0' ? "" : " ",
+                command->operands);
       buffer_printf (doc, "  %-27s %s\n", words, command->doc);
     }
   buffer_add_string (doc, "\n`lovagectl COMMAND --help' tells a command's options. Exit status: 0 "
@@ -206,7 +206,7 @@
   char name[PROGRAM_NAME_LEN];
   struct argp argp = { .options = command->options,
                        .parser = parse_command,
-                       .args_doc = command->words,
+                       .args_doc = command->operands,
                        .doc = command->doc,
                        .children = site_child };
   char **rest = argv + parse->command_at;
--- a/src/ctl_patch.c
+++ b/src/ctl_patch.c
@@ -14,7 +14,7 @@
 CtlExit
 ctl_patch_submit (Ctl *ctl, const CtlArgs *args)
 {
-  CheckList list = { .file = args->words[0] };
+  CheckList list = { .file = args->operands[0] };
   Buffer text = { 0 };
   char *canonical = NULL;
   Json *patch = NULL;
@@ -25,7 +25,7 @@
       ctl_error ("patch submit needs --base N, the number that the patch was made against");
       return CTL_USAGE;
     }
-  if (config_file_read (args->words[0], &text, &list))
+  if (config_file_read (args->operands[0], &text, &list))
     canonical = config_canonical (text.data, text.len, &list);
   if (canonical != NULL)
     patch = json_tokener_parse (canonical);
@@ -68,14 +68,14 @@
               const char **version,
               Json **entry)
 {
-  if (!split_label (args->words[0], model, version))
+  if (!split_label (args->operands[0], model, version))
     return CTL_USAGE;
   const char *const path[] = { "models", model, "versions", *version, NULL };
 
-  *entry = ctl_at_path (head->text, path);
+  *entry = ctl_member_at (head->text, path);
   if (*entry != NULL)
     return CTL_DONE;
-  ctl_error ("number %lld has no version %s", (long long)head->number, args->words[0]);
+  ctl_error ("number %lld has no version %s", (long long)head->number, args->operands[0]);
   return CTL_REFUSED;
 }
 
@@ -92,7 +92,8 @@
   const char *const state[] = { "models", model, "versions", version, "state", NULL };
 
   if (strcmp (ctl_text (entry, "state", ""), "withdrawn") == 0)
-    printf ("%s is withdrawn already, in number %lld\n", args->words[0], (long long)head->number);
+    printf ("%s is withdrawn already, in number %lld\n", args->operands[0],
+            (long long)head->number);
   else
     *patch = ctl_nested (state, json_object_new_string ("withdrawn"));
   return CTL_DONE;
@@ -101,7 +102,7 @@
 CtlExit
 ctl_withdraw (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_made (ctl, args, "withdraw", make_withdrawal);
+  return ctl_submit_built (ctl, args, "withdraw", make_withdrawal);
 }
 
 /** A brake binds until the version's "released" reaches the number at which it was raised; a brake
@@ -125,23 +126,24 @@
 CtlExit
 ctl_brake_release (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_made (ctl, args, "brake release", make_release);
+  return ctl_submit_built (ctl, args, "brake release", make_release);
 }
 
 static CtlExit
 make_leaving (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
-  const char *const path[] = { "backend_servers", args->words[0], NULL };
-  const char *const leaving[] = { "backend_servers", args->words[0], "leaving", NULL };
-  Json *entry = ctl_at_path (head->text, path);
+  const char *const path[] = { "backend_servers", args->operands[0], NULL };
+  const char *const leaving[] = { "backend_servers", args->operands[0], "leaving", NULL };
+  Json *entry = ctl_member_at (head->text, path);
 
   if (entry == NULL)
     {
-      ctl_error ("number %lld has no backend server %s", (long long)head->number, args->words[0]);
+      ctl_error ("number %lld has no backend server %s", (long long)head->number,
+                 args->operands[0]);
       return CTL_REFUSED;
     }
   if (json_object_get_boolean (json_object_object_get (entry, "leaving")))
-    printf ("%s leaves already, in number %lld\n", args->words[0], (long long)head->number);
+    printf ("%s leaves already, in number %lld\n", args->operands[0], (long long)head->number);
   else
     *patch = ctl_nested (leaving, json_object_new_boolean (true));
   return CTL_DONE;
@@ -150,5 +152,5 @@
 CtlExit
 ctl_server_leave (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_made (ctl, args, "server leave", make_leaving);
+  return ctl_submit_built (ctl, args, "server leave", make_leaving);
 }
--- a/src/ctl_rollout.c
+++ b/src/ctl_rollout.c
@@ -44,14 +44,14 @@
 {
   const char *const path[] = { "models", model, "versions", version, NULL };
 
-  return strcmp (ctl_text (ctl_at_path (head->text, path), "state", ""), "withdrawn") == 0;
+  return strcmp (ctl_text (ctl_member_at (head->text, path), "state", ""), "withdrawn") == 0;
 }
 
 static CtlExit
 make_rollout (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
-  const char *const path[] = { "rollouts", args->words[0], NULL };
-  const char *state = ctl_text (ctl_at_path (head->text, path), "state", "done");
+  const char *const path[] = { "rollouts", args->operands[0], NULL };
+  const char *state = ctl_text (ctl_member_at (head->text, path), "state", "done");
   Json *stages;
   Json *entry;
 
@@ -61,9 +61,9 @@
                  state, (long long)head->number);
       return CTL_REFUSED;
     }
-  if (is_withdrawn (head, args->words[0], args->to))
+  if (is_withdrawn (head, args->operands[0], args->to))
     {
-      ctl_error ("%s@%s is withdrawn in number %lld", args->words[0], args->to,
+      ctl_error ("%s@%s is withdrawn in number %lld", args->operands[0], args->to,
                  (long long)head->number);
       return CTL_REFUSED;
     }
@@ -88,24 +88,25 @@
       ctl_error ("rollout start needs --from VERSION and --to VERSION");
       return CTL_USAGE;
     }
-  return ctl_submit_made (ctl, args, "rollout start", make_rollout);
+  return ctl_submit_built (ctl, args, "rollout start", make_rollout);
 }
 
 /** The next stage, or the end of the roll-out behind the last. */
 static CtlExit
 make_advance (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
-  const char *const path[] = { "rollouts", args->words[0], NULL };
-  const char *const stage_path[] = { "rollouts", args->words[0], "stage", NULL };
-  const char *const state_path[] = { "rollouts", args->words[0], "state", NULL };
-  Json *entry = ctl_at_path (head->text, path);
+  const char *const path[] = { "rollouts", args->operands[0], NULL };
+  const char *const stage_path[] = { "rollouts", args->operands[0], "stage", NULL };
+  const char *const state_path[] = { "rollouts", args->operands[0], "state", NULL };
+  Json *entry = ctl_member_at (head->text, path);
   const char *state = ctl_text (entry, "state", "running");
   int64_t next = ctl_number (entry, "stage", 0) + 1;
   size_t count;
 
   if (entry == NULL || (strcmp (state, "running") != 0 && strcmp (state, "paused") != 0))
     {
-      ctl_error ("number %lld has no open roll-out of %s", (long long)head->number, args->words[0]);
+      ctl_error ("number %lld has no open roll-out of %s", (long long)head->number,
+                 args->operands[0]);
       return CTL_REFUSED;
     }
   ctl_array (entry, "stages", &count);
@@ -119,24 +120,24 @@
 CtlExit
 ctl_rollout_advance (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_made (ctl, args, "rollout advance", make_advance);
+  return ctl_submit_built (ctl, args, "rollout advance", make_advance);
 }
 
 static CtlExit
 make_state (const CtlArgs *args, const CtlHead *head, const char *state, Json **patch)
 {
-  const char *const path[] = { "rollouts", args->words[0], NULL };
-  const char *const state_path[] = { "rollouts", args->words[0], "state", NULL };
-  Json *entry = ctl_at_path (head->text, path);
+  const char *const path[] = { "rollouts", args->operands[0], NULL };
+  const char *const state_path[] = { "rollouts", args->operands[0], "state", NULL };
+  Json *entry = ctl_member_at (head->text, path);
   const char *before = ctl_text (entry, "state", "running");
 
   if (entry == NULL)
     {
-      ctl_error ("number %lld has no roll-out of %s", (long long)head->number, args->words[0]);
+      ctl_error ("number %lld has no roll-out of %s", (long long)head->number, args->operands[0]);
       return CTL_REFUSED;
     }
   if (strcmp (before, state) == 0)
-    printf ("the roll-out of %s is %s already, in number %lld\n", args->words[0], state,
+    printf ("the roll-out of %s is %s already, in number %lld\n", args->operands[0], state,
             (long long)head->number);
   else
     *patch = ctl_nested (state_path, json_object_new_string (state));
@@ -164,17 +165,17 @@
 CtlExit
 ctl_rollout_pause (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_made (ctl, args, "rollout pause", make_paused);
+  return ctl_submit_built (ctl, args, "rollout pause", make_paused);
 }
 
 CtlExit
 ctl_rollout_resume (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_made (ctl, args, "rollout resume", make_running);
+  return ctl_submit_built (ctl, args, "rollout resume", make_running);
 }
 
 CtlExit
 ctl_rollout_back_out (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_made (ctl, args, "rollout back-out", make_backed_out);
+  return ctl_submit_built (ctl, args, "rollout back-out", make_backed_out);
 }
--- a/src/ctl_status.c
+++ b/src/ctl_status.c
@@ -146,18 +146,19 @@
   CtlAnswer answer;
   CtlExit status;
 
-  json_object_object_add (body, "version", json_object_new_string (args->words[0]));
+  json_object_object_add (body, "version", json_object_new_string (args->operands[0]));
   json_object_object_add (body, "why", json_object_new_string (args->reason));
-  status = ctl_http_ask (ctl, "POST", "/v1/brakes", body, 0, &answer);
+  status = ctl_http_call (ctl, "POST", "/v1/brakes", body, 0, &answer);
   json_object_put (body);
   if (status != CTL_DONE)
     return status;
   if (answer.http_status != 200)
-    status = ctl_refusal (ctl, &answer);
+    status = ctl_print_refusal (ctl, &answer);
   else if (ctl->json)
     ctl_print_json (answer.body);
   else
-    printf ("%s is braked; it reaches the other VMs with their next heartbeats\n", args->words[0]);
+    printf ("%s is braked; it reaches the other VMs with their next heartbeats\n",
+            args->operands[0]);
   ctl_answer_clear (&answer);
   return status;
 }
--- a/src/ctl_submit.c
+++ b/src/ctl_submit.c
@@ -71,20 +71,20 @@
 }
 
 bool
-ctl_submit_settle (const Ctl *ctl,
-                   const CtlAnswer *answer,
-                   int64_t base,
-                   const char *member,
-                   Json *change)
+ctl_submit_was_applied (const Ctl *ctl,
+                        const CtlAnswer *answer,
+                        int64_t base,
+                        const char *member,
+                        Json *change)
 {
   char path[CTL_PATH_SIZE];
   CtlAnswer version;
   bool ours;
 
-  if (answer->http_status != 409 || !answer->doubtful)
+  if (answer->http_status != 409 || !answer->outcome_unknown)
     return false;
   snprintf (path, sizeof path, "/v1/versions/%lld", (long long)base + 1);
-  if (ctl_http_ask (ctl, "GET", path, NULL, 0, &version) != CTL_DONE)
+  if (ctl_http_call (ctl, "GET", path, NULL, 0, &version) != CTL_DONE)
     return false;
   ours = version.http_status == 200 && ctl_number (version.body, "base", -1) == base
          && json_object_equal (json_object_object_get (version.body, member), change) == 1;
@@ -112,12 +112,12 @@
   json_object_object_add (body, "patch", json_object_get (patch));
   json_object_object_add (body, "reason", json_object_new_string (args->reason));
   ctl_submit_path (args, "patches", path);
-  *status = ctl_http_ask (ctl, "POST", path, body, args->wait_ms, answer);
+  *status = ctl_http_call (ctl, "POST", path, body, args->wait_ms, answer);
   json_object_put (body);
   if (*status != CTL_DONE)
     return true;
   conflict = answer->http_status == 409;
-  if (ctl_submit_settle (ctl, answer, base, "patch", patch))
+  if (ctl_submit_was_applied (ctl, answer, base, "patch", patch))
     {
       *status = CTL_DURABLE;
       return true;
@@ -125,7 +125,7 @@
   if (answer->http_status == 200)
     *status = ctl_submit_result (ctl, answer->body);
   else if (!conflict)
-    *status = ctl_refusal (ctl, answer);
+    *status = ctl_print_refusal (ctl, answer);
   return !conflict;
 }
 
@@ -136,14 +136,18 @@
   CtlExit status;
 
   if (!send_patch (ctl, args, base, patch, &answer, &status))
-    status = ctl_refusal (ctl, &answer);
+    status = ctl_print_refusal (ctl, &answer);
   ctl_answer_clear (&answer);
   return status;
 }
 
 /** One try; *again is set when another patch came between. */
 static CtlExit
-submit_made_once (const Ctl *ctl, const CtlArgs *args, CtlPatchMaker maker, bool last, bool *again)
+submit_made_once (const Ctl *ctl,
+                  const CtlArgs *args,
+                  CtlPatchBuilder maker,
+                  bool last,
+                  bool *again)
 {
   CtlHead head;
   Json *patch = NULL;
@@ -162,7 +166,7 @@
       && !send_patch (ctl, args, head.number, patch, &answer, &status))
     {
       *again = !last;
-      status = last ? ctl_refusal (ctl, &answer) : CTL_CONFLICT;
+      status = last ? ctl_print_refusal (ctl, &answer) : CTL_CONFLICT;
     }
   ctl_answer_clear (&answer);
   json_object_put (patch);
@@ -171,7 +175,7 @@
 }
 
 CtlExit
-ctl_submit_made (const Ctl *ctl, const CtlArgs *args, const char *command, CtlPatchMaker maker)
+ctl_submit_built (const Ctl *ctl, const CtlArgs *args, const char *command, CtlPatchBuilder maker)
 {
   char reason[REASON_SIZE];
   CtlArgs told = *args;
@@ -179,7 +183,7 @@
   CtlExit status = CTL_DONE;
   bool again = true;
 
-  snprintf (reason, sizeof reason, "%s %s", command, args->words[0]);
+  snprintf (reason, sizeof reason, "%s %s", command, args->operands[0]);
   if (args->reason[0] == '\0')
     told.reason = reason;
   for (int i = 1; again; i++)
@@ -188,7 +192,7 @@
 }
 
 Json *
-ctl_at_path (Json *value, const char *const *names)
+ctl_member_at (Json *value, const char *const *names)
 {
   for (; *names != NULL && value != NULL; names++)
     value = json_object_is_type (value, json_type_object) ? json_object_object_get (value, *names)
--- a/src/ctl_version.c
+++ b/src/ctl_version.c
@@ -66,16 +66,16 @@
   json_object_object_add (body, "text", json_object_get (document));
   json_object_object_add (body, "reason", json_object_new_string (args->reason));
   ctl_submit_path (args, "versions", path);
-  status = ctl_http_ask (ctl, "POST", path, body, args->wait_ms, &answer);
+  status = ctl_http_call (ctl, "POST", path, body, args->wait_ms, &answer);
   json_object_put (body);
   if (status != CTL_DONE)
     return status;
   if (answer.http_status == 200)
     status = ctl_submit_result (ctl, answer.body);
-  else if (ctl_submit_settle (ctl, &answer, 0, "text", document))
+  else if (ctl_submit_was_applied (ctl, &answer, 0, "text", document))
     status = CTL_DURABLE;
   else
-    status = ctl_refusal (ctl, &answer);
+    status = ctl_print_refusal (ctl, &answer);
   ctl_answer_clear (&answer);
   return status;
 }
@@ -105,7 +105,7 @@
 CtlExit
 ctl_version_create (Ctl *ctl, const CtlArgs *args)
 {
-  Json *document = read_document (args->words[0]);
+  Json *document = read_document (args->operands[0]);
   CtlHead head = { 0 };
   CtlExit status;
 
@@ -128,7 +128,7 @@
   CtlHead head;
   CtlExit status;
 
-  if (args->word_count > 0 && !parse_number (args->words[0], &newest.base))
+  if (args->operand_count > 0 && !parse_number (args->operands[0], &newest.base))
     return CTL_USAGE;
   status = ctl_head_read (ctl, &newest, &head);
   if (status != CTL_DONE)
@@ -243,7 +243,7 @@
   CtlExit status = CTL_DONE;
 
   for (int i = 0; i < 2; i++)
-    if (!parse_number (args->words[i], &numbers[i]))
+    if (!parse_number (args->operands[i], &numbers[i]))
       return CTL_USAGE;
   for (int i = 0; i < 2 && status == CTL_DONE; i++)
     status = get_version (ctl, numbers[i], &versions[i]);
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -33,7 +33,7 @@
   struct cds_list_head node;
   Front *front;
   struct bufferevent *bev;
-  HttpIntake intake;
+  HttpRequestParser intake;
   FrontRequest *request; /* being answered; NULL: none */
   bool reading;          /* guards against reading the next request within the last one's start */
   bool close_after;      /* the answer in progress is the last one */
@@ -46,12 +46,12 @@
 
 static void conn_read (FrontConn *conn);
 
-static HttpIntakeLimits
+static HttpRequestLimits
 limits_now (const Front *front)
 {
   if (!front->config)
-    return (HttpIntakeLimits){ .head_max = HEADER_MOST_DEFAULT, .body_max = BODY_MOST_DEFAULT };
-  return (HttpIntakeLimits){
+    return (HttpRequestLimits){ .head_max = HEADER_MOST_DEFAULT, .body_max = BODY_MOST_DEFAULT };
+  return (HttpRequestLimits){
     .head_max = (size_t)front->config->limits.header_max_bytes,
     .body_max = (size_t)front->config->limits.body_max_bytes,
   };
@@ -89,7 +89,7 @@
 conn_destroy (FrontConn *conn)
 {
   cds_list_del (&conn->node);
-  http_intake_reset (&conn->intake);
+  http_request_parser_reset (&conn->intake);
   free (conn);
 }
 
@@ -124,7 +124,7 @@
       close_when_written (conn);
       return;
     }
-  http_intake_reset (&conn->intake);
+  http_request_parser_reset (&conn->intake);
   idle_begin (conn);
   if (!conn->reading && evbuffer_get_length (bufferevent_get_input (conn->bev)) > 0)
     conn_read (conn);
@@ -197,7 +197,7 @@
   return evbuffer_get_length (bufferevent_get_output (conn->bev)) > OUTPUT_MOST;
 }
 
-HttpIntake *
+HttpRequestParser *
 front_conn_intake (FrontConn *conn)
 {
   return &conn->intake;
@@ -236,23 +236,23 @@
 
   if (len == 0 || conn->request || conn->closing)
     return false;
-  if (!http_intake_started (&conn->intake))
+  if (!http_request_parser_started (&conn->intake))
     {
       conn->intake.limits = limits_now (conn->front);
       conn->since_ms = clock_boot_ms ();
     }
-  switch (http_intake_feed (&conn->intake, (const char *)evbuffer_pullup (input, (ev_ssize_t)len),
-                            len, &used))
+  switch (http_request_parser_feed (
+      &conn->intake, (const char *)evbuffer_pullup (input, (ev_ssize_t)len), len, &used))
     {
-    case INTAKE_DONE:
+    case HTTP_PARSE_DONE:
       evbuffer_drain (input, used);
       take_request (conn);
       return true;
-    case INTAKE_REFUSED:
+    case HTTP_PARSE_REFUSED:
       evbuffer_drain (input, len);
       refuse_bytes (conn, conn->intake.refuse_status);
       return false;
-    case INTAKE_MORE:
+    case HTTP_PARSE_MORE:
       break;
     }
   evbuffer_drain (input, used);
@@ -298,12 +298,12 @@
 front_conn_new (Front *front, evutil_socket_t fd)
 {
   FrontConn *conn = memory_alloc (sizeof *conn);
-  HttpIntakeLimits limits = limits_now (front);
+  HttpRequestLimits limits = limits_now (front);
 
   conn->front = front;
   front_socket_watch (fd, SILENT_MS);
   conn->bev = bufferevent_socket_new (front->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  http_intake_init (&conn->intake, &limits);
+  http_request_parser_init (&conn->intake, &limits);
   idle_begin (conn);
   cds_list_add_tail (&conn->node, &front->conns);
   front->conn_count++;
@@ -329,7 +329,7 @@
       if (passed_ms > SILENT_MS)
         conn_free (conn);
     }
-  else if (http_intake_started (&conn->intake))
+  else if (http_request_parser_started (&conn->intake))
     {
       if (!conn->intake.in_body && passed_ms > header_ms + header_ms / 2)
         refuse_bytes (conn, 408);
--- a/src/front_conn.h
+++ b/src/front_conn.h
@@ -5,14 +5,14 @@
 #define FRONT_CONN_H
 
 #include "front.h"
-#include "http_intake.h"
+#include "http_request_parser.h"
 
 typedef struct FrontConn FrontConn;
 
 /** Takes a connection that was accepted. */
 void front_conn_new (Front *front, evutil_socket_t fd);
 /** The request that was read; valid until it is answered. */
-HttpIntake *front_conn_intake (FrontConn *conn);
+HttpRequestParser *front_conn_intake (FrontConn *conn);
 /** A whole answer: head is status line and fields, without the empty line. */
 void front_conn_answer (FrontConn *conn, const Buffer *head, const void *body, size_t len);
 /** An answer in pieces. */
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -160,7 +160,7 @@
 static uint64_t
 fingerprint_of (const FrontRequest *request)
 {
-  const HttpIntake *intake = front_conn_intake (request->conn);
+  const HttpRequestParser *intake = front_conn_intake (request->conn);
   const char *team = request->team ? request->team->name : "";
   uint64_t print = quarantine_fingerprint (team, intake->body.data, intake->body.len);
 
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -195,7 +195,7 @@
     .priority = front_config_priority (request->route, request->team),
     .after_event = request->head_sent ? request->events.last_id : -1,
   };
-  HttpIntake *intake = front_conn_intake (request->conn);
+  HttpRequestParser *intake = front_conn_intake (request->conn);
   Buffer head = { 0 };
 
   wire_call_encode (&head, intake, &order);
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -11,9 +11,9 @@
 gate_framing_init (GateFraming *framing, size_t head_max)
 {
   /* Bodies are bounded behind this, where their refusal is written. */
-  HttpIntakeLimits limits = { .head_max = head_max, .body_max = SIZE_MAX };
+  HttpRequestLimits limits = { .head_max = head_max, .body_max = SIZE_MAX };
 
-  http_intake_init (&framing->intake, &limits);
+  http_request_parser_init (&framing->intake, &limits);
   framing->passed = 0;
 }
 
@@ -43,20 +43,20 @@
 static void
 next_request (GateFraming *framing)
 {
-  http_intake_reset (&framing->intake);
+  http_request_parser_reset (&framing->intake);
   framing->passed = 0;
 }
 
 FramingResult
 gate_framing_feed (GateFraming *framing, const char *data, size_t len, size_t *used, Buffer *pass)
 {
-  HttpIntake *intake = &framing->intake;
+  HttpRequestParser *intake = &framing->intake;
   bool was_in_body = intake->in_body;
   size_t head_had = intake->raw.len;
   size_t body_start = 0;
-  IntakeResult result = http_intake_feed (intake, data, len, used);
+  HttpParseResult result = http_request_parser_feed (intake, data, len, used);
 
-  if (result == INTAKE_REFUSED)
+  if (result == HTTP_PARSE_REFUSED)
     return FRAMING_FAULT;
   buffer_clear (&intake->body);
   if (!intake->in_body)
@@ -70,7 +70,7 @@
       body_start = intake->head.len - head_had;
     }
   buffer_add (pass, data + body_start, *used - body_start);
-  if (result == INTAKE_MORE)
+  if (result == HTTP_PARSE_MORE)
     return FRAMING_MORE;
   next_request (framing);
   return FRAMING_DONE;
@@ -86,5 +86,5 @@
 void
 gate_framing_clear (GateFraming *framing)
 {
-  http_intake_reset (&framing->intake);
+  http_request_parser_reset (&framing->intake);
 }
--- a/src/gate_framing.h
+++ b/src/gate_framing.h
@@ -7,7 +7,7 @@
 #define GATE_FRAMING_H
 
 #include "gate_refusal.h"
-#include "http_intake.h"
+#include "http_request_parser.h"
 
 typedef enum
 {
@@ -18,7 +18,7 @@
 
 typedef struct
 {
-  HttpIntake intake;
+  HttpRequestParser intake;
   size_t passed; /**< bytes of the head in progress that were passed on */
 } GateFraming;
 
--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -75,7 +75,7 @@
   if (__atomic_exchange_n (&own->members, (int64_t)grant->members, __ATOMIC_RELAXED)
           != (int64_t)grant->members
       && grant->members > 0)
-    platform_group_set_interval (gate->group, platform_group_interval (grant->members));
+    platform_group_set_interval (gate->group, platform_group_site_interval_ms (grant->members));
   __atomic_store_n (&own->rank, (int64_t)grant->rank, __ATOMIC_RELAXED);
   gate_limit_view (&gate->limit, grant->members, grant->rank);
   gate_replicas_name (&gate->replicas, grant->peers.peers_val, grant->peers.peers_len);
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -114,14 +114,15 @@
     .spool_max = (size_t)settings->spool_max,
     .table_timeout_ms = TABLE_TIMEOUT_MS,
     .in_progress_max = (size_t)settings->streams_max,
-    .round_ms = platform_group_interval (MEMBERS_AT_START),
+    .round_ms = platform_group_site_interval_ms (MEMBERS_AT_START),
     .replicator = { .copy = gate_replicas_copy, .context = gate },
   };
 
   gate->platform
       = platform_http_new (settings->common.platform.address, (int)settings->common.platform.port);
-  gate->group = platform_group_new (gate->platform, platform_group_interval (MEMBERS_AT_START),
-                                    GROUP_OPS_MAX, TABLE_TIMEOUT_MS);
+  gate->group
+      = platform_group_new (gate->platform, platform_group_site_interval_ms (MEMBERS_AT_START),
+                            GROUP_OPS_MAX, TABLE_TIMEOUT_MS);
   bill.platform = gate->platform;
   bill.group = gate->group;
   gate->bill = bill_writer_new (&bill);
--- a/src/gate_poll.c
+++ b/src/gate_poll.c
@@ -120,7 +120,7 @@
   for (size_t i = 0; thread->engines != NULL && i < thread->engine_count; i++)
     {
       HttpReader *reader = thread->engines[i].reader;
-      if (reader != NULL && http_reader_is_at (reader, server->address, server->port))
+      if (reader != NULL && http_reader_has_address (reader, server->address, server->port))
         {
           thread->engines[i].reader = NULL;
           return reader;
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -42,7 +42,7 @@
 ask_finish (HttpExchange *x)
 {
   if (x->upload)
-    x->refused = !http_upload_ask (x->upload);
+    x->refused = !http_upload_may_finish (x->upload);
   else if (!x->refused && x->may_finish && !x->may_finish (x->context))
     x->refused = true;
   if (x->refused)
@@ -209,7 +209,7 @@
     }
   prepare_request (x, request);
   int result = NE_ERROR;
-  if (request->body_len > HTTP_UPLOAD_FROM)
+  if (request->body_len > HTTP_UPLOAD_INLINE_MAX)
     {
       bool finished;
       copy_body (x);
--- a/src/http_head.c
+++ b/src/http_head.c
@@ -31,7 +31,7 @@
 }
 
 bool
-http_head_hopeless (const char *data, size_t len)
+http_head_is_malformed (const char *data, size_t len)
 {
   if (len > 0 && (unsigned char)data[0] <= ' ')
     return true;
@@ -103,7 +103,7 @@
 http_head_parse (HttpHead *head, const char *data, size_t len)
 {
   memset (head, 0, sizeof *head);
-  if (http_head_hopeless (data, len))
+  if (http_head_is_malformed (data, len))
     return false;
   head->text = memory_alloc (len + 1);
   head->len = len;
@@ -163,7 +163,7 @@
 }
 
 bool
-http_head_is_hop (const HttpHead *head, Span name)
+http_head_is_hop_by_hop (const HttpHead *head, Span name)
 {
   for (size_t i = 0; i < sizeof hop_fields / sizeof hop_fields[0]; i++)
     {
--- a/src/http_head.h
+++ b/src/http_head.h
@@ -28,7 +28,7 @@
 /** Length of the head at the start of data, with its empty line; 0 if its end is not there yet. */
 size_t http_head_length (const char *data, size_t len);
 /** True if data, which has no whole head yet, can't become a good one. */
-bool http_head_hopeless (const char *data, size_t len);
+bool http_head_is_malformed (const char *data, size_t len);
 /** Copies and splits a whole head; false, and nothing owned, if it is malformed. */
 bool http_head_parse (HttpHead *head, const char *data, size_t len);
 void http_head_clear (HttpHead *head);
@@ -36,6 +36,6 @@
 Span http_head_get (const HttpHead *head, const char *name);
 unsigned http_head_count (const HttpHead *head, const char *name);
 /** True for a field that concerns one connection only and is never passed on. */
-bool http_head_is_hop (const HttpHead *head, Span name);
+bool http_head_is_hop_by_hop (const HttpHead *head, Span name);
 
 #endif
--- a/src/http_reader.c
+++ b/src/http_reader.c
@@ -102,7 +102,7 @@
 }
 
 bool
-http_reader_is_at (const HttpReader *reader, const char *address, int port)
+http_reader_has_address (const HttpReader *reader, const char *address, int port)
 {
   return reader->port == port && strcmp (reader->address, address) == 0;
 }
--- a/src/http_reader.h
+++ b/src/http_reader.h
@@ -27,7 +27,7 @@
 HttpReader *http_reader_new (const char *address, int port, unsigned idle_max);
 /** No read may be in progress. */
 void http_reader_free (HttpReader *reader);
-bool http_reader_is_at (const HttpReader *reader, const char *address, int port);
+bool http_reader_has_address (const HttpReader *reader, const char *address, int port);
 /**
  * One GET; the answer's body is added to *answer, its status goes to *http_status. Any number of
  * threads may read at once, each on a connection of its own. STATUS_UNAVAILABLE: the server could
--- a/src/http_reply.c
+++ b/src/http_reply.c
@@ -118,7 +118,7 @@
       buffer_consume (&reply->raw, whole);
     }
   if (reply->raw.len > HTTP_REPLY_HEAD_MAX
-      || (!reply->status && http_head_hopeless (reply->raw.data, reply->raw.len)))
+      || (!reply->status && http_head_is_malformed (reply->raw.data, reply->raw.len)))
     reply->broken = true;
   if (!reply->status || reply->raw.len == 0)
     return;
--- a/src/http_intake.c
+++ b/src/http_request_parser.c
@@ -1,4 +1,4 @@
-#include "http_intake.h"
+#include "http_request_parser.h"
 #include <string.h>
 
 #define STATUS_BAD_REQUEST    400
@@ -8,7 +8,7 @@
 static int
 on_body (http_parser *parser, const char *data, size_t len)
 {
-  HttpIntake *intake = parser->data;
+  HttpRequestParser *intake = parser->data;
 
   if (intake->body.len + len > intake->limits.body_max)
     {
@@ -22,7 +22,7 @@
 static int
 on_complete (http_parser *parser)
 {
-  HttpIntake *intake = parser->data;
+  HttpRequestParser *intake = parser->data;
 
   intake->complete = true;
   intake->keep_alive = http_should_keep_alive (parser) != 0;
@@ -36,7 +36,7 @@
 };
 
 void
-http_intake_init (HttpIntake *intake, const HttpIntakeLimits *limits)
+http_request_parser_init (HttpRequestParser *intake, const HttpRequestLimits *limits)
 {
   memset (intake, 0, sizeof *intake);
   intake->limits = *limits;
@@ -45,34 +45,34 @@
 }
 
 bool
-http_intake_started (const HttpIntake *intake)
+http_request_parser_started (const HttpRequestParser *intake)
 {
   return intake->raw.len > 0 || intake->in_body;
 }
 
 void
-http_intake_reset (HttpIntake *intake)
+http_request_parser_reset (HttpRequestParser *intake)
 {
-  HttpIntakeLimits limits = intake->limits;
+  HttpRequestLimits limits = intake->limits;
 
   buffer_free (&intake->raw);
   buffer_free (&intake->body);
   http_head_clear (&intake->head);
-  http_intake_init (intake, &limits);
+  http_request_parser_init (intake, &limits);
 }
 
-static IntakeResult
-refuse (HttpIntake *intake, int status)
+static HttpParseResult
+refuse (HttpRequestParser *intake, int status)
 {
   if (intake->refuse_status == 0)
     intake->refuse_status = status;
-  return INTAKE_REFUSED;
+  return HTTP_PARSE_REFUSED;
 }
 
 /* A request smuggled inside another shows as two readings of one framing: both a length and
  * chunks, a coding that is not understood, two hosts. None of these is passed on. */
 static bool
-head_is_safe (const HttpIntake *intake)
+head_is_safe (const HttpRequestParser *intake)
 {
   const HttpHead *head = &intake->head;
   Span coding = http_head_get (head, "Transfer-Encoding");
@@ -90,7 +90,7 @@
 }
 
 static bool
-split_start_line (HttpIntake *intake)
+split_start_line (HttpRequestParser *intake)
 {
   Span rest = intake->head.start_line;
 
@@ -100,22 +100,22 @@
 }
 
 /* Feeds the parser; bytes behind the end of the request stay unused. */
-static IntakeResult
-parser_feed (HttpIntake *intake, const char *data, size_t len, size_t *used)
+static HttpParseResult
+parser_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
 {
   *used = http_parser_execute (&intake->parser, &callbacks, data, len);
   if (intake->complete)
-    return INTAKE_DONE;
+    return HTTP_PARSE_DONE;
   if (HTTP_PARSER_ERRNO (&intake->parser) != HPE_OK)
     return refuse (intake, STATUS_BAD_REQUEST);
-  return INTAKE_MORE;
+  return HTTP_PARSE_MORE;
 }
 
-static IntakeResult
-head_take (HttpIntake *intake)
+static HttpParseResult
+head_take (HttpRequestParser *intake)
 {
   size_t used;
-  IntakeResult result;
+  HttpParseResult result;
   int64_t length;
 
   if (!http_head_parse (&intake->head, intake->raw.data, intake->raw.len)
@@ -128,13 +128,13 @@
   buffer_free (&intake->raw);
   intake->in_body = true;
   intake->wants_continue
-      = result == INTAKE_MORE
+      = result == HTTP_PARSE_MORE
         && span_is_nocase (http_head_get (&intake->head, "Expect"), "100-continue");
   return result;
 }
 
-static IntakeResult
-head_feed (HttpIntake *intake, const char *data, size_t len, size_t *used)
+static HttpParseResult
+head_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
 {
   size_t before = intake->raw.len, whole;
 
@@ -148,22 +148,22 @@
       intake->raw.len = whole;
       return head_take (intake);
     }
-  if (http_head_hopeless (intake->raw.data, intake->raw.len))
+  if (http_head_is_malformed (intake->raw.data, intake->raw.len))
     return refuse (intake, STATUS_BAD_REQUEST);
-  return INTAKE_MORE;
+  return HTTP_PARSE_MORE;
 }
 
-IntakeResult
-http_intake_feed (HttpIntake *intake, const char *data, size_t len, size_t *used)
+HttpParseResult
+http_request_parser_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
 {
   size_t body_used;
-  IntakeResult result;
+  HttpParseResult result;
 
   *used = 0;
   if (intake->in_body)
     return parser_feed (intake, data, len, used);
   result = head_feed (intake, data, len, used);
-  if (result != INTAKE_MORE || !intake->in_body || *used == len)
+  if (result != HTTP_PARSE_MORE || !intake->in_body || *used == len)
     return result;
   result = parser_feed (intake, data + *used, len - *used, &body_used);
   *used += body_used;
--- a/src/http_intake.h
+++ b/src/http_request_parser.h
@@ -3,8 +3,8 @@
  * framed by a length or in chunks. No I/O. Framing is http_parser's; what it lets through and
  * another parser might frame differently is refused here.
  */
-#ifndef HTTP_INTAKE_H
-#define HTTP_INTAKE_H
+#ifndef HTTP_REQUEST_PARSER_H
+#define HTTP_REQUEST_PARSER_H
 
 #include "http_head.h"
 #include "util_buffer.h"
@@ -14,18 +14,18 @@
 {
   size_t head_max; /**< bytes */
   size_t body_max; /**< bytes */
-} HttpIntakeLimits;
+} HttpRequestLimits;
 
 typedef enum
 {
-  INTAKE_MORE,
-  INTAKE_DONE,   /**< head and body are there */
-  INTAKE_REFUSED /**< refuse_status says how; the connection can't be used any further */
-} IntakeResult;
+  HTTP_PARSE_MORE,
+  HTTP_PARSE_DONE,   /**< head and body are there */
+  HTTP_PARSE_REFUSED /**< refuse_status says how; the connection can't be used any further */
+} HttpParseResult;
 
 typedef struct
 {
-  HttpIntakeLimits limits;
+  HttpRequestLimits limits;
   http_parser parser;
   Buffer raw; /**< head, while it is not whole */
   HttpHead head;
@@ -36,14 +36,15 @@
   bool wants_continue; /**< the caller waits for 100 before it sends the body */
   int refuse_status;   /**< 400, 413 or 431 */
   Span method, target; /**< of the start line, as they came */
-} HttpIntake;
+} HttpRequestParser;
 
-void http_intake_init (HttpIntake *intake, const HttpIntakeLimits *limits);
+void http_request_parser_init (HttpRequestParser *intake, const HttpRequestLimits *limits);
 /** Takes bytes up to the end of one request; *used tells how many. */
-IntakeResult http_intake_feed (HttpIntake *intake, const char *data, size_t len, size_t *used);
+HttpParseResult
+http_request_parser_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used);
 /** True once the first byte of a request has come. */
-bool http_intake_started (const HttpIntake *intake);
+bool http_request_parser_started (const HttpRequestParser *intake);
 /** Ready for the next request of the same connection; frees what this one held. */
-void http_intake_reset (HttpIntake *intake);
+void http_request_parser_reset (HttpRequestParser *intake);
 
 #endif
--- a/src/http_upload.c
+++ b/src/http_upload.c
@@ -71,7 +71,7 @@
 }
 
 bool
-http_upload_ask (HttpUpload *upload)
+http_upload_may_finish (HttpUpload *upload)
 {
   pthread_mutex_lock (&upload->lock);
   if (upload->ask == ASK_NOT_YET)
--- a/src/http_upload.h
+++ b/src/http_upload.h
@@ -10,7 +10,7 @@
 
 /** Longest body that fits into the buffers of a fresh connection whatever the peer does, so that
  *  sending it can't block. */
-#define HTTP_UPLOAD_FROM ((size_t)16 * 1024)
+#define HTTP_UPLOAD_INLINE_MAX ((size_t)16 * 1024)
 
 /**
  * Runs ne_begin_request; *result is its result. may_finish is asked in the calling thread. False:
@@ -22,6 +22,6 @@
 /** For the provider of the body, in the upload's thread: bytes were taken. */
 void http_upload_progress (HttpUpload *upload);
 /** For the provider of the body: may the last byte be sent? False for good after it was left. */
-bool http_upload_ask (HttpUpload *upload);
+bool http_upload_may_finish (HttpUpload *upload);
 
 #endif
--- a/src/platform_breaker.c
+++ b/src/platform_breaker.c
@@ -6,23 +6,24 @@
 bool
 platform_breaker_allows (const PlatformBreaker *breaker, int64_t now_ms)
 {
-  return !breaker->open || now_ms >= breaker->try_next_ms;
+  return !breaker->open || now_ms >= breaker->next_try_at_ms;
 }
 
 bool
 platform_breaker_failed (PlatformBreaker *breaker, int64_t now_ms)
 {
-  int64_t pause_max_ms = breaker->pause_max_ms > 0 ? breaker->pause_max_ms : PAUSE_LAST_MS;
+  int64_t pause_max_ms
+      = breaker->retry_interval_max_ms > 0 ? breaker->retry_interval_max_ms : PAUSE_LAST_MS;
   bool closed = !breaker->open;
 
   /* Calls that left before the breaker opened fail after it: they say nothing new. */
-  if (!closed && now_ms < breaker->try_next_ms)
+  if (!closed && now_ms < breaker->next_try_at_ms)
     return false;
-  breaker->pause_ms = closed ? PAUSE_FIRST_MS : breaker->pause_ms * 2;
-  if (breaker->pause_ms > pause_max_ms)
-    breaker->pause_ms = pause_max_ms;
+  breaker->retry_interval_ms = closed ? PAUSE_FIRST_MS : breaker->retry_interval_ms * 2;
+  if (breaker->retry_interval_ms > pause_max_ms)
+    breaker->retry_interval_ms = pause_max_ms;
   breaker->open = true;
-  breaker->try_next_ms = now_ms + breaker->pause_ms;
+  breaker->next_try_at_ms = now_ms + breaker->retry_interval_ms;
   return closed;
 }
 
--- a/src/platform_breaker.h
+++ b/src/platform_breaker.h
@@ -10,10 +10,10 @@
 
 typedef struct
 {
-  bool open;            /**< the last try failed */
-  int64_t pause_ms;     /**< before the next try; doubles with each failure up to a bound */
-  int64_t try_next_ms;  /**< with open */
-  int64_t pause_max_ms; /**< 0: 2 s */
+  bool open;                 /**< the last try failed */
+  int64_t retry_interval_ms; /**< before the next try; doubles with each failure up to a bound */
+  int64_t next_try_at_ms;    /**< with open */
+  int64_t retry_interval_max_ms; /**< 0: 2 s */
 } PlatformBreaker;
 
 /** True if the service may be called now. */
--- a/src/platform_group.c
+++ b/src/platform_group.c
@@ -32,7 +32,7 @@
   group->timeout_ms = timeout_ms;
   group->last_sent_ms = INT64_MIN;
   group->failure_threshold = FAILURE_THRESHOLD;
-  group->breaker.pause_max_ms = PAUSE_MAX_MS;
+  group->breaker.retry_interval_max_ms = PAUSE_MAX_MS;
   CDS_INIT_LIST_HEAD (&group->queue);
   pthread_mutex_init (&group->lock, NULL);
   wait_init (&group->work);
@@ -78,7 +78,7 @@
     return;
   /* The try has its answer: the next one is due after the pause, not after the timeout. */
   if (group->breaker.open)
-    group->breaker.try_next_ms = now;
+    group->breaker.next_try_at_ms = now;
   platform_breaker_failed (&group->breaker, now);
 }
 
@@ -181,7 +181,7 @@
     return status_set (st, STATUS_UNAVAILABLE, STEP, NULL, "the table service is down");
   /* This call tries the service; the others are refused until it has its answer. */
   if (group->breaker.open)
-    group->breaker.try_next_ms = now + group->timeout_ms;
+    group->breaker.next_try_at_ms = now + group->timeout_ms;
   if (group->ops_queued + count > QUEUE_TRANSACTIONS_MAX * group->ops_max)
     return status_set (st, STATUS_FULL, STEP, NULL, "%zu operations are waiting",
                        group->ops_queued);
@@ -245,9 +245,10 @@
 }
 
 int
-platform_group_interval (unsigned members)
+platform_group_site_interval_ms (unsigned members)
 {
-  return (int)((members * 1000 + PLATFORM_GROUP_SITE_RATE - 1) / PLATFORM_GROUP_SITE_RATE);
+  return (int)((members * 1000 + PLATFORM_GROUP_SITE_TXNS_PER_S - 1)
+               / PLATFORM_GROUP_SITE_TXNS_PER_S);
 }
 
 void
--- a/src/platform_group.h
+++ b/src/platform_group.h
@@ -49,10 +49,10 @@
 void platform_group_set_interval (PlatformGroup *group, int interval_ms);
 
 /** Transactions a second that all groups of a site share; what else is written is far less. */
-#define PLATFORM_GROUP_SITE_RATE 180
+#define PLATFORM_GROUP_SITE_TXNS_PER_S 180
 
-/** The interval with which a site of so many members stays under PLATFORM_GROUP_SITE_RATE. */
-int platform_group_interval (unsigned members);
+/** The interval with which a site of so many members stays under PLATFORM_GROUP_SITE_TXNS_PER_S. */
+int platform_group_site_interval_ms (unsigned members);
 
 void platform_group_stats (PlatformGroup *group, PlatformGroupStats *out);
 
--- a/src/rpc_replay.c
+++ b/src/rpc_replay.c
@@ -8,7 +8,7 @@
 
 #define WINDOW_BITS  64
 #define BUCKET_COUNT 256
-#define BUCKET_SIZE  (RPC_REPLAY_SENDERS / BUCKET_COUNT)
+#define BUCKET_SIZE  (RPC_REPLAY_SENDERS_MAX / BUCKET_COUNT)
 
 typedef struct
 {
@@ -41,7 +41,7 @@
 }
 
 bool
-rpc_replay_fresh (RpcReplay *replay, uint64_t sender, uint64_t sequence)
+rpc_replay_accept (RpcReplay *replay, uint64_t sender, uint64_t sequence)
 {
   ReplayEntry *entry = entry_of (replay, sender);
 
--- a/src/rpc_server.c
+++ b/src/rpc_server.c
@@ -92,7 +92,7 @@
 }
 
 void
-rpc_server_run (RpcServer *server)
+rpc_server_start (RpcServer *server)
 {
   int error = pthread_create (&server->thread, NULL, server_thread, server);
 
@@ -330,7 +330,7 @@
       == STATUS_OK)
     {
       counter_add (COUNTER_RPC_CALLS, 1);
-      if (rpc_replay_fresh (server->replay, sealed->sender, sealed->sequence))
+      if (rpc_replay_accept (server->replay, sealed->sender, sealed->sequence))
         taken = answer_message (server, procedure, transport, &peer, sealed, arg);
       xdr_free (procedure->arg_proc, arg);
     }
--- a/src/rpc_server.h
+++ b/src/rpc_server.h
@@ -43,11 +43,11 @@
 
 typedef struct RpcServer RpcServer;
 
-/** Binds the sockets; messages are taken from rpc_server_run on. */
+/** Binds the sockets; messages are taken from rpc_server_start on. */
 RpcServer *rpc_server_new (const RpcServerOptions *options, Status *st);
 int rpc_server_port (const RpcServer *server);
 /** Starts the thread. */
-void rpc_server_run (RpcServer *server);
+void rpc_server_start (RpcServer *server);
 /** Stops the thread: no message is taken any more; rpc_server_send still works. */
 void rpc_server_stop (RpcServer *server);
 /** Stops the thread and closes all. */
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -196,7 +196,7 @@
       leave (s);
       return false;
     }
-  rpc_server_run (s->rpc);
+  rpc_server_start (s->rpc);
   return true;
 }
 
--- a/src/steward_rpc.h
+++ b/src/steward_rpc.h
@@ -6,7 +6,7 @@
 
 #include "steward.h"
 
-/** Binds the sockets and makes s->rpc; it takes messages from rpc_server_run on. */
+/** Binds the sockets and makes s->rpc; it takes messages from rpc_server_start on. */
 bool steward_rpc_open (Steward *s, Status *st);
 
 #endif
--- a/tests/fake_gate.c
+++ b/tests/fake_gate.c
@@ -67,12 +67,12 @@
 copy_to_steward (void *context, const char *const *records, size_t count)
 {
   FakeGate *gate = context;
-  LinkState state = fake_link_step (gate->link, CALL_COPY);
+  LinkState state = fake_link_call (gate->link, CALL_COPY);
   bool taken = false;
 
-  if (state == LINK_WHOLE || state == LINK_REPLY_LOST)
+  if (state == LINK_UP || state == LINK_REPLY_LOST)
     taken = bill_replica_take (gate->site->replica, gate->incarnation, records, count, 0);
-  return taken && state == LINK_WHOLE ? 1 : 0;
+  return taken && state == LINK_UP ? 1 : 0;
 }
 
 static bool
--- a/tests/fake_link.c
+++ b/tests/fake_link.c
@@ -29,7 +29,7 @@
 static LinkState
 step (FakeLink *link, unsigned call)
 {
-  LinkState state = LINK_WHOLE;
+  LinkState state = LINK_UP;
 
   pthread_mutex_lock (&link->lock);
   link->calls++;
@@ -41,7 +41,7 @@
   else if (link->calls == link->kill_at)
     {
       link->dead = true;
-      if (state == LINK_WHOLE)
+      if (state == LINK_UP)
         state = link->kill_after ? LINK_REPLY_LOST : LINK_CALL_LOST;
     }
   pthread_mutex_unlock (&link->lock);
@@ -52,7 +52,7 @@
 static StatusCode
 told (LinkState state, StatusCode code, Status *st)
 {
-  if (state == LINK_WHOLE)
+  if (state == LINK_UP)
     return code;
   return status_set (st, state == LINK_REFUSED ? STATUS_UNAVAILABLE : STATUS_UNKNOWN, "link", NULL,
                      "cut");
@@ -61,7 +61,7 @@
 static bool
 has_effect (LinkState state)
 {
-  return state == LINK_WHOLE || state == LINK_REPLY_LOST;
+  return state == LINK_UP || state == LINK_REPLY_LOST;
 }
 
 static bool
@@ -93,7 +93,7 @@
   StatusCode code = STATUS_OK;
 
   check_rows_differ (ops, count);
-  if (state == LINK_WHOLE && is_poisoned (link, ops, count))
+  if (state == LINK_UP && is_poisoned (link, ops, count))
     return status_set (st, STATUS_INVALID, "link", NULL, "malformed");
   if (has_effect (state))
     code = link->inner->ops->txn (link->inner, ops, count, timeout_ms, st);
@@ -113,7 +113,7 @@
   FakeLink *link = link_of (p);
   LinkState state = step (link, CALL_GET);
 
-  if (state != LINK_WHOLE)
+  if (state != LINK_UP)
     return told (LINK_REFUSED, STATUS_OK, st);
   return link->inner->ops->get (link->inner, table, key, timeout_ms, row, st);
 }
@@ -131,7 +131,7 @@
   FakeLink *link = link_of (p);
   LinkState state = step (link, CALL_SCAN);
 
-  if (state != LINK_WHOLE)
+  if (state != LINK_UP)
     return told (LINK_REFUSED, STATUS_OK, st);
   return link->inner->ops->scan (link->inner, table, from, prefix, limit, timeout_ms, rows, st);
 }
@@ -159,7 +159,7 @@
   FakeLink *link = link_of (p);
   LinkState state = step (link, CALL_OBJECT_GET);
 
-  if (state != LINK_WHOLE)
+  if (state != LINK_UP)
     return told (LINK_REFUSED, STATUS_OK, st);
   return link->inner->ops->object_get (link->inner, name, timeout_ms, out, st);
 }
@@ -237,7 +237,7 @@
 }
 
 void
-fake_link_poison (Platform *p, const char *key)
+fake_link_reject_key (Platform *p, const char *key)
 {
   FakeLink *link = link_of (p);
 
@@ -247,7 +247,7 @@
 }
 
 LinkState
-fake_link_step (Platform *p, unsigned call)
+fake_link_call (Platform *p, unsigned call)
 {
   return step (link_of (p), call);
 }
--- a/tests/fake_link.h
+++ b/tests/fake_link.h
@@ -12,7 +12,7 @@
 
 typedef enum
 {
-  LINK_WHOLE,
+  LINK_UP,
   LINK_REFUSED,   /**< STATUS_UNAVAILABLE, no effect */
   LINK_CALL_LOST, /**< STATUS_UNKNOWN, no effect */
   LINK_REPLY_LOST /**< STATUS_UNKNOWN after the effect */
@@ -27,8 +27,8 @@
 void fake_link_kill (Platform *link);
 bool fake_link_is_dead (Platform *link);
 /** Transactions that write a row with this key are malformed: STATUS_INVALID. */
-void fake_link_poison (Platform *link, const char *key);
+void fake_link_reject_key (Platform *link, const char *key);
 /** Counts a call of that kind; for calls that don't go through the platform. */
-LinkState fake_link_step (Platform *link, unsigned call);
+LinkState fake_link_call (Platform *link, unsigned call);
 
 #endif
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -375,7 +375,7 @@
 }
 
 void
-fake_platform_vm_gone (Platform *p, const char *name)
+fake_platform_vm_remove (Platform *p, const char *name)
 {
   FakePlatform *f = fake_of (p);
   pthread_mutex_lock (&f->lock);
--- a/tests/fake_platform.h
+++ b/tests/fake_platform.h
@@ -60,7 +60,7 @@
                        const char *failure_domain,
                        bool leaving);
 /** Takes a VM off the list. */
-void fake_platform_vm_gone (Platform *p, const char *name);
+void fake_platform_vm_remove (Platform *p, const char *name);
 /** Score that rate gives for answers that hold text; the first match counts, 1 without any. */
 void fake_platform_score (Platform *p, const char *text, double score);
 
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -99,7 +99,7 @@
       fake_link_set (w.gate->link, cases[i].down, LINK_REFUSED);
       CU_ASSERT_EQUAL (fake_gate_commit (w.gate, i), cases[i].place);
       CU_ASSERT_EQUAL (fake_site_is_billed (&w.site, i), i == 0);
-      fake_link_set (w.gate->link, CALL_ALL | CALL_COPY, LINK_WHOLE);
+      fake_link_set (w.gate->link, CALL_ALL | CALL_COPY, LINK_UP);
       CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
       CU_ASSERT_TRUE (fake_site_is_billed (&w.site, i));
       CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), 1);
@@ -117,7 +117,7 @@
   fake_link_set (w.gate->link, CALL_TXN, LINK_REPLY_LOST);
   CU_ASSERT_EQUAL (fake_gate_commit (w.gate, 1), BILL_AT_OBJECT_STORE);
   CU_ASSERT_EQUAL (fake_gate_commit (w.gate, 2), BILL_AT_OBJECT_STORE);
-  fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_TXN, LINK_UP);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   CU_ASSERT_TRUE (fake_site_is_billed (&w.site, 1) && fake_site_is_billed (&w.site, 2));
   CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), 2);
@@ -201,7 +201,7 @@
   BillRecord bad = fake_bill (1);
 
   world_init (&w);
-  fake_link_poison (w.gate->link, bad.key);
+  fake_link_reject_key (w.gate->link, bad.key);
   for (int n = 0; n < 4; n++)
     fake_gate_commit (w.gate, n);
   CU_ASSERT_TRUE (suite_wait (one_is_left, w.gate->writer));
--- a/tests/test_bill_kill.c
+++ b/tests/test_bill_kill.c
@@ -118,7 +118,7 @@
         {
           request (&w, gate, n);
           if (n == RECORDS / 2)
-            fake_link_set (gate->link, CALL_ALL | CALL_COPY, LINK_WHOLE);
+            fake_link_set (gate->link, CALL_ALL | CALL_COPY, LINK_UP);
         }
       fake_link_kill (gate->link);
       fake_gate_free (gate, 0);
@@ -173,7 +173,7 @@
   fake_link_set (gate->link, calls[gsl_rng_uniform_int (rng, SUITE_COUNT (calls))],
                  (LinkState)gsl_rng_uniform_int (rng, 4));
   if (gsl_rng_uniform_int (rng, 3) == 0)
-    fake_link_set (gate->link, CALL_ALL | CALL_COPY, LINK_WHOLE);
+    fake_link_set (gate->link, CALL_ALL | CALL_COPY, LINK_UP);
   if (gsl_rng_uniform_int (rng, 4) == 0)
     fake_link_kill_at (gate->link, 1 + gsl_rng_uniform_int (rng, 20),
                        gsl_rng_uniform_int (rng, 2) == 0);
--- a/tests/test_bill_recover.c
+++ b/tests/test_bill_recover.c
@@ -74,7 +74,7 @@
 
       fake_link_set (gate->link, CALL_OBJECT_PUT, faults[n / 2 % 3]);
       CU_ASSERT_EQUAL (fake_gate_commit (gate, n + 1), BILL_AT_SPOOL);
-      fake_link_set (gate->link, CALL_OBJECT_PUT, LINK_WHOLE);
+      fake_link_set (gate->link, CALL_OBJECT_PUT, LINK_UP);
       CU_ASSERT_TRUE (suite_wait (reaches_object_store, &c));
     }
   fake_gate_kill (gate);
@@ -197,16 +197,16 @@
   for (int n = 10; n < 18; n++)
     CU_ASSERT_EQUAL (fake_gate_commit (gate, n), BILL_AT_REPLICA);
   fake_gate_kill (gate);
-  fake_link_poison (link, bad[0].key);
+  fake_link_reject_key (link, bad[0].key);
   for (int pass = 0; pass < 2; pass++)
     CU_ASSERT_EQUAL (bill_recover_objects (link, is_alive, &alive, &recovery, NULL), STATUS_OK);
   CU_ASSERT_EQUAL (recovery.refused, 1);
-  fake_link_poison (link, bad[1].key);
+  fake_link_reject_key (link, bad[1].key);
   CU_ASSERT_EQUAL (bill_replica_flush (site.replica, link, is_alive, &alive, 0, &written, NULL),
                    STATUS_OK);
   for (int n = 0; n < 18; n++)
     CU_ASSERT_EQUAL (fake_site_is_billed (&site, n), n != 3 && n != 13 && n != 8 && n != 9);
-  fake_link_poison (link, NULL);
+  fake_link_reject_key (link, NULL);
   bill_recover_objects (link, is_alive, &alive, &recovery, NULL);
   bill_replica_flush (site.replica, link, is_alive, &alive, BILL_REFUSED_RETRY_MS, &written, NULL);
   CU_ASSERT_TRUE (fake_site_is_billed (&site, 3) && fake_site_is_billed (&site, 13));
@@ -237,7 +237,7 @@
     CU_ASSERT_EQUAL (fake_gate_commit (gate, n), BILL_AT_REPLICA);
   bill_replica_size (site.replica, &size);
   CU_ASSERT_EQUAL (size.count, 300);
-  fake_link_set (gate->link, CALL_ALL, LINK_WHOLE);
+  fake_link_set (gate->link, CALL_ALL, LINK_UP);
   CU_ASSERT_TRUE (fake_gate_wait_settled (gate));
   CU_ASSERT_TRUE (suite_wait (has_no_copies, site.replica));
   CU_ASSERT_EQUAL (fake_gate_free (gate, 0), 0);
--- a/tests/test_bill_spool.c
+++ b/tests/test_bill_spool.c
@@ -61,7 +61,7 @@
   bill_backlog (w.gate->writer, &backlog);
   CU_ASSERT_EQUAL (backlog.count, (size_t)n);
   CU_ASSERT_TRUE (backlog.bytes <= SPOOL_MAX && backlog.table_down);
-  fake_link_set (w.gate->link, CALL_ALL | CALL_COPY, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_ALL | CALL_COPY, LINK_UP);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   CU_ASSERT_TRUE (bill_has_room (w.gate->writer));
   CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), (size_t)n);
@@ -108,7 +108,7 @@
 
   w.gate = fake_gate_new (&w.site, 1, SPILL_SPOOL_MAX);
   n = commit_until_spilled (&w, 500);
-  fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_TXN, LINK_UP);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   check_all_billed (&w, n);
   world_free (&w);
@@ -125,7 +125,7 @@
   w.gate = fake_gate_new (&w.site, 1, SPILL_SPOOL_MAX);
   n = commit_until_spilled (&w, 100);
   fake_link_set (w.gate->link, CALL_OBJECT_GET, LINK_REFUSED);
-  fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_TXN, LINK_UP);
   CU_ASSERT_TRUE (suite_wait (spool_is_empty, w.gate->writer));
   clock_sleep_ms (INDEX_WAIT_MS);
   fake_link_kill (w.gate->link);
@@ -146,12 +146,12 @@
   w.gate = fake_gate_new (&w.site, 1, SPILL_SPOOL_MAX);
   n = commit_until_spilled (&w, 100);
   fake_link_set (w.gate->link, CALL_OBJECT_GET, LINK_REFUSED);
-  fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_TXN, LINK_UP);
   CU_ASSERT_TRUE (suite_wait (spool_is_empty, w.gate->writer));
   fake_link_set (w.gate->link, CALL_TXN, LINK_CALL_LOST);
-  fake_link_set (w.gate->link, CALL_OBJECT_GET, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_OBJECT_GET, LINK_UP);
   clock_sleep_ms (INDEX_WAIT_MS);
-  fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_TXN, LINK_UP);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   check_all_billed (&w, n);
   world_free (&w);
--- a/tests/test_ctl_commands.c
+++ b/tests/test_ctl_commands.c
@@ -23,8 +23,8 @@
   "POST /v1/versions?wait=accepted&wait_ms=100 {\"text\":{\"models\":{\"m\":{\"versions\":{"       \
   "\"v1\":{\"cost_per_1k\":1,\"state\":\"withdrawn\"}}}}},\"reason\":\"bad wording\"}\n"
 
-static const CtlArgs withdrawal = { .words = { "m@v1" },
-                                    .word_count = 1,
+static const CtlArgs withdrawal = { .operands = { "m@v1" },
+                                    .operand_count = 1,
                                     .base = -1,
                                     .wait = "accepted",
                                     .wait_ms = 100,
@@ -68,9 +68,9 @@
 
   fake_steward_expect (ctl_withdraw, &withdrawal, withdrawn, CTL_DONE, FAKE_GET_HEAD ("7"));
   fake_steward_expect (ctl_withdraw, &withdrawal, none, CTL_REFUSED, "GET /v1/versions?limit=1 \n");
-  other.words[0] = "m@v2";
+  other.operands[0] = "m@v2";
   fake_steward_expect (ctl_withdraw, &other, withdrawn, CTL_REFUSED, FAKE_GET_HEAD ("7"));
-  other.words[0] = "m";
+  other.operands[0] = "m";
   fake_steward_expect (ctl_withdraw, &other, withdrawn, CTL_USAGE, FAKE_GET_HEAD ("7"));
 }
 
@@ -245,7 +245,7 @@
   CtlArgs args = withdrawal;
 
   suite_file (path, "// the whole document\n" TEXT ("withdrawn"));
-  args.words[0] = path;
+  args.operands[0] = path;
   fake_steward_expect (ctl_version_create, &args, next, CTL_DONE,
                        FAKE_GET_HEAD ("7") POST_PATCH ("7"));
   fake_steward_expect (ctl_version_create, &args, first, CTL_DONE,
@@ -295,7 +295,7 @@
   for (size_t i = 0; i < sizeof files / sizeof files[0]; i++)
     {
       char path[SUITE_PATH_SIZE];
-      CtlArgs args = { .words = { path }, .word_count = 1 };
+      CtlArgs args = { .operands = { path }, .operand_count = 1 };
       Ctl ctl = { 0 };
 
       suite_file (path, files[i].text);
--- a/tests/test_ctl_rollout.c
+++ b/tests/test_ctl_rollout.c
@@ -12,8 +12,8 @@
   "POST /v1/patches?wait=accepted&wait_ms=100 {\"base\":7,\"patch\":{\"rollouts\":{\"m\":{" change \
   "}}},\"reason\":\"bad wording\"}\n"
 
-static const CtlArgs change = { .words = { "m" },
-                                .word_count = 1,
+static const CtlArgs change = { .operands = { "m" },
+                                .operand_count = 1,
                                 .base = -1,
                                 .wait = "accepted",
                                 .wait_ms = 100,
@@ -40,7 +40,7 @@
   args.from = "v1";
   args.to = "v2";
   fake_steward_expect (ctl_rollout_start, &args, replies, CTL_REFUSED, FAKE_GET_HEAD ("7"));
-  args.words[0] = "other";
+  args.operands[0] = "other";
   for (size_t i = 0; i < sizeof wrong / sizeof wrong[0]; i++)
     {
       args.stages = wrong[i];
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -1,25 +1,26 @@
-/** Reading callers' requests and servers' answers: src/http_head.c, http_intake.c, http_reply.c. */
-#include "http_intake.h"
+/** Reading callers' requests and servers' answers: src/http_head.c, http_request_parser.c,
+ * http_reply.c. */
 #include "http_reply.h"
+#include "http_request_parser.h"
 #include "suite.h"
 #include <string.h>
 
-static const HttpIntakeLimits limits = { .head_max = 1000, .body_max = 100 };
+static const HttpRequestLimits limits = { .head_max = 1000, .body_max = 100 };
 
 /* Feeds the text byte by byte, as a slow caller would, and returns the last result. */
-static IntakeResult
-feed (HttpIntake *intake, const char *text, size_t len, size_t *taken)
+static HttpParseResult
+feed (HttpRequestParser *intake, const char *text, size_t len, size_t *taken)
 {
-  IntakeResult result = INTAKE_MORE;
+  HttpParseResult result = HTTP_PARSE_MORE;
   size_t used;
 
-  http_intake_init (intake, &limits);
+  http_request_parser_init (intake, &limits);
   *taken = 0;
-  while (*taken < len && result == INTAKE_MORE)
+  while (*taken < len && result == HTTP_PARSE_MORE)
     {
-      result = http_intake_feed (intake, text + *taken, 1, &used);
+      result = http_request_parser_feed (intake, text + *taken, 1, &used);
       *taken += used;
-      if (used == 0 && result == INTAKE_MORE)
+      if (used == 0 && result == HTTP_PARSE_MORE)
         break;
     }
   return result;
@@ -29,16 +30,16 @@
 static int
 refused (const char *text, size_t len)
 {
-  HttpIntake intake;
+  HttpRequestParser intake;
   size_t taken, used;
   int slow, fast;
 
   feed (&intake, text, len, &taken);
   slow = intake.refuse_status;
-  http_intake_reset (&intake);
-  http_intake_feed (&intake, text, len, &used);
+  http_request_parser_reset (&intake);
+  http_request_parser_feed (&intake, text, len, &used);
   fast = intake.refuse_status;
-  http_intake_reset (&intake);
+  http_request_parser_reset (&intake);
   CU_ASSERT_EQUAL (slow, fast);
   return slow;
 }
@@ -51,10 +52,10 @@
   static const char text[]
       = "POST /a/b?c=%20 HTTP/1.1\r\nHost: x.example:80\r\nContent-Length: 3\r\n"
         "X-Own:  two words \r\n\r\nabcGET";
-  HttpIntake intake;
+  HttpRequestParser intake;
   size_t taken;
 
-  CU_ASSERT_EQUAL (feed (&intake, text, sizeof text - 1, &taken), INTAKE_DONE);
+  CU_ASSERT_EQUAL (feed (&intake, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
   CU_ASSERT_EQUAL (taken, sizeof text - 1 - 3);
   CU_ASSERT (span_is (intake.method, "POST"));
   CU_ASSERT (span_is (intake.target, "/a/b?c=%20"));
@@ -62,7 +63,7 @@
   CU_ASSERT (intake.keep_alive);
   CU_ASSERT_EQUAL (intake.body.len, 3);
   CU_ASSERT (memcmp (intake.body.data, "abc", 3) == 0);
-  http_intake_reset (&intake);
+  http_request_parser_reset (&intake);
 }
 
 /* Story: Java's own HTTP client offers HTTP/2 with each first request (Upgrade: h2c). A server may
@@ -72,15 +73,16 @@
 {
   static const char head[] = "POST / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\n"
                              "Upgrade: h2c\r\nContent-Length: 3\r\n\r\n";
-  HttpIntake intake;
+  HttpRequestParser intake;
   size_t used;
 
-  http_intake_init (&intake, &limits);
-  CU_ASSERT_EQUAL (http_intake_feed (&intake, head, sizeof head - 1, &used), INTAKE_MORE);
-  CU_ASSERT_EQUAL (http_intake_feed (&intake, "abcGET", 6, &used), INTAKE_DONE);
+  http_request_parser_init (&intake, &limits);
+  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, head, sizeof head - 1, &used),
+                   HTTP_PARSE_MORE);
+  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, "abcGET", 6, &used), HTTP_PARSE_DONE);
   CU_ASSERT_EQUAL (used, 3);
   CU_ASSERT_EQUAL (intake.body.len, 3);
-  http_intake_reset (&intake);
+  http_request_parser_reset (&intake);
 }
 
 static void
@@ -88,14 +90,14 @@
 {
   static const char text[] = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
                              "Connection: close\r\n\r\n2;e=1\r\nab\r\n1\r\nc\r\n0\r\nT: x\r\n\r\n";
-  HttpIntake intake;
+  HttpRequestParser intake;
   size_t taken;
 
-  CU_ASSERT_EQUAL (feed (&intake, text, sizeof text - 1, &taken), INTAKE_DONE);
+  CU_ASSERT_EQUAL (feed (&intake, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
   CU_ASSERT_EQUAL (taken, sizeof text - 1);
   CU_ASSERT (!intake.keep_alive);
   CU_ASSERT_EQUAL (intake.body.len, 3);
-  http_intake_reset (&intake);
+  http_request_parser_reset (&intake);
 }
 
 /* Story: a caller's request holds a second one that only some parsers see, by a length and chunks,
@@ -154,18 +156,19 @@
 test_next_request (void)
 {
   static const char text[] = "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n";
-  HttpIntake intake;
+  HttpRequestParser intake;
   size_t used, first;
 
-  http_intake_init (&intake, &limits);
-  CU_ASSERT_EQUAL (http_intake_feed (&intake, text, sizeof text - 1, &first), INTAKE_DONE);
+  http_request_parser_init (&intake, &limits);
+  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, text, sizeof text - 1, &first),
+                   HTTP_PARSE_DONE);
   CU_ASSERT (span_is (intake.target, "/a"));
-  http_intake_reset (&intake);
-  CU_ASSERT (!http_intake_started (&intake));
-  CU_ASSERT_EQUAL (http_intake_feed (&intake, text + first, sizeof text - 1 - first, &used),
-                   INTAKE_DONE);
+  http_request_parser_reset (&intake);
+  CU_ASSERT (!http_request_parser_started (&intake));
+  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, text + first, sizeof text - 1 - first, &used),
+                   HTTP_PARSE_DONE);
   CU_ASSERT (span_is (intake.target, "/b"));
-  http_intake_reset (&intake);
+  http_request_parser_reset (&intake);
 }
 
 static HttpReply
@@ -242,9 +245,9 @@
   HttpHead head;
 
   CU_ASSERT (http_head_parse (&head, text, sizeof text - 1));
-  CU_ASSERT (http_head_is_hop (&head, span_of ("x-mine")));
-  CU_ASSERT (http_head_is_hop (&head, span_of ("keep-alive")));
-  CU_ASSERT (!http_head_is_hop (&head, span_of ("X-Own")));
+  CU_ASSERT (http_head_is_hop_by_hop (&head, span_of ("x-mine")));
+  CU_ASSERT (http_head_is_hop_by_hop (&head, span_of ("keep-alive")));
+  CU_ASSERT (!http_head_is_hop_by_hop (&head, span_of ("X-Own")));
   http_head_clear (&head);
 }
 
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -111,13 +111,13 @@
 }
 
 static void
-read_request (HttpIntake *intake, const char *text)
+read_request (HttpRequestParser *intake, const char *text)
 {
-  const HttpIntakeLimits limits = { .head_max = 4000, .body_max = 4000 };
+  const HttpRequestLimits limits = { .head_max = 4000, .body_max = 4000 };
   size_t used;
 
-  http_intake_init (intake, &limits);
-  CU_ASSERT_EQUAL (http_intake_feed (intake, text, strlen (text), &used), INTAKE_DONE);
+  http_request_parser_init (intake, &limits);
+  CU_ASSERT_EQUAL (http_request_parser_feed (intake, text, strlen (text), &used), HTTP_PARSE_DONE);
 }
 
 static const char request_text[]
@@ -131,7 +131,7 @@
 static void
 test_call_decode (void)
 {
-  HttpIntake intake;
+  HttpRequestParser intake;
   FrontCall call;
 
   read_request (&intake, request_text);
@@ -147,7 +147,7 @@
   CU_ASSERT_EQUAL (call.after_event, 12);
   CU_ASSERT_EQUAL (call.part_count, 2);
   CU_ASSERT_EQUAL (call.parts[1].tokens, 410);
-  http_intake_reset (&intake);
+  http_request_parser_reset (&intake);
 }
 
 /* Story: a caller sends fields that are the router's to set, its key among them; passed on, an
@@ -155,7 +155,7 @@
 static void
 test_call_encode (void)
 {
-  HttpIntake intake;
+  HttpRequestParser intake;
   FrontCall call;
   Buffer out = { 0 };
   CallOrder order = {
@@ -192,7 +192,7 @@
   CU_ASSERT_PTR_NOT_NULL (strstr (out.data, "\r\nLast-Event-Id: 30\r\n"));
   CU_ASSERT_PTR_NULL (strstr (out.data, "Last-Event-Id: 12"));
   buffer_free (&out);
-  http_intake_reset (&intake);
+  http_request_parser_reset (&intake);
 }
 
 static void
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -346,9 +346,9 @@
   Caller first, second;
 
   for (unsigned members = 1; members <= 360; members++)
-    CU_ASSERT_TRUE (members * 1000
-                    <= (unsigned)platform_group_interval (members) * PLATFORM_GROUP_SITE_RATE);
-  CU_ASSERT_EQUAL (platform_group_interval (9), 50);
+    CU_ASSERT_TRUE (members * 1000 <= (unsigned)platform_group_site_interval_ms (members)
+                                          * PLATFORM_GROUP_SITE_TXNS_PER_S);
+  CU_ASSERT_EQUAL (platform_group_site_interval_ms (9), 50);
   caller_start (&first, group, "a", 1, 0);
   callers_join (&first, 1);
   caller_start (&second, group, "b", 2, 100);
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -49,9 +49,9 @@
     CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   CU_ASSERT_EQUAL (fake_keeper_requests (keeper), READS);
   CU_ASSERT_EQUAL (fake_keeper_connections (keeper), 1);
-  CU_ASSERT_TRUE (http_reader_is_at (reader, LOCALHOST, fake_keeper_port (keeper)));
-  CU_ASSERT_FALSE (http_reader_is_at (reader, LOCALHOST, fake_keeper_port (keeper) + 1));
-  CU_ASSERT_FALSE (http_reader_is_at (reader, "127.0.0.2", fake_keeper_port (keeper)));
+  CU_ASSERT_TRUE (http_reader_has_address (reader, LOCALHOST, fake_keeper_port (keeper)));
+  CU_ASSERT_FALSE (http_reader_has_address (reader, LOCALHOST, fake_keeper_port (keeper) + 1));
+  CU_ASSERT_FALSE (http_reader_has_address (reader, "127.0.0.2", fake_keeper_port (keeper)));
   http_reader_free (reader);
   fake_keeper_free (keeper);
 }
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -85,7 +85,7 @@
   RpcServer *server = rpc_server_new (&options, NULL);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (server);
-  rpc_server_run (server);
+  rpc_server_start (server);
   return server;
 }
 
@@ -187,20 +187,20 @@
   RpcReplay *replay = rpc_replay_new ();
   uint64_t sender;
 
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 10));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 10));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 9));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 9));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 6, 10));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 200));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 10));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 136));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 137));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 0));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 10));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 10));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 9));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 9));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 6, 10));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 200));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 10));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 136));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 137));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 0));
   for (sender = 100; sender < 100 + 400; sender++)
     {
-      CU_ASSERT_TRUE (rpc_replay_fresh (replay, sender, 1));
-      CU_ASSERT_FALSE (rpc_replay_fresh (replay, sender, 1));
+      CU_ASSERT_TRUE (rpc_replay_accept (replay, sender, 1));
+      CU_ASSERT_FALSE (rpc_replay_accept (replay, sender, 1));
     }
   rpc_replay_free (replay);
 }
@@ -256,7 +256,7 @@
   CU_ASSERT_EQUAL (get_document (client, 1, NULL), STATUS_UNAVAILABLE);
   server = rpc_server_new (&options, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (server);
-  rpc_server_run (server);
+  rpc_server_start (server);
   CU_ASSERT_EQUAL (get_document (client, 1, NULL), STATUS_OK);
   rpc_client_free (client);
   rpc_server_free (server);
