--- a/src/http_client.c
+++ b/src/http_client.c
@@ -10,11 +10,11 @@
 #include <string.h>
 #include <strings.h>
 
-#define READ_BLOCK       16384
+#define READ_BLOCK_SIZE  16384 /* bytes */
 #define UPLOAD_MARGIN_MS 1000
 
 static bool
-is_clean (const char *s)
+has_no_control_chars (const char *s)
 {
   for (; *s; s++)
     if ((unsigned char)*s < 0x20 || *s == 0x7f)
@@ -22,24 +22,27 @@
   return true;
 }
 
-/* A line end inside a header, the method or the path would smuggle in a second request. */
+/* A line break in a header, the method or the path would allow request smuggling. */
 static bool
 is_sendable (const HttpRequest *request)
 {
-  if (!is_clean (request->method) || strchr (request->method, ' '))
+  if (!has_no_control_chars (request->method) || strchr (request->method, ' '))
     return false;
-  if (!is_clean (request->path) || strchr (request->path, ' ') || request->path[0] != '/')
+  if (!has_no_control_chars (request->path) || strchr (request->path, ' ')
+      || request->path[0] != '/')
     return false;
   for (size_t i = 0; i < request->header_count; i++)
-    if (!is_clean (request->headers[i].name) || !is_clean (request->headers[i].value)
+    if (!has_no_control_chars (request->headers[i].name)
+        || !has_no_control_chars (request->headers[i].value)
         || strpbrk (request->headers[i].name, ": "))
       return false;
   return true;
 }
 
-/* may_finish's answer, kept: once refused, always refused. */
+/* Asks may_finish whether the request may be completed. A refusal is final: it is not asked again.
+ */
 static bool
-ask_finish (HttpExchange *x)
+check_may_finish (HttpExchange *x)
 {
   if (x->upload)
     x->refused = !http_upload_may_finish (x->upload);
@@ -51,8 +54,9 @@
 }
 
 /*
- * Gives neon the body. neon writes each block to the connection before it asks for the next one, so
- * with the last byte in a call of its own everything before it has left when may_finish is asked.
+ * Body provider for neon. neon writes each block to the connection before it requests the next one,
+ * so providing the last byte separately ensures that everything before it has been sent when
+ * may_finish is asked.
  */
 static ssize_t
 provide_body (void *userdata, char *buffer, size_t size)
@@ -66,7 +70,7 @@
   size_t left = x->body_len - x->body_sent;
   if (left <= 1 && !x->finished)
     {
-      if (!ask_finish (x))
+      if (!check_may_finish (x))
         return -1;
       x->finished = true;
     }
@@ -83,7 +87,7 @@
 }
 
 static void
-note_status (void *userdata, ne_session_status status, const ne_session_status_info *info)
+on_session_status (void *userdata, ne_session_status status, const ne_session_status_info *info)
 {
   (void)info;
   HttpExchange *x = userdata;
@@ -134,7 +138,7 @@
   ne_set_session_flag (x->session, NE_SESSFLAG_PERSIST, 0);
   ne_set_connect_timeout (x->session, http_neon_seconds (request->connect_timeout_ms));
   ne_set_read_timeout (x->session, http_neon_seconds (request->read_timeout_ms));
-  ne_set_notifier (x->session, note_status, x);
+  ne_set_notifier (x->session, on_session_status, x);
   return x;
 }
 
@@ -162,7 +166,7 @@
     ne_set_request_body_buffer (x->request, "", 0);
 }
 
-/* Whether the request may have run although no answer's head came. */
+/* Status code of a request without an answer's head: whether it may have been executed. */
 static StatusCode
 code_without_answer (const HttpExchange *x, bool with_body)
 {
@@ -173,7 +177,7 @@
   return STATUS_UNKNOWN;
 }
 
-/* The thread that sends an upload may be left behind with it. */
+/* The upload thread may outlive the call, and with it the caller's body. */
 static void
 copy_body (HttpExchange *x)
 {
@@ -182,10 +186,10 @@
   x->body = x->body_copy;
 }
 
-/* Longer than neon's own timeouts for connecting and for the answer's head, so that they come
+/* Longer than neon's own timeouts for connecting and for the answer's head, so that those expire
  * first. */
 static int
-silence_of (const HttpRequest *request)
+upload_stall_timeout_ms (const HttpRequest *request)
 {
   int connect_s = http_neon_seconds (request->connect_timeout_ms);
   int read_s = http_neon_seconds (request->read_timeout_ms);
@@ -213,11 +217,11 @@
     {
       bool finished;
       copy_body (x);
-      if (!http_upload_run (x, silence_of (request), &result, &finished))
+      if (!http_upload_run (x, upload_stall_timeout_ms (request), &result, &finished))
         return status_set (st, finished ? STATUS_UNKNOWN : STATUS_UNAVAILABLE, "http.begin",
                            request->address, "the peer does not read the request");
     }
-  else if (with_body || ask_finish (x))
+  else if (with_body || check_may_finish (x))
     result = ne_begin_request (x->request);
   if (result != NE_OK)
     {
@@ -242,9 +246,10 @@
   return ne_get_response_header (exchange->request, name);
 }
 
-/* An answer that ends where the connection ends can't be told from one that was cut. */
+/* Without a length or chunked framing, a complete answer cannot be distinguished from a truncated
+ * one. */
 static bool
-has_proper_end (const HttpExchange *x)
+has_framed_body (const HttpExchange *x)
 {
   int status = http_exchange_status (x);
   if (x->no_body || status == 204 || status == 304)
@@ -270,7 +275,7 @@
       status_set (st, STATUS_UNKNOWN, "http.read", x->peer, "%s", ne_get_error (x->session));
       return -1;
     }
-  if (n == 0 && !has_proper_end (x))
+  if (n == 0 && !has_framed_body (x))
     {
       status_set (st, STATUS_UNKNOWN, "http.read", x->peer, "the answer has no proper end");
       return -1;
@@ -305,7 +310,7 @@
   if (!x)
     return code;
   *http_status = http_exchange_status (x);
-  char block[READ_BLOCK];
+  char block[READ_BLOCK_SIZE];
   long n;
   while ((n = http_exchange_read (x, block, sizeof block, st)) > 0)
     buffer_add (answer, block, (size_t)n);
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -1,5 +1,5 @@
 /**
- * HTTP requests to the platform, backend servers and stewards, over neon.
+ * HTTP client for the platform, backend servers and stewards, based on neon.
  */
 #ifndef HTTP_CLIENT_H
 #define HTTP_CLIENT_H
@@ -18,25 +18,24 @@
 typedef struct
 {
   const char *method;
-  const char *address; /**< IP number */
+  const char *address; /**< IP address */
   int port;
-  bool tls;               /**< with the trust store file below */
+  bool tls;               /**< HTTPS, with trust_file as trust store */
   const char *trust_file; /**< PEM file of the one certificate that the peer's must chain to */
-  const char *path;       /**< with query, escaped as URIs are */
+  const char *path;       /**< with query, percent-encoded */
   const HttpHeader *headers;
   size_t header_count;
   const void *body;
   size_t body_len;
-  int connect_timeout_ms; /**< rounded up to whole seconds: neon takes nothing finer */
-  int read_timeout_ms;    /**< silence before the attempt is given up; rounded up likewise */
-  int total_timeout_ms;   /**< of the whole exchange, checked between reads; 0: none */
-  size_t answer_max;      /**< bytes; a longer answer is an error; 0: no bound */
+  int connect_timeout_ms; /**< rounded up to whole seconds, neon's resolution */
+  int read_timeout_ms;    /**< without received data; rounded up likewise */
+  int total_timeout_ms;   /**< of the complete exchange, checked between reads; 0: none */
+  size_t answer_max;      /**< bytes; a longer answer is an error; 0: no limit */
   /**
-   * Asked after the whole body but its last byte was sent, directly before that byte: false ends
-   * the attempt. A server can't run a request whose body never ended, so such an attempt has
-   * certainly not run. With an empty body the end mark of a chunked body takes the last byte's
-   * place, but for GET and HEAD, which have no body: there it is asked before connecting. May be
-   * NULL.
+   * Called when all of the body except its last byte has been sent; false aborts the request. A
+   * server cannot execute a request whose body is incomplete, so an aborted request has certainly
+   * not been executed. An empty body is sent chunked, and the call precedes its last chunk; for GET
+   * and HEAD, which have no body, it precedes the connection. May be NULL.
    */
   bool (*may_finish) (void *context);
   void *context;
@@ -45,24 +44,27 @@
 typedef struct HttpExchange HttpExchange;
 
 /**
- * Sends a request on a connection of its own and reads the answer's head. Never re-sent by itself:
- * neon repeats a request when a persistent connection was stale, which would run it twice, so every
- * exchange has a fresh connection. STATUS_UNAVAILABLE: certainly not run; STATUS_UNKNOWN: may have;
- * STATUS_INVALID: a header, method or path that can't be sent.
+ * Sends a request on a new connection and reads the answer's head. The request is never re-sent:
+ * neon repeats a request if a persistent connection turns out to be stale, which could execute it
+ * twice, so every exchange opens its own connection. STATUS_UNAVAILABLE: certainly not executed;
+ * STATUS_UNKNOWN: may have been executed; STATUS_INVALID: the header, method, path or trust file
+ * cannot be used.
  */
 StatusCode http_exchange_begin (const HttpRequest *request, HttpExchange **out, Status *st);
 int http_exchange_status (const HttpExchange *exchange);
-/** Value of an answer header, or NULL. */
+/** Value of a header of the answer, or NULL. */
 const char *http_exchange_header (const HttpExchange *exchange, const char *name);
 /**
- * Reads up to len bytes: > 0 bytes, 0 at the proper end, -1 on error with *st filled. An answer
- * that neither has a length nor is chunked has no proper end: its last read is an error.
+ * Reads up to len bytes. Returns the number read, 0 at the end of a complete answer, or -1 on error
+ * with *st filled. The end of an answer that has neither a length nor chunked framing cannot be
+ * verified and is an error.
  */
 long http_exchange_read (HttpExchange *exchange, char *data, size_t len, Status *st);
-/** Closes the connection, which cancels an answer that has not ended. */
+/** Closes the connection, which cancels an incomplete answer. NULL is allowed. */
 void http_exchange_free (HttpExchange *exchange);
 
-/** A whole exchange; the answer's body goes to *answer, its status to *http_status. */
+/** Runs a complete exchange; appends the answer's body to *answer and sets *http_status. Returns
+ * the codes of http_exchange_begin, and STATUS_UNKNOWN for an incomplete answer. */
 StatusCode http_call (const HttpRequest *request, int *http_status, Buffer *answer, Status *st);
 
 #endif
--- a/src/http_exchange.h
+++ b/src/http_exchange.h
@@ -1,5 +1,5 @@
 /**
- * Inside of an exchange, shared by http_client.c and http_upload.c only.
+ * Internals of an HTTP exchange, shared by http_client.c and http_upload.c only.
  */
 #ifndef HTTP_EXCHANGE_H
 #define HTTP_EXCHANGE_H
@@ -17,20 +17,20 @@
   ne_request *request;
   char peer[STATUS_PEER_MAX];
   const char *body;
-  char *body_copy; /**< of an upload: it may outlive the caller's */
+  char *body_copy; /**< copy for an upload, which may outlive the caller's body; NULL: none */
   size_t body_len;
   size_t body_sent;
   bool (*may_finish) (void *context);
   void *context;
-  HttpUpload *upload; /**< the thread that sends the request; NULL: the caller's own */
-  bool connected;     /**< the connection was made */
-  bool finished;      /**< the request's end was handed to the connection */
-  bool refused;       /**< may_finish said no */
+  HttpUpload *upload; /**< the upload thread; NULL: the caller's thread sends the request */
+  bool connected;     /**< the connection was established */
+  bool finished;      /**< the end of the request was passed to neon */
+  bool refused;       /**< may_finish returned false */
   bool untrusted;     /**< the peer's certificate was refused, before anything was sent */
   bool no_body;       /**< the answer to HEAD has none */
-  size_t answer_max;
-  size_t answer_len;
-  int64_t end_ms; /**< boot-time clock; 0: none */
+  size_t answer_max;  /**< bytes; 0: no limit */
+  size_t answer_len;  /**< bytes read so far */
+  int64_t end_ms;     /**< deadline on the boot-time clock; 0: none */
 };
 
 #endif
--- a/src/http_head.c
+++ b/src/http_head.c
@@ -5,8 +5,8 @@
 
 #define END_OF_HEAD "\r\n\r\n"
 
-/* Fields that a proxy consumes (RFC 9110, 7.6.1); those that Connection names come on top. */
-static const char *const hop_fields[] = {
+/* Hop-by-hop fields (RFC 9110, 7.6.1), in addition to those named by Connection. */
+static const char *const hop_by_hop_fields[] = {
   "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "TE", "Transfer-Encoding",
   "Trailer",    "Upgrade",    "Expect",
 };
@@ -38,7 +38,7 @@
   return has_bare_line_feed (data, len) || memchr (data, '\0', len);
 }
 
-/* RFC 9110's token: what a field name is made of. */
+/* A token as defined by RFC 9110: the syntax of a field name. */
 static bool
 is_token (Span span)
 {
@@ -165,9 +165,9 @@
 bool
 http_head_is_hop_by_hop (const HttpHead *head, Span name)
 {
-  for (size_t i = 0; i < sizeof hop_fields / sizeof hop_fields[0]; i++)
+  for (size_t i = 0; i < sizeof hop_by_hop_fields / sizeof hop_by_hop_fields[0]; i++)
     {
-      if (span_is_nocase (name, hop_fields[i]))
+      if (span_is_nocase (name, hop_by_hop_fields[i]))
         return true;
     }
   return named_by_connection (head, name);
--- a/src/http_local.c
+++ b/src/http_local.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONNECTIONS_MAX 32
-#define IDLE_SECONDS    10
-#define HEADER_MAX      8192
+#define CONNECTIONS_MAX       32
+#define IDLE_TIMEOUT_S        10
+#define CONNECTION_MEMORY_MAX 8192 /* bytes */
 
 struct HttpLocal
 {
@@ -19,7 +19,7 @@
 typedef struct
 {
   const char *path;
-  /** Adds the page to out and returns its HTTP status. */
+  /** Writes the page to out and returns its HTTP status. */
   unsigned (*page) (HttpLocal *local, Buffer *out);
 } LocalPage;
 
@@ -41,13 +41,13 @@
 static unsigned
 page_ready (HttpLocal *local, Buffer *out)
 {
-  Buffer why = { 0 };
-  bool ready = !local->ops.ready || local->ops.ready (local->ops.context, &why);
+  Buffer reason = { 0 };
+  bool ready = !local->ops.ready || local->ops.ready (local->ops.context, &reason);
   if (ready)
     buffer_add_string (out, "ready\n");
   else
-    buffer_printf (out, "not ready: %s\n", why.data ? why.data : "no reason given");
-  buffer_free (&why);
+    buffer_printf (out, "not ready: %s\n", reason.data ? reason.data : "no reason given");
+  buffer_free (&reason);
   return ready ? MHD_HTTP_OK : MHD_HTTP_SERVICE_UNAVAILABLE;
 }
 
@@ -76,14 +76,14 @@
 }
 
 static enum MHD_Result
-handle (void *cls,
-        struct MHD_Connection *connection,
-        const char *url,
-        const char *method,
-        const char *version,
-        const char *upload_data,
-        size_t *upload_data_size,
-        void **con_cls)
+handle_request (void *cls,
+                struct MHD_Connection *connection,
+                const char *url,
+                const char *method,
+                const char *version,
+                const char *upload_data,
+                size_t *upload_data_size,
+                void **con_cls)
 {
   (void)version;
   (void)upload_data;
@@ -111,8 +111,8 @@
 HttpLocal *
 http_local_start (const char *address, int port, const HttpLocalOps *ops, Status *st)
 {
-  struct sockaddr_in where = { .sin_family = AF_INET, .sin_port = htons ((uint16_t)port) };
-  if (inet_pton (AF_INET, address, &where.sin_addr) != 1)
+  struct sockaddr_in listen_address = { .sin_family = AF_INET, .sin_port = htons ((uint16_t)port) };
+  if (inet_pton (AF_INET, address, &listen_address.sin_addr) != 1)
     {
       status_set (st, STATUS_INVALID, "http.local", address, "not an IP number");
       return NULL;
@@ -120,10 +120,10 @@
   HttpLocal *local = memory_alloc (sizeof *local);
   local->ops = *ops;
   local->daemon = MHD_start_daemon (
-      MHD_USE_AUTO_INTERNAL_THREAD, (uint16_t)port, NULL, NULL, handle, local, MHD_OPTION_SOCK_ADDR,
-      (struct sockaddr *)&where, MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX,
-      MHD_OPTION_CONNECTION_TIMEOUT, IDLE_SECONDS, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      (size_t)HEADER_MAX, MHD_OPTION_END);
+      MHD_USE_AUTO_INTERNAL_THREAD, (uint16_t)port, NULL, NULL, handle_request, local,
+      MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&listen_address, MHD_OPTION_CONNECTION_LIMIT,
+      CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S,
+      MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_MAX, MHD_OPTION_END);
   if (!local->daemon)
     {
       status_set (st, STATUS_UNAVAILABLE, "http.local", address, "can't listen on port %d", port);
--- a/src/http_neon.h
+++ b/src/http_neon.h
@@ -1,13 +1,14 @@
 /**
- * What all users of neon share.
+ * Initialisation and units of the neon HTTP library.
  */
 #ifndef HTTP_NEON_H
 #define HTTP_NEON_H
 
-/** Initialises the library; further calls do nothing. Thread-safe. */
+/** Initialises the library; repeated calls have no effect. Thread-safe. */
 void http_neon_start (void);
 
-/** A timeout in the whole seconds that neon takes: rounded up, and at least 1, for it refuses 0. */
+/** Converts a timeout to whole seconds, neon's resolution: rounded up, and at least 1, because neon
+ *  does not accept 0. */
 int http_neon_seconds (int ms);
 
 #endif
--- a/src/http_reader.c
+++ b/src/http_reader.c
@@ -11,20 +11,20 @@
 #include <string.h>
 #include <strings.h>
 
-#define READ_BLOCK 16384
-/* A connection that was silent for longer may have been forgotten on the way without a word, and
- * reading on it would fail only after the timeout. */
+#define READ_BLOCK_SIZE 16384 /* bytes */
+/* A stateful device on the path may silently drop the state of a connection that is idle for
+ * longer, and a read on it would fail only after the timeout. */
 #define IDLE_MAX_MS 60000
 
-/* A neon session with its one connection; used by one thread at a time. */
+/* A neon session with one connection; used by one thread at a time. */
 typedef struct
 {
   ne_session *session;
-  /* neon takes the timeouts when it connects, so they belong to the connection. */
+  /* neon applies the timeouts when it connects, so they are fixed for the connection. */
   int connect_s;
   int read_s;
-  int64_t idle_from_ms; /* boot-time clock */
-  bool reached;         /* the newest attempt has or had a connection */
+  int64_t idle_since_ms; /* boot-time clock */
+  bool connected;        /* the latest attempt established a connection */
 } Connection;
 
 struct HttpReader
@@ -33,22 +33,23 @@
   int port;
   char peer[STATUS_PEER_MAX];
   pthread_mutex_t lock; /* guards idle and idle_count */
-  Connection **idle;    /* the newest last */
+  Connection **idle;    /* most recently used last */
   unsigned idle_count;
   unsigned idle_max;
 };
 
-/* neon's own second attempt, after a stale connection, counts as new: it may not get through. */
+/* neon's automatic retry after a stale connection resets the flag, because it may fail to connect.
+ */
 static void
-note_status (void *userdata, ne_session_status status, const ne_session_status_info *info)
+on_session_status (void *userdata, ne_session_status status, const ne_session_status_info *info)
 {
   Connection *c = userdata;
 
   (void)info;
   if (status == ne_status_connecting)
-    c->reached = false;
+    c->connected = false;
   if (status == ne_status_connected)
-    c->reached = true;
+    c->connected = true;
 }
 
 static Connection *
@@ -62,7 +63,7 @@
   ne_set_session_flag (c->session, NE_SESSFLAG_PERSIST, 1);
   ne_set_connect_timeout (c->session, connect_s);
   ne_set_read_timeout (c->session, read_s);
-  ne_set_notifier (c->session, note_status, c);
+  ne_set_notifier (c->session, on_session_status, c);
   return c;
 }
 
@@ -107,9 +108,9 @@
   return reader->port == port && strcmp (reader->address, address) == 0;
 }
 
-/* Takes the idle connection at index out; called under the lock. */
+/* Removes the idle connection at index from the list; called with the lock held. */
 static Connection *
-idle_take (HttpReader *reader, unsigned index)
+idle_remove (HttpReader *reader, unsigned index)
 {
   Connection *c = reader->idle[index];
 
@@ -120,7 +121,7 @@
 }
 
 static Connection *
-connection_get (HttpReader *reader, const HttpRead *read)
+connection_acquire (HttpReader *reader, const HttpRead *read)
 {
   int connect_s = http_neon_seconds (read->connect_timeout_ms);
   int read_s = http_neon_seconds (read->read_timeout_ms);
@@ -129,9 +130,9 @@
   pthread_mutex_lock (&reader->lock);
   for (unsigned i = reader->idle_count; i > 0 && !found; i--)
     if (reader->idle[i - 1]->read_s == read_s && reader->idle[i - 1]->connect_s == connect_s)
-      found = idle_take (reader, i - 1);
+      found = idle_remove (reader, i - 1);
   pthread_mutex_unlock (&reader->lock);
-  if (found && clock_boot_ms () - found->idle_from_ms > IDLE_MAX_MS)
+  if (found && clock_boot_ms () - found->idle_since_ms > IDLE_MAX_MS)
     {
       connection_free (found);
       found = NULL;
@@ -139,25 +140,26 @@
   return found ? found : connection_new (reader, connect_s, read_s);
 }
 
-/* Keeps a connection after a whole answer; the one that was idle longest makes room. */
+/* Keeps a connection after a complete answer; evicts the least recently used one if there are too
+ * many. */
 static void
-connection_put (HttpReader *reader, Connection *c)
+connection_release (HttpReader *reader, Connection *c)
 {
   Connection *oldest = NULL;
 
-  c->idle_from_ms = clock_boot_ms ();
+  c->idle_since_ms = clock_boot_ms ();
   pthread_mutex_lock (&reader->lock);
   reader->idle[reader->idle_count++] = c;
   if (reader->idle_count > reader->idle_max)
-    oldest = idle_take (reader, 0);
+    oldest = idle_remove (reader, 0);
   pthread_mutex_unlock (&reader->lock);
   if (oldest)
     connection_free (oldest);
 }
 
-/* A line end or a space would end the request line. */
+/* A line break or a space would end the path in the request line. */
 static bool
-is_path (const char *path)
+is_valid_path (const char *path)
 {
   for (const char *s = path; *s; s++)
     if ((unsigned char)*s <= 0x20 || *s == 0x7f)
@@ -165,9 +167,10 @@
   return path[0] == '/';
 }
 
-/* An answer that ends where the connection ends can't be told from one that was cut. */
+/* Without a length or chunked framing, a complete answer cannot be distinguished from a truncated
+ * one. */
 static bool
-has_proper_end (ne_request *request)
+has_framed_body (ne_request *request)
 {
   int status = ne_get_status (request)->code;
   const char *coding = ne_get_response_header (request, "Transfer-Encoding");
@@ -177,15 +180,16 @@
   return coding && strcasecmp (coding, "chunked") == 0;
 }
 
-/* Reads the body to its proper end; false with *why (of the caller, or neon's) on an error. */
+/* Reads the body to its end. On error returns false; *error is set, or left NULL if neon has the
+ * message. */
 static bool
 read_body (ne_request *request,
            const HttpRead *read,
            int64_t end_ms,
            Buffer *answer,
-           const char **why)
+           const char **error)
 {
-  char block[READ_BLOCK];
+  char block[READ_BLOCK_SIZE];
   size_t len = 0;
   ssize_t n;
 
@@ -194,37 +198,38 @@
       len += (size_t)n;
       if (read->answer_max && len > read->answer_max)
         {
-          *why = "the answer is too long";
+          *error = "the answer is too long";
           return false;
         }
       buffer_add (answer, block, (size_t)n);
       if (end_ms && clock_boot_ms () > end_ms)
         {
-          *why = "the answer took too long";
+          *error = "the answer took too long";
           return false;
         }
     }
-  if (n == 0 && !has_proper_end (request))
-    *why = "the answer has no proper end";
-  return n == 0 && *why == NULL;
+  if (n == 0 && !has_framed_body (request))
+    *error = "the answer has no proper end";
+  return n == 0 && *error == NULL;
 }
 
-/* One exchange; true after a whole answer. */
+/* One exchange; true if the answer is complete. */
 static bool
-exchange (Connection *c, const HttpRead *read, int *http_status, Buffer *answer, const char **why)
+exchange (Connection *c, const HttpRead *read, int *http_status, Buffer *answer, const char **error)
 {
   int64_t end_ms = read->total_timeout_ms > 0 ? clock_boot_ms () + read->total_timeout_ms : 0;
-  /* No other method is ever given to a kept session. */
+  /* A persistent session must only send GET; see http_reader.h. */
   ne_request *request = ne_request_create (c->session, "GET", read->path);
-  bool whole = false;
+  bool complete = false;
 
   if (ne_begin_request (request) == NE_OK)
     {
       *http_status = ne_get_status (request)->code;
-      whole = read_body (request, read, end_ms, answer, why) && ne_end_request (request) == NE_OK;
+      complete
+          = read_body (request, read, end_ms, answer, error) && ne_end_request (request) == NE_OK;
     }
   ne_request_destroy (request);
-  return whole;
+  return complete;
 }
 
 StatusCode
@@ -234,19 +239,19 @@
                  Buffer *answer,
                  Status *st)
 {
-  const char *why = NULL;
+  const char *error = NULL;
   StatusCode code;
 
-  if (!is_path (read->path))
+  if (!is_valid_path (read->path))
     return status_set (st, STATUS_INVALID, "http.get", reader->peer, "path can't be sent");
-  Connection *c = connection_get (reader, read);
-  if (exchange (c, read, http_status, answer, &why))
+  Connection *c = connection_acquire (reader, read);
+  if (exchange (c, read, http_status, answer, &error))
     {
-      connection_put (reader, c);
+      connection_release (reader, c);
       return status_ok (st);
     }
-  code = c->reached ? STATUS_UNKNOWN : STATUS_UNAVAILABLE;
-  status_set (st, code, "http.get", reader->peer, "%s", why ? why : ne_get_error (c->session));
+  code = c->connected ? STATUS_UNKNOWN : STATUS_UNAVAILABLE;
+  status_set (st, code, "http.get", reader->peer, "%s", error ? error : ne_get_error (c->session));
   connection_free (c);
   return code;
 }
--- a/src/http_reply.c
+++ b/src/http_reply.c
@@ -1,7 +1,7 @@
 #include "http_reply.h"
 #include <string.h>
 
-#define STATUS_FIRST_FINAL 200
+#define STATUS_FINAL_MIN 200 /* lower status codes are interim answers */
 
 static int
 on_body (http_parser *parser, const char *data, size_t len)
@@ -43,10 +43,10 @@
   http_head_clear (&reply->head);
 }
 
-/* http_parser takes the last of two lengths or of a length and chunks for some peers' sake; an
- * answer framed so can't be told whole. */
+/* For compatibility http_parser accepts two lengths, and a length together with chunks. Whether an
+ * answer with such framing is complete cannot be determined. */
 static bool
-framing_is_plain (const HttpHead *head)
+framing_is_unambiguous (const HttpHead *head)
 {
   Span length = http_head_get (head, "Content-Length");
   int64_t number;
@@ -59,7 +59,7 @@
 }
 
 static void
-parser_feed (HttpReply *reply, const char *data, size_t len)
+feed_parser (HttpReply *reply, const char *data, size_t len)
 {
   size_t used = http_parser_execute (&reply->parser, &callbacks, data, len);
 
@@ -69,7 +69,7 @@
     reply->broken = true;
 }
 
-/* An interim answer (1xx) is skipped: the final one follows. */
+/* Discards an interim answer (1xx); the final one follows. */
 static void
 skip_interim (HttpReply *reply)
 {
@@ -79,15 +79,16 @@
 }
 
 static void
-head_take (HttpReply *reply, size_t whole)
+process_head (HttpReply *reply, size_t head_len)
 {
-  if (!http_head_parse (&reply->head, reply->raw.data, whole) || !framing_is_plain (&reply->head))
+  if (!http_head_parse (&reply->head, reply->raw.data, head_len)
+      || !framing_is_unambiguous (&reply->head))
     {
       reply->broken = true;
       return;
     }
-  parser_feed (reply, reply->raw.data, whole);
-  if (!reply->broken && reply->parser.status_code < STATUS_FIRST_FINAL)
+  feed_parser (reply, reply->raw.data, head_len);
+  if (!reply->broken && reply->parser.status_code < STATUS_FINAL_MIN)
     skip_interim (reply);
   else
     reply->status = reply->parser.status_code;
@@ -96,7 +97,7 @@
 void
 http_reply_feed (HttpReply *reply, const char *data, size_t len)
 {
-  size_t whole;
+  size_t head_len;
 
   if (reply->broken || len == 0)
     return;
@@ -107,15 +108,15 @@
     }
   if (reply->status)
     {
-      parser_feed (reply, data, len);
+      feed_parser (reply, data, len);
       return;
     }
   buffer_add (&reply->raw, data, len);
   while (!reply->broken && !reply->status
-         && (whole = http_head_length (reply->raw.data, reply->raw.len)) > 0)
+         && (head_len = http_head_length (reply->raw.data, reply->raw.len)) > 0)
     {
-      head_take (reply, whole);
-      buffer_consume (&reply->raw, whole);
+      process_head (reply, head_len);
+      buffer_consume (&reply->raw, head_len);
     }
   if (reply->raw.len > HTTP_REPLY_HEAD_MAX
       || (!reply->status && http_head_is_malformed (reply->raw.data, reply->raw.len)))
--- a/src/http_reply.h
+++ b/src/http_reply.h
@@ -1,7 +1,7 @@
 /**
- * Reads one answer from the bytes of a backend server's connection. No I/O. Tells a whole answer
- * from one that was cut: an answer without a length ends with its connection, any other is cut if
- * the connection ends first.
+ * Incremental parser of one answer from a backend server's connection. Performs no I/O.
+ * Distinguishes complete answers from truncated ones: an answer without a length ends when its
+ * connection is closed; any other is truncated if the connection is closed before its end.
  */
 #ifndef HTTP_REPLY_H
 #define HTTP_REPLY_H
@@ -10,23 +10,23 @@
 #include "util_buffer.h"
 #include <http_parser.h>
 
-#define HTTP_REPLY_HEAD_MAX 65536 /**< bytes; far above what servers send, bounds memory */
+#define HTTP_REPLY_HEAD_MAX 65536 /**< bytes; limits memory, far above what servers send */
 
 typedef struct
 {
   http_parser parser;
-  Buffer raw;
+  Buffer raw; /**< bytes of an incomplete head */
   HttpHead head;
-  Buffer body; /**< what has come and was not taken yet; the user consumes it */
-  int status;  /**< 0 until the head is whole */
+  Buffer body; /**< received but not yet consumed by the caller (buffer_consume) */
+  int status;  /**< HTTP status; 0 until the head is complete */
   bool complete;
-  bool broken;  /**< no HTTP, or cut */
-  bool surplus; /**< bytes came behind the whole answer; they belong to no request */
+  bool broken;  /**< malformed or truncated */
+  bool surplus; /**< bytes followed the complete answer; they belong to no request */
 } HttpReply;
 
 void http_reply_init (HttpReply *reply);
 void http_reply_feed (HttpReply *reply, const char *data, size_t len);
-/** The connection was closed in order by its peer (not reset). */
+/** To be called when the peer has closed the connection in an orderly way (no reset). */
 void http_reply_end (HttpReply *reply);
 void http_reply_clear (HttpReply *reply);
 
--- a/src/http_request_parser.h
+++ b/src/http_request_parser.h
@@ -1,7 +1,7 @@
 /**
- * Reads one request at a time from the bytes of a caller's connection: head, then the whole body,
- * framed by a length or in chunks. No I/O. Framing is http_parser's; what it lets through and
- * another parser might frame differently is refused here.
+ * Incremental parser of the requests on a caller's connection, one at a time: the head, then the
+ * body, framed by a length or in chunks. Performs no I/O. The http_parser library does the framing;
+ * heads that it accepts but other parsers may frame differently are refused here.
  */
 #ifndef HTTP_REQUEST_PARSER_H
 #define HTTP_REQUEST_PARSER_H
@@ -18,33 +18,33 @@
 
 typedef enum
 {
-  HTTP_PARSE_MORE,
-  HTTP_PARSE_DONE,   /**< head and body are there */
-  HTTP_PARSE_REFUSED /**< refuse_status says how; the connection can't be used any further */
+  HTTP_PARSE_MORE,   /**< the request is incomplete */
+  HTTP_PARSE_DONE,   /**< head and body are complete */
+  HTTP_PARSE_REFUSED /**< see refuse_status; the connection must be closed */
 } HttpParseResult;
 
 typedef struct
 {
   HttpRequestLimits limits;
   http_parser parser;
-  Buffer raw; /**< head, while it is not whole */
+  Buffer raw; /**< bytes of an incomplete head */
   HttpHead head;
   Buffer body;
   bool in_body;
   bool complete;
   bool keep_alive;
-  bool wants_continue; /**< the caller waits for 100 before it sends the body */
-  int refuse_status;   /**< 400, 413 or 431 */
-  Span method, target; /**< of the start line, as they came */
+  bool wants_continue; /**< the caller waits for "100 Continue" before it sends the body */
+  int refuse_status;   /**< HTTP status of the refusal: 400, 413 or 431; 0: none */
+  Span method, target; /**< of the start line, unchanged */
 } HttpRequestParser;
 
-void http_request_parser_init (HttpRequestParser *intake, const HttpRequestLimits *limits);
-/** Takes bytes up to the end of one request; *used tells how many. */
+void http_request_parser_init (HttpRequestParser *request, const HttpRequestLimits *limits);
+/** Consumes bytes up to the end of one request; *used is their number. */
 HttpParseResult
-http_request_parser_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used);
-/** True once the first byte of a request has come. */
-bool http_request_parser_started (const HttpRequestParser *intake);
-/** Ready for the next request of the same connection; frees what this one held. */
-void http_request_parser_reset (HttpRequestParser *intake);
+http_request_parser_feed (HttpRequestParser *request, const char *data, size_t len, size_t *used);
+/** True once the first byte of a request has been received. */
+bool http_request_parser_started (const HttpRequestParser *request);
+/** Frees the request and prepares for the next one on the same connection. */
+void http_request_parser_reset (HttpRequestParser *request);
 
 #endif
--- a/src/http_upload.c
+++ b/src/http_upload.c
@@ -6,17 +6,18 @@
 #include <stdatomic.h>
 #include <stdlib.h>
 
-#define STACK_SIZE ((size_t)128 * 1024)
-/* Threads left behind by frozen peers; each holds a connection and a copy of a body. */
-#define LEFT_MAX 64
+#define STACK_SIZE ((size_t)128 * 1024) /* bytes */
+/* Limit of abandoned threads, blocked by frozen peers; each holds a connection and a copy of a
+ * body. */
+#define ABANDONED_MAX 64
 
 typedef enum
 {
-  ASK_NOT_YET,
-  ASK_WAITS,
-  ASK_ALLOWED,
-  ASK_REFUSED
-} AskState;
+  FINISH_NOT_ASKED,
+  FINISH_PENDING,
+  FINISH_ALLOWED,
+  FINISH_REFUSED
+} FinishState;
 
 struct HttpUpload
 {
@@ -25,12 +26,12 @@
   HttpExchange *x;
   int result;
   bool ended;
-  bool left; /* the caller has gone on */
-  AskState ask;
-  unsigned progress;
+  bool abandoned; /* the caller no longer waits */
+  FinishState finish;
+  unsigned progress; /* blocks of the body given to neon */
 };
 
-static atomic_int left_count;
+static atomic_int abandoned_count;
 
 static void
 upload_free (HttpUpload *u)
@@ -49,14 +50,14 @@
   pthread_mutex_lock (&u->lock);
   u->result = result;
   u->ended = true;
-  bool left = u->left;
+  bool abandoned = u->abandoned;
   pthread_cond_signal (&u->changed);
   pthread_mutex_unlock (&u->lock);
-  if (left)
+  if (abandoned)
     {
       http_exchange_free (x);
       upload_free (u);
-      atomic_fetch_sub (&left_count, 1);
+      atomic_fetch_sub (&abandoned_count, 1);
     }
   return NULL;
 }
@@ -74,39 +75,39 @@
 http_upload_may_finish (HttpUpload *upload)
 {
   pthread_mutex_lock (&upload->lock);
-  if (upload->ask == ASK_NOT_YET)
-    upload->ask = ASK_WAITS;
+  if (upload->finish == FINISH_NOT_ASKED)
+    upload->finish = FINISH_PENDING;
   pthread_cond_signal (&upload->changed);
-  while (upload->ask == ASK_WAITS && !upload->left)
+  while (upload->finish == FINISH_PENDING && !upload->abandoned)
     pthread_cond_wait (&upload->changed, &upload->lock);
-  bool allowed = upload->ask == ASK_ALLOWED;
+  bool allowed = upload->finish == FINISH_ALLOWED;
   pthread_mutex_unlock (&upload->lock);
   return allowed;
 }
 
-/* Asks may_finish without the lock, in the caller's thread. */
+/* Calls may_finish in the caller's thread, with the lock released. */
 static void
-answer_ask (HttpUpload *u)
+decide_finish (HttpUpload *u)
 {
   HttpExchange *x = u->x;
   pthread_mutex_unlock (&u->lock);
   bool allowed = !x->may_finish || x->may_finish (x->context);
   pthread_mutex_lock (&u->lock);
-  u->ask = allowed ? ASK_ALLOWED : ASK_REFUSED;
+  u->finish = allowed ? FINISH_ALLOWED : FINISH_REFUSED;
   pthread_cond_signal (&u->changed);
 }
 
-/* True once the upload has ended, false after silence_ms without progress. */
+/* Returns true once the upload has ended, false after stall_timeout_ms without progress. */
 static bool
-wait_end (HttpUpload *u, int silence_ms)
+wait_until_ended (HttpUpload *u, int stall_timeout_ms)
 {
   unsigned seen = u->progress;
   while (!u->ended)
     {
-      if (u->ask == ASK_WAITS)
-        answer_ask (u);
-      else if (!wait_ms (&u->changed, &u->lock, silence_ms) && !u->ended && seen == u->progress
-               && u->ask != ASK_WAITS)
+      if (u->finish == FINISH_PENDING)
+        decide_finish (u);
+      else if (!wait_ms (&u->changed, &u->lock, stall_timeout_ms) && !u->ended
+               && seen == u->progress && u->finish != FINISH_PENDING)
         return false;
       seen = u->progress;
     }
@@ -125,7 +126,7 @@
 }
 
 bool
-http_upload_run (HttpExchange *x, int silence_ms, int *result, bool *finished)
+http_upload_run (HttpExchange *x, int stall_timeout_ms, int *result, bool *finished)
 {
   pthread_t thread;
   HttpUpload *u = memory_alloc (sizeof *u);
@@ -135,7 +136,7 @@
   *finished = false;
   pthread_mutex_init (&u->lock, NULL);
   wait_init (&u->changed);
-  if (atomic_load (&left_count) >= LEFT_MAX || !start_thread (u, &thread))
+  if (atomic_load (&abandoned_count) >= ABANDONED_MAX || !start_thread (u, &thread))
     {
       ne_set_error (x->session, "no thread for a long request");
       upload_free (u);
@@ -143,12 +144,12 @@
       return true;
     }
   pthread_mutex_lock (&u->lock);
-  bool ended = wait_end (u, silence_ms);
-  *finished = u->ask == ASK_ALLOWED;
+  bool ended = wait_until_ended (u, stall_timeout_ms);
+  *finished = u->finish == FINISH_ALLOWED;
   *result = u->result;
-  u->left = !ended;
+  u->abandoned = !ended;
   if (!ended)
-    atomic_fetch_add (&left_count, 1);
+    atomic_fetch_add (&abandoned_count, 1);
   pthread_cond_signal (&u->changed);
   pthread_mutex_unlock (&u->lock);
   if (!ended)
