--- a/src/rpc_client.c
+++ b/src/rpc_client.c
@@ -1,5 +1,5 @@
 /**
- * Calls of a steward over TCP.
+ * ONC RPC client over TCP, based on libtirpc.
  */
 #include "rpc_client.h"
 #include "util_assert.h"
@@ -20,9 +20,10 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-/* Headers of IP, TCP and an RPC call or reply without credentials, for the counters of bytes. */
-#define CALL_HEADERS  (52 + 44)
-#define REPLY_HEADERS (52 + 28)
+/* Bytes of the IP and TCP headers plus the header of an RPC call or reply without credentials, for
+ * the byte counters. */
+#define CALL_HEADERS_SIZE  (52 + 44)
+#define REPLY_HEADERS_SIZE (52 + 28)
 
 struct RpcClient
 {
@@ -31,7 +32,7 @@
   char peer[STATUS_PEER_MAX];
   struct sockaddr_in address;
   bool address_valid;
-  pthread_mutex_t lock; /**< one call at a time */
+  pthread_mutex_t lock; /**< held during a call: one at a time */
   CLIENT *client;       /**< NULL until connected */
   int fd;
 };
@@ -39,8 +40,8 @@
 static StatusCode client_connect (RpcClient *client, int timeout_ms, Status *st);
 static int socket_connect (const struct sockaddr_in *address, int timeout_ms);
 static bool socket_wait_connected (int fd, int timeout_ms);
-static struct timeval timeout_of (int timeout_ms);
-static void socket_bound (int fd, int timeout_ms);
+static struct timeval timeval_of_ms (int timeout_ms);
+static void socket_set_send_timeout (int fd, int timeout_ms);
 static void client_disconnect (RpcClient *client);
 static StatusCode client_exchange (RpcClient *client,
                                    unsigned procedure,
@@ -118,20 +119,22 @@
                  int timeout_ms,
                  Status *st)
 {
-  struct timeval timeout = timeout_of (timeout_ms);
+  struct timeval timeout = timeval_of_ms (timeout_ms);
   enum clnt_stat stat;
 
   INVARIANT (client->client != NULL, "a call without a connection to %s", client->peer);
-  socket_bound (client->fd, timeout_ms);
+  socket_set_send_timeout (client->fd, timeout_ms);
   stat = clnt_call (client->client, procedure, (xdrproc_t)xdr_rpc_sealed, ask,
                     (xdrproc_t)xdr_rpc_sealed, answer, timeout);
-  counter_add (COUNTER_RPC_SENT_BYTES, (int64_t)rpc_sealed_size (ask) + CALL_HEADERS);
+  counter_add (COUNTER_RPC_SENT_BYTES, (int64_t)rpc_sealed_size (ask) + CALL_HEADERS_SIZE);
   if (stat == RPC_SUCCESS)
     {
-      counter_add (COUNTER_RPC_RECEIVED_BYTES, (int64_t)rpc_sealed_size (answer) + REPLY_HEADERS);
+      counter_add (COUNTER_RPC_RECEIVED_BYTES,
+                   (int64_t)rpc_sealed_size (answer) + REPLY_HEADERS_SIZE);
       return status_ok (st);
     }
-  /* After a timeout the late reply would be read as the next call's: the connection is given up. */
+  /* After a timeout a late reply would be taken for the next call's, so the connection is closed.
+   */
   client_disconnect (client);
   return status_set (st, call_status (stat), "rpc.call", client->peer, "procedure %u: %s",
                      procedure, clnt_sperrno (stat));
@@ -208,7 +211,8 @@
       errno = saved;
       return -1;
     }
-  /* The library writes with write(2) and expects a blocking socket; socket_bound bounds it. */
+  /* The library uses write(2) and expects a blocking socket; socket_set_send_timeout limits its
+   * waits. */
   (void)fcntl (fd, F_SETFL, fcntl (fd, F_GETFL) & ~O_NONBLOCK);
   return fd;
 }
@@ -237,17 +241,17 @@
   return error == 0;
 }
 
-/** A peer that takes nothing must not hold the caller: sends are bounded too. */
+/** A peer that does not read must not block the caller, so sends have a timeout too. */
 static void
-socket_bound (int fd, int timeout_ms)
+socket_set_send_timeout (int fd, int timeout_ms)
 {
-  struct timeval timeout = timeout_of (timeout_ms);
+  struct timeval timeout = timeval_of_ms (timeout_ms);
 
   (void)setsockopt (fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
 }
 
 static struct timeval
-timeout_of (int timeout_ms)
+timeval_of_ms (int timeout_ms)
 {
   return (struct timeval){ .tv_sec = timeout_ms / 1000,
                            .tv_usec = (suseconds_t)(timeout_ms % 1000) * 1000 };
--- a/src/rpc_client.h
+++ b/src/rpc_client.h
@@ -1,5 +1,5 @@
 /**
- * Calls of a steward by ONC RPC over TCP, by IP number and without a port mapper.
+ * ONC RPC calls to a steward over TCP, by IP address and port (no port mapper).
  */
 #ifndef RPC_CLIENT_H
 #define RPC_CLIENT_H
@@ -8,13 +8,14 @@
 
 typedef struct RpcClient RpcClient;
 
-/** Connects on the first call, and again after a failure. Thread-safe: calls of one client are made
- *  one after another. */
+/** Connects on the first call and reconnects after a failure. sender is this process's incarnation.
+ *  Thread-safe: calls of one client are serialised. */
 RpcClient *rpc_client_new (const SiteKey *key, uint64_t sender, const char *address, int port);
 void rpc_client_free (RpcClient *client);
 
-/** One call within timeout_ms. Codes: STATUS_UNAVAILABLE not sent, STATUS_UNKNOWN sent without an
- *  answer, STATUS_DENIED seal refused. The result is freed with xdr_free. */
+/** Makes one call, limited to timeout_ms including the connection. STATUS_UNAVAILABLE: not sent;
+ *  STATUS_UNKNOWN: sent, but no answer; STATUS_DENIED: seal refused. The result is freed with
+ *  xdr_free. */
 StatusCode rpc_client_call (RpcClient *client,
                             unsigned procedure,
                             xdrproc_t arg_proc,
--- a/src/rpc_replay.h
+++ b/src/rpc_replay.h
@@ -1,6 +1,6 @@
 /**
- * Refuses a sealed message that was taken before: for each sender the highest sequence number and
- * which of the numbers shortly below it were seen.
+ * Replay protection for sealed messages: keeps for each sender the highest sequence number and
+ * which of the numbers just below it were received.
  */
 #ifndef RPC_REPLAY_H
 #define RPC_REPLAY_H
@@ -8,14 +8,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RPC_REPLAY_SENDERS_MAX 2048 /**< the longest unheard sender is forgotten beyond this */
+#define RPC_REPLAY_SENDERS_MAX                                                                     \
+  2048 /**< beyond this, the least recently heard sender of a bucket is evicted */
 
 typedef struct RpcReplay RpcReplay;
 
 RpcReplay *rpc_replay_new (void);
 void rpc_replay_free (RpcReplay *replay);
-/** True the first time that (sender, sequence) is shown; false for a repeat and for a number more
- *  than 64 below the sender's highest. Not thread-safe. */
+/** Records a message. True for a new sequence number of the sender; false for a repeat, for 0, and
+ * for a number 64 or more below the sender's highest. Not thread-safe. */
 bool rpc_replay_accept (RpcReplay *replay, uint64_t sender, uint64_t sequence);
 
 #endif
--- a/src/rpc_seal.c
+++ b/src/rpc_seal.c
@@ -1,5 +1,5 @@
 /**
- * Sealed messages.
+ * Sealed messages and the keys derived from the site key, based on libsodium.
  */
 #include "rpc_seal.h"
 #include "util_memory.h"
@@ -9,13 +9,13 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Domain separation: no message's MAC can be taken for a derived key, or the other way round. */
+/* Domain separation: the MAC of a message can never equal a derived key. */
 #define MAC_LABEL    "lovage-rpc-1"
 #define DERIVE_LABEL "lovage-key-1:"
 
-#define KEY_TEXT_MAX 256
+#define KEY_TEXT_MAX 256 /* bytes */
 
-static void mac_number (crypto_generichash_state *state, uint64_t value);
+static void mac_add_number (crypto_generichash_state *state, uint64_t value);
 static void mac_compute (const SiteKey *key,
                          unsigned procedure,
                          const rpc_sealed *ask,
@@ -161,7 +161,7 @@
 size_t
 rpc_sealed_size (const rpc_sealed *sealed)
 {
-  /* sender and sequence, length of the body, the body in units of four bytes, the MAC */
+  /* sender, sequence, length of the body, the body padded to a multiple of four bytes, MAC */
   return 8 + 8 + 4 + ((size_t)sealed->body.body_len + 3) / 4 * 4 + LOVAGE_MAC_SIZE;
 }
 
@@ -176,19 +176,19 @@
 
   (void)crypto_generichash_init (&state, key->bytes, sizeof key->bytes, LOVAGE_MAC_SIZE);
   (void)crypto_generichash_update (&state, (const uint8_t *)MAC_LABEL, strlen (MAC_LABEL));
-  mac_number (&state, procedure);
-  mac_number (&state, ask == NULL ? 0 : 1);
-  mac_number (&state, ask == NULL ? 0 : ask->sender);
-  mac_number (&state, ask == NULL ? 0 : ask->sequence);
-  mac_number (&state, sealed->sender);
-  mac_number (&state, sealed->sequence);
+  mac_add_number (&state, procedure);
+  mac_add_number (&state, ask == NULL ? 0 : 1);
+  mac_add_number (&state, ask == NULL ? 0 : ask->sender);
+  mac_add_number (&state, ask == NULL ? 0 : ask->sequence);
+  mac_add_number (&state, sealed->sender);
+  mac_add_number (&state, sealed->sequence);
   (void)crypto_generichash_update (&state, (const uint8_t *)sealed->body.body_val,
                                    sealed->body.body_len);
   (void)crypto_generichash_final (&state, mac, LOVAGE_MAC_SIZE);
 }
 
 static void
-mac_number (crypto_generichash_state *state, uint64_t value)
+mac_add_number (crypto_generichash_state *state, uint64_t value)
 {
   uint8_t bytes[8];
   size_t i;
--- a/src/rpc_seal.h
+++ b/src/rpc_seal.h
@@ -1,8 +1,8 @@
 /**
- * Sealed messages between our processes: XDR body with a MAC under the site key, the sender's
- * incarnation and a rising sequence number, so that neither a stranger nor a replayed message is
- * heeded. The MAC of an answer also covers the sender and the sequence number of its ask, so that
- * an old answer can't stand in for the answer to a later ask.
+ * Sealed messages between the processes of a site: an XDR body with the sender's incarnation, an
+ * increasing sequence number and a MAC under the site key, which protects against forged and
+ * replayed messages. The MAC of an answer also covers the sender and the sequence number of its
+ * request (the ask), so that an old answer cannot be replayed as the answer to a later ask.
  */
 #ifndef RPC_SEAL_H
 #define RPC_SEAL_H
@@ -12,20 +12,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SITE_KEY_SIZE 32
+#define SITE_KEY_SIZE 32 /**< bytes */
 
 typedef struct
 {
   uint8_t bytes[SITE_KEY_SIZE];
 } SiteKey;
 
-/** Reads a key file of 64 hexadecimal digits. */
+/** Reads a key file: 64 hexadecimal digits, white space is ignored. */
 StatusCode site_key_read (const char *path, SiteKey *out, Status *st);
-/** A key for one purpose, e.g. "session", derived from the site key. */
+/** Derives a key for one purpose, e.g. "session", from the site key. */
 void site_key_derive (const SiteKey *key, const char *purpose, uint8_t out[SITE_KEY_SIZE]);
 
-/** Encodes *value with its xdr function and seals it; free with rpc_sealed_clear. procedure is
- *  part of what the MAC covers, so that a message can't be used for another procedure. */
+/** Encodes *value with its XDR function and seals it; free with rpc_sealed_clear. The MAC covers
+ * the procedure number, so a message is not valid for another procedure. */
 StatusCode rpc_seal (const SiteKey *key,
                      uint64_t sender,
                      unsigned procedure,
@@ -33,14 +33,16 @@
                      void *value,
                      rpc_sealed *out,
                      Status *st);
-/** Checks and decodes; the value is freed with xdr_free. */
+/** Verifies the MAC and decodes the body into *value, which is freed with xdr_free. STATUS_DENIED:
+ * wrong MAC; STATUS_INVALID: the body does not decode. Does not check for replays; see
+ * rpc_replay.h. */
 StatusCode rpc_unseal (const SiteKey *key,
                        unsigned procedure,
                        xdrproc_t proc,
                        const rpc_sealed *sealed,
                        void *value,
                        Status *st);
-/** As rpc_seal, for the answer to that ask. */
+/** Like rpc_seal, for the answer to an ask (NULL: none). */
 StatusCode rpc_seal_answer (const SiteKey *key,
                             uint64_t sender,
                             unsigned procedure,
@@ -49,7 +51,7 @@
                             void *value,
                             rpc_sealed *out,
                             Status *st);
-/** As rpc_unseal; refuses what is not the answer to that ask. */
+/** Like rpc_unseal; refuses a message that does not answer the ask. */
 StatusCode rpc_unseal_answer (const SiteKey *key,
                               unsigned procedure,
                               const rpc_sealed *ask,
@@ -58,7 +60,7 @@
                               void *value,
                               Status *st);
 void rpc_sealed_clear (rpc_sealed *sealed);
-/** Bytes of the sealed message on the wire, without the headers of RPC and below. */
+/** Size of the sealed message on the wire in bytes, without the headers of RPC and lower layers. */
 size_t rpc_sealed_size (const rpc_sealed *sealed);
 
 #endif
--- a/src/rpc_server.c
+++ b/src/rpc_server.c
@@ -1,5 +1,5 @@
 /**
- * The process's ONC RPC server.
+ * The process's ONC RPC server, based on libtirpc.
  */
 #include "rpc_server.h"
 #include "rpc_replay.h"
@@ -20,23 +20,25 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define DATAGRAM_MAX  32768 /* a heartbeat with news of all members fits */
-#define STREAM_BUFFER 8192
-#define RECORD_MAX    (LOVAGE_SEALED_MAX + 1024)
-#define POLL_MAX      1024
-#define POLL_MS       1000
+/* Sizes in bytes. A datagram has room for a heartbeat with relayed entries of all members. */
+#define DATAGRAM_MAX       32768
+#define STREAM_BUFFER_SIZE 8192
+#define RECORD_MAX         (LOVAGE_SEALED_MAX + 1024)
 
-/* Headers of IP, UDP or TCP, and RPC without credentials, for the counters of bytes. */
-#define CALL_SIZE            40
-#define DATAGRAM_HEADERS     (28 + 40)
-#define STREAM_CALL_HEADERS  (52 + 44)
-#define STREAM_REPLY_HEADERS (52 + 28)
+#define POLL_FDS_MAX    1024
+#define POLL_TIMEOUT_MS 1000
+
+/* Bytes of the IP, UDP or TCP and RPC headers without credentials, for the byte counters. */
+#define CALL_HEADER_SIZE          40
+#define DATAGRAM_HEADERS_SIZE     (28 + 40)
+#define STREAM_CALL_HEADERS_SIZE  (52 + 44)
+#define STREAM_REPLY_HEADERS_SIZE (52 + 28)
 
 struct RpcServer
 {
   RpcServerOptions options;
   int port;
-  int wake_fd; /**< readable when the thread shall end */
+  int wake_fd; /**< eventfd, readable when the thread is to end */
   SVCXPRT *datagram;
   SVCXPRT *stream;
   RpcReplay *replay;
@@ -50,20 +52,20 @@
 static void *server_thread (void *data);
 static void dispatch (struct svc_req *request, SVCXPRT *transport);
 static const RpcProcedure *find_procedure (const RpcServer *server, unsigned number);
-static bool take_message (RpcServer *server,
-                          const RpcProcedure *procedure,
-                          SVCXPRT *transport,
-                          const rpc_sealed *sealed);
-static bool answer_message (RpcServer *server,
+static bool handle_message (RpcServer *server,
                             const RpcProcedure *procedure,
                             SVCXPRT *transport,
-                            const RpcPeer *peer,
-                            const rpc_sealed *sealed,
-                            const void *arg);
+                            const rpc_sealed *sealed);
+static bool run_procedure (RpcServer *server,
+                           const RpcProcedure *procedure,
+                           SVCXPRT *transport,
+                           const RpcPeer *peer,
+                           const rpc_sealed *sealed,
+                           const void *arg);
 static void refuse_message (SVCXPRT *transport, bool one_way);
-static bool_t xdr_nothing (XDR *xdrs, ...);
+static bool_t xdr_empty (XDR *xdrs, ...);
 
-/* The library hands no context to its dispatch function. */
+/* The library passes no context to its dispatch function. */
 static RpcServer *the_server;
 static atomic_uint next_xid = 1;
 
@@ -130,7 +132,7 @@
   free (server);
 }
 
-/** The library frees a connection when it reads the connection's end. */
+/** Shuts the connections down; the library frees each one when it reads the end of its stream. */
 static void
 connections_close (const RpcServer *server)
 {
@@ -185,14 +187,14 @@
   if (sent < 0)
     return status_set (st, STATUS_UNAVAILABLE, "rpc.send", NULL, "procedure %u: %s", procedure,
                        strerror (errno));
-  counter_add (COUNTER_RPC_SENT_BYTES, (int64_t)len + DATAGRAM_HEADERS);
+  counter_add (COUNTER_RPC_SENT_BYTES, (int64_t)len + DATAGRAM_HEADERS_SIZE);
   return status_ok (st);
 }
 
 /**
- * A call message as the library's datagram client writes it. That client is not used: with no time
- * to wait it returns before it sends, and with any it would read the server's socket for a reply
- * and so take other peers' calls away from the server.
+ * Encodes a call message in the format of the library's datagram client. That client cannot be
+ * used: with a timeout of zero it returns before it sends, and otherwise it would read replies from
+ * the server's socket and so consume other peers' calls.
  */
 static size_t
 encode_call (unsigned procedure, rpc_sealed *sealed, char *data)
@@ -229,11 +231,11 @@
       return false;
     }
   server->port = rpc_socket_port (datagram_fd);
-  /* Makes the library's streams non-blocking, so that a peer which sends half a record can't hold
-   * the thread, and bounds the memory that one record may take. */
+  /* Makes the library's streams non-blocking, so that a peer that sends an incomplete record cannot
+   * block the thread, and limits the memory of one record. */
   (void)rpc_control (RPC_SVC_CONNMAXREC_SET, &record_max);
   server->datagram = svc_dg_create (datagram_fd, DATAGRAM_MAX, DATAGRAM_MAX);
-  server->stream = svc_vc_create (stream_fd, STREAM_BUFFER, STREAM_BUFFER);
+  server->stream = svc_vc_create (stream_fd, STREAM_BUFFER_SIZE, STREAM_BUFFER_SIZE);
   if (server->datagram == NULL || server->stream == NULL
       || !svc_reg (server->datagram, LOVAGE_STEWARD, LOVAGE_STEWARD_V1, dispatch, NULL)
       || !svc_reg (server->stream, LOVAGE_STEWARD, LOVAGE_STEWARD_V1, dispatch, NULL))
@@ -248,15 +250,15 @@
 server_thread (void *data)
 {
   RpcServer *server = data;
-  struct pollfd pollfds[POLL_MAX];
+  struct pollfd pollfds[POLL_FDS_MAX];
   int count, ready;
 
   for (;;)
     {
-      count = svc_max_pollfd < POLL_MAX - 1 ? svc_max_pollfd : POLL_MAX - 1;
+      count = svc_max_pollfd < POLL_FDS_MAX - 1 ? svc_max_pollfd : POLL_FDS_MAX - 1;
       memcpy (pollfds, svc_pollfd, (size_t)count * sizeof *pollfds);
       pollfds[count] = (struct pollfd){ .fd = server->wake_fd, .events = POLLIN };
-      ready = poll (pollfds, (nfds_t)count + 1, POLL_MS);
+      ready = poll (pollfds, (nfds_t)count + 1, POLL_TIMEOUT_MS);
       if (ready <= 0)
         continue;
       if (pollfds[count].revents != 0)
@@ -275,7 +277,7 @@
 
   if (request->rq_proc == NULLPROC && !datagram)
     {
-      (void)svc_sendreply (transport, xdr_nothing, NULL);
+      (void)svc_sendreply (transport, xdr_empty, NULL);
       return;
     }
   procedure = find_procedure (server, request->rq_proc);
@@ -290,7 +292,7 @@
       refuse_message (transport, datagram);
       return;
     }
-  if (!take_message (server, procedure, transport, &sealed))
+  if (!handle_message (server, procedure, transport, &sealed))
     refuse_message (transport, datagram);
   (void)svc_freeargs (transport, (xdrproc_t)xdr_rpc_sealed, (void *)&sealed);
 }
@@ -309,20 +311,20 @@
 }
 
 static bool
-take_message (RpcServer *server,
-              const RpcProcedure *procedure,
-              SVCXPRT *transport,
-              const rpc_sealed *sealed)
+handle_message (RpcServer *server,
+                const RpcProcedure *procedure,
+                SVCXPRT *transport,
+                const rpc_sealed *sealed)
 {
   const struct netbuf *from = svc_getrpccaller (transport);
   RpcPeer peer = { .sender = sealed->sender };
   bool one_way = procedure->result_proc == NULL;
-  bool taken = false;
+  bool handled = false;
   void *arg;
 
-  counter_add (COUNTER_RPC_RECEIVED_BYTES,
-               (int64_t)rpc_sealed_size (sealed)
-                   + (one_way ? DATAGRAM_HEADERS + CALL_SIZE : STREAM_CALL_HEADERS));
+  counter_add (COUNTER_RPC_RECEIVED_BYTES, (int64_t)rpc_sealed_size (sealed)
+                                               + (one_way ? DATAGRAM_HEADERS_SIZE + CALL_HEADER_SIZE
+                                                          : STREAM_CALL_HEADERS_SIZE));
   if (from->len >= sizeof peer.address)
     memcpy (&peer.address, from->buf, sizeof peer.address);
   arg = memory_alloc (procedure->arg_size);
@@ -331,20 +333,20 @@
     {
       counter_add (COUNTER_RPC_CALLS, 1);
       if (rpc_replay_accept (server->replay, sealed->sender, sealed->sequence))
-        taken = answer_message (server, procedure, transport, &peer, sealed, arg);
+        handled = run_procedure (server, procedure, transport, &peer, sealed, arg);
       xdr_free (procedure->arg_proc, arg);
     }
   free (arg);
-  return taken;
+  return handled;
 }
 
 static bool
-answer_message (RpcServer *server,
-                const RpcProcedure *procedure,
-                SVCXPRT *transport,
-                const RpcPeer *peer,
-                const rpc_sealed *sealed,
-                const void *arg)
+run_procedure (RpcServer *server,
+               const RpcProcedure *procedure,
+               SVCXPRT *transport,
+               const RpcPeer *peer,
+               const rpc_sealed *sealed,
+               const void *arg)
 {
   rpc_sealed answer;
   StatusCode code;
@@ -361,7 +363,8 @@
   free (result);
   if (code != STATUS_OK)
     return false;
-  counter_add (COUNTER_RPC_SENT_BYTES, (int64_t)rpc_sealed_size (&answer) + STREAM_REPLY_HEADERS);
+  counter_add (COUNTER_RPC_SENT_BYTES,
+               (int64_t)rpc_sealed_size (&answer) + STREAM_REPLY_HEADERS_SIZE);
   (void)svc_sendreply (transport, (xdrproc_t)xdr_rpc_sealed, (void *)&answer);
   rpc_sealed_clear (&answer);
   return true;
@@ -375,9 +378,9 @@
     svcerr_auth (transport, AUTH_FAILED);
 }
 
-/** The library's xdr_void has another type than its callers take. */
+/** An empty result. The library's xdr_void does not have the type that svc_sendreply expects. */
 static bool_t
-xdr_nothing (XDR *xdrs, ...)
+xdr_empty (XDR *xdrs, ...)
 {
   (void)xdrs;
   return TRUE;
--- a/src/rpc_socket.c
+++ b/src/rpc_socket.c
@@ -6,7 +6,7 @@
 #include <unistd.h>
 
 #define LISTEN_BACKLOG 64
-#define BIND_TRIES     16
+#define BIND_ATTEMPTS  16 /* a free UDP port may be in use for TCP */
 
 static int
 bind_socket (const char *address, int port, int type)
@@ -37,10 +37,10 @@
 int
 rpc_socket_bind_pair (const char *address, int port, int *stream_fd)
 {
-  int tries = port == 0 ? BIND_TRIES : 1;
+  int attempts = port == 0 ? BIND_ATTEMPTS : 1;
   int datagram_fd;
 
-  while (tries-- > 0)
+  while (attempts-- > 0)
     {
       datagram_fd = bind_socket (address, port, SOCK_DGRAM);
       if (datagram_fd < 0)
