--- a/src/platform.h
+++ b/src/platform.h
@@ -1,7 +1,7 @@
 /**
- * The platform's services as the rest of the program sees them: a transactional table service, an
- * object store, a rating service and a lagging list of VMs. Another protocol of the platform is
- * another table of function pointers.
+ * Interface to the platform's services: a transactional table service, an object store, a rating
+ * service and a list of VMs, which may be out of date. Each protocol of the platform implements
+ * PlatformOps.
  */
 #ifndef PLATFORM_H
 #define PLATFORM_H
@@ -14,9 +14,9 @@
 
 typedef enum
 {
-  TXN_CHECK,  /**< the transaction is only applied if the row's version is `version`; 0: absent */
+  TXN_CHECK,  /**< apply the transaction only if the row has this version; 0: the row is absent */
   TXN_PUT,    /**< insert or overwrite */
-  TXN_INSERT, /**< insert if absent; when the row exists it is left alone and the rest goes on */
+  TXN_INSERT, /**< insert if absent; an existing row is kept and does not fail the transaction */
   TXN_DELETE
 } TxnOpKind;
 
@@ -27,16 +27,16 @@
   const char *key;
   const char *value;   /**< a JSON text; for PUT and INSERT */
   int64_t version;     /**< for CHECK */
-  bool inserted;       /**< result of INSERT */
+  bool inserted;       /**< result of INSERT: false if the row existed */
   int64_t row_version; /**< result: version of the row after the transaction */
-  char *existing;      /**< result of INSERT that found a row: its value; freed by txn_ops_clear */
+  char *existing;      /**< result of INSERT: value of the existing row; freed by txn_ops_clear */
 } TxnOp;
 
 typedef struct
 {
   char *key;
   char *value;
-  int64_t version; /**< rises by one at each write of the row; 0: the row is absent */
+  int64_t version; /**< increases by one with each write; 0: the row is absent */
 } PlatformRow;
 
 typedef struct
@@ -62,9 +62,9 @@
 typedef struct Platform Platform;
 
 /**
- * All calls are thread-safe and bounded by timeout_ms. Codes: STATUS_UNAVAILABLE only when the
- * service certainly did not apply the call; STATUS_UNKNOWN when it may have; STATUS_CONFLICT when a
- * CHECK failed.
+ * Operations of a platform. All calls are thread-safe and limited to timeout_ms.
+ * STATUS_UNAVAILABLE: the service certainly did not apply the call; STATUS_UNKNOWN: it may have
+ * applied it; STATUS_CONFLICT: a CHECK failed.
  */
 typedef struct
 {
@@ -76,7 +76,8 @@
                      int timeout_ms,
                      PlatformRow *row,
                      Status *st);
-  /** Rows with key >= from (and, if prefix is set, starting with prefix), in key order. */
+  /** At most limit rows with key >= from (NULL: all keys) and, unless prefix is NULL, with that
+   * prefix, in key order. */
   StatusCode (*scan) (Platform *p,
                       const char *table,
                       const char *from,
@@ -93,7 +94,7 @@
                             Status *st);
   StatusCode (*object_get) (Platform *p, const char *name, int timeout_ms, Buffer *out, Status *st);
   StatusCode (*vm_list) (Platform *p, int timeout_ms, PlatformVms *out, Status *st);
-  /** Rates an answer: *score from 0 (useless) to 1. */
+  /** Rates the quality of an answer: sets *score between 0 (useless) and 1. */
   StatusCode (*rate) (Platform *p,
                       const char *quality_class,
                       const char *prompt,
@@ -109,10 +110,11 @@
   const PlatformOps *ops;
 };
 
-/** The HTTP + JSON protocol of docs/PLATFORM.md, over neon. */
+/** Client of the HTTP and JSON protocol in docs/PLATFORM.md. address is an IP address. */
 Platform *platform_http_new (const char *address, int port);
 
 void platform_free (Platform *p);
+/** Frees the existing values of the results. */
 void txn_ops_clear (TxnOp *ops, size_t count);
 void platform_row_clear (PlatformRow *row);
 void platform_rows_clear (PlatformRows *rows);
--- a/src/platform_breaker.h
+++ b/src/platform_breaker.h
@@ -1,6 +1,7 @@
 /**
- * Remembers that a service is down, so that not every caller waits for its timeout, and says when
- * to try it again. Takes the time as an argument; has no lock.
+ * Circuit breaker: remembers that a service is down, so that callers need not each wait for a
+ * timeout, and schedules retries with exponential back-off. The caller passes the time (ms) and
+ * does the locking.
  */
 #ifndef PLATFORM_BREAKER_H
 #define PLATFORM_BREAKER_H
@@ -10,17 +11,18 @@
 
 typedef struct
 {
-  bool open;                 /**< the last try failed */
-  int64_t retry_interval_ms; /**< before the next try; doubles with each failure up to a bound */
-  int64_t next_try_at_ms;    /**< with open */
-  int64_t retry_interval_max_ms; /**< 0: 2 s */
+  bool open;                 /**< the latest attempt failed */
+  int64_t retry_interval_ms; /**< delay before the next attempt; doubles with each failure up to the
+                                maximum */
+  int64_t next_try_at_ms;    /**< time of the next attempt; valid if open */
+  int64_t retry_interval_max_ms; /**< 0: default of 2 s */
 } PlatformBreaker;
 
 /** True if the service may be called now. */
 bool platform_breaker_allows (const PlatformBreaker *breaker, int64_t now_ms);
-/** Returns true if the breaker was closed before. */
+/** Records a failure. Returns true if it opened the breaker. */
 bool platform_breaker_failed (PlatformBreaker *breaker, int64_t now_ms);
-/** Returns true if the breaker was open before. */
+/** Records a success and closes the breaker. Returns true if it was open. */
 bool platform_breaker_succeeded (PlatformBreaker *breaker);
 
 #endif
--- a/src/platform_group.c
+++ b/src/platform_group.c
@@ -9,14 +9,14 @@
 
 #define STEP "platform.group"
 
-/* Full transactions that may wait; beyond this callers are refused at once. */
+/* Capacity of the queue in full transactions; beyond it callers are refused immediately. */
 #define QUEUE_TRANSACTIONS_MAX 32
-/* Failed transactions in a row after which the service is taken for down: more than one, so that a
- * single lost reply is settled by its caller's next try; and the longest pause between tries from
- * then on. */
+/* Consecutive failed transactions after which the service is considered down: more than one, so
+ * that the caller of a single lost reply can still resolve its outcome with a retry. */
 #define FAILURE_THRESHOLD 3
-#define PAUSE_MAX_MS      500
-#define WAIT_FOREVER      (-1)
+/* Maximum interval between attempts while the service is considered down. */
+#define RETRY_INTERVAL_MAX_MS 500
+#define WAIT_FOREVER          (-1)
 
 static void *worker (void *argument);
 
@@ -32,11 +32,11 @@
   group->timeout_ms = timeout_ms;
   group->last_sent_ms = INT64_MIN;
   group->failure_threshold = FAILURE_THRESHOLD;
-  group->breaker.retry_interval_max_ms = PAUSE_MAX_MS;
+  group->breaker.retry_interval_max_ms = RETRY_INTERVAL_MAX_MS;
   CDS_INIT_LIST_HEAD (&group->queue);
   pthread_mutex_init (&group->lock, NULL);
   wait_init (&group->work);
-  for (int i = 0; i < WORKERS; i++)
+  for (int i = 0; i < WORKER_COUNT; i++)
     {
       int rc = pthread_create (&group->threads[i], NULL, worker, group);
 
@@ -54,7 +54,7 @@
   group->stopping = true;
   pthread_cond_broadcast (&group->work);
   pthread_mutex_unlock (&group->lock);
-  for (int i = 0; i < WORKERS; i++)
+  for (int i = 0; i < WORKER_COUNT; i++)
     pthread_join (group->threads[i], NULL);
   INVARIANT (cds_list_empty (&group->queue), "operations left");
   pthread_cond_destroy (&group->work);
@@ -63,7 +63,7 @@
 }
 
 static void
-note_result (PlatformGroup *group, StatusCode code)
+record_result (PlatformGroup *group, StatusCode code)
 {
   int64_t now = clock_boot_ms ();
 
@@ -76,15 +76,16 @@
   group->failures++;
   if (group->failure_threshold == 0 || group->failures < group->failure_threshold)
     return;
-  /* The try has its answer: the next one is due after the pause, not after the timeout. */
+  /* The attempt has completed, so the next one is due after the retry interval, not after the
+   * timeout that admit reserved for it. */
   if (group->breaker.open)
     group->breaker.next_try_at_ms = now;
   platform_breaker_failed (&group->breaker, now);
 }
 
-/* Called and returns with the lock held. */
+/* Sends the next transaction. Called with the lock held, which it releases while sending. */
 static void
-transact (PlatformGroup *group)
+send_transaction (PlatformGroup *group)
 {
   CDS_LIST_HEAD (batch);
   size_t ops = platform_group_batch_collect (group, &batch);
@@ -98,12 +99,12 @@
   pthread_mutex_unlock (&group->lock);
   code = platform_group_batch_send (group, &batch, ops);
   pthread_mutex_lock (&group->lock);
-  note_result (group, code);
+  record_result (group, code);
   platform_group_batch_finish (&batch);
 }
 
 static int64_t
-due_in_ms (const PlatformGroup *group)
+ms_until_due (const PlatformGroup *group)
 {
   if (group->last_sent_ms == INT64_MIN)
     return 0;
@@ -118,49 +119,57 @@
   pthread_mutex_lock (&group->lock);
   while (!group->stopping || !cds_list_empty (&group->queue))
     {
-      int64_t early_ms = due_in_ms (group);
+      int64_t remaining_ms = ms_until_due (group);
 
       if (cds_list_empty (&group->queue))
         pthread_cond_wait (&group->work, &group->lock);
-      else if (!group->stopping && early_ms > 0)
-        wait_ms (&group->work, &group->lock, early_ms);
+      else if (!group->stopping && remaining_ms > 0)
+        wait_ms (&group->work, &group->lock, remaining_ms);
       else
-        transact (group);
+        send_transaction (group);
     }
   pthread_mutex_unlock (&group->lock);
   return NULL;
 }
 
-/* Waits until the request, to which the caller holds a reference, is answered: at most queue_ms for
- * it to leave and, if total_ms is not WAIT_FOREVER, at most total_ms in all. */
+/* Waits until the request, to which the caller holds a reference, is answered: at most
+ * queue_timeout_ms until it is sent and, unless total_timeout_ms is WAIT_FOREVER, at most
+ * total_timeout_ms overall. */
 static StatusCode
-request_wait (PlatformGroup *group, Request *request, int queue_ms, int total_ms, Status *st)
+request_wait (PlatformGroup *group,
+              Request *request,
+              int queue_timeout_ms,
+              int total_timeout_ms,
+              Status *st)
 {
-  int64_t start = clock_boot_ms ();
-  int64_t passed = 0;
+  int64_t start_ms = clock_boot_ms ();
+  int64_t elapsed_ms = 0;
 
-  for (; request->state == REQUEST_QUEUED && passed < queue_ms; passed = clock_boot_ms () - start)
-    wait_ms (&request->changed, &group->lock, queue_ms - passed);
+  for (; request->state == REQUEST_QUEUED && elapsed_ms < queue_timeout_ms;
+       elapsed_ms = clock_boot_ms () - start_ms)
+    wait_ms (&request->changed, &group->lock, queue_timeout_ms - elapsed_ms);
   if (request->state == REQUEST_QUEUED)
     {
       cds_list_del (&request->node);
       group->ops_queued -= request->count;
       request->refs--;
-      return status_set (st, STATUS_UNAVAILABLE, STEP, NULL, "not sent within %d ms", queue_ms);
+      return status_set (st, STATUS_UNAVAILABLE, STEP, NULL, "not sent within %d ms",
+                         queue_timeout_ms);
     }
-  while (request->state != REQUEST_DONE && total_ms == WAIT_FOREVER)
+  while (request->state != REQUEST_DONE && total_timeout_ms == WAIT_FOREVER)
     pthread_cond_wait (&request->changed, &group->lock);
-  for (; request->state != REQUEST_DONE && passed < total_ms; passed = clock_boot_ms () - start)
-    wait_ms (&request->changed, &group->lock, total_ms - passed);
+  for (; request->state != REQUEST_DONE && elapsed_ms < total_timeout_ms;
+       elapsed_ms = clock_boot_ms () - start_ms)
+    wait_ms (&request->changed, &group->lock, total_timeout_ms - elapsed_ms);
   if (request->state != REQUEST_DONE)
-    return status_set (st, STATUS_UNKNOWN, STEP, NULL, "no answer within %d ms", total_ms);
+    return status_set (st, STATUS_UNKNOWN, STEP, NULL, "no answer within %d ms", total_timeout_ms);
   if (st != NULL)
     *st = request->status;
   return request->status.code;
 }
 
 static void
-results_move (TxnOp *ops, Request *request)
+move_results (TxnOp *ops, Request *request)
 {
   for (size_t i = 0; i < request->count; i++)
     {
@@ -171,7 +180,7 @@
     }
 }
 
-/* Refuses at once what would only wait: for a place in the queue, or for a service that is down. */
+/* Refuses a request immediately if the queue is full or the service is considered down. */
 static StatusCode
 admit (PlatformGroup *group, size_t count, Status *st)
 {
@@ -179,7 +188,7 @@
 
   if (!platform_breaker_allows (&group->breaker, now))
     return status_set (st, STATUS_UNAVAILABLE, STEP, NULL, "the table service is down");
-  /* This call tries the service; the others are refused until it has its answer. */
+  /* This call probes the service; others are refused until it has its result. */
   if (group->breaker.open)
     group->breaker.next_try_at_ms = now + group->timeout_ms;
   if (group->ops_queued + count > QUEUE_TRANSACTIONS_MAX * group->ops_max)
@@ -189,7 +198,12 @@
 }
 
 static StatusCode
-submit (PlatformGroup *group, TxnOp *ops, size_t count, int queue_ms, int total_ms, Status *st)
+submit_request (PlatformGroup *group,
+                TxnOp *ops,
+                size_t count,
+                int queue_timeout_ms,
+                int total_timeout_ms,
+                Status *st)
 {
   Request *request = platform_group_request_new (ops, count);
   StatusCode code;
@@ -202,10 +216,10 @@
       cds_list_add_tail (&request->node, &group->queue);
       group->ops_queued += count;
       pthread_cond_signal (&group->work);
-      code = request_wait (group, request, queue_ms, total_ms, st);
+      code = request_wait (group, request, queue_timeout_ms, total_timeout_ms, st);
     }
   if (request->state == REQUEST_DONE)
-    results_move (ops, request);
+    move_results (ops, request);
   platform_group_request_unref (request);
   pthread_mutex_unlock (&group->lock);
   return code;
@@ -214,17 +228,17 @@
 StatusCode
 platform_group_submit (PlatformGroup *group, TxnOp *ops, size_t count, Status *st)
 {
-  return submit (group, ops, count, group->timeout_ms, WAIT_FOREVER, st);
+  return submit_request (group, ops, count, group->timeout_ms, WAIT_FOREVER, st);
 }
 
 StatusCode
 platform_group_submit_within (PlatformGroup *group,
                               TxnOp *ops,
                               size_t count,
-                              int wait_ms,
+                              int timeout_ms,
                               Status *st)
 {
-  return submit (group, ops, count, wait_ms, wait_ms, st);
+  return submit_request (group, ops, count, timeout_ms, timeout_ms, st);
 }
 
 void
--- a/src/platform_group.h
+++ b/src/platform_group.h
@@ -1,6 +1,6 @@
 /**
- * Groups the independent writes of many threads into few transactions of the table service, which
- * takes only several hundred a second.
+ * Group commit: combines independent writes of many threads into few transactions, because the
+ * table service handles only several hundred transactions per second.
  */
 #ifndef PLATFORM_GROUP_H
 #define PLATFORM_GROUP_H
@@ -9,49 +9,52 @@
 
 typedef struct PlatformGroup PlatformGroup;
 
-/** What left for the table service since the group was made. */
+/** Sent to the table service since the group was created. */
 typedef struct
 {
   int64_t transactions;
   int64_t ops;
 } PlatformGroupStats;
 
-/** Transactions leave at most every interval_ms, with at most ops_max operations each. */
+/** Sends at most one transaction per interval_ms, each with at most ops_max operations (more only
+ * if a single call submits more). timeout_ms limits each transaction. The group does not own p. */
 PlatformGroup *platform_group_new (Platform *p, int interval_ms, size_t ops_max, int timeout_ms);
-/** Ends after what was submitted has had its answer. */
+/** Returns after all submitted operations have been answered. NULL is allowed. */
 void platform_group_free (PlatformGroup *group);
 
 /**
- * Submits INSERT and PUT operations (no CHECK: it would fail the others' too) and waits for their
- * transaction; all ops of one call are in one transaction. Results are in ops as with
- * PlatformOps.txn. STATUS_UNKNOWN: the reply was lost; the caller settles it by reading back.
- * STATUS_UNAVAILABLE and STATUS_FULL: certainly not applied.
+ * Submits INSERT and PUT operations and waits for their transaction; all operations of one call are
+ * in the same transaction. CHECK is not allowed, because its failure would fail the operations of
+ * other callers. Results are stored in ops as by PlatformOps.txn. STATUS_UNKNOWN: the reply was
+ * lost; the caller resolves the outcome by reading back. STATUS_UNAVAILABLE and STATUS_FULL:
+ * certainly not applied.
  */
 StatusCode platform_group_submit (PlatformGroup *group, TxnOp *ops, size_t count, Status *st);
 
 /**
- * As platform_group_submit, but returns after wait_ms at most: STATUS_UNAVAILABLE if the operations
- * have not left yet (they never will), STATUS_UNKNOWN if they have.
+ * Like platform_group_submit, but returns after timeout_ms at the latest: with STATUS_UNAVAILABLE
+ * if the operations have not been sent (they are withdrawn), with STATUS_UNKNOWN if they have.
  */
 StatusCode platform_group_submit_within (PlatformGroup *group,
                                          TxnOp *ops,
                                          size_t count,
-                                         int wait_ms,
+                                         int timeout_ms,
                                          Status *st);
 
 /**
- * After so many failed transactions in a row the table service is taken for down: calls are refused
- * at once with STATUS_UNAVAILABLE, but for one now and then that tries it. 0: never; 3 by default.
+ * Number of consecutive failed transactions after which the table service is considered down: calls
+ * then fail immediately with STATUS_UNAVAILABLE, except for occasional ones that probe the service.
+ * 0: never; default: 3.
  */
 void platform_group_set_failure_threshold (PlatformGroup *group, unsigned failures);
 
-/** Changes the interval. */
+/** Changes the minimum interval between transactions. */
 void platform_group_set_interval (PlatformGroup *group, int interval_ms);
 
-/** Transactions a second that all groups of a site share; what else is written is far less. */
+/** Transactions per second, shared by all groups of a site; other writes are far fewer. */
 #define PLATFORM_GROUP_SITE_TXNS_PER_S 180
 
-/** The interval with which a site of so many members stays under PLATFORM_GROUP_SITE_TXNS_PER_S. */
+/** Interval with which a site of this many members stays within PLATFORM_GROUP_SITE_TXNS_PER_S. */
 int platform_group_site_interval_ms (unsigned members);
 
 void platform_group_stats (PlatformGroup *group, PlatformGroupStats *out);
--- a/src/platform_group_batch.c
+++ b/src/platform_group_batch.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Hashes of the rows that a transaction writes; open addressing, 0 is an empty slot. */
+/* Hash set of the rows that a transaction writes, with open addressing; 0 marks an empty slot. */
 typedef struct
 {
   uint64_t *slots;
@@ -82,8 +82,8 @@
   free (request);
 }
 
-/* Two writes of one row never share a transaction: whether the second INSERT would then see the
- * first is the platform's business, and a caller's retry must surely find the row existing. */
+/* Two writes of the same row never share a transaction: whether the second INSERT would see the
+ * first one depends on the platform, but the retry of a caller must find the row existing. */
 static bool
 batch_accepts (const PlatformGroup *group, const RowSet *rows, const Request *request, size_t ops)
 {
@@ -123,7 +123,7 @@
   return ops;
 }
 
-/* Sends the requests from first to the end of batch (or only first) as one transaction. */
+/* Sends all requests of the batch (or, if not NULL, only the request only) as one transaction. */
 static StatusCode
 batch_send_some (PlatformGroup *group,
                  struct cds_list_head *batch,
@@ -159,8 +159,8 @@
   return code;
 }
 
-/* One malformed operation must not refuse the others of its transaction: nothing was applied, so
- * each request goes alone. */
+/* Sends each request in its own transaction, so that one malformed operation does not fail the
+ * other requests of its batch. Safe because nothing of the refused transaction was applied. */
 static void
 batch_send_each (PlatformGroup *group, struct cds_list_head *batch)
 {
--- a/src/platform_http.c
+++ b/src/platform_http.c
@@ -1,3 +1,6 @@
+/**
+ * Client of the platform's HTTP and JSON protocol.
+ */
 #include "http_client.h"
 #include "http_reader.h"
 #include "platform.h"
@@ -10,8 +13,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ANSWER_MAX ((size_t)64 * 1024 * 1024)
-/* Reads at the same time are few; further ones connect for themselves. */
+#define ANSWER_MAX ((size_t)64 * 1024 * 1024) /* bytes */
+/* Few reads run concurrently; additional ones open temporary connections. */
 #define IDLE_CONNECTIONS 4
 
 typedef struct
@@ -19,10 +22,10 @@
   Platform base;
   char *address;
   int port;
-  HttpReader *reader; /* for GETs only, on kept connections */
+  HttpReader *reader; /* for GET requests, over persistent connections */
 } HttpPlatform;
 
-/* One call and what came of it. */
+/* One call and its result. */
 typedef struct
 {
   const char *step;
@@ -36,7 +39,7 @@
 } Call;
 
 static StatusCode
-call_run (Platform *p, Call *call, Status *st)
+run_call (Platform *p, Call *call, Status *st)
 {
   HttpPlatform *h = (HttpPlatform *)p;
   HttpHeader type = { "Content-Type", "application/json" };
@@ -56,9 +59,9 @@
   return http_call (&request, &call->http_status, &call->answer, st);
 }
 
-/* Code of an answer's HTTP status, 200 and 204 aside. */
+/* Maps the HTTP status of an answer to a status code. */
 static StatusCode
-code_of_http (int status)
+code_of_http_status (int status)
 {
   if (status == 200 || status == 204)
     return STATUS_OK;
@@ -84,11 +87,11 @@
     counter_add (COUNTER_PLATFORM_CONFLICTS, 1);
 }
 
-/* Code of a whole answer, with its message. */
+/* Status code and message for the HTTP status of a complete answer. */
 static StatusCode
-judge_answer (const Call *call, Status *st)
+status_of_answer (const Call *call, Status *st)
 {
-  StatusCode code = code_of_http (call->http_status);
+  StatusCode code = code_of_http_status (call->http_status);
   if (code == STATUS_OK)
     return status_ok (st);
   return status_set (st, code, call->step, NULL, "HTTP status %d", call->http_status);
@@ -97,16 +100,16 @@
 static StatusCode
 call_write (Platform *p, Call *call, Status *st)
 {
-  StatusCode code = call_run (p, call, st);
+  StatusCode code = run_call (p, call, st);
   if (code == STATUS_OK)
-    code = judge_answer (call, st);
+    code = status_of_answer (call, st);
   count_code (code);
   return code;
 }
 
-/* A call without effect; its method may still not be one that can be repeated. */
+/* Runs a call that has no effect. Only GET may use the reader, which can send a request twice. */
 static StatusCode
-read_run (Platform *p, Call *call, Status *st)
+run_read (Platform *p, Call *call, Status *st)
 {
   HttpPlatform *h = (HttpPlatform *)p;
   HttpRead read = { .path = call->path,
@@ -115,18 +118,18 @@
                     .total_timeout_ms = call->timeout_ms,
                     .answer_max = ANSWER_MAX };
   if (strcmp (call->method, "GET") != 0)
-    return call_run (p, call, st);
+    return run_call (p, call, st);
   counter_add (COUNTER_PLATFORM_CALLS, 1);
   return http_reader_get (h->reader, &read, &call->http_status, &call->answer, st);
 }
 
-/* A read has no effect, so that a lost answer leaves nothing unknown: it is only unavailable. */
+/* A read has no effect, so a lost answer is reported as STATUS_UNAVAILABLE, not as unknown. */
 static StatusCode
 call_read (Platform *p, Call *call, Status *st)
 {
-  StatusCode code = read_run (p, call, st);
+  StatusCode code = run_read (p, call, st);
   if (code == STATUS_OK)
-    code = judge_answer (call, st);
+    code = status_of_answer (call, st);
   if (code == STATUS_UNKNOWN)
     {
       code = STATUS_UNAVAILABLE;
@@ -167,7 +170,7 @@
   struct json_object *answer = NULL;
   if (code == STATUS_OK)
     {
-      /* An answer that can't be read says nothing about the transaction: it may be committed. */
+      /* The transaction may have been committed even if the answer cannot be parsed. */
       answer = platform_wire_parse (call.answer.data, call.answer.len);
       if (!answer || !platform_wire_results (answer, ops, count))
         code = bad_answer (&call, STATUS_UNKNOWN, st);
@@ -178,7 +181,7 @@
   return code;
 }
 
-/* Adds name=value to a query, escaped. */
+/* Appends name=value to the query, percent-encoded. */
 static void
 add_query (Buffer *path, const char *name, const char *value)
 {
@@ -188,7 +191,7 @@
   ne_free (escaped);
 }
 
-/* Runs a read whose answer is JSON; *answer is freed with json_object_put. */
+/* Runs a read whose answer is a JSON object; *answer is freed with json_object_put. */
 static StatusCode
 read_json (Platform *p, Call *call, struct json_object **answer, Status *st)
 {
--- a/src/platform_wire.c
+++ b/src/platform_wire.c
@@ -33,7 +33,7 @@
   json_object_object_add (obj, name, json_object_new_string (value));
 }
 
-/* Copy of a string member, or NULL. */
+/* Copy of a string member; NULL if it is absent or not a string. */
 static char *
 dup_string (struct json_object *obj, const char *name)
 {
