--- a/src/ctl.h
+++ b/src/ctl.h
@@ -1,5 +1,6 @@
 /**
- * lovagectl: the operators' command. One process a command; it keeps nothing.
+ * lovagectl: the operators' command-line program. Each invocation runs one command; no state is
+ * kept.
  */
 #ifndef CTL_H
 #define CTL_H
@@ -13,22 +14,22 @@
 
 #define CTL_STEWARDS_MAX 32
 #define CTL_ADDRESS_SIZE 48
-#define CTL_OPERANDS_MAX 3 /**< arguments behind the command's own words */
+#define CTL_OPERANDS_MAX 3 /**< maximum number of operands of a command */
 
-/** Exit statuses; scripts rely on them. */
+/** Exit statuses, part of the interface for scripts. */
 typedef enum
 {
   CTL_DONE = 0,
-  CTL_REFUSED = 1,    /**< by the system, or a file with errors */
+  CTL_REFUSED = 1,    /**< refused by a steward, or a file has errors */
   CTL_USAGE = 2,      /**< the command line is wrong */
-  CTL_CONFLICT = 3,   /**< another patch won; its number is printed */
-  CTL_NO_STEWARD = 4, /**< none answered */
+  CTL_CONFLICT = 3,   /**< another patch was accepted first; its number is printed */
+  CTL_NO_STEWARD = 4, /**< no steward answered */
   CTL_DURABLE = 5     /**< durable but not yet accepted; the number is printed */
 } CtlExit;
 
 typedef struct
 {
-  char address[CTL_ADDRESS_SIZE]; /**< IP number */
+  char address[CTL_ADDRESS_SIZE]; /**< IP address */
   int port;
 } CtlSteward;
 
@@ -36,20 +37,20 @@
 {
   CtlSteward stewards[CTL_STEWARDS_MAX];
   size_t steward_count;
-  char *key;
+  char *key;        /**< the operator's key; NULL: none */
   char *trust_file; /**< NULL: plain HTTP */
-  bool json;
+  bool json;        /**< print JSON instead of tables */
 } Ctl;
 
-/** What the command line gave to one command. */
+/** Operands and options of one command. */
 typedef struct
 {
   const char *operands[CTL_OPERANDS_MAX];
   size_t operand_count;
-  int64_t base; /**< -1: not given */
-  int64_t wait_ms;
-  int64_t limit;
-  const char *wait;   /**< "none", "accepted", "in_force" */
+  int64_t base;       /**< version number that the change is made against; -1: not given */
+  int64_t wait_ms;    /**< how long to wait for what wait names */
+  int64_t limit;      /**< maximum number of entries */
+  const char *wait;   /**< what to wait for: "none", "accepted" or "in_force" */
   const char *reason; /**< never NULL */
   const char *since;
   const char *team;
@@ -62,16 +63,16 @@
 {
   const char *group;    /**< first word */
   const char *name;     /**< second word, or NULL */
-  const char *operands; /**< of the arguments, for help */
+  const char *operands; /**< names of the operands in the help text */
   const char *doc;
   const struct argp_option *options; /**< NULL: none */
   size_t operands_min;
   size_t operands_max;
-  bool local; /**< no steward is asked */
+  bool local; /**< runs without a steward */
   CtlExit (*run) (Ctl *ctl, const CtlArgs *args);
 } CtlCommand;
 
-/** NULL-terminated by an entry without group. */
+/** Ends with an entry whose group is NULL. */
 extern const CtlCommand ctl_commands[];
 
 CtlExit ctl_version_create (Ctl *ctl, const CtlArgs *args);
@@ -96,7 +97,7 @@
 CtlExit ctl_settings_check (Ctl *ctl, const CtlArgs *args);
 CtlExit ctl_key_hash (Ctl *ctl, const CtlArgs *args);
 
-/** One line on standard error, "lovagectl: …". */
+/** Writes one line "lovagectl: …" to standard error. */
 void ctl_error (const char *format, ...) __attribute__ ((format (printf, 1, 2)));
 
 #endif
--- a/src/ctl_check.c
+++ b/src/ctl_check.c
@@ -1,5 +1,5 @@
 /**
- * Commands that ask no steward: checks of files, hashes of keys.
+ * Commands that run without a steward: checking files and hashing keys.
  */
 #include "config.h"
 #include "ctl.h"
@@ -8,13 +8,13 @@
 #include <stdio.h>
 #include <string.h>
 
-#define KEY_SIZE 256
+#define KEY_SIZE 256 /* bytes */
 
-/** A kind of file, told by a member that only it has. */
+/** A kind of file, identified by a member that only this kind has. */
 typedef struct
 {
-  const char *what;
-  const char *member;
+  const char *description;
+  const char *member; /**< NULL: any other file */
   bool (*check) (const char *path, CheckList *list);
 } FileKind;
 
@@ -22,20 +22,20 @@
 check_gate (const char *path, CheckList *list)
 {
   SettingsGate settings = { 0 };
-  bool good = settings_gate_read (path, &settings, list);
+  bool valid = settings_gate_read (path, &settings, list);
 
   settings_gate_clear (&settings);
-  return good;
+  return valid;
 }
 
 static bool
 check_steward (const char *path, CheckList *list)
 {
   SettingsSteward settings = { 0 };
-  bool good = settings_steward_read (path, &settings, list);
+  bool valid = settings_steward_read (path, &settings, list);
 
   settings_steward_clear (&settings);
-  return good;
+  return valid;
 }
 
 static bool
@@ -55,7 +55,7 @@
 };
 
 static const FileKind *
-kind_of (struct json_object *object)
+find_kind (struct json_object *object)
 {
   const FileKind *kind = kinds;
 
@@ -76,11 +76,11 @@
   (void)ctl;
   if (list.count == 0)
     {
-      kind = kind_of (json_object_is_type (object, json_type_object) ? object : NULL);
+      kind = find_kind (json_object_is_type (object, json_type_object) ? object : NULL);
       kind->check (path, &list);
     }
   if (list.count == 0)
-    printf ("%s: %s without errors\n", path, kind->what);
+    printf ("%s: %s without errors\n", path, kind->description);
   else
     fputs (list.text.data, stderr);
   status = list.count == 0 ? CTL_DONE : CTL_REFUSED;
--- a/src/ctl_error.c
+++ b/src/ctl_error.c
@@ -2,7 +2,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-#define LINE_SIZE 1024
+#define LINE_SIZE 1024 /* bytes */
 
 void
 ctl_error (const char *format, ...)
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -5,10 +5,10 @@
 
 #define CONNECT_TIMEOUT_MS 2000
 #define READ_TIMEOUT_MS    10000
-#define ANSWER_MAX         ((size_t)16 << 20)
-#define READ_SIZE          16384
-#define AUTHORIZATION_SIZE 512
-#define HEADERS            3
+#define ANSWER_MAX         ((size_t)16 << 20) /* bytes */
+#define READ_SIZE          16384              /* bytes */
+#define AUTHORIZATION_SIZE 512                /* bytes */
+#define HEADERS_MAX        3
 
 typedef struct json_object Json;
 
@@ -31,7 +31,7 @@
 }
 
 static void
-take_answer (HttpExchange *exchange, const Buffer *text, CtlAnswer *answer)
+store_answer (HttpExchange *exchange, const Buffer *text, CtlAnswer *answer)
 {
   const char *retry_after = http_exchange_header (exchange, "Retry-After");
 
@@ -42,13 +42,13 @@
             retry_after == NULL ? "" : retry_after);
 }
 
-/** One call of one steward. */
+/** Makes one call to one steward. */
 static StatusCode
-ask_one (const Ctl *ctl,
-         const CtlSteward *steward,
-         HttpRequest *request,
-         CtlAnswer *answer,
-         Status *st)
+call_steward (const Ctl *ctl,
+              const CtlSteward *steward,
+              HttpRequest *request,
+              CtlAnswer *answer,
+              Status *st)
 {
   HttpExchange *exchange = NULL;
   Buffer text = { 0 };
@@ -63,22 +63,22 @@
     return code;
   code = read_body (exchange, &text, st);
   if (code == STATUS_OK)
-    take_answer (exchange, &text, answer);
+    store_answer (exchange, &text, answer);
   http_exchange_free (exchange);
   buffer_free (&text);
   return code;
 }
 
 static void
-note_failure (Buffer *failures, const CtlSteward *steward, const char *message)
+add_failure (Buffer *failures, const CtlSteward *steward, const char *message)
 {
   buffer_printf (failures, "lovagectl: steward %s port %d: %s\n", steward->address, steward->port,
                  message);
 }
 
-/** True if a steward could not find out whether the platform took its change. */
+/** True if the steward reports that it does not know whether the platform applied the change. */
 static bool
-says_unknown (const CtlAnswer *answer)
+reports_unknown_outcome (const CtlAnswer *answer)
 {
   Json *error = json_object_object_get (answer->body, "error");
 
@@ -86,37 +86,38 @@
 }
 
 /*
- * A steward that did not answer may still have done what it was asked. A question is asked again
- * elsewhere without harm. A patch is too: it names the number it was made against, and the table
- * service lets only one patch in behind a number, so the second try can't double the first; the
- * caller, told that the answer is doubtful, finds out which of the two it was.
+ * Calls the stewards in turn until one answers. A steward that did not answer may still have
+ * executed the request. Repeating it elsewhere is safe: a read has no effect, and a patch names the
+ * number that it was made against, for which the table service accepts only one patch, so it cannot
+ * be applied twice. After such a failure answer->outcome_unknown is set, and the caller determines
+ * which attempt was applied.
  */
 static bool
-ask_each (const Ctl *ctl, HttpRequest *request, CtlAnswer *answer, Buffer *failures)
+call_stewards (const Ctl *ctl, HttpRequest *request, CtlAnswer *answer, Buffer *failures)
 {
   bool answered = false;
 
   for (size_t i = 0; i < ctl->steward_count; i++)
     {
       const CtlSteward *steward = &ctl->stewards[i];
-      bool doubtful = answer->outcome_unknown;
+      bool earlier_unknown = answer->outcome_unknown;
       Status st = { 0 };
-      StatusCode code = ask_one (ctl, steward, request, answer, &st);
+      StatusCode code = call_steward (ctl, steward, request, answer, &st);
 
-      answer->outcome_unknown = doubtful;
+      answer->outcome_unknown = earlier_unknown;
       if (code != STATUS_OK)
         {
-          /* With both nothing was sent: no connection, or a request or trust file that can't be
-           * used. */
+          /* In both cases nothing was executed: no connection, or an unusable request or trust
+           * file. */
           answer->outcome_unknown |= code != STATUS_UNAVAILABLE && code != STATUS_INVALID;
-          note_failure (failures, steward, st.message);
+          add_failure (failures, steward, st.message);
           continue;
         }
       answered = true;
       if (answer->http_status != 503)
         break;
-      answer->outcome_unknown |= says_unknown (answer);
-      note_failure (failures, steward, "can't do it now (503)");
+      answer->outcome_unknown |= reports_unknown_outcome (answer);
+      add_failure (failures, steward, "temporarily unavailable (503)");
     }
   return answered;
 }
@@ -130,15 +131,15 @@
                CtlAnswer *answer)
 {
   char authorization[AUTHORIZATION_SIZE];
-  HttpHeader headers[HEADERS] = { { "Authorization", authorization },
-                                  { "Accept", "application/json" },
-                                  { "Content-Type", "application/json" } };
+  HttpHeader headers[HEADERS_MAX] = { { "Authorization", authorization },
+                                      { "Accept", "application/json" },
+                                      { "Content-Type", "application/json" } };
   const char *text = body == NULL ? NULL : json_object_to_json_string_ext (body, 0);
   HttpRequest request = {
     .method = method,
     .path = path,
     .headers = headers,
-    .header_count = body == NULL ? HEADERS - 1 : HEADERS,
+    .header_count = body == NULL ? HEADERS_MAX - 1 : HEADERS_MAX,
     .body = text,
     .body_len = text == NULL ? 0 : strlen (text),
     .connect_timeout_ms = CONNECT_TIMEOUT_MS,
@@ -150,7 +151,7 @@
 
   *answer = (CtlAnswer){ 0 };
   snprintf (authorization, sizeof authorization, "Bearer %s", ctl->key == NULL ? "" : ctl->key);
-  answered = ask_each (ctl, &request, answer, &failures);
+  answered = call_stewards (ctl, &request, answer, &failures);
   explicit_bzero (authorization, sizeof authorization);
   if (!answered)
     {
@@ -215,7 +216,7 @@
                ctl_text (error, "message", "no message"));
   print_errors (error);
   if (answer->retry_after[0] != '\0')
-    ctl_error ("come back in %s s", answer->retry_after);
+    ctl_error ("retry after %s s", answer->retry_after);
   return conflict ? CTL_CONFLICT : CTL_REFUSED;
 }
 
--- a/src/ctl_main.c
+++ b/src/ctl_main.c
@@ -1,5 +1,5 @@
 /**
- * The command line: options for all commands, the command's words, its own options and arguments.
+ * Command line: global options, the command's name, then its options and operands.
  */
 #include "config.h"
 #include "ctl_option.h"
@@ -9,19 +9,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WAIT_MS_DEFAULT  10000
-#define WAIT_MS_MAX      600000
-#define LIMIT_DEFAULT    200
-#define LIMIT_MAX        10000
-#define PROGRAM_NAME_LEN 64
+#define WAIT_MS_DEFAULT   10000
+#define WAIT_MS_MAX       600000
+#define LIMIT_DEFAULT     200   /* entries */
+#define LIMIT_MAX         10000 /* entries */
+#define PROGRAM_NAME_SIZE 64    /* bytes */
 
-/** What a run of argp fills. */
+/** Result of parsing the command line with argp. */
 typedef struct
 {
   Ctl *ctl;
   CtlArgs args;
-  const CtlCommand *command; /**< NULL until its words were read */
-  int command_at;            /**< index of its last word */
+  const CtlCommand *command; /**< NULL until its name was parsed */
+  int command_at;            /**< index of the last word of its name */
 } Parse;
 
 const char *argp_program_version = "lovagectl 0.1";
@@ -60,7 +60,7 @@
   return name;
 }
 
-/** An option of a command; ARGP_ERR_UNKNOWN if it is none. */
+/** Parses an option of a command; ARGP_ERR_UNKNOWN if it is not one. */
 static error_t
 parse_option (int key, char *arg, struct argp_state *state, CtlArgs *args)
 {
@@ -125,7 +125,8 @@
     }
 }
 
-/** Finds the command that begins at argv[at]; *last is the index of its last word. */
+/** Finds the command whose name starts at argv[at]; *last is the index of the last word of its
+ * name. */
 static const CtlCommand *
 find_command (int argc, char **argv, int at, int *last)
 {
@@ -171,17 +172,17 @@
 static void
 add_command_list (Buffer *doc)
 {
-  buffer_add_string (doc, "Drive lovagehub by numbered versions and patches.\vCommands:\n");
+  buffer_add_string (doc, "Operate lovagehub with numbered versions and patches.\vCommands:\n");
   for (const CtlCommand *command = ctl_commands; command->group != NULL; command++)
     {
-      char words[PROGRAM_NAME_LEN];
+      char usage[PROGRAM_NAME_SIZE];
 
-      snprintf (words, sizeof words, "%s%s%s%s%s", command->group, command->name == NULL ? "" : " ",
+      snprintf (usage, sizeof usage, "%s%s%s%s%s", command->group, command->name == NULL ? "" : " ",
                 command->name == NULL ? "" : command->name, command->operands[0] == '\0' ? "" : " ",
                 command->operands);
-      buffer_printf (doc, "  %-27s %s\n", words, command->doc);
+      buffer_printf (doc, "  %-27s %s\n", usage, command->doc);
     }
-  buffer_add_string (doc, "\n`lovagectl COMMAND --help' tells a command's options. Exit status: 0 "
+  buffer_add_string (doc, "\n`lovagectl COMMAND --help' lists a command's options. Exit status: 0 "
                           "done, 1 refused, 2 usage, 3 another patch won (its number is printed), "
                           "4 no steward answered, 5 durable but not yet accepted (it will be).");
 }
@@ -203,7 +204,7 @@
 parse_command_line (int argc, char **argv, Parse *parse)
 {
   const CtlCommand *command = parse->command;
-  char name[PROGRAM_NAME_LEN];
+  char name[PROGRAM_NAME_SIZE];
   struct argp argp = { .options = command->options,
                        .parser = parse_command,
                        .args_doc = command->operands,
--- a/src/ctl_option.h
+++ b/src/ctl_option.h
@@ -1,5 +1,5 @@
 /**
- * Options of the command line, and those which every command takes: which stewards, which key.
+ * Command-line options, and the options common to all commands: stewards, key, trust file, output.
  */
 #ifndef CTL_OPTION_H
 #define CTL_OPTION_H
@@ -10,7 +10,7 @@
 #define CTL_ENV_KEY_FILE   "LOVAGE_KEY_FILE"
 #define CTL_ENV_TRUST_FILE "LOVAGE_TRUST_FILE"
 
-/* Options without a letter of their own. */
+/* Keys of the options, none of which has a short form. */
 enum
 {
   OPTION_STEWARD = 256,
@@ -29,9 +29,9 @@
   OPTION_STAGES
 };
 
-/** Fills the Ctl that is its input. */
+/** Parser of the options common to all commands; its input is the Ctl to fill. */
 extern const struct argp ctl_site_argp;
-/** Reads the environment's values; ends the program when one is wrong. */
+/** Reads the environment variables; exits with CTL_USAGE if one is invalid. */
 void ctl_site_environment (Ctl *ctl);
 
 #endif
--- a/src/ctl_patch.c
+++ b/src/ctl_patch.c
@@ -1,5 +1,5 @@
 /**
- * Commands that change the configuration by a patch.
+ * Commands that change the configuration with a patch.
  */
 #include "config.h"
 #include "ctl_submit.h"
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LABEL_SIZE 64
+#define LABEL_SIZE 64 /* bytes */
 
 typedef struct json_object Json;
 
@@ -42,7 +42,7 @@
   return status;
 }
 
-/** Splits MODEL@VERSION; false with a message if the text has another form. */
+/** Splits MODEL@VERSION; prints an error and returns false if the text has another form. */
 static bool
 split_label (const char *label, char model[LABEL_SIZE], const char **version)
 {
@@ -59,8 +59,8 @@
   return true;
 }
 
-/** Finds the version that the command names in the newest document, and its model's name in model.
- */
+/** Finds the version named by the command's operand in the document of head; sets model and version
+ * to the parts of the operand. */
 static CtlExit
 find_version (const CtlArgs *args,
               const CtlHead *head,
@@ -80,7 +80,7 @@
 }
 
 static CtlExit
-make_withdrawal (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_withdrawal (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
   char model[LABEL_SIZE];
   const char *version;
@@ -102,13 +102,13 @@
 CtlExit
 ctl_withdraw (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_built (ctl, args, "withdraw", make_withdrawal);
+  return ctl_submit_built (ctl, args, "withdraw", build_withdrawal);
 }
 
-/** A brake binds until the version's "released" reaches the number at which it was raised; a brake
- *  raised later than this patch's base still binds. */
+/** A brake is in force until the version's "released" reaches the number at which the brake was
+ * raised, so a brake raised after this patch's base stays in force. */
 static CtlExit
-make_release (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_release (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
   char model[LABEL_SIZE];
   const char *version;
@@ -126,11 +126,11 @@
 CtlExit
 ctl_brake_release (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_built (ctl, args, "brake release", make_release);
+  return ctl_submit_built (ctl, args, "brake release", build_release);
 }
 
 static CtlExit
-make_leaving (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_leave (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
   const char *const path[] = { "backend_servers", args->operands[0], NULL };
   const char *const leaving[] = { "backend_servers", args->operands[0], "leaving", NULL };
@@ -152,5 +152,5 @@
 CtlExit
 ctl_server_leave (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_built (ctl, args, "server leave", make_leaving);
+  return ctl_submit_built (ctl, args, "server leave", build_leave);
 }
--- a/src/ctl_record.c
+++ b/src/ctl_record.c
@@ -1,5 +1,5 @@
 /**
- * What happened: the audit trail, usage, the evidence of roll-outs.
+ * Commands that report the audit trail, usage and the state of roll-outs.
  */
 #include "ctl_submit.h"
 #include "ctl_table.h"
@@ -8,27 +8,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SINCE_SIZE    64
+#define SINCE_SIZE    64 /* bytes */
 #define SINCE_DEFAULT "1d"
-#define AGO_MAX       100000
-#define TIME_DIGITS   13 /**< milliseconds in an entry's key */
+#define AGO_MAX       100000 /**< in the unit that was given */
+#define TIME_DIGITS   13     /**< digits of the time (ms) in an audit entry's key */
 #define USAGE_COLUMNS 6
 
 typedef struct json_object Json;
 
-/** How one column's value is written. */
+/** Format of a column's values. */
 typedef enum
 {
   COLUMN_TEXT,
   COLUMN_NUMBER,
   COLUMN_COST,
-  COLUMN_SHARE,
-  COLUMN_TIME
+  COLUMN_SHARE, /**< as a percentage */
+  COLUMN_TIME   /**< wall-clock time in ms */
 } ColumnKind;
 
 typedef struct
 {
-  const char *head;
+  const char *heading;
   const char *member;
   ColumnKind kind;
 } Column;
@@ -57,14 +57,14 @@
   CtlTable table = { .columns = column_count };
 
   for (size_t i = 0; i < column_count; i++)
-    ctl_table_cell (&table, "%s", columns[i].head);
+    ctl_table_cell (&table, "%s", columns[i].heading);
   for (size_t row = 0; row < count; row++)
     for (size_t i = 0; i < column_count; i++)
       add_value (&table, json_object_array_get_idx (rows, row), &columns[i]);
   ctl_table_print (&table);
 }
 
-/** True for the key of an entry, "TIME-ID", or the beginning of one with the whole time. */
+/** True for an audit entry's key, "TIME-ID", or a prefix of one that includes the complete time. */
 static bool
 is_audit_key (const char *text)
 {
@@ -74,10 +74,10 @@
          && strspn (rest, "-0123456789abcdef") == strlen (rest);
 }
 
-/** Writes the key from which the audit trail is asked: a key as it stands, or the one of a time ago
- *  such as "2h". False with a message if it is neither. */
+/** Converts the --since option to the key at which the list starts: a key unchanged, or an age such
+ * as "2h" as a time. Prints an error and returns false if it is neither. */
 static bool
-audit_from (const char *since, char out[SINCE_SIZE])
+parse_since (const char *since, char out[SINCE_SIZE])
 {
   static const char units[] = "smhd";
   static const int64_t unit_ms[] = { 1000, 60000, 3600000, 86400000 };
@@ -100,9 +100,9 @@
   return false;
 }
 
-/** Tells how to go on when the list was cut off at its limit. */
+/** Prints how to get the following entries if the list reached its limit. */
 static void
-tell_rest (Json *rows, size_t count, int64_t limit)
+print_continuation (Json *rows, size_t count, int64_t limit)
 {
   if (count > 0 && (int64_t)count >= limit)
     ctl_error ("there may be more: --since %s",
@@ -124,7 +124,7 @@
   size_t count;
   CtlExit status;
 
-  if (!audit_from (args->since == NULL ? SINCE_DEFAULT : args->since, from))
+  if (!parse_since (args->since == NULL ? SINCE_DEFAULT : args->since, from))
     return CTL_USAGE;
   snprintf (path, sizeof path, "/v1/audit?from=%s&limit=%lld", from, (long long)args->limit);
   status = ctl_http_get (ctl, path, &body);
@@ -135,7 +135,7 @@
     ctl_print_json (body);
   else
     print_rows (rows, count, columns, sizeof columns / sizeof columns[0]);
-  tell_rest (rows, count, args->limit);
+  print_continuation (rows, count, args->limit);
   json_object_put (body);
   return CTL_DONE;
 }
@@ -154,13 +154,13 @@
   ctl_table_cell (table, "%s", version);
   for (size_t i = 0; i < sizeof columns / sizeof columns[0]; i++)
     if (sums == NULL)
-      ctl_table_cell (table, "%s", columns[i].head);
+      ctl_table_cell (table, "%s", columns[i].heading);
     else
       add_value (table, sums, &columns[i]);
 }
 
-/** A line for each version that answered the team, and one for all of them. A request of a cascade
- *  counts at each version that ran it, and once for all. */
+/** Prints a line for each version that a team used and one for the total ("all"). A cascade's
+ * request counts once for each version that ran it, but once in the total. */
 static void
 print_usage (Json *body)
 {
--- a/src/ctl_rollout.c
+++ b/src/ctl_rollout.c
@@ -1,5 +1,5 @@
 /**
- * Commands on roll-outs, each a patch of the model's entry in "rollouts".
+ * Roll-out commands; each submits a patch of the model's entry in "rollouts".
  */
 #include "ctl_submit.h"
 #include <stdio.h>
@@ -7,11 +7,12 @@
 #include <string.h>
 
 #define STAGES_DEFAULT "0.01,0.1,0.5,1"
-#define SHARE_SIZE     64
+#define SHARE_SIZE     64 /* bytes */
 
 typedef struct json_object Json;
 
-/** Reads "0.01,0.1,1"; NULL with a message if it is no list of numbers. */
+/** Parses a list such as "0.01,0.1,1", whose digits are kept as given. Prints an error and returns
+ * NULL if a share is not between 0 (excluded) and 1. */
 static Json *
 parse_stages (const char *text)
 {
@@ -48,7 +49,7 @@
 }
 
 static CtlExit
-make_rollout (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_start (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
   const char *const path[] = { "rollouts", args->operands[0], NULL };
   const char *state = ctl_text (ctl_member_at (head->text, path), "state", "done");
@@ -88,12 +89,12 @@
       ctl_error ("rollout start needs --from VERSION and --to VERSION");
       return CTL_USAGE;
     }
-  return ctl_submit_built (ctl, args, "rollout start", make_rollout);
+  return ctl_submit_built (ctl, args, "rollout start", build_start);
 }
 
-/** The next stage, or the end of the roll-out behind the last. */
+/** Advances to the next stage, or ends the roll-out after the last one. */
 static CtlExit
-make_advance (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_advance (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
   const char *const path[] = { "rollouts", args->operands[0], NULL };
   const char *const stage_path[] = { "rollouts", args->operands[0], "stage", NULL };
@@ -120,23 +121,23 @@
 CtlExit
 ctl_rollout_advance (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_built (ctl, args, "rollout advance", make_advance);
+  return ctl_submit_built (ctl, args, "rollout advance", build_advance);
 }
 
 static CtlExit
-make_state (const CtlArgs *args, const CtlHead *head, const char *state, Json **patch)
+build_state_change (const CtlArgs *args, const CtlHead *head, const char *state, Json **patch)
 {
   const char *const path[] = { "rollouts", args->operands[0], NULL };
   const char *const state_path[] = { "rollouts", args->operands[0], "state", NULL };
   Json *entry = ctl_member_at (head->text, path);
-  const char *before = ctl_text (entry, "state", "running");
+  const char *current = ctl_text (entry, "state", "running");
 
   if (entry == NULL)
     {
       ctl_error ("number %lld has no roll-out of %s", (long long)head->number, args->operands[0]);
       return CTL_REFUSED;
     }
-  if (strcmp (before, state) == 0)
+  if (strcmp (current, state) == 0)
     printf ("the roll-out of %s is %s already, in number %lld\n", args->operands[0], state,
             (long long)head->number);
   else
@@ -145,37 +146,37 @@
 }
 
 static CtlExit
-make_paused (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_pause (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
-  return make_state (args, head, "paused", patch);
+  return build_state_change (args, head, "paused", patch);
 }
 
 static CtlExit
-make_running (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_resume (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
-  return make_state (args, head, "running", patch);
+  return build_state_change (args, head, "running", patch);
 }
 
 static CtlExit
-make_backed_out (const CtlArgs *args, const CtlHead *head, Json **patch)
+build_back_out (const CtlArgs *args, const CtlHead *head, Json **patch)
 {
-  return make_state (args, head, "backed_out", patch);
+  return build_state_change (args, head, "backed_out", patch);
 }
 
 CtlExit
 ctl_rollout_pause (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_built (ctl, args, "rollout pause", make_paused);
+  return ctl_submit_built (ctl, args, "rollout pause", build_pause);
 }
 
 CtlExit
 ctl_rollout_resume (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_built (ctl, args, "rollout resume", make_running);
+  return ctl_submit_built (ctl, args, "rollout resume", build_resume);
 }
 
 CtlExit
 ctl_rollout_back_out (Ctl *ctl, const CtlArgs *args)
 {
-  return ctl_submit_built (ctl, args, "rollout back-out", make_backed_out);
+  return ctl_submit_built (ctl, args, "rollout back-out", build_back_out);
 }
--- a/src/ctl_site.c
+++ b/src/ctl_site.c
@@ -1,5 +1,5 @@
 /**
- * Which stewards are asked, with which key.
+ * Options common to all commands, and the environment variables for them.
  */
 #include "ctl_option.h"
 #include "util_memory.h"
@@ -9,12 +9,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_SIZE 256
+#define KEY_SIZE 256 /* bytes */
 #define PORT_MAX 65535
 
 static const struct argp_option site_options[] = {
   { "steward", OPTION_STEWARD, "A:P[,A:P...]", 0,
-    "Stewards to ask, the first first (else " CTL_ENV_STEWARDS ")", 0 },
+    "Stewards, tried in this order (else " CTL_ENV_STEWARDS ")", 0 },
   { "key-file", OPTION_KEY_FILE, "FILE", 0,
     "File with the operator's key (else " CTL_ENV_KEY_FILE ")", 0 },
   { "trust-file", OPTION_TRUST_FILE, "FILE", 0,
@@ -23,12 +23,12 @@
   { 0 },
 };
 
-/** Reads A:P or [A]:P; false if it is neither. */
+/** Parses ADDRESS:PORT or [ADDRESS]:PORT; false if it is neither. */
 static bool
 parse_steward (const char *text, size_t len, CtlSteward *out)
 {
   char copy[CTL_ADDRESS_SIZE];
-  unsigned char binary[sizeof (struct in6_addr)];
+  unsigned char parsed[sizeof (struct in6_addr)];
   char *colon;
   char *end;
   char *address = copy;
@@ -49,7 +49,7 @@
   out->port = (int)strtol (colon + 1, &end, 10);
   if (colon[1] == '\0' || *end != '\0' || out->port < 1 || out->port > PORT_MAX)
     return false;
-  if (inet_pton (AF_INET, address, binary) != 1 && inet_pton (AF_INET6, address, binary) != 1)
+  if (inet_pton (AF_INET, address, parsed) != 1 && inet_pton (AF_INET6, address, parsed) != 1)
     return false;
   memcpy (out->address, address, strlen (address) + 1);
   return true;
@@ -73,19 +73,19 @@
   return ctl->steward_count > 0;
 }
 
-/** Reads the first line of a file as the key; false with a message if there is none. */
+/** Reads the key from the first line of a file; prints an error and returns false on failure. */
 static bool
 read_key (Ctl *ctl, const char *path)
 {
   char line[KEY_SIZE];
   FILE *file = fopen (path, "re");
-  bool good = file != NULL && fgets (line, sizeof line, file) != NULL;
+  bool read = file != NULL && fgets (line, sizeof line, file) != NULL;
 
-  if (!good)
+  if (!read)
     ctl_error ("key file %s: %s", path, file == NULL ? strerror (errno) : "no key in it");
   if (file != NULL)
     fclose (file);
-  if (!good)
+  if (!read)
     return false;
   line[strcspn (line, "\r\n")] = '\0';
   free (ctl->key);
@@ -95,7 +95,7 @@
 }
 
 static error_t
-parse_site (int key, char *arg, struct argp_state *state)
+parse_site_option (int key, char *arg, struct argp_state *state)
 {
   Ctl *ctl = state->input;
 
@@ -121,7 +121,7 @@
     }
 }
 
-const struct argp ctl_site_argp = { .options = site_options, .parser = parse_site };
+const struct argp ctl_site_argp = { .options = site_options, .parser = parse_site_option };
 
 void
 ctl_site_environment (Ctl *ctl)
--- a/src/ctl_status.c
+++ b/src/ctl_status.c
@@ -1,5 +1,5 @@
 /**
- * What is in force where: members, brakes, roll-outs.
+ * Commands on the state of the members and on brakes.
  */
 #include "ctl_http.h"
 #include "ctl_table.h"
@@ -11,10 +11,10 @@
 typedef struct json_object Json;
 
 static void
-add_heads (CtlTable *table, const char *const *heads)
+add_headings (CtlTable *table, const char *const *headings)
 {
   for (size_t i = 0; i < table->columns; i++)
-    ctl_table_cell (table, "%s", heads[i]);
+    ctl_table_cell (table, "%s", headings[i]);
 }
 
 static void
@@ -37,19 +37,19 @@
 static void
 print_members (Json *body, int64_t newest)
 {
-  static const char *const heads[MEMBER_COLUMNS]
+  static const char *const headings[MEMBER_COLUMNS]
       = { "VM", "FAILURE DOMAIN", "ADDRESS", "STATE", "NUMBER", "BEHIND", "HEARD" };
   CtlTable table = { .columns = MEMBER_COLUMNS };
   size_t count;
   Json *members = ctl_array (body, "members", &count);
 
-  add_heads (&table, heads);
+  add_headings (&table, headings);
   for (size_t i = 0; i < count; i++)
     add_member (&table, json_object_array_get_idx (members, i), newest);
   ctl_table_print (&table);
 }
 
-/** The newest number that any member is known to apply. */
+/** Highest number that any member is known to have in force. */
 static int64_t
 newest_number (Json *body)
 {
@@ -69,7 +69,7 @@
 static void
 print_brakes (Json *body)
 {
-  static const char *const heads[] = { "BRAKED VERSION", "SINCE NUMBER", "BY", "WHY" };
+  static const char *const headings[] = { "BRAKED VERSION", "SINCE NUMBER", "BY", "WHY" };
   CtlTable table = { .columns = 4 };
   size_t count;
   Json *brakes = ctl_array (body, "brakes", &count);
@@ -79,7 +79,7 @@
       printf ("no brakes\n");
       return;
     }
-  add_heads (&table, heads);
+  add_headings (&table, headings);
   for (size_t i = 0; i < count; i++)
     {
       Json *brake = json_object_array_get_idx (brakes, i);
--- a/src/ctl_submit.c
+++ b/src/ctl_submit.c
@@ -2,8 +2,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define TRIES_MAX   5
-#define REASON_SIZE 160
+#define ATTEMPTS_MAX 5
+#define REASON_SIZE  160 /* bytes */
 
 typedef struct json_object Json;
 
@@ -79,23 +79,24 @@
 {
   char path[CTL_PATH_SIZE];
   CtlAnswer version;
-  bool ours;
+  bool is_ours;
 
   if (answer->http_status != 409 || !answer->outcome_unknown)
     return false;
   snprintf (path, sizeof path, "/v1/versions/%lld", (long long)base + 1);
   if (ctl_http_call (ctl, "GET", path, NULL, 0, &version) != CTL_DONE)
     return false;
-  ours = version.http_status == 200 && ctl_number (version.body, "base", -1) == base
-         && json_object_equal (json_object_object_get (version.body, member), change) == 1;
-  if (ours)
+  is_ours = version.http_status == 200 && ctl_number (version.body, "base", -1) == base
+            && json_object_equal (json_object_object_get (version.body, member), change) == 1;
+  if (is_ours)
     printf ("number %lld has this change; its first answer was lost (see lovagectl status)\n",
             (long long)base + 1);
   ctl_answer_clear (&version);
-  return ours;
+  return is_ours;
 }
 
-/** Sends a patch; false if it lost the race against another one, which was not printed yet. */
+/** Submits a patch and prints the result. Returns false, without printing, if another patch was
+ *  accepted first. */
 static bool
 send_patch (const Ctl *ctl,
             const CtlArgs *args,
@@ -141,31 +142,31 @@
   return status;
 }
 
-/** One try; *again is set when another patch came between. */
+/** One attempt; sets *retry if another patch was accepted first and last is false. */
 static CtlExit
-submit_made_once (const Ctl *ctl,
-                  const CtlArgs *args,
-                  CtlPatchBuilder maker,
-                  bool last,
-                  bool *again)
+submit_built_once (const Ctl *ctl,
+                   const CtlArgs *args,
+                   CtlPatchBuilder build,
+                   bool last,
+                   bool *retry)
 {
   CtlHead head;
   Json *patch = NULL;
   CtlAnswer answer = { 0 };
   CtlExit status = ctl_head_read (ctl, args, &head);
 
-  *again = false;
+  *retry = false;
   if (status == CTL_DONE && head.text == NULL)
     {
       ctl_error ("there is no version yet: use lovagectl version create");
       return CTL_REFUSED;
     }
   if (status == CTL_DONE)
-    status = maker (args, &head, &patch);
+    status = build (args, &head, &patch);
   if (status == CTL_DONE && patch != NULL
       && !send_patch (ctl, args, head.number, patch, &answer, &status))
     {
-      *again = !last;
+      *retry = !last;
       status = last ? ctl_print_refusal (ctl, &answer) : CTL_CONFLICT;
     }
   ctl_answer_clear (&answer);
@@ -175,19 +176,19 @@
 }
 
 CtlExit
-ctl_submit_built (const Ctl *ctl, const CtlArgs *args, const char *command, CtlPatchBuilder maker)
+ctl_submit_built (const Ctl *ctl, const CtlArgs *args, const char *command, CtlPatchBuilder build)
 {
   char reason[REASON_SIZE];
-  CtlArgs told = *args;
-  int tries = args->base < 0 ? TRIES_MAX : 1;
+  CtlArgs submitted = *args;
+  int attempts = args->base < 0 ? ATTEMPTS_MAX : 1;
   CtlExit status = CTL_DONE;
-  bool again = true;
+  bool retry = true;
 
   snprintf (reason, sizeof reason, "%s %s", command, args->operands[0]);
   if (args->reason[0] == '\0')
-    told.reason = reason;
-  for (int i = 1; again; i++)
-    status = submit_made_once (ctl, &told, maker, i == tries, &again);
+    submitted.reason = reason;
+  for (int i = 1; retry; i++)
+    status = submit_built_once (ctl, &submitted, build, i == attempts, &retry);
   return status;
 }
 
--- a/src/ctl_submit.h
+++ b/src/ctl_submit.h
@@ -1,21 +1,22 @@
 /**
- * Submission of patches, and what its answer means.
+ * Submission of patches, and evaluation of the answers.
  */
 #ifndef CTL_SUBMIT_H
 #define CTL_SUBMIT_H
 
 #include "ctl_http.h"
 
-#define CTL_PATH_SIZE 128
+#define CTL_PATH_SIZE 128 /**< bytes */
 
-/** The newest version: its number and document. number 0: there is none yet. */
+/** Number and document of the version that a change is made against. Number 0: there is none yet.
+ */
 typedef struct
 {
   int64_t number;
   struct json_object *text; /**< NULL with number 0 */
 } CtlHead;
 
-/** Reads the version behind which a change is made: the newest, or args->base if that was given. */
+/** Reads the version that a change is made against: args->base if given, else the newest. */
 CtlExit ctl_head_read (const Ctl *ctl, const CtlArgs *args, CtlHead *head);
 void ctl_head_clear (CtlHead *head);
 
@@ -23,23 +24,24 @@
 CtlExit ctl_submit (const Ctl *ctl, const CtlArgs *args, int64_t base, struct json_object *patch);
 
 /**
- * Makes the patch for a document. *patch NULL with CTL_DONE: nothing is left to do, and the maker
- * has said so.
+ * Builds the patch for the document of head. CTL_DONE with *patch NULL: no change is needed, which
+ * the function has reported to the user.
  */
 typedef CtlExit (*CtlPatchBuilder) (const CtlArgs *args,
                                     const CtlHead *head,
                                     struct json_object **patch);
 
-/** Makes a patch against the newest version and submits it; when another patch comes between and no
- *  --base was given, makes it again against the new document, a few times. Without --reason the
- *  reason is command and the command's first word. */
+/** Builds a patch against the newest version and submits it. If another patch is accepted first and
+ *  --base was not given, retries a few times against the new document. Without --reason the reason
+ * is the command with its first operand. */
 CtlExit
-ctl_submit_built (const Ctl *ctl, const CtlArgs *args, const char *command, CtlPatchBuilder maker);
+ctl_submit_built (const Ctl *ctl, const CtlArgs *args, const char *command, CtlPatchBuilder build);
 
 /**
- * Whether a change that lost the race is ours after all: an earlier steward took it and its answer
- * was lost. The version behind base tells, since a number has one change: its member (the patch, or
- * the text of number 1) is compared with change. Prints what was found if it is ours.
+ * After a conflict, whether the accepted change is our own: an earlier steward may have submitted
+ * it without its answer reaching us. Since each number has exactly one change, the given member of
+ * version base + 1 (its patch, or the text of version 1) is compared with change. Prints a message
+ * if it is our own.
  */
 bool ctl_submit_was_applied (const Ctl *ctl,
                              const CtlAnswer *answer,
@@ -47,13 +49,14 @@
                              const char *member,
                              struct json_object *change);
 
-/** The member at a path of names ended by NULL, or NULL; borrowed. */
+/** Nested member at a NULL-terminated path of names; NULL if absent. Borrowed. */
 struct json_object *ctl_member_at (struct json_object *value, const char *const *names);
-/** An object with nothing but value, which is taken over, at the path. */
+/** New object that contains only value, at a NULL-terminated path of names; takes ownership of
+ * value. */
 struct json_object *ctl_nested (const char *const *names, struct json_object *value);
-/** Path of a submission with what to wait for. */
+/** Writes the URL path of a submission, including what to wait for. */
 void ctl_submit_path (const CtlArgs *args, const char *collection, char out[CTL_PATH_SIZE]);
-/** Prints the 200 answer of a submission and returns the exit status for it. */
+/** Prints the result of a submission that was answered with 200 and returns its exit status. */
 CtlExit ctl_submit_result (const Ctl *ctl, struct json_object *body);
 
 #endif
--- a/src/ctl_table.c
+++ b/src/ctl_table.c
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <time.h>
 
-#define CELL_SIZE 256
-#define GAP       2
+#define CELL_SIZE  256 /* bytes */
+#define COLUMN_GAP 2
 
 void
 ctl_table_cell (CtlTable *table, const char *format, ...)
@@ -32,7 +32,7 @@
   if (last)
     printf ("%s\n", cell);
   else
-    printf ("%-*s", (int)(width + GAP), cell);
+    printf ("%-*s", (int)(width + COLUMN_GAP), cell);
 }
 
 void
--- a/src/ctl_table.h
+++ b/src/ctl_table.h
@@ -1,5 +1,5 @@
 /**
- * Tables for people: columns as wide as their widest cell.
+ * Tables on standard output, with columns as wide as their widest cell.
  */
 #ifndef CTL_TABLE_H
 #define CTL_TABLE_H
@@ -16,12 +16,12 @@
   size_t columns;
 } CtlTable;
 
-/** Adds one cell; rows fill from left to right. Control characters become '?'. */
+/** Adds one cell; rows are filled from left to right. Control characters are replaced by '?'. */
 void ctl_table_cell (CtlTable *table, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
-/** Prints to standard output and frees the cells. */
+/** Prints the table to standard output and frees its cells. */
 void ctl_table_print (CtlTable *table);
-/** Writes a wall-clock time in UTC; "-" for 0. */
+/** Formats a wall-clock time in ms as UTC; returns out, or "-" if at_ms <= 0. */
 const char *ctl_time (long long at_ms, char out[32]);
 
 #endif
--- a/src/ctl_version.c
+++ b/src/ctl_version.c
@@ -1,5 +1,5 @@
 /**
- * Commands on numbered versions.
+ * Commands on numbered versions of the document.
  */
 #include "config.h"
 #include "ctl_submit.h"
@@ -17,7 +17,8 @@
   return json_object_to_json_string_ext (value, JSON_C_TO_STRING_NOSLASHESCAPE);
 }
 
-/** Reads a version number of the command line; false with a message. */
+/** Parses a version number from the command line; prints an error and returns false if it is
+ * invalid. */
 static bool
 parse_number (const char *text, int64_t *number)
 {
@@ -40,7 +41,7 @@
   return ctl_http_get (ctl, path, version);
 }
 
-/** The document of a file, checked; NULL with its errors on standard error. */
+/** Reads and validates a document; NULL, with the errors on standard error, if it is invalid. */
 static Json *
 read_document (const char *path)
 {
@@ -176,10 +177,11 @@
     ctl_print_json (body);
   else
     {
-      static const char *const heads[] = { "NUMBER", "BASE", "STATE", "AT", "OPERATOR", "REASON" };
+      static const char *const headings[]
+          = { "NUMBER", "BASE", "STATE", "AT", "OPERATOR", "REASON" };
 
       for (size_t i = 0; i < table.columns; i++)
-        ctl_table_cell (&table, "%s", heads[i]);
+        ctl_table_cell (&table, "%s", headings[i]);
       for (size_t i = 0; i < count; i++)
         add_version (&table, json_object_array_get_idx (versions, i),
                      ctl_number (body, "accepted", 0));
@@ -189,7 +191,7 @@
   return CTL_DONE;
 }
 
-/** Prints each changed member as "PATH: OLD -> NEW". */
+/** Prints each change as "PATH: OLD -> NEW", "PATH: added NEW" or "PATH: removed". */
 static void
 print_change (const char *path, Json *before, Json *patch)
 {
