--- a/src/ctl_command.c
+++ b/src/ctl_command.c
@@ -27,8 +27,9 @@
 };
 
 static const struct argp_option audit_options[] = {
-  { "since", OPTION_SINCE, "AGO|KEY", 0, "Start this long ago, e.g. 2h (1d), or at this entry", 0 },
-  { "limit", OPTION_LIMIT, "N", 0, "Maximum number of entries (200)", 0 },
+  { "since", OPTION_SINCE, "AGO|KEY", 0,
+    "From this long ago on, e.g. 2h (1d), or from this entry on", 0 },
+  { "limit", OPTION_LIMIT, "N", 0, "At most this many entries (200)", 0 },
   { 0 },
 };
 
@@ -48,13 +49,13 @@
     false, ctl_patch_submit },
   { "status", NULL, "", "Members, the number in force on each, brakes", NULL, 0, 0, false,
     ctl_status },
-  { "withdraw", NULL, "MODEL@VERSION", "Send a version no new requests", patch_options, 1, 1, false,
+  { "withdraw", NULL, "MODEL@VERSION", "Send a version no new work", patch_options, 1, 1, false,
     ctl_withdraw },
   { "rollout", "status", "", "Roll-outs and their evidence", NULL, 0, 0, false,
     ctl_rollout_status },
   { "rollout", "start", "MODEL", "Start a roll-out at its first stage", start_options, 1, 1, false,
     ctl_rollout_start },
-  { "rollout", "advance", "MODEL", "Go to the next stage, or end after the last", patch_options, 1,
+  { "rollout", "advance", "MODEL", "Go to the next stage, or end behind the last", patch_options, 1,
     1, false, ctl_rollout_advance },
   { "rollout", "pause", "MODEL", "Stay at the stage in force", patch_options, 1, 1, false,
     ctl_rollout_pause },
@@ -62,12 +63,12 @@
     ctl_rollout_resume },
   { "rollout", "back-out", "MODEL", "Return all callers to the old version", patch_options, 1, 1,
     false, ctl_rollout_back_out },
-  { "server", "leave", "NAME", "Send a backend server no new requests", patch_options, 1, 1, false,
+  { "server", "leave", "NAME", "Send a backend server no new work", patch_options, 1, 1, false,
     ctl_server_leave },
   { "brake", "list", "", "Brakes in force", NULL, 0, 0, false, ctl_brake_list },
   { "brake", "release", "MODEL@VERSION", "Allow a braked version again", patch_options, 1, 1, false,
     ctl_brake_release },
-  { "brake", NULL, "MODEL@VERSION", "Stop a version at once, even if the platform is down",
+  { "brake", NULL, "MODEL@VERSION", "Stop a version at once, also without the platform",
     brake_options, 1, 1, false, ctl_brake_raise },
   { "audit", NULL, "", "Who changed what, and when", audit_options, 0, 0, false, ctl_audit },
   { "usage", NULL, "", "Requests, tokens and cost by team", usage_options, 0, 0, false, ctl_usage },
--- a/src/http_request_parser.c
+++ b/src/http_request_parser.c
@@ -8,24 +8,24 @@
 static int
 on_body (http_parser *parser, const char *data, size_t len)
 {
-  HttpRequestParser *request = parser->data;
+  HttpRequestParser *intake = parser->data;
 
-  if (request->body.len + len > request->limits.body_max)
+  if (intake->body.len + len > intake->limits.body_max)
     {
-      request->refuse_status = STATUS_BODY_TOO_LARGE;
+      intake->refuse_status = STATUS_BODY_TOO_LARGE;
       return 1;
     }
-  buffer_add (&request->body, data, len);
+  buffer_add (&intake->body, data, len);
   return 0;
 }
 
 static int
 on_complete (http_parser *parser)
 {
-  HttpRequestParser *request = parser->data;
+  HttpRequestParser *intake = parser->data;
 
-  request->complete = true;
-  request->keep_alive = http_should_keep_alive (parser) != 0;
+  intake->complete = true;
+  intake->keep_alive = http_should_keep_alive (parser) != 0;
   http_parser_pause (parser, 1);
   return 0;
 }
@@ -36,45 +36,45 @@
 };
 
 void
-http_request_parser_init (HttpRequestParser *request, const HttpRequestLimits *limits)
+http_request_parser_init (HttpRequestParser *intake, const HttpRequestLimits *limits)
 {
-  memset (request, 0, sizeof *request);
-  request->limits = *limits;
-  http_parser_init (&request->parser, HTTP_REQUEST);
-  request->parser.data = request;
+  memset (intake, 0, sizeof *intake);
+  intake->limits = *limits;
+  http_parser_init (&intake->parser, HTTP_REQUEST);
+  intake->parser.data = intake;
 }
 
 bool
-http_request_parser_started (const HttpRequestParser *request)
+http_request_parser_started (const HttpRequestParser *intake)
 {
-  return request->raw.len > 0 || request->in_body;
+  return intake->raw.len > 0 || intake->in_body;
 }
 
 void
-http_request_parser_reset (HttpRequestParser *request)
+http_request_parser_reset (HttpRequestParser *intake)
 {
-  HttpRequestLimits limits = request->limits;
+  HttpRequestLimits limits = intake->limits;
 
-  buffer_free (&request->raw);
-  buffer_free (&request->body);
-  http_head_clear (&request->head);
-  http_request_parser_init (request, &limits);
+  buffer_free (&intake->raw);
+  buffer_free (&intake->body);
+  http_head_clear (&intake->head);
+  http_request_parser_init (intake, &limits);
 }
 
 static HttpParseResult
-refuse (HttpRequestParser *request, int status)
+refuse (HttpRequestParser *intake, int status)
 {
-  if (request->refuse_status == 0)
-    request->refuse_status = status;
+  if (intake->refuse_status == 0)
+    intake->refuse_status = status;
   return HTTP_PARSE_REFUSED;
 }
 
 /* Refuses heads whose framing has two interpretations, which request smuggling depends on: both a
  * length and chunks, an unknown transfer coding, two hosts. */
 static bool
-framing_is_unambiguous (const HttpRequestParser *request)
+framing_is_unambiguous (const HttpRequestParser *intake)
 {
-  const HttpHead *head = &request->head;
+  const HttpHead *head = &intake->head;
   Span coding = http_head_get (head, "Transfer-Encoding");
   Span length = http_head_get (head, "Content-Length");
   int64_t number;
@@ -90,83 +90,83 @@
 }
 
 static bool
-split_start_line (HttpRequestParser *request)
+split_start_line (HttpRequestParser *intake)
 {
-  Span rest = request->head.start_line;
+  Span rest = intake->head.start_line;
 
-  request->method = span_cut (&rest, ' ');
-  request->target = span_cut (&rest, ' ');
+  intake->method = span_cut (&rest, ' ');
+  intake->target = span_cut (&rest, ' ');
   return span_is (rest, "HTTP/1.1") || span_is (rest, "HTTP/1.0");
 }
 
 /* Feeds the parser; bytes after the end of the request are not used. */
 static HttpParseResult
-feed_parser (HttpRequestParser *request, const char *data, size_t len, size_t *used)
+feed_parser (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
 {
-  *used = http_parser_execute (&request->parser, &callbacks, data, len);
-  if (request->complete)
+  *used = http_parser_execute (&intake->parser, &callbacks, data, len);
+  if (intake->complete)
     return HTTP_PARSE_DONE;
-  if (HTTP_PARSER_ERRNO (&request->parser) != HPE_OK)
-    return refuse (request, STATUS_BAD_REQUEST);
+  if (HTTP_PARSER_ERRNO (&intake->parser) != HPE_OK)
+    return refuse (intake, STATUS_BAD_REQUEST);
   return HTTP_PARSE_MORE;
 }
 
 static HttpParseResult
-process_head (HttpRequestParser *request)
+process_head (HttpRequestParser *intake)
 {
   size_t used;
   HttpParseResult result;
   int64_t length;
 
-  if (!http_head_parse (&request->head, request->raw.data, request->raw.len)
-      || !split_start_line (request) || !framing_is_unambiguous (request))
-    return refuse (request, STATUS_BAD_REQUEST);
-  if (span_number (http_head_get (&request->head, "Content-Length"), &length)
-      && (uint64_t)length > request->limits.body_max)
-    return refuse (request, STATUS_BODY_TOO_LARGE);
-  result = feed_parser (request, request->raw.data, request->raw.len, &used);
-  buffer_free (&request->raw);
-  request->in_body = true;
-  request->wants_continue
+  if (!http_head_parse (&intake->head, intake->raw.data, intake->raw.len)
+      || !split_start_line (intake) || !framing_is_unambiguous (intake))
+    return refuse (intake, STATUS_BAD_REQUEST);
+  if (span_number (http_head_get (&intake->head, "Content-Length"), &length)
+      && (uint64_t)length > intake->limits.body_max)
+    return refuse (intake, STATUS_BODY_TOO_LARGE);
+  result = feed_parser (intake, intake->raw.data, intake->raw.len, &used);
+  buffer_free (&intake->raw);
+  intake->in_body = true;
+  intake->wants_continue
       = result == HTTP_PARSE_MORE
-        && span_is_nocase (http_head_get (&request->head, "Expect"), "100-continue");
+        && span_is_nocase (http_head_get (&intake->head, "Expect"), "100-continue");
   return result;
 }
 
 static HttpParseResult
-feed_head (HttpRequestParser *request, const char *data, size_t len, size_t *used)
+feed_head (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
 {
-  size_t before = request->raw.len, head_len;
+  size_t before = intake->raw.len, head_len;
 
-  buffer_add (&request->raw, data, len);
-  head_len = http_head_length (request->raw.data, request->raw.len);
+  buffer_add (&intake->raw, data, len);
+  head_len = http_head_length (intake->raw.data, intake->raw.len);
   *used = head_len ? head_len - before : len;
-  if (head_len > request->limits.head_max
-      || (!head_len && request->raw.len > request->limits.head_max))
-    return refuse (request, STATUS_HEAD_TOO_LARGE);
+  if (head_len > intake->limits.head_max
+      || (!head_len && intake->raw.len > intake->limits.head_max))
+    return refuse (intake, STATUS_HEAD_TOO_LARGE);
   if (head_len)
     {
-      request->raw.len = head_len;
-      return process_head (request);
+      intake->raw.len = head_len;
+      return process_head (intake);
     }
-  if (http_head_is_malformed (request->raw.data, request->raw.len))
-    return refuse (request, STATUS_BAD_REQUEST);
+  if (http_head_is_malformed (intake->raw.data, intake->raw.len))
+    return refuse (intake, STATUS_BAD_REQUEST);
   return HTTP_PARSE_MORE;
 }
 
 HttpParseResult
-http_request_parser_feed (HttpRequestParser *request, const char *data, size_t len, size_t *used)
+http_request_parser_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
 {
   size_t body_used;
   HttpParseResult result;
 
   *used = 0;
-  if (request->in_body)
-    return feed_parser (request, data, len, used);
-  result = feed_head (request, data, len, used);
-  if (result != HTTP_PARSE_MORE || !request->in_body || *used == len)
+  if (intake->in_body)
+    return feed_parser (intake, data, len, used);
+  result = feed_head (intake, data, len, used);
+  if (result != HTTP_PARSE_MORE || !intake->in_body || *used == len)
     return result;
-  result = feed_parser (request, data + *used, len - *used, &body_used);
+  result = feed_parser (intake, data + *used, len - *used, &body_used);
   *used += body_used;
   return result;
 }
