--- a/src/ctl_site.c
+++ b/src/ctl_site.c
@@ -14,7 +14,7 @@
 
 static const struct argp_option site_options[] = {
   { "steward", OPTION_STEWARD, "A:P[,A:P...]", 0,
-    "Stewards to try in this order (else " CTL_ENV_STEWARDS ")", 0 },
+    "Stewards to try, the first one first (else " CTL_ENV_STEWARDS ")", 0 },
   { "key-file", OPTION_KEY_FILE, "FILE", 0,
     "File with the operator's key (else " CTL_ENV_KEY_FILE ")", 0 },
   { "trust-file", OPTION_TRUST_FILE, "FILE", 0,
--- a/tests/fake_link.c
+++ b/tests/fake_link.c
@@ -5,19 +5,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KINDS 8
+#define CALL_KINDS 8
 
 typedef struct
 {
   Platform base;
   Platform *inner;
   pthread_mutex_t lock;
-  LinkState states[KINDS];
+  LinkState states[CALL_KINDS];
   size_t calls;
-  size_t kill_at; /* 0: not */
+  size_t kill_at; /* number of the call at which the VM is killed; 0: none */
   bool kill_after;
   bool dead;
-  const char *poison;
+  const char *rejected_key;
 } FakeLink;
 
 static FakeLink *
@@ -27,13 +27,13 @@
 }
 
 static LinkState
-step (FakeLink *link, unsigned call)
+next_state (FakeLink *link, unsigned call)
 {
   LinkState state = LINK_UP;
 
   pthread_mutex_lock (&link->lock);
   link->calls++;
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < CALL_KINDS; i++)
     if (call == 1U << i)
       state = link->states[i];
   if (link->dead)
@@ -48,9 +48,9 @@
   return state;
 }
 
-/* What the caller is told; code is that of the inner platform. */
+/* The code that the caller gets; code is the result of the inner platform. */
 static StatusCode
-told (LinkState state, StatusCode code, Status *st)
+reported_code (LinkState state, StatusCode code, Status *st)
 {
   if (state == LINK_UP)
     return code;
@@ -65,15 +65,15 @@
 }
 
 static bool
-is_poisoned (const FakeLink *link, const TxnOp *ops, size_t count)
+writes_rejected_key (const FakeLink *link, const TxnOp *ops, size_t count)
 {
-  for (size_t i = 0; link->poison != NULL && i < count; i++)
-    if (strcmp (ops[i].key, link->poison) == 0)
+  for (size_t i = 0; link->rejected_key != NULL && i < count; i++)
+    if (strcmp (ops[i].key, link->rejected_key) == 0)
       return true;
   return false;
 }
 
-/* What a platform makes of two writes of one row in one transaction is not said. */
+/* The protocol does not define two writes of the same row in one transaction. */
 static void
 check_rows_differ (const TxnOp *ops, size_t count)
 {
@@ -89,17 +89,17 @@
 link_txn (Platform *p, TxnOp *ops, size_t count, int timeout_ms, Status *st)
 {
   FakeLink *link = link_of (p);
-  LinkState state = step (link, CALL_TXN);
+  LinkState state = next_state (link, CALL_TXN);
   StatusCode code = STATUS_OK;
 
   check_rows_differ (ops, count);
-  if (state == LINK_UP && is_poisoned (link, ops, count))
+  if (state == LINK_UP && writes_rejected_key (link, ops, count))
     return status_set (st, STATUS_INVALID, "link", NULL, "malformed");
   if (has_effect (state))
     code = link->inner->ops->txn (link->inner, ops, count, timeout_ms, st);
   if (state == LINK_REPLY_LOST)
     txn_ops_clear (ops, count);
-  return told (state, code, st);
+  return reported_code (state, code, st);
 }
 
 static StatusCode
@@ -111,10 +111,10 @@
           Status *st)
 {
   FakeLink *link = link_of (p);
-  LinkState state = step (link, CALL_GET);
+  LinkState state = next_state (link, CALL_GET);
 
   if (state != LINK_UP)
-    return told (LINK_REFUSED, STATUS_OK, st);
+    return reported_code (LINK_REFUSED, STATUS_OK, st);
   return link->inner->ops->get (link->inner, table, key, timeout_ms, row, st);
 }
 
@@ -129,10 +129,10 @@
            Status *st)
 {
   FakeLink *link = link_of (p);
-  LinkState state = step (link, CALL_SCAN);
+  LinkState state = next_state (link, CALL_SCAN);
 
   if (state != LINK_UP)
-    return told (LINK_REFUSED, STATUS_OK, st);
+    return reported_code (LINK_REFUSED, STATUS_OK, st);
   return link->inner->ops->scan (link->inner, table, from, prefix, limit, timeout_ms, rows, st);
 }
 
@@ -145,22 +145,22 @@
                  Status *st)
 {
   FakeLink *link = link_of (p);
-  LinkState state = step (link, CALL_OBJECT_PUT);
+  LinkState state = next_state (link, CALL_OBJECT_PUT);
   StatusCode code = STATUS_OK;
 
   if (has_effect (state))
     code = link->inner->ops->object_put (link->inner, name, data, len, timeout_ms, st);
-  return told (state, code, st);
+  return reported_code (state, code, st);
 }
 
 static StatusCode
 link_object_get (Platform *p, const char *name, int timeout_ms, Buffer *out, Status *st)
 {
   FakeLink *link = link_of (p);
-  LinkState state = step (link, CALL_OBJECT_GET);
+  LinkState state = next_state (link, CALL_OBJECT_GET);
 
   if (state != LINK_UP)
-    return told (LINK_REFUSED, STATUS_OK, st);
+    return reported_code (LINK_REFUSED, STATUS_OK, st);
   return link->inner->ops->object_get (link->inner, name, timeout_ms, out, st);
 }
 
@@ -197,7 +197,7 @@
   FakeLink *link = link_of (p);
 
   pthread_mutex_lock (&link->lock);
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < CALL_KINDS; i++)
     if (calls & 1U << i)
       link->states[i] = state;
   pthread_mutex_unlock (&link->lock);
@@ -242,12 +242,12 @@
   FakeLink *link = link_of (p);
 
   pthread_mutex_lock (&link->lock);
-  link->poison = key;
+  link->rejected_key = key;
   pthread_mutex_unlock (&link->lock);
 }
 
 LinkState
 fake_link_call (Platform *p, unsigned call)
 {
-  return step (link_of (p), call);
+  return next_state (link_of (p), call);
 }
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -6,13 +6,13 @@
 #include <string.h>
 
 #define CALL_KINDS 7
-#define OBJECTS    "\001objects" /* the object store is one more table */
+#define OBJECTS    "\001objects" /* table that holds the object store */
 
 typedef struct
 {
   TxnOp *ops;
   size_t count;
-} FakeLate;
+} LateTxn;
 
 typedef struct
 {
@@ -25,14 +25,14 @@
   Platform base;
   pthread_mutex_t lock;
   FakeTable table;
-  FakeLate *late;
+  LateTxn *late;
   size_t late_count;
   PlatformVms vms;
   FakeScore *scores;
   size_t score_count;
   FakeFault fault;
   unsigned fault_calls;
-  unsigned fault_left; /* 0: without end */
+  unsigned fault_left; /* calls until the fault ends; 0: unlimited */
   size_t calls[CALL_KINDS];
   void (*hook) (void *context, FakeCall call);
   void *hook_context;
@@ -45,13 +45,13 @@
 }
 
 static void
-late_add (FakePlatform *f, const TxnOp *ops, size_t count)
+add_late_txn (FakePlatform *f, const TxnOp *ops, size_t count)
 {
   f->late = memory_grow (f->late, f->late_count + 1, sizeof *f->late);
-  f->late[f->late_count++] = (FakeLate){ fake_table_copy_ops (ops, count), count };
+  f->late[f->late_count++] = (LateTxn){ fake_table_copy_ops (ops, count), count };
 }
 
-/* Counts a call, runs the hook, takes the lock and returns the fault that the call meets. */
+/* Counts a call, runs the hook, takes the lock and returns the fault that applies to the call. */
 static FakeFault
 call_begin (FakePlatform *f, FakeCall call)
 {
@@ -94,7 +94,7 @@
   if (fault == FAULT_DOWN)
     return call_end (f, STATUS_UNAVAILABLE, "platform.txn", st);
   if (fault == FAULT_SLOW)
-    late_add (f, ops, count);
+    add_late_txn (f, ops, count);
   if (fault == FAULT_SLOW || fault == FAULT_LOSE_CALL)
     return call_end (f, STATUS_UNKNOWN, "platform.txn", st);
   if (!fake_table_apply (&f->table, ops, count))
--- a/tests/suite.c
+++ b/tests/suite.c
@@ -11,12 +11,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define WAIT_MAX_MS  30000
-#define WAIT_STEP_MS 5
-#define PORT_TRIES   100
+#define WAIT_MAX_MS   30000
+#define WAIT_STEP_MS  5
+#define PORT_ATTEMPTS 100
 
 static bool
-wanted (int argc, char **argv, const char *name)
+is_selected (int argc, char **argv, const char *name)
 {
   if (argc < 2)
     return true;
@@ -41,7 +41,7 @@
   INVARIANT (suite, "suite=\"%s\"", name);
   for (size_t i = 0; i < count; i++)
     {
-      if (wanted (argc, argv, cases[i].name))
+      if (is_selected (argc, argv, cases[i].name))
         INVARIANT (CU_add_test (suite, cases[i].name, cases[i].run), "case=\"%s\"", cases[i].name);
     }
   CU_basic_set_mode (CU_BRM_VERBOSE);
@@ -53,21 +53,22 @@
   return passed > 0 && failed == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-/* Binds a socket of this type to the port (0: any) of loopback and gives the number bound, or 0. */
+/* Binds a socket of this type to a port (0: any) of 127.0.0.1 and closes it; returns the port, or 0
+ * if it is in use. */
 static int
 try_port (int type, int port)
 {
-  struct sockaddr_in at = { .sin_family = AF_INET,
-                            .sin_port = htons ((uint16_t)port),
-                            .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-  socklen_t len = sizeof at;
+  struct sockaddr_in address = { .sin_family = AF_INET,
+                                 .sin_port = htons ((uint16_t)port),
+                                 .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
+  socklen_t len = sizeof address;
   int fd = socket (AF_INET, type | SOCK_CLOEXEC, 0);
   int bound = 0;
 
   INVARIANT (fd >= 0, "type=\"%d\"", type);
-  if (bind (fd, (struct sockaddr *)&at, sizeof at) == 0
-      && getsockname (fd, (struct sockaddr *)&at, &len) == 0)
-    bound = ntohs (at.sin_port);
+  if (bind (fd, (struct sockaddr *)&address, sizeof address) == 0
+      && getsockname (fd, (struct sockaddr *)&address, &len) == 0)
+    bound = ntohs (address.sin_port);
   close (fd);
   return bound;
 }
@@ -75,25 +76,25 @@
 int
 suite_free_port (void)
 {
-  for (int i = 0; i < PORT_TRIES; i++)
+  for (int i = 0; i < PORT_ATTEMPTS; i++)
     {
       int port = try_port (SOCK_STREAM, 0);
 
       if (port && try_port (SOCK_DGRAM, port) == port)
         return port;
     }
-  INVARIANT (false, "tries=\"%d\"", PORT_TRIES);
+  INVARIANT (false, "tries=\"%d\"", PORT_ATTEMPTS);
   return 0;
 }
 
 bool
 suite_wait (bool (*done) (void *context), void *context)
 {
-  int64_t until = clock_boot_ms () + WAIT_MAX_MS;
+  int64_t end_ms = clock_boot_ms () + WAIT_MAX_MS;
 
   while (!done (context))
     {
-      if (clock_boot_ms () > until)
+      if (clock_boot_ms () > end_ms)
         return false;
       clock_sleep_ms (WAIT_STEP_MS);
     }
--- a/tests/test_ctl_commands.c
+++ b/tests/test_ctl_commands.c
@@ -1,5 +1,5 @@
 /**
- * lovagectl's commands against stewards that answer by a script.
+ * lovagectl's commands against fake stewards with scripted answers.
  */
 #include "ctl.h"
 #include "fake_steward.h"
@@ -59,7 +59,7 @@
 }
 
 static void
-test_withdraw_what_is_not_there_or_withdrawn (void)
+test_withdraw_missing_or_withdrawn_version (void)
 {
   const FakeReply withdrawn[]
       = { { 200, "{\"head\":7}" }, { 200, VERSION ("7", "6", "withdrawn", "{}") }, { 0, NULL } };
@@ -75,11 +75,12 @@
 }
 
 /**
- * Two operators patch at once and the withdrawal loses. A withdrawal names no number of its own, so
- * it is made again behind the winner; it must not be lost, and must not undo the winner's change.
+ * Guards against a withdrawal that is lost, or that undoes another change, when two operators
+ * submit at the same time. A withdrawal without --base is rebuilt against the number that was
+ * accepted first.
  */
 static void
-test_withdraw_again_behind_the_winner (void)
+test_withdraw_retried_after_conflict (void)
 {
   const FakeReply replies[] = { { 200, "{\"head\":7}" },
                                 { 200, VERSION ("7", "6", "active", "{}") },
@@ -93,10 +94,10 @@
                        FAKE_GET_HEAD ("7") POST_PATCH ("7") FAKE_GET_HEAD ("8") POST_PATCH ("8"));
 }
 
-/** With --base the operator asked for this number or none: the loser is told, and nothing is sent
- *  again. */
+/** With --base the change must apply to exactly this number, so a conflict is reported and nothing
+ * is re-sent. */
 static void
-test_withdraw_with_base_loses (void)
+test_withdraw_with_base_reports_conflict (void)
 {
   const FakeReply replies[]
       = { { 200, VERSION ("7", "6", "active", "{}") }, { 409, CONFLICT }, { 0, NULL } };
@@ -136,12 +137,12 @@
 }
 
 /**
- * The operator's patch becomes number 8, but the steward dies before it answers. lovagectl asks the
- * next one, whose head is 8 now and which says "conflict". Told that he lost the race, the operator
- * would look for a winner that is himself. Number 8 holds his own patch: that is told instead.
+ * Guards against a conflict with the operator's own patch: it becomes number 8, but the steward
+ * dies before it answers, and the next steward, whose head is already 8, reports a conflict. Since
+ * number 8 contains this patch, lovagectl must report success.
  */
 static void
-test_answer_lost_after_the_effect (void)
+test_lost_answer_of_own_patch (void)
 {
   const FakeReply first[]
       = { { 200, VERSION ("7", "6", "active", "{}") }, { 0, "" }, { 0, "" }, { 0, NULL } };
@@ -159,9 +160,9 @@
   buffer_free (&second_log);
 }
 
-/** The same with another operator's patch as number 8: this race was lost. */
+/** The same with another operator's patch as number 8: the conflict is reported. */
 static void
-test_answer_lost_without_effect (void)
+test_lost_answer_and_other_patch (void)
 {
   const FakeReply first[]
       = { { 200, VERSION ("7", "6", "active", "{}") }, { 0, "" }, { 0, "" }, { 0, NULL } };
@@ -176,9 +177,9 @@
   buffer_free (&second_log);
 }
 
-/** A steward that can't reach the platform says 503; the next one may reach it. */
+/** A steward that cannot reach the platform answers 503; the next one may reach it. */
 static void
-test_503_goes_to_the_next (void)
+test_503_tries_next_steward (void)
 {
   const FakeReply first[] = { { 200, VERSION ("7", "6", "active", "{}") },
                               { 503, "{\"error\":{\"reason\":\"platform_down\"}}" },
@@ -194,9 +195,10 @@
   buffer_free (&second_log);
 }
 
-/** The same when the first steward itself lost the platform's reply, and says so. */
+/** Like lost_answer_of_own_patch, when the first steward reports that it lost the platform's reply.
+ */
 static void
-test_503_unknown_is_settled (void)
+test_503_unknown_is_resolved (void)
 {
   const FakeReply first[] = { { 200, VERSION ("7", "6", "active", "{}") },
                               { 503, "{\"error\":{\"reason\":\"unknown\"}}" },
@@ -278,7 +280,7 @@
 }
 
 static void
-test_settings_check_tells_the_kind (void)
+test_settings_check_detects_kind (void)
 {
   static const struct
   {
@@ -306,17 +308,17 @@
 
 static const SuiteCase cases[] = {
   { "withdraw_exit_statuses", test_withdraw_exit_statuses },
-  { "withdraw_what_is_not_there_or_withdrawn", test_withdraw_what_is_not_there_or_withdrawn },
-  { "withdraw_again_behind_the_winner", test_withdraw_again_behind_the_winner },
-  { "withdraw_with_base_loses", test_withdraw_with_base_loses },
-  { "answer_lost_after_the_effect", test_answer_lost_after_the_effect },
-  { "answer_lost_without_effect", test_answer_lost_without_effect },
-  { "503_goes_to_the_next", test_503_goes_to_the_next },
-  { "503_unknown_is_settled", test_503_unknown_is_settled },
+  { "withdraw_missing_or_withdrawn_version", test_withdraw_missing_or_withdrawn_version },
+  { "withdraw_retried_after_conflict", test_withdraw_retried_after_conflict },
+  { "withdraw_with_base_reports_conflict", test_withdraw_with_base_reports_conflict },
+  { "lost_answer_of_own_patch", test_lost_answer_of_own_patch },
+  { "lost_answer_and_other_patch", test_lost_answer_and_other_patch },
+  { "503_tries_next_steward", test_503_tries_next_steward },
+  { "503_unknown_is_resolved", test_503_unknown_is_resolved },
   { "unreachable_stewards", test_unreachable_stewards },
   { "version_create", test_version_create },
   { "audit_since", test_audit_since },
-  { "settings_check_tells_the_kind", test_settings_check_tells_the_kind },
+  { "settings_check_detects_kind", test_settings_check_detects_kind },
 };
 
 int
--- a/tests/test_ctl_rollout.c
+++ b/tests/test_ctl_rollout.c
@@ -1,5 +1,5 @@
 /**
- * lovagectl's commands on roll-outs.
+ * lovagectl's roll-out commands against fake stewards with scripted answers.
  */
 #include "fake_steward.h"
 #include "suite.h"
@@ -20,7 +20,7 @@
                                 .reason = "bad wording" };
 
 static void
-test_rollout (void)
+test_rollout_start_and_state (void)
 {
   const FakeReply replies[]
       = { { 200, "{\"head\":7}" },
@@ -56,7 +56,8 @@
                           "\"reason\":\"rollout start other\"}\n");
 }
 
-/** A roll-out of a withdrawn version would give no caller the new one, and look as if it ran. */
+/** Guards against a roll-out to a withdrawn version, which would appear to run although no caller
+ * gets the new version. */
 static void
 test_rollout_to_withdrawn (void)
 {
@@ -99,7 +100,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "rollout", test_rollout },
+  { "rollout_start_and_state", test_rollout_start_and_state },
   { "rollout_to_withdrawn", test_rollout_to_withdrawn },
   { "rollout_advance", test_rollout_advance },
 };
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -11,7 +11,7 @@
 
 #define THREADS 32
 
-/* A caller on its own thread: submits one insert, and keeps what it was told. */
+/* A caller with its own thread, which submits one insert and stores the result. */
 typedef struct
 {
   pthread_t thread;
@@ -25,13 +25,13 @@
   bool returned; /* atomic */
 } Caller;
 
-/* Holds the first transaction until it is let go, so that the others gather behind it. */
+/* Blocks the first two transactions until they are released, so that later requests queue. */
 typedef struct
 {
   sem_t entered;
-  sem_t go;
+  sem_t release;
   unsigned calls;
-} Gatekeeper;
+} TxnBlocker;
 
 static void *
 caller_run (void *argument)
@@ -78,27 +78,27 @@
 }
 
 static void
-hold_first (void *context, FakeCall call)
+block_first (void *context, FakeCall call)
 {
-  Gatekeeper *keeper = context;
+  TxnBlocker *blocker = context;
 
-  if (call != CALL_TXN || __atomic_fetch_add (&keeper->calls, 1, __ATOMIC_SEQ_CST) > 1)
+  if (call != CALL_TXN || __atomic_fetch_add (&blocker->calls, 1, __ATOMIC_SEQ_CST) > 1)
     return;
-  sem_post (&keeper->entered);
-  sem_wait (&keeper->go);
+  sem_post (&blocker->entered);
+  sem_wait (&blocker->release);
 }
 
 static void
-keeper_init (Gatekeeper *keeper, Platform *p)
+blocker_init (TxnBlocker *blocker, Platform *p)
 {
-  sem_init (&keeper->entered, 0, 0);
-  sem_init (&keeper->go, 0, 0);
-  keeper->calls = 0;
-  fake_platform_hook (p, hold_first, keeper);
+  sem_init (&blocker->entered, 0, 0);
+  sem_init (&blocker->release, 0, 0);
+  blocker->calls = 0;
+  fake_platform_hook (p, block_first, blocker);
 }
 
-/* Each caller's own write is in the table when its call returns, although far fewer transactions
- * than callers have left. */
+/* Each caller's write is in the table when its call returns, with fewer transactions than callers.
+ */
 static void
 test_writes_share_transactions (void)
 {
@@ -120,11 +120,11 @@
   platform_free (p);
 }
 
-/* A caller sends one request twice within a millisecond, and both land in one group. If both
- * inserts went in one transaction, what the second is told would hang on the platform; both being
- * told "inserted" would run the request twice. */
+/* Guards against a request that is run twice: a caller sends it twice within a millisecond, and
+ * both inserts are queued together. In one transaction, the result of the second would depend on
+ * the platform, and both could be reported as inserted. */
 static void
-test_same_key_has_one_winner (void)
+test_same_key_is_inserted_once (void)
 {
   Platform *p = fake_platform_new ();
   Platform *link = fake_link_new (p);
@@ -154,7 +154,8 @@
   platform_free (p);
 }
 
-/* Each fault is told to every caller of the transaction, as "not applied" only where that is so. */
+/* Each fault is reported to every caller of the transaction, as "not applied" only where this is
+ * certain. */
 static void
 test_faults_reach_every_caller (void)
 {
@@ -187,29 +188,30 @@
     }
 }
 
-/* The table service hangs. A caller whose write has left is told "unknown", one whose write still
- * waits is told "not applied": and then it must never be applied, also when the service is back. */
+/* If the table service hangs, a caller whose write was sent gets STATUS_UNKNOWN, and one whose
+ * write is still queued gets STATUS_UNAVAILABLE; the latter must not be applied after the service
+ * has recovered. */
 static void
 test_bounded_wait (void)
 {
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 0, 1, 60000);
-  Gatekeeper keeper;
+  TxnBlocker blocker;
   Caller sent[2], queued;
 
-  keeper_init (&keeper, p);
+  blocker_init (&blocker, p);
   caller_start (&sent[0], group, "a", 0, 100);
   caller_start (&sent[1], group, "b", 1, 100);
-  sem_wait (&keeper.entered);
-  sem_wait (&keeper.entered);
+  sem_wait (&blocker.entered);
+  sem_wait (&blocker.entered);
   caller_start (&queued, group, "c", 2, 100);
   callers_join (sent, 2);
   callers_join (&queued, 1);
   CU_ASSERT_EQUAL (sent[0].code, STATUS_UNKNOWN);
   CU_ASSERT_EQUAL (sent[1].code, STATUS_UNKNOWN);
   CU_ASSERT_EQUAL (queued.code, STATUS_UNAVAILABLE);
-  sem_post (&keeper.go);
-  sem_post (&keeper.go);
+  sem_post (&blocker.release);
+  sem_post (&blocker.release);
   platform_group_free (group);
   CU_ASSERT_EQUAL (fake_platform_rows (p, "t"), 2);
   platform_free (p);
@@ -217,49 +219,50 @@
 
 #define CALLERS_OVER 2
 
-/* Callers of test_queue_is_bounded: two in transactions, a full queue, and those over it. */
-static Caller crowd[THREADS + 2 + CALLERS_OVER];
-#define CROWD (sizeof crowd / sizeof crowd[0])
+/* Callers of test_queue_is_bounded: two in transactions, a full queue, and those beyond its
+ * capacity. */
+static Caller overload_callers[THREADS + 2 + CALLERS_OVER];
+#define OVERLOAD_CALLERS (sizeof overload_callers / sizeof overload_callers[0])
 
 static bool
 some_returned (void *context)
 {
   int count = 0;
 
-  for (size_t i = 0; i < CROWD; i++)
-    count += __atomic_load_n (&crowd[i].returned, __ATOMIC_SEQ_CST);
+  for (size_t i = 0; i < OVERLOAD_CALLERS; i++)
+    count += __atomic_load_n (&overload_callers[i].returned, __ATOMIC_SEQ_CST);
   return count >= *(int *)context;
 }
 
-/* The table service hangs and callers keep coming: the queue has a bound, and beyond it a caller is
- * refused at once, while all others still get their turn. */
+/* If the table service hangs while callers keep arriving, callers beyond the queue's capacity are
+ * refused immediately, and all others are served after the recovery. */
 static void
 test_queue_is_bounded (void)
 {
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 0, 1, 60000);
-  Gatekeeper keeper;
+  TxnBlocker blocker;
   int over = CALLERS_OVER;
   int full = 0;
 
-  keeper_init (&keeper, p);
-  for (size_t i = 0; i < CROWD; i++)
+  blocker_init (&blocker, p);
+  for (size_t i = 0; i < OVERLOAD_CALLERS; i++)
     {
       char key[32];
 
       snprintf (key, sizeof key, "k%zu", i);
-      caller_start (&crowd[i], group, key, (int)i, 0);
+      caller_start (&overload_callers[i], group, key, (int)i, 0);
       if (i < 2)
-        sem_wait (&keeper.entered);
+        sem_wait (&blocker.entered);
     }
   CU_ASSERT_TRUE (suite_wait (some_returned, &over));
-  sem_post (&keeper.go);
-  sem_post (&keeper.go);
-  callers_join (crowd, CROWD);
-  for (size_t i = 0; i < CROWD; i++)
-    full += crowd[i].code == STATUS_FULL;
+  sem_post (&blocker.release);
+  sem_post (&blocker.release);
+  callers_join (overload_callers, OVERLOAD_CALLERS);
+  for (size_t i = 0; i < OVERLOAD_CALLERS; i++)
+    full += overload_callers[i].code == STATUS_FULL;
   CU_ASSERT_EQUAL (full, CALLERS_OVER);
-  CU_ASSERT_EQUAL (fake_platform_rows (p, "t"), CROWD - CALLERS_OVER);
+  CU_ASSERT_EQUAL (fake_platform_rows (p, "t"), OVERLOAD_CALLERS - CALLERS_OVER);
   platform_group_free (group);
   platform_free (p);
 }
@@ -275,14 +278,14 @@
 }
 
 static bool
-is_taken_again (void *context)
+accepts_again (void *context)
 {
   return insert_one (context, "after") == STATUS_OK;
 }
 
-/* The table service is away, and each caller would wait for its timeout to hear so. After three
- * failures in a row callers are refused at once, without a call; and when the service is back it is
- * used again. */
+/* Guards against callers that each wait for a timeout while the table service is down: after three
+ * consecutive failures callers are refused immediately without a call, until the service has
+ * recovered. */
 static void
 test_refused_at_once_when_down (void)
 {
@@ -298,48 +301,50 @@
   CU_ASSERT_TRUE (refused > 0);
   CU_ASSERT_EQUAL (fake_platform_calls (p, CALL_TXN), 3 + 1000 - (size_t)refused);
   fake_platform_fault (p, FAULT_NONE, 0, 0);
-  CU_ASSERT_TRUE (suite_wait (is_taken_again, group));
+  CU_ASSERT_TRUE (suite_wait (accepts_again, group));
   CU_ASSERT_EQUAL (insert_one (group, "later"), STATUS_OK);
   platform_group_free (group);
   platform_free (p);
 }
 
 static void *
-insert_until_taken (void *argument)
+insert_until_accepted (void *argument)
 {
-  suite_wait (is_taken_again, argument);
+  suite_wait (accepts_again, argument);
   return NULL;
 }
 
-/* The table service hangs. Of the callers that come while it is tried again, one waits to hear. */
+/* While one caller probes a table service that hangs, the other callers are refused without a call.
+ */
 static void
-test_one_tries_when_down (void)
+test_one_caller_probes_when_down (void)
 {
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 0, 256, 60000);
   TxnOp op = { .kind = TXN_INSERT, .table = "t", .key = "other", .value = "{}" };
-  Gatekeeper keeper;
+  TxnBlocker blocker;
   pthread_t prober;
 
   fake_platform_fault (p, FAULT_DOWN, CALL_TXN, 3);
   for (int i = 0; i < 3; i++)
     CU_ASSERT_EQUAL (insert_one (group, "before"), STATUS_UNAVAILABLE);
-  keeper_init (&keeper, p);
-  pthread_create (&prober, NULL, insert_until_taken, group);
-  sem_wait (&keeper.entered);
+  blocker_init (&blocker, p);
+  pthread_create (&prober, NULL, insert_until_accepted, group);
+  sem_wait (&blocker.entered);
   for (int i = 0; i < 10; i++)
     CU_ASSERT_EQUAL (platform_group_submit_within (group, &op, 1, 100, NULL), STATUS_UNAVAILABLE);
   CU_ASSERT_EQUAL (fake_platform_calls (p, CALL_TXN), 3);
-  sem_post (&keeper.go);
-  sem_post (&keeper.go);
+  sem_post (&blocker.release);
+  sem_post (&blocker.release);
   pthread_join (prober, NULL);
   platform_group_free (group);
   platform_free (p);
 }
 
-/* A site that grows must not write more: the interval follows the number of its members. */
+/* The interval grows with the number of members, so that a larger site does not write more often.
+ */
 static void
-test_interval_of_a_site (void)
+test_site_interval (void)
 {
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 60000, 256, 1000);
@@ -367,13 +372,13 @@
 {
   static const SuiteCase cases[] = {
     { "writes_share_transactions", test_writes_share_transactions },
-    { "same_key_has_one_winner", test_same_key_has_one_winner },
+    { "same_key_is_inserted_once", test_same_key_is_inserted_once },
     { "faults_reach_every_caller", test_faults_reach_every_caller },
     { "bounded_wait", test_bounded_wait },
     { "queue_is_bounded", test_queue_is_bounded },
     { "refused_at_once_when_down", test_refused_at_once_when_down },
-    { "one_tries_when_down", test_one_tries_when_down },
-    { "interval_of_a_site", test_interval_of_a_site },
+    { "one_caller_probes_when_down", test_one_caller_probes_when_down },
+    { "site_interval", test_site_interval },
   };
 
   return suite_main (argc, argv, "group", cases, SUITE_COUNT (cases));
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -24,7 +24,7 @@
                         .read_timeout_ms = 5000 };
 }
 
-/* One call at a server with this answer; its status and body are returned. */
+/* Makes one call to a server that gives this answer, and returns its HTTP status and body. */
 static StatusCode
 call_once (const FakeAnswer *answer, int *http_status, Buffer *body, Status *st)
 {
@@ -38,7 +38,7 @@
 }
 
 static void
-test_whole_answers (void)
+test_complete_answers (void)
 {
   const char *const texts[] = { LENGTH_OK, CHUNKED_OK, "HTTP/1.1 100 Continue\r\n\r\n" LENGTH_OK };
   const char *const bodies[] = { "hello", "helloyou", "hello" };
@@ -56,9 +56,10 @@
 }
 
 static void
-test_statuses_are_answers (void)
+test_statuses_are_returned (void)
 {
-  /* No retry after 401, no redirect followed: each is the one answer to one request. */
+  /* No retry after 401 and no redirect is followed: each status is returned as the answer to a
+   * single request. */
   const int statuses[] = { 204, 302, 401, 409, 503 };
   for (size_t i = 0; i < SUITE_COUNT (statuses); i++)
     {
@@ -78,17 +79,17 @@
 }
 
 static void
-test_cut_answers (void)
+test_truncated_answers (void)
 {
   /*
-   * A contractor gets half a guarantee that looks whole: the engine dies while its answer streams,
-   * the connection closes, and the end of the connection is taken for the end of the answer.
-   * Cut at each byte, a whole answer must never be reported.
+   * Guards against truncated answers that look complete: a backend server dies while it streams,
+   * and the end of the connection is taken for the end of the answer. An answer truncated at any
+   * byte must not be reported as complete.
    */
   const char *const texts[] = { LENGTH_OK, CHUNKED_OK };
-  /* A chunked body ends with the line of its chunk of length 0; the empty line after it is the end
-   * of trailers that nobody reads. */
-  const size_t whole_from[] = { strlen (LENGTH_OK), strlen (CHUNKED_OK) - 2 };
+  /* A chunked body is complete with the line of its chunk of length 0; the empty line after it ends
+   * the trailers, which are not read. */
+  const size_t complete_len[] = { strlen (LENGTH_OK), strlen (CHUNKED_OK) - 2 };
   const char *const bodies[] = { "hello", "helloyou" };
   for (size_t i = 0; i < SUITE_COUNT (texts); i++)
     for (size_t len = 1; len <= strlen (texts[i]); len++)
@@ -96,18 +97,18 @@
         Status st;
         Buffer body = { 0 };
         int http_status = 0;
-        bool whole = len >= whole_from[i];
+        bool complete = len >= complete_len[i];
         FakeAnswer answer = { .text = texts[i], .len = len };
         StatusCode code = call_once (&answer, &http_status, &body, &st);
-        CU_ASSERT_EQUAL (code, whole ? STATUS_OK : STATUS_UNKNOWN);
+        CU_ASSERT_EQUAL (code, complete ? STATUS_OK : STATUS_UNKNOWN);
         CU_ASSERT_EQUAL (st.code, code);
-        CU_ASSERT_TRUE (!whole || strcmp (body.data, bodies[i]) == 0);
+        CU_ASSERT_TRUE (!complete || strcmp (body.data, bodies[i]) == 0);
         buffer_free (&body);
       }
 }
 
 static void
-test_answer_without_end (void)
+test_answer_without_framing (void)
 {
   Status st;
   Buffer body = { 0 };
@@ -119,12 +120,12 @@
 }
 
 static void
-test_closed_after_request (void)
+test_no_retry_after_close (void)
 {
   /*
-   * A bank finds two guarantees issued: the engine takes the request, runs it and dies before its
-   * answer; the HTTP library sees a closed connection, takes it for a stale one and sends the
-   * request again by itself.
+   * Guards against requests that are executed twice: a backend server executes the request and dies
+   * before it answers; the HTTP library takes the closed connection for a stale one and re-sends
+   * the request.
    */
   Status st;
   Buffer body = { 0 };
@@ -135,9 +136,9 @@
 }
 
 static void
-test_closed_between_requests (void)
+test_new_connection_per_request (void)
 {
-  /* The same in a row: each exchange has its own connection, so none meets a stale one. */
+  /* Each exchange opens its own connection, so none can use a stale one. */
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = LENGTH_OK });
   HttpRequest request = request_to (fake_server_port (server));
   for (int i = 1; i <= 5; i++)
@@ -153,7 +154,7 @@
 }
 
 static void
-test_refused (void)
+test_connection_refused (void)
 {
   Status st;
   Buffer body = { 0 };
@@ -167,9 +168,10 @@
 }
 
 static void
-test_unsendable (void)
+test_invalid_headers_and_paths (void)
 {
-  /* A caller's header value with a line end in it would add a header, or a second request. */
+  /* Guards against header injection: a line break in a header or path would add a header or a
+   * second request. */
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = LENGTH_OK });
   const HttpHeader bad[] = { { "X-Lovage-Request", "a\r\nX-Lovage-Priority: 9" },
                              { "X-Bad\r\nHost", "b" },
@@ -195,7 +197,7 @@
 }
 
 static void
-test_too_long (void)
+test_answer_too_long (void)
 {
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = CHUNKED_OK });
   HttpRequest request = request_to (fake_server_port (server));
@@ -210,10 +212,10 @@
 }
 
 static void
-test_silent_and_dripping (void)
+test_silent_and_slow_answers (void)
 {
-  /* A server that takes the request and says nothing, and one that sends a byte now and then so
-   * that it is never silent for long. */
+  /* A server that never answers, and one that sends single bytes so slowly that the read timeout
+   * never expires: the total timeout must end the call. */
   const FakeAnswer answers[] = { { .text = CHUNKED_OK, .pause_at = 1 },
                                  { .text = CHUNKED_OK, .drip_ms = 50 },
                                  { .text = CHUNKED_OK, .pause_at = sizeof CHUNKED_HEAD } };
@@ -233,16 +235,16 @@
 }
 
 static bool
-has_left (void *context)
+client_has_left (void *context)
 {
   return fake_server_left (context) == 1;
 }
 
 static void
-test_streams_and_leaves (void)
+test_streaming_and_cancelling (void)
 {
-  /* Tokens are passed on as they come, and freeing the exchange closes its connection, by which the
-   * engine knows that the caller has left. */
+  /* Data is available as soon as it is received, and freeing the exchange closes its connection,
+   * which tells the backend server that the request is cancelled. */
   FakeAnswer answer = { .text = CHUNKED_HEAD "5\r\nhello\r\n",
                         .pause_at = sizeof CHUNKED_HEAD + 9,
                         .hold = true };
@@ -257,23 +259,23 @@
   CU_ASSERT_STRING_EQUAL (data, "hello");
   fake_server_go (server);
   http_exchange_free (exchange);
-  CU_ASSERT_TRUE (suite_wait (has_left, server));
+  CU_ASSERT_TRUE (suite_wait (client_has_left, server));
   fake_server_free (server);
 }
 
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "whole_answers", test_whole_answers },
-                              { "statuses_are_answers", test_statuses_are_answers },
-                              { "cut_answers", test_cut_answers },
-                              { "answer_without_end", test_answer_without_end },
-                              { "closed_after_request", test_closed_after_request },
-                              { "closed_between_requests", test_closed_between_requests },
-                              { "refused", test_refused },
-                              { "unsendable", test_unsendable },
-                              { "too_long", test_too_long },
-                              { "silent_and_dripping", test_silent_and_dripping },
-                              { "streams_and_leaves", test_streams_and_leaves } };
+  const SuiteCase cases[] = { { "complete_answers", test_complete_answers },
+                              { "statuses_are_returned", test_statuses_are_returned },
+                              { "truncated_answers", test_truncated_answers },
+                              { "answer_without_framing", test_answer_without_framing },
+                              { "no_retry_after_close", test_no_retry_after_close },
+                              { "new_connection_per_request", test_new_connection_per_request },
+                              { "connection_refused", test_connection_refused },
+                              { "invalid_headers_and_paths", test_invalid_headers_and_paths },
+                              { "answer_too_long", test_answer_too_long },
+                              { "silent_and_slow_answers", test_silent_and_slow_answers },
+                              { "streaming_and_cancelling", test_streaming_and_cancelling } };
   return suite_main (argc, argv, "http_client", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_http_finish.c
+++ b/tests/test_http_finish.c
@@ -27,7 +27,7 @@
                         .read_timeout_ms = 5000 };
 }
 
-/* What may_finish sees when it is asked. */
+/* What may_finish observes when it is called, and its answer. */
 typedef struct
 {
   FakeServer *server;
@@ -82,9 +82,9 @@
 test_may_finish (void)
 {
   /*
-   * A version is withdrawn while a request for it waits for a connection. The grant is checked as
-   * late as can be: all bytes but the last have reached the engine, and without the last the engine
-   * can't run the request.
+   * Guards against running a request for a version that is withdrawn while the request waits for a
+   * connection. may_finish must be called when all bytes but the last have reached the backend
+   * server, which cannot run the request without the last one.
    */
   char *big = memory_alloc (BIG_SIZE);
   memset (big, 'x', BIG_SIZE);
@@ -108,18 +108,19 @@
 test_frozen_peer (void)
 {
   /*
-   * An engine's VM freezes: its kernel acknowledges what comes until its buffers are full, and the
-   * sender of a long prompt would wait for ever; the caller's request would never get an answer.
-   * The last byte was not sent, so that the request has certainly not run.
+   * Guards against a sender that blocks forever: the kernel of a frozen VM acknowledges data until
+   * its buffers are full. The call must return, and since the last byte was not sent, the request
+   * has certainly not been executed.
    */
-  struct sockaddr_in where = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-  socklen_t len = sizeof where;
+  struct sockaddr_in address
+      = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
+  socklen_t len = sizeof address;
   int listener = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  CU_ASSERT_EQUAL_FATAL (bind (listener, (struct sockaddr *)&where, len), 0);
+  CU_ASSERT_EQUAL_FATAL (bind (listener, (struct sockaddr *)&address, len), 0);
   CU_ASSERT_EQUAL_FATAL (listen (listener, 1), 0);
-  getsockname (listener, (struct sockaddr *)&where, &len);
+  getsockname (listener, (struct sockaddr *)&address, &len);
   char *long_body = memory_alloc (FROZEN_SIZE);
-  HttpRequest request = request_to (ntohs (where.sin_port));
+  HttpRequest request = request_to (ntohs (address.sin_port));
   Buffer body = { 0 };
   Status st;
   int http_status = 0;
@@ -132,7 +133,7 @@
   request.context = &asked;
   CU_ASSERT_EQUAL (http_call (&request, &http_status, &body, &st), STATUS_UNAVAILABLE);
   CU_ASSERT_EQUAL (asked, 0);
-  /* The thread that was left behind has a copy of its own. */
+  /* The abandoned thread uses its own copy of the body. */
   free (long_body);
   close (listener);
   buffer_free (&body);
--- a/tests/test_http_local.c
+++ b/tests/test_http_local.c
@@ -62,8 +62,8 @@
 static void
 test_port_taken (void)
 {
-  /* A second daemon on the same port must not start beside the first: half of the balancer's
-   * checks would go to each. */
+  /* A second daemon must not share the port with the first, or the load balancer's checks would be
+   * distributed between both. */
   const HttpLocalOps ops = { 0 };
   Status st;
   int port = suite_free_port ();
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -1,5 +1,5 @@
 /**
- * Reads over kept connections: src/http_reader.c.
+ * GET requests over persistent connections: src/http_reader.c.
  */
 #include "fake_keeper.h"
 #include "fake_server.h"
@@ -21,7 +21,7 @@
   return (HttpRead){ .path = path, .connect_timeout_ms = 5000, .read_timeout_ms = 5000 };
 }
 
-/* One GET; STATUS_OK only with the text that the keeper gives. */
+/* Sends one GET; STATUS_OK only if the answer is TEXT. */
 static StatusCode
 get (HttpReader *reader)
 {
@@ -40,7 +40,7 @@
 }
 
 static void
-test_one_connection (void)
+test_connection_is_reused (void)
 {
   FakeKeeper *keeper = fake_keeper_new (TEXT);
   HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
@@ -57,11 +57,11 @@
 }
 
 static void
-test_closed_in_between (void)
+test_idle_connection_closed (void)
 {
   /*
-   * An engine that is well leaves the choice for a second: its HTTP server closed the connection
-   * that was idle, the next load report goes to the closed connection and is counted as missed.
+   * Guards against failed reads on a connection that the server closed while it was idle: a healthy
+   * backend server would be excluded for a second because its load report is counted as missed.
    */
   FakeKeeper *keeper = fake_keeper_new (TEXT);
   HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
@@ -96,9 +96,9 @@
 }
 
 static void
-test_no_answer_on_kept (void)
+test_no_answer_on_persistent (void)
 {
-  /* On a kept connection neon asks a second time, on a fresh one; never more often. */
+  /* If a persistent connection fails, neon retries once on a new one, and never more often. */
   FakeKeeper *keeper = fake_keeper_new (TEXT);
   HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
 
@@ -114,7 +114,7 @@
   fake_keeper_free (keeper);
 }
 
-/* One read of an answer of this kind on a fresh connection. */
+/* Reads this answer once, on a new connection. */
 static StatusCode
 get_from (const FakeAnswer *answer, const HttpRead *read, int *requests)
 {
@@ -143,7 +143,7 @@
     size_t max;
     StatusCode code;
   } cases[] = {
-    /* none, on an open connection: the read timeout ends it */
+    /* no answer on an open connection: the read timeout ends the read */
     { { .hold = true }, 0, 0, STATUS_UNKNOWN },
     { { 0 }, 0, 0, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello" }, 0, 0, STATUS_UNKNOWN },
@@ -226,10 +226,10 @@
 }
 
 static void
-test_timeouts_of_a_connection (void)
+test_timeouts_need_own_connection (void)
 {
-  /* neon takes the timeouts when it connects: a read with another one needs another connection, or
-   * it would wait as long as the first one may. */
+  /* neon applies the timeouts when it connects, so a read with other timeouts needs a new
+   * connection; otherwise it would wait as long as the first read may. */
   FakeKeeper *keeper = fake_keeper_new (TEXT);
   HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
   const int timeouts_ms[] = { 5000, 4500, 1000, 1000, 5000 };
@@ -250,11 +250,12 @@
 }
 
 static void
-test_platform_writes_alone (void)
+test_platform_writes_use_new_connection (void)
 {
   /*
-   * A patch is accepted twice: a transaction goes out on a connection that the table service has
-   * just closed, and the library sends it again. Reads are kept, a transaction never is.
+   * Guards against transactions that are applied twice: if one were sent on a persistent connection
+   * that the table service has just closed, the library would re-send it. Only reads use persistent
+   * connections.
    */
   FakeKeeper *keeper = fake_keeper_new ("{\"key\":\"a\",\"value\":\"1\",\"version\":3}");
   Platform *p = platform_http_new (LOCALHOST, fake_keeper_port (keeper));
@@ -278,14 +279,15 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "one_connection", test_one_connection },
-                              { "closed_in_between", test_closed_in_between },
-                              { "server_down", test_server_down },
-                              { "no_answer_on_kept", test_no_answer_on_kept },
-                              { "bad_answers", test_bad_answers },
-                              { "bad_paths", test_bad_paths },
-                              { "two_threads", test_two_threads },
-                              { "timeouts_of_a_connection", test_timeouts_of_a_connection },
-                              { "platform_writes_alone", test_platform_writes_alone } };
+  const SuiteCase cases[]
+      = { { "connection_is_reused", test_connection_is_reused },
+          { "idle_connection_closed", test_idle_connection_closed },
+          { "server_down", test_server_down },
+          { "no_answer_on_persistent", test_no_answer_on_persistent },
+          { "bad_answers", test_bad_answers },
+          { "bad_paths", test_bad_paths },
+          { "two_threads", test_two_threads },
+          { "timeouts_need_own_connection", test_timeouts_need_own_connection },
+          { "platform_writes_use_new_connection", test_platform_writes_use_new_connection } };
   return suite_main (argc, argv, "http_reader", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_http_tls.c
+++ b/tests/test_http_tls.c
@@ -24,7 +24,8 @@
                         .read_timeout_ms = 5000 };
 }
 
-/* A self-signed certificate of that name for 127.0.0.1 and its key, PEM; freed with gnutls_free. */
+/* Makes a self-signed certificate with this name for 127.0.0.1, and its key, both PEM; freed with
+ * gnutls_free. */
 static void
 make_certificate (const char *name, gnutls_datum_t *cert_out, gnutls_datum_t *key_out)
 {
@@ -81,7 +82,7 @@
   return result;
 }
 
-/* A client's trust file, and what it reports of a server with certificate "CN=test". */
+/* A client's trust file, and the expected codes at a server with the certificate "CN=test". */
 typedef struct
 {
   const char *file;
@@ -107,9 +108,9 @@
 static void
 test_tls (void)
 {
-  /* The right server is talked to; one with a certificate that is not trusted gets no request. For
-   * one with the trusted name and another key neon tells no reason: then nothing but a missing body
-   * proves that nothing was sent. */
+  /* Only the server with the trusted certificate gets requests. If a certificate has the trusted
+   * name but another key, neon reports no reason; then only an unsent body proves that the request
+   * was not sent, so that a GET is reported as STATUS_UNKNOWN. */
   const char *const names[] = { "CN=test", "CN=stranger", "CN=test" };
   gnutls_datum_t certs[3];
   gnutls_datum_t keys[3];
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -11,7 +11,8 @@
 #define TIMEOUT_MS 5000
 #define ODD_KEY    "a b&c=d+e%20/\xc3\xa9\"?#"
 
-/* Each protocol of the platform, and the fake, must answer the same. */
+/* A platform client with the stand-in that it calls. Each protocol and the fake platform must pass
+ * the same checks. */
 typedef struct
 {
   Platform *p;
@@ -71,7 +72,7 @@
   return p->ops->txn (p, &op, 1, TIMEOUT_MS, NULL);
 }
 
-/* Version of a row of table "t", whose value must be this; -1 on failure. */
+/* Version of a row of table "t"; -1 if it cannot be read or has another value. */
 static int64_t
 version_of (Platform *p, const char *key, const char *value)
 {
@@ -113,7 +114,7 @@
   CU_ASSERT_FALSE (ops[3].inserted);
   CU_ASSERT_STRING_EQUAL (ops[3].existing, "2");
   txn_ops_clear (ops, 4);
-  /* The check fails, and the operation before it must not take effect either. */
+  /* If a check fails, an earlier operation of the same transaction must not take effect either. */
   TxnOp late[] = { { .kind = TXN_PUT, .table = "t", .key = "c", .value = "4" },
                    { .kind = TXN_CHECK, .table = "t", .key = "a", .version = 7 } };
   Status st;
@@ -224,7 +225,8 @@
   platform_free (p);
 }
 
-/* A fault's name at the stand-in and in the fake, and what a write must report and leave. */
+/* A fault in the stand-in and in the fake, the code that a write must return, and the row's version
+ * after it. */
 typedef struct
 {
   const char *http;
@@ -243,8 +245,9 @@
 test_write_faults (void)
 {
   /*
-   * A bill is written twice, or a claim is thought lost: the table service commits and its reply
-   * is lost. Such a call must be told from one that was not taken.
+   * Guards against writes that are repeated or given up because their outcome is misreported: a
+   * call whose reply was lost after the commit must be distinguished from one that was not
+   * executed.
    */
   Site site = site_new_http ();
   Platform *fake = fake_platform_new ();
@@ -266,7 +269,7 @@
 static void
 check_read_fault (Platform *p)
 {
-  /* A read has no effect, so that nothing about it is unknown. */
+  /* A read has no effect, so its failure is never reported as unknown. */
   PlatformRow row;
   PlatformRows rows;
   PlatformVms vms;
@@ -311,7 +314,7 @@
 } Row;
 
 static bool
-is_there (void *context)
+row_exists (void *context)
 {
   const Row *row = context;
   return version_of (row->p, row->key, "1") == 1;
@@ -320,14 +323,14 @@
 static void
 test_late_effect (void)
 {
-  /* The caller has given up, and the write comes after it: what was unknown happens. */
+  /* A write reported as unknown can take effect after its caller has timed out. */
   Site site = site_new_http ();
   Platform *fake = fake_platform_new ();
   TxnOp op = { .kind = TXN_PUT, .table = "t", .key = "a", .value = "1" };
   set_fault (&site, "{\"kind\":\"slow\",\"value\":2000,\"count\":1}");
   CU_ASSERT_EQUAL (site.p->ops->txn (site.p, &op, 1, 1000, NULL), STATUS_UNKNOWN);
   CU_ASSERT_EQUAL (version_of (site.p, "a", ""), 0);
-  CU_ASSERT_TRUE (suite_wait (is_there, &(Row){ site.p, "a" }));
+  CU_ASSERT_TRUE (suite_wait (row_exists, &(Row){ site.p, "a" }));
   fake_platform_fault (fake, FAULT_SLOW, CALL_TXN, 1);
   CU_ASSERT_EQUAL (put (fake, "a", "1"), STATUS_UNKNOWN);
   CU_ASSERT_EQUAL (version_of (fake, "a", ""), 0);
@@ -340,7 +343,7 @@
 static void
 test_late_check (void)
 {
-  /* A late transaction whose check does not hold any more must not take effect. */
+  /* A late transaction must not take effect if its check no longer holds. */
   Platform *fake = fake_platform_new ();
   TxnOp ops[] = { { .kind = TXN_CHECK, .table = "t", .key = "a", .version = 0 },
                   { .kind = TXN_PUT, .table = "t", .key = "a", .value = "late" } };
--- a/tests/test_platform_answers.c
+++ b/tests/test_platform_answers.c
@@ -14,7 +14,7 @@
   return p->ops->txn (p, &op, 1, TIMEOUT_MS, NULL);
 }
 
-/* Version of a row of table "t", whose value must be this; -1 on failure. */
+/* Version of a row of table "t"; -1 if it cannot be read or has another value. */
 static int64_t
 version_of (Platform *p, const char *key, const char *value)
 {
@@ -29,7 +29,7 @@
 }
 
 static void
-test_refused (void)
+test_connection_refused (void)
 {
   Platform *p = platform_http_new (LOCALHOST, suite_free_port ());
   CU_ASSERT_EQUAL (put (p, "a", "1"), STATUS_UNAVAILABLE);
@@ -47,7 +47,8 @@
 static void
 test_bad_answers (void)
 {
-  /* Answers that break the protocol: a write may have been committed, a read gave nothing. */
+  /* After an answer that violates the protocol, a write may have been committed and a read has
+   * failed. */
   const char *const bodies[] = { "",
                                  "[]",
                                  "null",
@@ -98,7 +99,7 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "refused", test_refused },
+  const SuiteCase cases[] = { { "connection_refused", test_connection_refused },
                               { "bad_answers", test_bad_answers },
                               { "http_statuses", test_http_statuses } };
   return suite_main (argc, argv, "platform_answers", cases, SUITE_COUNT (cases));
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -1,5 +1,5 @@
 /**
- * Sealed messages, the server and the client of our processes' RPC.
+ * Sealed messages, replay protection, RPC server and RPC client: src/rpc_*.c.
  */
 #include "rpc_client.h"
 #include "rpc_replay.h"
@@ -24,7 +24,7 @@
 {
   atomic_int heartbeats;
   atomic_ullong nonce;
-} Seen;
+} Received;
 
 static bool handle_config_get (void *context, const RpcPeer *peer, const void *arg, void *result);
 static bool handle_heartbeat (void *context, const RpcPeer *peer, const void *arg, void *result);
@@ -44,7 +44,7 @@
 
 static SiteKey key = { .bytes = { 1, 2, 3 } };
 static SiteKey other_key = { .bytes = { 3, 2, 1 } };
-static Seen seen;
+static Received received;
 
 static bool
 handle_config_get (void *context, const RpcPeer *peer, const void *arg, void *result)
@@ -69,8 +69,8 @@
   (void)context;
   (void)peer;
   (void)result;
-  atomic_store (&seen.nonce, heartbeat->nonce);
-  atomic_fetch_add (&seen.heartbeats, 1);
+  atomic_store (&received.nonce, heartbeat->nonce);
+  atomic_fetch_add (&received.heartbeats, 1);
   return true;
 }
 
@@ -94,7 +94,7 @@
 {
   int64_t end_ms = clock_boot_ms () + WAIT_MS;
 
-  while (atomic_load (&seen.heartbeats) < count && clock_boot_ms () < end_ms)
+  while (atomic_load (&received.heartbeats) < count && clock_boot_ms () < end_ms)
     clock_sleep_ms (1);
 }
 
@@ -115,10 +115,10 @@
   return code;
 }
 
-/* A stranger on the network sends orders to a steward, or alters a message on its way. Nothing of
- * it may be heeded: the MAC covers sender, sequence, procedure and body. */
+/* Guards against forged and altered messages: the MAC must cover key, sender, sequence number,
+ * procedure and body. */
 static void
-test_seal_refuses_alteration (void)
+test_altered_message_refused (void)
 {
   rpc_number value = { .number = 42 };
   rpc_number out = { 0 };
@@ -154,8 +154,9 @@
   rpc_sealed_clear (&sealed);
 }
 
-/* A gate asks for its grant; somebody on the way answers with a recorded older answer, which still
- * has a valid MAC. The gate would go on under a grant that its steward has not renewed. */
+/* Guards against replayed answers: an attacker answers a gate's request for a grant with a recorded
+ * older answer, whose MAC is still valid, and the gate would keep a grant that its steward has not
+ * renewed. */
 static void
 test_old_answer_refused (void)
 {
@@ -180,7 +181,7 @@
   rpc_sealed_clear (&answer);
 }
 
-/* Datagrams arrive twice and out of order; each counts once, in whichever order they come. */
+/* Datagrams can arrive twice and out of order; each must be accepted exactly once. */
 static void
 test_replay_window (void)
 {
@@ -236,7 +237,7 @@
   rpc_server_free (server);
 }
 
-/* A steward is replaced: the gate's connection is dead, and the next call must find the new one. */
+/* After a steward was replaced, a client's connection is dead; calls must reach the new one. */
 static void
 test_reconnect (void)
 {
@@ -262,10 +263,10 @@
   rpc_server_free (server);
 }
 
-/* A peer sends half a record and stops. Were its socket read to the end of the record, the server's
- * one thread would wait for it, and every gate's grant would lapse. */
+/* Guards against a peer that sends half a record and blocks the server's only thread, so that every
+ * gate's grant would expire. */
 static void
-test_half_record_holds_nobody (void)
+test_half_record_does_not_block (void)
 {
   static const char half[] = { (char)0x80, 0, 1, 0, 'x', 'y' };
   RpcServer *server = start_server ();
@@ -282,7 +283,7 @@
   rpc_server_free (server);
 }
 
-/* A port that takes connections but never answers: the call ends at its time, as unknown. */
+/* A peer that accepts connections but never answers: the call times out as STATUS_UNKNOWN. */
 static void
 test_silent_peer (void)
 {
@@ -306,14 +307,14 @@
 }
 
 static void
-test_one_way (void)
+test_one_way_messages (void)
 {
   RpcServer *server = start_server ();
   rpc_heartbeat heartbeat = { .nonce = 0, .incarnation = 9, .address = "" };
   struct sockaddr_in address;
   int i;
 
-  atomic_store (&seen.heartbeats, 0);
+  atomic_store (&received.heartbeats, 0);
   (void)rpc_address ("127.0.0.1", rpc_server_port (server), &address);
   for (i = 1; i <= 10; i++)
     {
@@ -323,14 +324,15 @@
                        STATUS_OK);
       wait_heartbeats (i);
     }
-  CU_ASSERT_EQUAL (atomic_load (&seen.heartbeats), 10);
-  CU_ASSERT_EQUAL (atomic_load (&seen.nonce), 10);
+  CU_ASSERT_EQUAL (atomic_load (&received.heartbeats), 10);
+  CU_ASSERT_EQUAL (atomic_load (&received.nonce), 10);
   rpc_server_free (server);
 }
 
-/* A recorded datagram is sent again by another host, MAC and all: it must count once only. */
+/* Guards against replayed datagrams: a datagram that is re-sent from another socket is handled
+ * once. */
 static void
-test_datagram_repeat_refused (void)
+test_repeated_datagram_refused (void)
 {
   RpcServer *server = start_server ();
   rpc_heartbeat heartbeat = { .nonce = 77, .incarnation = 5, .address = "" };
@@ -341,7 +343,7 @@
   rpc_sealed sealed;
   CLIENT *client;
 
-  atomic_store (&seen.heartbeats, 0);
+  atomic_store (&received.heartbeats, 0);
   (void)rpc_address ("127.0.0.1", rpc_server_port (server), &address);
   client = clnt_dg_create (fd, &to, LOVAGE_STEWARD, LOVAGE_STEWARD_V1, 8192, 8192);
   CU_ASSERT_PTR_NOT_NULL_FATAL (client);
@@ -358,9 +360,10 @@
                   NULL);
   (void)clnt_call (client, LOVAGE_HEARTBEAT_ASK, (xdrproc_t)xdr_rpc_sealed, &sealed,
                    (xdrproc_t)xdr_rpc_sealed, NULL, no_wait);
-  /* Datagrams of one socket over loopback keep their order: the third comes after the repeat. */
+  /* Datagrams of one socket over loopback keep their order, so the third arrives after the repeat.
+   */
   wait_heartbeats (2);
-  CU_ASSERT_EQUAL (atomic_load (&seen.heartbeats), 2);
+  CU_ASSERT_EQUAL (atomic_load (&received.heartbeats), 2);
   rpc_sealed_clear (&sealed);
   clnt_destroy (client);
   (void)close (fd);
@@ -395,16 +398,16 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "seal_refuses_alteration", test_seal_refuses_alteration },
+    { "altered_message_refused", test_altered_message_refused },
     { "old_answer_refused", test_old_answer_refused },
     { "replay_window", test_replay_window },
-    { "call_with_a_large_answer", test_call_large_answer },
+    { "call_large_answer", test_call_large_answer },
     { "call_refused", test_call_refused },
     { "reconnect", test_reconnect },
-    { "half_a_record_holds_nobody", test_half_record_holds_nobody },
+    { "half_record_does_not_block", test_half_record_does_not_block },
     { "silent_peer", test_silent_peer },
-    { "one_way", test_one_way },
-    { "datagram_repeat_refused", test_datagram_repeat_refused },
+    { "one_way_messages", test_one_way_messages },
+    { "repeated_datagram_refused", test_repeated_datagram_refused },
     { "key_file", test_key_file },
   };
 
--- a/tests/test_util.c
+++ b/tests/test_util.c
@@ -120,7 +120,7 @@
   CU_ASSERT_EQUAL (strspn (a, "0123456789abcdef"), ID_SIZE - 1);
   CU_ASSERT_STRING_NOT_EQUAL (a, b);
   CU_ASSERT_NOT_EQUAL (id_random_u64 (), id_random_u64 ());
-  /* Known value of XXH64: other VMs may run another build, and must hash alike. */
+  /* Published value of XXH64: VMs that run another build must compute the same hashes. */
   CU_ASSERT_EQUAL (id_hash_string ("", 0), UINT64_C (0xef46db3751d8e999));
   CU_ASSERT_NOT_EQUAL (id_hash_string ("a", 0), id_hash_string ("a", 1));
 }
@@ -134,8 +134,8 @@
 }
 
 /*
- * An operator sees a counter fall when connections close. The threads that counted have ended and
- * their shards are gone; their sums must stay.
+ * Guards against counters that decrease when threads exit: a thread's shard is freed at its exit,
+ * and its sums must remain in the totals.
  */
 static void
 test_counter_outlives_threads (void)
@@ -164,12 +164,12 @@
 
   CU_ASSERT_STRING_EQUAL (log_quote ("a\"b\\c\nd", out, sizeof out), "a\\\"b\\\\c\\x0ad");
   CU_ASSERT_STRING_EQUAL (log_quote ("0123456789abcdefgh", out, sizeof out), "0123456789abcde");
-  /* An escape that does not fit whole is left out whole. */
+  /* An escape sequence that does not fit completely is omitted. */
   CU_ASSERT_STRING_EQUAL (log_quote ("0123456789abc\n", out, sizeof out), "0123456789abc");
   CU_ASSERT_STRING_EQUAL (log_quote (NULL, out, sizeof out), "");
 }
 
-/* Runs one log_msg with standard error in a pipe; the text is in out. */
+/* Runs log_msg with standard error redirected to a pipe and copies the output to out. */
 static void
 capture_log (const char *value, char out[CAPTURE_SIZE])
 {
@@ -215,7 +215,7 @@
   log_init ("test_util", LOG_INFO);
 }
 
-/* Reads text into a Sample; the errors must be exactly these lines. */
+/* Parses and reads text into a Sample, and checks that the error list equals errors. */
 static void
 expect_errors (const char *text, const char *errors)
 {
@@ -283,8 +283,8 @@
 }
 
 /*
- * An operator sends a document with a line break in a member's name. The list of errors would show
- * a line that no check wrote.
+ * Guards against forged error lines: a document whose member name contains a line break would add a
+ * line of its own to the error list.
  */
 static void
 test_field_names_are_quoted (void)
@@ -314,8 +314,8 @@
 }
 
 /*
- * A team's list of allowed versions stands twice in a file, and the second silently takes the place
- * of the first: a withdrawn version is allowed again. json-c itself keeps the last.
+ * Guards against silently replaced members: if a team's list of allowed versions occurs twice in a
+ * file, json-c keeps the last one, and a withdrawn version could be allowed again.
  */
 static void
 test_field_duplicates (void)
@@ -325,7 +325,7 @@
   expect_errors ("{\"x\":{\"y\":[0,{\"z\":{},\"z\" /*:*/ : {}}]},\"x\":1}",
                  "f.json: x.y[1].z: line 1, column 32: duplicate member name\n"
                  "f.json: x: line 1, column 43: duplicate member name\n");
-  /* Names that only look alike: in strings, in comments, in other objects. */
+  /* The same text in strings, in comments and in other objects is not a duplicate name. */
   expect_errors (
       "{\"name\":\"\\\"name\\\":\" /* \"name\":1 */, \"list\":[{\"name\":1},{\"name\":2}]}", "");
 }
