--- a/tests/test_ctl_rollout.c
+++ b/tests/test_ctl_rollout.c
@@ -20,7 +20,7 @@
                                 .reason = "bad wording" };
 
 static void
-test_rollout_start_and_state (void)
+test_rollout (void)
 {
   const FakeReply replies[]
       = { { 200, "{\"head\":7}" },
@@ -100,7 +100,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "rollout_start_and_state", test_rollout_start_and_state },
+  { "rollout", test_rollout },
   { "rollout_to_withdrawn", test_rollout_to_withdrawn },
   { "rollout_advance", test_rollout_advance },
 };
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -154,7 +154,7 @@
 }
 
 static void
-test_connection_refused (void)
+test_refused (void)
 {
   Status st;
   Buffer body = { 0 };
@@ -197,7 +197,7 @@
 }
 
 static void
-test_answer_too_long (void)
+test_too_long (void)
 {
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = CHUNKED_OK });
   HttpRequest request = request_to (fake_server_port (server));
@@ -272,9 +272,9 @@
                               { "answer_without_framing", test_answer_without_framing },
                               { "no_retry_after_close", test_no_retry_after_close },
                               { "new_connection_per_request", test_new_connection_per_request },
-                              { "connection_refused", test_connection_refused },
+                              { "refused", test_refused },
                               { "invalid_headers_and_paths", test_invalid_headers_and_paths },
-                              { "answer_too_long", test_answer_too_long },
+                              { "too_long", test_too_long },
                               { "silent_and_slow_answers", test_silent_and_slow_answers },
                               { "streaming_and_cancelling", test_streaming_and_cancelling } };
   return suite_main (argc, argv, "http_client", cases, SUITE_COUNT (cases));
--- a/tests/test_platform_answers.c
+++ b/tests/test_platform_answers.c
@@ -29,7 +29,7 @@
 }
 
 static void
-test_connection_refused (void)
+test_refused (void)
 {
   Platform *p = platform_http_new (LOCALHOST, suite_free_port ());
   CU_ASSERT_EQUAL (put (p, "a", "1"), STATUS_UNAVAILABLE);
@@ -99,7 +99,7 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "connection_refused", test_connection_refused },
+  const SuiteCase cases[] = { { "refused", test_refused },
                               { "bad_answers", test_bad_answers },
                               { "http_statuses", test_http_statuses } };
   return suite_main (argc, argv, "platform_answers", cases, SUITE_COUNT (cases));
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -24,7 +24,7 @@
 {
   atomic_int heartbeats;
   atomic_ullong nonce;
-} Received;
+} Seen;
 
 static bool handle_config_get (void *context, const RpcPeer *peer, const void *arg, void *result);
 static bool handle_heartbeat (void *context, const RpcPeer *peer, const void *arg, void *result);
@@ -44,7 +44,7 @@
 
 static SiteKey key = { .bytes = { 1, 2, 3 } };
 static SiteKey other_key = { .bytes = { 3, 2, 1 } };
-static Received received;
+static Seen seen;
 
 static bool
 handle_config_get (void *context, const RpcPeer *peer, const void *arg, void *result)
@@ -69,8 +69,8 @@
   (void)context;
   (void)peer;
   (void)result;
-  atomic_store (&received.nonce, heartbeat->nonce);
-  atomic_fetch_add (&received.heartbeats, 1);
+  atomic_store (&seen.nonce, heartbeat->nonce);
+  atomic_fetch_add (&seen.heartbeats, 1);
   return true;
 }
 
@@ -94,7 +94,7 @@
 {
   int64_t end_ms = clock_boot_ms () + WAIT_MS;
 
-  while (atomic_load (&received.heartbeats) < count && clock_boot_ms () < end_ms)
+  while (atomic_load (&seen.heartbeats) < count && clock_boot_ms () < end_ms)
     clock_sleep_ms (1);
 }
 
@@ -314,7 +314,7 @@
   struct sockaddr_in address;
   int i;
 
-  atomic_store (&received.heartbeats, 0);
+  atomic_store (&seen.heartbeats, 0);
   (void)rpc_address ("127.0.0.1", rpc_server_port (server), &address);
   for (i = 1; i <= 10; i++)
     {
@@ -324,8 +324,8 @@
                        STATUS_OK);
       wait_heartbeats (i);
     }
-  CU_ASSERT_EQUAL (atomic_load (&received.heartbeats), 10);
-  CU_ASSERT_EQUAL (atomic_load (&received.nonce), 10);
+  CU_ASSERT_EQUAL (atomic_load (&seen.heartbeats), 10);
+  CU_ASSERT_EQUAL (atomic_load (&seen.nonce), 10);
   rpc_server_free (server);
 }
 
@@ -343,7 +343,7 @@
   rpc_sealed sealed;
   CLIENT *client;
 
-  atomic_store (&received.heartbeats, 0);
+  atomic_store (&seen.heartbeats, 0);
   (void)rpc_address ("127.0.0.1", rpc_server_port (server), &address);
   client = clnt_dg_create (fd, &to, LOVAGE_STEWARD, LOVAGE_STEWARD_V1, 8192, 8192);
   CU_ASSERT_PTR_NOT_NULL_FATAL (client);
@@ -363,7 +363,7 @@
   /* Datagrams of one socket over loopback keep their order, so the third arrives after the repeat.
    */
   wait_heartbeats (2);
-  CU_ASSERT_EQUAL (atomic_load (&received.heartbeats), 2);
+  CU_ASSERT_EQUAL (atomic_load (&seen.heartbeats), 2);
   rpc_sealed_clear (&sealed);
   clnt_destroy (client);
   (void)close (fd);
