--- a/src/ctl_http.h
+++ b/src/ctl_http.h
@@ -28,8 +28,7 @@
 /** Frees the body; keeps outcome_unknown. */
 void ctl_answer_clear (CtlAnswer *answer);
 
-/** GET of a path that must exist. *body is freed by the caller; NULL on failure. Prints a refusal.
- */
+/** GET of a path that must exist. The caller frees *body; NULL on failure. Prints a refusal. */
 CtlExit ctl_http_get (const Ctl *ctl, const char *path, struct json_object **body);
 /** Prints a refusal, with --json also its JSON, and returns its exit status. */
 CtlExit ctl_print_refusal (const Ctl *ctl, const CtlAnswer *answer);
--- a/src/ctl_site.c
+++ b/src/ctl_site.c
@@ -79,13 +79,13 @@
 {
   char line[KEY_SIZE];
   FILE *file = fopen (path, "re");
-  bool read = file != NULL && fgets (line, sizeof line, file) != NULL;
+  bool key_read = file != NULL && fgets (line, sizeof line, file) != NULL;
 
-  if (!read)
+  if (!key_read)
     ctl_error ("key file %s: %s", path, file == NULL ? strerror (errno) : "no key in it");
   if (file != NULL)
     fclose (file);
-  if (!read)
+  if (!key_read)
     return false;
   line[strcspn (line, "\r\n")] = '\0';
   free (ctl->key);
--- a/src/ctl_submit.h
+++ b/src/ctl_submit.h
@@ -8,8 +8,7 @@
 
 #define CTL_PATH_SIZE 128 /**< bytes */
 
-/** Number and document of the version that a change is made against. Number 0: there is none yet.
- */
+/** Version that a change is made against: number and document. Number 0: there is none yet. */
 typedef struct
 {
   int64_t number;
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -39,8 +39,7 @@
   return true;
 }
 
-/* Asks may_finish whether the request may be completed. A refusal is final: it is not asked again.
- */
+/* Asks may_finish whether the request may be completed. A refusal is final. */
 static bool
 check_may_finish (HttpExchange *x)
 {
@@ -177,7 +176,7 @@
   return STATUS_UNKNOWN;
 }
 
-/* The upload thread may outlive the call, and with it the caller's body. */
+/* The upload thread may outlive the caller's body, so it uses a copy. */
 static void
 copy_body (HttpExchange *x)
 {
--- a/src/http_reader.c
+++ b/src/http_reader.c
@@ -38,8 +38,7 @@
   unsigned idle_max;
 };
 
-/* neon's automatic retry after a stale connection resets the flag, because it may fail to connect.
- */
+/* neon's automatic retry after a stale connection resets the flag: it may fail to connect. */
 static void
 on_session_status (void *userdata, ne_session_status status, const ne_session_status_info *info)
 {
--- a/src/http_upload.h
+++ b/src/http_upload.h
@@ -22,7 +22,8 @@
 
 /** Called by the body provider in the upload thread for each block: resets the stall timeout. */
 void http_upload_progress (HttpUpload *upload);
-/** Called by the body provider: whether the last byte may be sent. Always false once abandoned. */
+/** Called by the body provider: whether the last byte may be sent. False if the upload is abandoned
+ *  before the decision. */
 bool http_upload_may_finish (HttpUpload *upload);
 
 #endif
--- a/src/platform_breaker.h
+++ b/src/platform_breaker.h
@@ -11,10 +11,9 @@
 
 typedef struct
 {
-  bool open;                 /**< the latest attempt failed */
-  int64_t retry_interval_ms; /**< delay before the next attempt; doubles with each failure up to the
-                                maximum */
-  int64_t next_try_at_ms;    /**< time of the next attempt; valid if open */
+  bool open;                     /**< the latest attempt failed */
+  int64_t retry_interval_ms;     /**< delay before the next attempt; doubles up to the maximum */
+  int64_t next_try_at_ms;        /**< time of the next attempt; valid if open */
   int64_t retry_interval_max_ms; /**< 0: default of 2 s */
 } PlatformBreaker;
 
--- a/src/rpc_client.c
+++ b/src/rpc_client.c
@@ -133,8 +133,7 @@
                    (int64_t)rpc_sealed_size (answer) + REPLY_HEADERS_SIZE);
       return status_ok (st);
     }
-  /* After a timeout a late reply would be taken for the next call's, so the connection is closed.
-   */
+  /* A late reply would be taken for the reply to the next call, so the connection is closed. */
   client_disconnect (client);
   return status_set (st, call_status (stat), "rpc.call", client->peer, "procedure %u: %s",
                      procedure, clnt_sperrno (stat));
--- a/src/rpc_server.h
+++ b/src/rpc_server.h
@@ -43,8 +43,7 @@
 
 typedef struct RpcServer RpcServer;
 
-/** Binds the sockets; messages are handled after rpc_server_start. NULL with *st filled on failure.
- */
+/** Binds the sockets; rpc_server_start starts handling. NULL with *st filled on failure. */
 RpcServer *rpc_server_new (const RpcServerOptions *options, Status *st);
 int rpc_server_port (const RpcServer *server);
 /** Starts the thread. */
--- a/src/util_field_parse.c
+++ b/src/util_field_parse.c
@@ -109,8 +109,7 @@
   buffer_free (&rest);
 }
 
-/* Feeds the tokener the text up to and including each ':', after which the member name is checked.
- */
+/* Feeds the tokener up to and including each ':', where the member name is checked. */
 static struct json_object *
 parse_in_parts (const Parse *parse)
 {
--- a/tests/test_ctl_commands.c
+++ b/tests/test_ctl_commands.c
@@ -195,8 +195,7 @@
   buffer_free (&second_log);
 }
 
-/** Like lost_answer_of_own_patch, when the first steward reports that it lost the platform's reply.
- */
+/** Like lost_answer_of_own_patch, but the first steward reports an unknown outcome. */
 static void
 test_503_unknown_is_resolved (void)
 {
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -97,7 +97,7 @@
   fake_platform_hook (p, block_first, blocker);
 }
 
-/* Each caller's write is in the table when its call returns, with fewer transactions than callers.
+/* Each caller's write is in the table when its call returns; transactions are fewer than callers.
  */
 static void
 test_writes_share_transactions (void)
@@ -217,11 +217,11 @@
   platform_free (p);
 }
 
-#define CALLERS_OVER 2
+#define CALLERS_REFUSED 2
 
 /* Callers of test_queue_is_bounded: two in transactions, a full queue, and those beyond its
  * capacity. */
-static Caller overload_callers[THREADS + 2 + CALLERS_OVER];
+static Caller overload_callers[THREADS + 2 + CALLERS_REFUSED];
 #define OVERLOAD_CALLERS (sizeof overload_callers / sizeof overload_callers[0])
 
 static bool
@@ -242,7 +242,7 @@
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 0, 1, 60000);
   TxnBlocker blocker;
-  int over = CALLERS_OVER;
+  int over = CALLERS_REFUSED;
   int full = 0;
 
   blocker_init (&blocker, p);
@@ -261,8 +261,8 @@
   callers_join (overload_callers, OVERLOAD_CALLERS);
   for (size_t i = 0; i < OVERLOAD_CALLERS; i++)
     full += overload_callers[i].code == STATUS_FULL;
-  CU_ASSERT_EQUAL (full, CALLERS_OVER);
-  CU_ASSERT_EQUAL (fake_platform_rows (p, "t"), OVERLOAD_CALLERS - CALLERS_OVER);
+  CU_ASSERT_EQUAL (full, CALLERS_REFUSED);
+  CU_ASSERT_EQUAL (fake_platform_rows (p, "t"), OVERLOAD_CALLERS - CALLERS_REFUSED);
   platform_group_free (group);
   platform_free (p);
 }
@@ -314,8 +314,7 @@
   return NULL;
 }
 
-/* While one caller probes a table service that hangs, the other callers are refused without a call.
- */
+/* While one caller probes a hanging table service, the others are refused without a call. */
 static void
 test_one_caller_probes_when_down (void)
 {
@@ -341,8 +340,7 @@
   platform_free (p);
 }
 
-/* The interval grows with the number of members, so that a larger site does not write more often.
- */
+/* The interval grows with the number of members: a larger site does not write more often. */
 static void
 test_site_interval (void)
 {
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -360,8 +360,7 @@
                   NULL);
   (void)clnt_call (client, LOVAGE_HEARTBEAT_ASK, (xdrproc_t)xdr_rpc_sealed, &sealed,
                    (xdrproc_t)xdr_rpc_sealed, NULL, no_wait);
-  /* Datagrams of one socket over loopback keep their order, so the third arrives after the repeat.
-   */
+  /* Datagrams of one socket over loopback keep their order: the third follows the repeat. */
   wait_heartbeats (2);
   CU_ASSERT_EQUAL (atomic_load (&seen.heartbeats), 2);
   rpc_sealed_clear (&sealed);
