--- a/src/util_buffer.h
+++ b/src/util_buffer.h
@@ -1,5 +1,5 @@
 /**
- * A growable byte buffer, always followed by a terminating NUL.
+ * A growable byte buffer whose contents are followed by a terminating NUL.
  */
 #ifndef UTIL_BUFFER_H
 #define UTIL_BUFFER_H
--- a/src/util_field.h
+++ b/src/util_field.h
@@ -27,9 +27,8 @@
   FieldType type;
   bool required;
   size_t offset; /**< of the member in the struct */
-  double min;    /**< numbers: smallest value; strings: minimum length in bytes */
-  double max; /**< numbers: largest value; strings: maximum length in bytes; min and max both 0: no
-                 bound */
+  double min;    /**< smallest value; strings: minimum length in bytes */
+  double max;    /**< largest value or maximum length; min and max both 0: no bound */
 } FieldSpec;
 
 /** Reads obj into *out; path is the location of obj in its document ("" for the root). Returns
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -97,8 +97,7 @@
   fake_platform_hook (p, block_first, blocker);
 }
 
-/* Each caller's write is in the table when its call returns; transactions are fewer than callers.
- */
+/* Each caller's write is in the table when its call returns, with fewer transactions. */
 static void
 test_writes_share_transactions (void)
 {
