--- a/src/ctl_status.c
+++ b/src/ctl_status.c
@@ -1,5 +1,5 @@
 /**
- * What is in force where: members, brakes, roll-outs.
+ * Commands on the state of the members and on brakes.
  */
 #include "ctl_http.h"
 #include "ctl_table.h"
@@ -11,10 +11,10 @@
 typedef struct json_object Json;
 
 static void
-add_heads (CtlTable *table, const char *const *heads)
+add_headings (CtlTable *table, const char *const *headings)
 {
   for (size_t i = 0; i < table->columns; i++)
-    ctl_table_cell (table, "%s", heads[i]);
+    ctl_table_cell (table, "%s", headings[i]);
 }
 
 static void
@@ -37,19 +37,19 @@
 static void
 print_members (Json *body, int64_t newest)
 {
-  static const char *const heads[MEMBER_COLUMNS]
+  static const char *const headings[MEMBER_COLUMNS]
       = { "VM", "FAILURE DOMAIN", "ADDRESS", "STATE", "NUMBER", "BEHIND", "HEARD" };
   CtlTable table = { .columns = MEMBER_COLUMNS };
   size_t count;
   Json *members = ctl_array (body, "members", &count);
 
-  add_heads (&table, heads);
+  add_headings (&table, headings);
   for (size_t i = 0; i < count; i++)
     add_member (&table, json_object_array_get_idx (members, i), newest);
   ctl_table_print (&table);
 }
 
-/** The newest number that any member is known to apply. */
+/** Highest number that any member is known to have in force. */
 static int64_t
 newest_number (Json *body)
 {
@@ -69,7 +69,7 @@
 static void
 print_brakes (Json *body)
 {
-  static const char *const heads[] = { "BRAKED VERSION", "SINCE NUMBER", "BY", "WHY" };
+  static const char *const headings[] = { "BRAKED VERSION", "SINCE NUMBER", "BY", "WHY" };
   CtlTable table = { .columns = 4 };
   size_t count;
   Json *brakes = ctl_array (body, "brakes", &count);
@@ -79,7 +79,7 @@
       printf ("no brakes\n");
       return;
     }
-  add_heads (&table, heads);
+  add_headings (&table, headings);
   for (size_t i = 0; i < count; i++)
     {
       Json *brake = json_object_array_get_idx (brakes, i);
@@ -146,18 +146,19 @@
   CtlAnswer answer;
   CtlExit status;
 
-  json_object_object_add (body, "version", json_object_new_string (args->words[0]));
+  json_object_object_add (body, "version", json_object_new_string (args->operands[0]));
   json_object_object_add (body, "why", json_object_new_string (args->reason));
-  status = ctl_http_ask (ctl, "POST", "/v1/brakes", body, 0, &answer);
+  status = ctl_http_call (ctl, "POST", "/v1/brakes", body, 0, &answer);
   json_object_put (body);
   if (status != CTL_DONE)
     return status;
   if (answer.http_status != 200)
-    status = ctl_refusal (ctl, &answer);
+    status = ctl_print_refusal (ctl, &answer);
   else if (ctl->json)
     ctl_print_json (answer.body);
   else
-    printf ("%s is braked; it reaches the other VMs with their next heartbeats\n", args->words[0]);
+    printf ("%s is braked; it reaches the other VMs with their next heartbeats\n",
+            args->operands[0]);
   ctl_answer_clear (&answer);
   return status;
 }
--- a/src/ctl_version.c
+++ b/src/ctl_version.c
@@ -1,5 +1,5 @@
 /**
- * Commands on numbered versions.
+ * Commands on numbered versions of the document.
  */
 #include "config.h"
 #include "ctl_submit.h"
@@ -17,7 +17,8 @@
   return json_object_to_json_string_ext (value, JSON_C_TO_STRING_NOSLASHESCAPE);
 }
 
-/** Reads a version number of the command line; false with a message. */
+/** Parses a version number from the command line; prints an error and returns false if it is
+ * invalid. */
 static bool
 parse_number (const char *text, int64_t *number)
 {
@@ -40,7 +41,7 @@
   return ctl_http_get (ctl, path, version);
 }
 
-/** The document of a file, checked; NULL with its errors on standard error. */
+/** Reads and validates a document; NULL, with the errors on standard error, if it is invalid. */
 static Json *
 read_document (const char *path)
 {
@@ -66,16 +67,16 @@
   json_object_object_add (body, "text", json_object_get (document));
   json_object_object_add (body, "reason", json_object_new_string (args->reason));
   ctl_submit_path (args, "versions", path);
-  status = ctl_http_ask (ctl, "POST", path, body, args->wait_ms, &answer);
+  status = ctl_http_call (ctl, "POST", path, body, args->wait_ms, &answer);
   json_object_put (body);
   if (status != CTL_DONE)
     return status;
   if (answer.http_status == 200)
     status = ctl_submit_result (ctl, answer.body);
-  else if (ctl_submit_settle (ctl, &answer, 0, "text", document))
+  else if (ctl_submit_was_applied (ctl, &answer, 0, "text", document))
     status = CTL_DURABLE;
   else
-    status = ctl_refusal (ctl, &answer);
+    status = ctl_print_refusal (ctl, &answer);
   ctl_answer_clear (&answer);
   return status;
 }
@@ -105,7 +106,7 @@
 CtlExit
 ctl_version_create (Ctl *ctl, const CtlArgs *args)
 {
-  Json *document = read_document (args->words[0]);
+  Json *document = read_document (args->operands[0]);
   CtlHead head = { 0 };
   CtlExit status;
 
@@ -128,7 +129,7 @@
   CtlHead head;
   CtlExit status;
 
-  if (args->word_count > 0 && !parse_number (args->words[0], &newest.base))
+  if (args->operand_count > 0 && !parse_number (args->operands[0], &newest.base))
     return CTL_USAGE;
   status = ctl_head_read (ctl, &newest, &head);
   if (status != CTL_DONE)
@@ -176,10 +177,11 @@
     ctl_print_json (body);
   else
     {
-      static const char *const heads[] = { "NUMBER", "BASE", "STATE", "AT", "OPERATOR", "REASON" };
+      static const char *const headings[]
+          = { "NUMBER", "BASE", "STATE", "AT", "OPERATOR", "REASON" };
 
       for (size_t i = 0; i < table.columns; i++)
-        ctl_table_cell (&table, "%s", heads[i]);
+        ctl_table_cell (&table, "%s", headings[i]);
       for (size_t i = 0; i < count; i++)
         add_version (&table, json_object_array_get_idx (versions, i),
                      ctl_number (body, "accepted", 0));
@@ -189,7 +191,7 @@
   return CTL_DONE;
 }
 
-/** Prints each changed member as "PATH: OLD -> NEW". */
+/** Prints each change as "PATH: OLD -> NEW", "PATH: added NEW" or "PATH: removed". */
 static void
 print_change (const char *path, Json *before, Json *patch)
 {
@@ -243,7 +245,7 @@
   CtlExit status = CTL_DONE;
 
   for (int i = 0; i < 2; i++)
-    if (!parse_number (args->words[i], &numbers[i]))
+    if (!parse_number (args->operands[i], &numbers[i]))
       return CTL_USAGE;
   for (int i = 0; i < 2 && status == CTL_DONE; i++)
     status = get_version (ctl, numbers[i], &versions[i]);
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -34,7 +34,7 @@
   struct cds_list_head node;
   Front *front;
   struct bufferevent *bev;
-  HttpIntake intake;
+  HttpRequestParser intake;
   FrontRequest *request; /* being answered; NULL: none */
   bool reading;          /* set while conn_read runs, so that the end of an answer doesn't call it
                             recursively */
@@ -92,7 +92,7 @@
 conn_destroy (FrontConn *conn)
 {
   cds_list_del (&conn->node);
-  http_intake_reset (&conn->intake);
+  http_request_parser_reset (&conn->intake);
   free (conn);
 }
 
@@ -128,7 +128,7 @@
       close_when_written (conn);
       return;
     }
-  http_intake_reset (&conn->intake);
+  http_request_parser_reset (&conn->intake);
   idle_begin (conn);
   if (!conn->reading && evbuffer_get_length (bufferevent_get_input (conn->bev)) > 0)
     conn_read (conn);
@@ -202,7 +202,7 @@
   return evbuffer_get_length (bufferevent_get_output (conn->bev)) > OUTPUT_MAX_BYTES;
 }
 
-HttpIntake *
+HttpRequestParser *
 front_conn_intake (FrontConn *conn)
 {
   return &conn->intake;
@@ -241,23 +241,23 @@
 
   if (len == 0 || conn->request || conn->closing)
     return false;
-  if (!http_intake_started (&conn->intake))
+  if (!http_request_parser_started (&conn->intake))
     {
       conn->intake.limits = current_limits (conn->front);
       conn->since_ms = clock_boot_ms ();
     }
-  switch (http_intake_feed (&conn->intake, (const char *)evbuffer_pullup (input, (ev_ssize_t)len),
-                            len, &used))
+  switch (http_request_parser_feed (
+      &conn->intake, (const char *)evbuffer_pullup (input, (ev_ssize_t)len), len, &used))
     {
-    case INTAKE_DONE:
+    case HTTP_PARSE_DONE:
       evbuffer_drain (input, used);
       start_request (conn);
       return true;
-    case INTAKE_REFUSED:
+    case HTTP_PARSE_REFUSED:
       evbuffer_drain (input, len);
       refuse_request (conn, conn->intake.refuse_status);
       return false;
-    case INTAKE_MORE:
+    case HTTP_PARSE_MORE:
       break;
     }
   evbuffer_drain (input, used);
@@ -308,7 +308,7 @@
   conn->front = front;
   front_socket_set_options (fd, TCP_TIMEOUT_MS);
   conn->bev = bufferevent_socket_new (front->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  http_intake_init (&conn->intake, &limits);
+  http_request_parser_init (&conn->intake, &limits);
   idle_begin (conn);
   cds_list_add_tail (&conn->node, &front->conns);
   front->conn_count++;
@@ -334,7 +334,7 @@
       if (passed_ms > TCP_TIMEOUT_MS)
         conn_free (conn);
     }
-  else if (http_intake_started (&conn->intake))
+  else if (http_request_parser_started (&conn->intake))
     {
       if (!conn->intake.in_body && passed_ms > header_ms + header_ms / 2)
         refuse_request (conn, 408);
--- a/src/front_conn.h
+++ b/src/front_conn.h
@@ -5,7 +5,7 @@
 #define FRONT_CONN_H
 
 #include "front.h"
-#include "http_intake.h"
+#include "http_request_parser.h"
 
 typedef struct FrontConn FrontConn;
 
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -55,13 +55,13 @@
                    size_t *used,
                    Buffer *forward)
 {
-  HttpIntake *intake = &framing->intake;
+  HttpRequestParser *intake = &framing->intake;
   bool was_in_body = intake->in_body;
   size_t head_had = intake->raw.len;
   size_t body_start = 0;
-  IntakeResult result = http_intake_feed (intake, data, len, used);
+  HttpParseResult result = http_request_parser_feed (intake, data, len, used);
 
-  if (result == INTAKE_REFUSED)
+  if (result == HTTP_PARSE_REFUSED)
     return FRAMING_FAULT;
   buffer_clear (&intake->body);
   if (!intake->in_body)
@@ -91,5 +91,5 @@
 void
 gate_framing_clear (GateFraming *framing)
 {
-  http_intake_reset (&framing->intake);
+  http_request_parser_reset (&framing->intake);
 }
--- a/src/gate_framing.h
+++ b/src/gate_framing.h
@@ -7,7 +7,7 @@
 #define GATE_FRAMING_H
 
 #include "gate_refusal.h"
-#include "http_intake.h"
+#include "http_request_parser.h"
 
 typedef enum
 {
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -121,8 +121,9 @@
 
   gate->platform
       = platform_http_new (settings->common.platform.address, (int)settings->common.platform.port);
-  gate->group = platform_group_new (gate->platform, platform_group_interval (MEMBERS_AT_START),
-                                    GROUP_OPS_MAX, TABLE_TIMEOUT_MS);
+  gate->group
+      = platform_group_new (gate->platform, platform_group_site_interval_ms (MEMBERS_AT_START),
+                            GROUP_OPS_MAX, TABLE_TIMEOUT_MS);
   bill.platform = gate->platform;
   bill.group = gate->group;
   gate->bill = bill_writer_new (&bill);
--- a/src/http_head.c
+++ b/src/http_head.c
@@ -5,8 +5,8 @@
 
 #define END_OF_HEAD "\r\n\r\n"
 
-/* Fields that a proxy consumes (RFC 9110, 7.6.1); those that Connection names come on top. */
-static const char *const hop_fields[] = {
+/* Hop-by-hop fields (RFC 9110, 7.6.1), in addition to those named by Connection. */
+static const char *const hop_by_hop_fields[] = {
   "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "TE", "Transfer-Encoding",
   "Trailer",    "Upgrade",    "Expect",
 };
@@ -31,14 +31,14 @@
 }
 
 bool
-http_head_hopeless (const char *data, size_t len)
+http_head_is_malformed (const char *data, size_t len)
 {
   if (len > 0 && (unsigned char)data[0] <= ' ')
     return true;
   return has_bare_line_feed (data, len) || memchr (data, '\0', len);
 }
 
-/* RFC 9110's token: what a field name is made of. */
+/* A token as defined by RFC 9110: the syntax of a field name. */
 static bool
 is_token (Span span)
 {
@@ -103,7 +103,7 @@
 http_head_parse (HttpHead *head, const char *data, size_t len)
 {
   memset (head, 0, sizeof *head);
-  if (http_head_hopeless (data, len))
+  if (http_head_is_malformed (data, len))
     return false;
   head->text = memory_alloc (len + 1);
   head->len = len;
@@ -163,11 +163,11 @@
 }
 
 bool
-http_head_is_hop (const HttpHead *head, Span name)
+http_head_is_hop_by_hop (const HttpHead *head, Span name)
 {
-  for (size_t i = 0; i < sizeof hop_fields / sizeof hop_fields[0]; i++)
+  for (size_t i = 0; i < sizeof hop_by_hop_fields / sizeof hop_by_hop_fields[0]; i++)
     {
-      if (span_is_nocase (name, hop_fields[i]))
+      if (span_is_nocase (name, hop_by_hop_fields[i]))
         return true;
     }
   return named_by_connection (head, name);
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -100,7 +100,7 @@
       fake_link_set (w.gate->link, cases[i].down, LINK_REFUSED);
       CU_ASSERT_EQUAL (fake_gate_commit (w.gate, i), cases[i].place);
       CU_ASSERT_EQUAL (fake_site_is_billed (&w.site, i), i == 0);
-      fake_link_set (w.gate->link, CALL_ALL | CALL_COPY, LINK_WHOLE);
+      fake_link_set (w.gate->link, CALL_ALL | CALL_COPY, LINK_UP);
       CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
       CU_ASSERT_TRUE (fake_site_is_billed (&w.site, i));
       CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), 1);
@@ -119,7 +119,7 @@
   fake_link_set (w.gate->link, CALL_TXN, LINK_REPLY_LOST);
   CU_ASSERT_EQUAL (fake_gate_commit (w.gate, 1), BILL_AT_OBJECT_STORE);
   CU_ASSERT_EQUAL (fake_gate_commit (w.gate, 2), BILL_AT_OBJECT_STORE);
-  fake_link_set (w.gate->link, CALL_TXN, LINK_WHOLE);
+  fake_link_set (w.gate->link, CALL_TXN, LINK_UP);
   CU_ASSERT_TRUE (fake_gate_wait_settled (w.gate));
   CU_ASSERT_TRUE (fake_site_is_billed (&w.site, 1) && fake_site_is_billed (&w.site, 2));
   CU_ASSERT_EQUAL (fake_platform_rows (w.site.platform, BILL_TABLE), 2);
--- a/tests/test_platform_answers.c
+++ b/tests/test_platform_answers.c
@@ -14,7 +14,7 @@
   return p->ops->txn (p, &op, 1, TIMEOUT_MS, NULL);
 }
 
-/* Version of a row of table "t", whose value must be this; -1 on failure. */
+/* Version of a row of table "t"; -1 if it cannot be read or has another value. */
 static int64_t
 version_of (Platform *p, const char *key, const char *value)
 {
@@ -47,7 +47,8 @@
 static void
 test_bad_answers (void)
 {
-  /* Answers that break the protocol: a write may have been committed, a read gave nothing. */
+  /* After an answer that violates the protocol, a write may have been committed and a read has
+   * failed. */
   const char *const bodies[] = { "",
                                  "[]",
                                  "null",
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -1,5 +1,5 @@
 /**
- * Sealed messages, the server and the client of our processes' RPC.
+ * Sealed messages, replay protection, RPC server and RPC client: src/rpc_*.c.
  */
 #include "rpc_client.h"
 #include "rpc_replay.h"
@@ -85,7 +85,7 @@
   RpcServer *server = rpc_server_new (&options, NULL);
 
   CU_ASSERT_PTR_NOT_NULL_FATAL (server);
-  rpc_server_run (server);
+  rpc_server_start (server);
   return server;
 }
 
@@ -115,10 +115,10 @@
   return code;
 }
 
-/* A stranger on the network sends orders to a steward, or alters a message on its way. Nothing of
- * it may be heeded: the MAC covers sender, sequence, procedure and body. */
+/* Guards against forged and altered messages: the MAC must cover key, sender, sequence number,
+ * procedure and body. */
 static void
-test_seal_refuses_alteration (void)
+test_altered_message_refused (void)
 {
   rpc_number value = { .number = 42 };
   rpc_number out = { 0 };
@@ -154,8 +154,9 @@
   rpc_sealed_clear (&sealed);
 }
 
-/* A gate asks for its grant; somebody on the way answers with a recorded older answer, which still
- * has a valid MAC. The gate would go on under a grant that its steward has not renewed. */
+/* Guards against replayed answers: an attacker answers a gate's request for a grant with a recorded
+ * older answer, whose MAC is still valid, and the gate would keep a grant that its steward has not
+ * renewed. */
 static void
 test_old_answer_refused (void)
 {
@@ -180,27 +181,27 @@
   rpc_sealed_clear (&answer);
 }
 
-/* Datagrams arrive twice and out of order; each counts once, in whichever order they come. */
+/* Datagrams can arrive twice and out of order; each must be accepted exactly once. */
 static void
 test_replay_window (void)
 {
   RpcReplay *replay = rpc_replay_new ();
   uint64_t sender;
 
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 10));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 10));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 9));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 9));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 6, 10));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 200));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 10));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 136));
-  CU_ASSERT_TRUE (rpc_replay_fresh (replay, 5, 137));
-  CU_ASSERT_FALSE (rpc_replay_fresh (replay, 5, 0));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 10));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 10));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 9));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 9));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 6, 10));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 200));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 10));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 136));
+  CU_ASSERT_TRUE (rpc_replay_accept (replay, 5, 137));
+  CU_ASSERT_FALSE (rpc_replay_accept (replay, 5, 0));
   for (sender = 100; sender < 100 + 400; sender++)
     {
-      CU_ASSERT_TRUE (rpc_replay_fresh (replay, sender, 1));
-      CU_ASSERT_FALSE (rpc_replay_fresh (replay, sender, 1));
+      CU_ASSERT_TRUE (rpc_replay_accept (replay, sender, 1));
+      CU_ASSERT_FALSE (rpc_replay_accept (replay, sender, 1));
     }
   rpc_replay_free (replay);
 }
@@ -236,7 +237,7 @@
   rpc_server_free (server);
 }
 
-/* A steward is replaced: the gate's connection is dead, and the next call must find the new one. */
+/* After a steward was replaced, a client's connection is dead; calls must reach the new one. */
 static void
 test_reconnect (void)
 {
@@ -256,16 +257,16 @@
   CU_ASSERT_EQUAL (get_document (client, 1, NULL), STATUS_UNAVAILABLE);
   server = rpc_server_new (&options, NULL);
   CU_ASSERT_PTR_NOT_NULL_FATAL (server);
-  rpc_server_run (server);
+  rpc_server_start (server);
   CU_ASSERT_EQUAL (get_document (client, 1, NULL), STATUS_OK);
   rpc_client_free (client);
   rpc_server_free (server);
 }
 
-/* A peer sends half a record and stops. Were its socket read to the end of the record, the server's
- * one thread would wait for it, and every gate's grant would lapse. */
+/* Guards against a peer that sends half a record and blocks the server's only thread, so that every
+ * gate's grant would expire. */
 static void
-test_half_record_holds_nobody (void)
+test_half_record_does_not_block (void)
 {
   static const char half[] = { (char)0x80, 0, 1, 0, 'x', 'y' };
   RpcServer *server = start_server ();
@@ -282,7 +283,7 @@
   rpc_server_free (server);
 }
 
-/* A port that takes connections but never answers: the call ends at its time, as unknown. */
+/* A peer that accepts connections but never answers: the call times out as STATUS_UNKNOWN. */
 static void
 test_silent_peer (void)
 {
@@ -306,7 +307,7 @@
 }
 
 static void
-test_one_way (void)
+test_one_way_messages (void)
 {
   RpcServer *server = start_server ();
   rpc_heartbeat heartbeat = { .nonce = 0, .incarnation = 9, .address = "" };
@@ -328,9 +329,10 @@
   rpc_server_free (server);
 }
 
-/* A recorded datagram is sent again by another host, MAC and all: it must count once only. */
+/* Guards against replayed datagrams: a datagram that is re-sent from another socket is handled
+ * once. */
 static void
-test_datagram_repeat_refused (void)
+test_repeated_datagram_refused (void)
 {
   RpcServer *server = start_server ();
   rpc_heartbeat heartbeat = { .nonce = 77, .incarnation = 5, .address = "" };
@@ -358,7 +360,7 @@
                   NULL);
   (void)clnt_call (client, LOVAGE_HEARTBEAT_ASK, (xdrproc_t)xdr_rpc_sealed, &sealed,
                    (xdrproc_t)xdr_rpc_sealed, NULL, no_wait);
-  /* Datagrams of one socket over loopback keep their order: the third comes after the repeat. */
+  /* Datagrams of one socket over loopback keep their order: the third follows the repeat. */
   wait_heartbeats (2);
   CU_ASSERT_EQUAL (atomic_load (&seen.heartbeats), 2);
   rpc_sealed_clear (&sealed);
@@ -395,16 +397,16 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "seal_refuses_alteration", test_seal_refuses_alteration },
+    { "altered_message_refused", test_altered_message_refused },
     { "old_answer_refused", test_old_answer_refused },
     { "replay_window", test_replay_window },
-    { "call_with_a_large_answer", test_call_large_answer },
+    { "call_large_answer", test_call_large_answer },
     { "call_refused", test_call_refused },
     { "reconnect", test_reconnect },
-    { "half_a_record_holds_nobody", test_half_record_holds_nobody },
+    { "half_record_does_not_block", test_half_record_does_not_block },
     { "silent_peer", test_silent_peer },
-    { "one_way", test_one_way },
-    { "datagram_repeat_refused", test_datagram_repeat_refused },
+    { "one_way_messages", test_one_way_messages },
+    { "repeated_datagram_refused", test_repeated_datagram_refused },
     { "key_file", test_key_file },
   };
 
