--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -48,13 +48,13 @@
 
 static void conn_read (FrontConn *conn);
 
-static HttpIntakeLimits
+static HttpRequestLimits
 current_limits (const Front *front)
 {
   if (!front->config)
-    return (HttpIntakeLimits){ .head_max = HEADER_MAX_BYTES_DEFAULT,
-                               .body_max = BODY_MAX_BYTES_DEFAULT };
-  return (HttpIntakeLimits){
+    return (HttpRequestLimits){ .head_max = HEADER_MAX_BYTES_DEFAULT,
+                                .body_max = BODY_MAX_BYTES_DEFAULT };
+  return (HttpRequestLimits){
     .head_max = (size_t)front->config->limits.header_max_bytes,
     .body_max = (size_t)front->config->limits.body_max_bytes,
   };
@@ -303,7 +303,7 @@
 front_conn_new (Front *front, evutil_socket_t fd)
 {
   FrontConn *conn = memory_alloc (sizeof *conn);
-  HttpIntakeLimits limits = current_limits (front);
+  HttpRequestLimits limits = current_limits (front);
 
   conn->front = front;
   front_socket_set_options (fd, TCP_TIMEOUT_MS);
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -12,9 +12,9 @@
 gate_framing_init (GateFraming *framing, size_t head_max)
 {
   /* gate_http.c limits the body and writes the refusal of one that is too long. */
-  HttpIntakeLimits limits = { .head_max = head_max, .body_max = SIZE_MAX };
+  HttpRequestLimits limits = { .head_max = head_max, .body_max = SIZE_MAX };
 
-  http_intake_init (&framing->intake, &limits);
+  http_request_parser_init (&framing->intake, &limits);
   framing->forwarded = 0;
 }
 
@@ -44,7 +44,7 @@
 static void
 next_request (GateFraming *framing)
 {
-  http_intake_reset (&framing->intake);
+  http_request_parser_reset (&framing->intake);
   framing->forwarded = 0;
 }
 
@@ -75,7 +75,7 @@
       body_start = intake->head.len - head_had;
     }
   buffer_add (forward, data + body_start, *used - body_start);
-  if (result == INTAKE_MORE)
+  if (result == HTTP_PARSE_MORE)
     return FRAMING_MORE;
   next_request (framing);
   return FRAMING_DONE;
--- a/src/gate_framing.h
+++ b/src/gate_framing.h
@@ -18,7 +18,7 @@
 
 typedef struct
 {
-  HttpIntake intake;
+  HttpRequestParser intake;
   size_t forwarded; /**< bytes of the current head that have been forwarded */
 } GateFraming;
 
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -115,7 +115,7 @@
     .spool_max = (size_t)settings->spool_max,
     .table_timeout_ms = TABLE_TIMEOUT_MS,
     .in_progress_max = (size_t)settings->streams_max,
-    .batch_interval_ms = platform_group_interval (MEMBERS_AT_START),
+    .batch_interval_ms = platform_group_site_interval_ms (MEMBERS_AT_START),
     .replicator = { .copy = gate_replicas_copy, .context = gate },
   };
 
--- a/src/steward_rpc.h
+++ b/src/steward_rpc.h
@@ -6,7 +6,7 @@
 
 #include "steward.h"
 
-/** Binds the sockets and creates s->rpc; messages are handled from rpc_server_run on. */
+/** Binds the sockets and creates s->rpc; messages are handled from rpc_server_start on. */
 bool steward_rpc_open (Steward *s, Status *st);
 
 #endif
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -204,7 +204,7 @@
   BillRecord bad = fake_bill (1);
 
   fixture_init (&w);
-  fake_link_poison (w.gate->link, bad.key);
+  fake_link_reject_key (w.gate->link, bad.key);
   for (int n = 0; n < 4; n++)
     fake_gate_commit (w.gate, n);
   CU_ASSERT_TRUE (suite_wait (one_is_left, w.gate->writer));
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -1,5 +1,5 @@
-/** Parsing callers' requests and servers' answers: src/http_head.c, http_intake.c, http_reply.c. */
-#include "http_intake.h"
+/** Parsing callers' requests and servers' answers: src/http_head.c, http_request_parser.c,
+ * http_reply.c. */
 #include "http_reply.h"
 #include "http_request_parser.h"
 #include "suite.h"
@@ -8,8 +8,8 @@
 static const HttpRequestLimits limits = { .head_max = 1000, .body_max = 100 };
 
 /* Feeds the text byte by byte, as from a slow caller, and returns the last result. */
-static IntakeResult
-feed (HttpIntake *intake, const char *text, size_t len, size_t *taken)
+static HttpParseResult
+feed (HttpRequestParser *intake, const char *text, size_t len, size_t *taken)
 {
   HttpParseResult result = HTTP_PARSE_MORE;
   size_t used;
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -47,11 +47,11 @@
 
   for (int i = 0; i < READS; i++)
     CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  CU_ASSERT_EQUAL (fake_keeper_requests (keeper), READS);
-  CU_ASSERT_EQUAL (fake_keeper_connections (keeper), 1);
-  CU_ASSERT_TRUE (http_reader_has_address (reader, LOCALHOST, fake_keeper_port (keeper)));
-  CU_ASSERT_FALSE (http_reader_has_address (reader, LOCALHOST, fake_keeper_port (keeper) + 1));
-  CU_ASSERT_FALSE (http_reader_has_address (reader, "127.0.0.2", fake_keeper_port (keeper)));
+  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), READS);
+  CU_ASSERT_EQUAL (fake_http_server_connections (keeper), 1);
+  CU_ASSERT_TRUE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (keeper)));
+  CU_ASSERT_FALSE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (keeper) + 1));
+  CU_ASSERT_FALSE (http_reader_has_address (reader, "127.0.0.2", fake_http_server_port (keeper)));
   http_reader_free (reader);
   fake_http_server_free (keeper);
 }
@@ -99,8 +99,8 @@
 test_no_answer_on_persistent (void)
 {
   /* If a persistent connection fails, neon retries once on a new one, and never more often. */
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
 
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   fake_http_server_drop (keeper, true);
@@ -144,7 +144,7 @@
     StatusCode code;
   } cases[] = {
     /* no answer on an open connection: the read timeout ends the read */
-    { { .hold = true }, 0, 0, STATUS_UNKNOWN },
+    { { .keep_open = true }, 0, 0, STATUS_UNKNOWN },
     { { 0 }, 0, 0, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello" }, 0, 0, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello" }, 0, 0, STATUS_UNKNOWN },
@@ -230,8 +230,8 @@
 {
   /* neon applies the timeouts when it connects, so a read with other timeouts needs a new
    * connection; otherwise it would wait as long as the first read may. */
-  FakeKeeper *keeper = fake_keeper_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_keeper_port (keeper), 1);
+  FakeHttpServer *keeper = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
   const int timeouts_ms[] = { 5000, 4500, 1000, 1000, 5000 };
   const int connections[] = { 1, 1, 2, 2, 3 };
 
--- a/tests/test_steward_settle.c
+++ b/tests/test_steward_settle.c
@@ -80,7 +80,7 @@
   add_copies (&site);
   fake_link_set (link, CALL_TXN | CALL_GET | CALL_SCAN, LINK_REFUSED);
   CU_ASSERT_EQUAL (steward_settle_leave (&s, LEAVE_TIMEOUT_MS), RECORDS);
-  fake_link_set (link, CALL_TXN | CALL_GET | CALL_SCAN, LINK_WHOLE);
+  fake_link_set (link, CALL_TXN | CALL_GET | CALL_SCAN, LINK_UP);
   CU_ASSERT_EQUAL (steward_settle_leave (&s, LEAVE_TIMEOUT_MS), 0);
   CU_ASSERT_EQUAL (fake_platform_rows (site.platform, "bill"), RECORDS);
   platform_free (link);
