--- a/src/front_channel.c
+++ b/src/front_channel.c
@@ -99,7 +99,7 @@
 }
 
 static void
-take_answer (FrontChannel *channel)
+handle_answer (FrontChannel *channel)
 {
   HttpReply reply = channel->reply;
 
@@ -128,7 +128,7 @@
       || front_channel_received (channel) > ANSWER_MAX_BYTES)
     fail (channel);
   else if (channel->reply.complete)
-    take_answer (channel);
+    handle_answer (channel);
 }
 
 static void
@@ -146,7 +146,7 @@
     http_reply_end (&channel->reply);
   disconnect (channel);
   if (channel->pending && channel->reply.complete && (what & BEV_EVENT_EOF))
-    take_answer (channel);
+    handle_answer (channel);
   else
     fail (channel);
 }
--- a/src/front_deaths.c
+++ b/src/front_deaths.c
@@ -8,8 +8,8 @@
 
 /* Milliseconds in which a live server accepts a connection. A dead one refuses it at once or, if
  * its whole machine is down, never answers. */
-#define PROBE_MS  400
-#define US_PER_MS 1000L
+#define PROBE_TIMEOUT_MS 400
+#define US_PER_MS        1000L
 
 /* Check of a server that has cut a connection. It counts as dead only if it accepts no new one:
  * engines also drop single answers, and a caller's request that met three of these in a row was
@@ -92,7 +92,7 @@
 static Probe *
 probe_begin (Front *front, FrontServer *server)
 {
-  struct timeval wait = { .tv_usec = PROBE_MS * US_PER_MS };
+  struct timeval wait = { .tv_usec = PROBE_TIMEOUT_MS * US_PER_MS };
   Probe *probe = memory_alloc (sizeof *probe);
 
   probe->front = front;
@@ -102,7 +102,7 @@
   front_server_ref (server);
   cds_list_add_tail (&probe->node, &probes);
   evtimer_add (probe->timer, &wait);
-  probe->bev = front_socket_connect (front->base, &server->address, PROBE_MS);
+  probe->bev = front_socket_connect (front->base, &server->address, PROBE_TIMEOUT_MS);
   if (probe->bev)
     bufferevent_setcb (probe->bev, NULL, NULL, on_event, probe);
   return probe;
--- a/src/front_prompts.c
+++ b/src/front_prompts.c
@@ -69,7 +69,10 @@
 }
 
 void
-front_prompts_asked (FrontPrompts *prompts, const FrontCall *call, uint64_t model, int64_t now_ms)
+front_prompts_requested (FrontPrompts *prompts,
+                         const FrontCall *call,
+                         uint64_t model,
+                         int64_t now_ms)
 {
   note (prompts, call, call->part_count ? call->part_count - 1 : 0, model, now_ms);
 }
--- a/src/front_prompts.h
+++ b/src/front_prompts.h
@@ -35,7 +35,9 @@
 void
 front_prompts_sent (FrontPrompts *prompts, const FrontCall *call, uint64_t model, int64_t now_ms);
 /** Records a caller's request for the parts that requests share: all but the last one. */
-void
-front_prompts_asked (FrontPrompts *prompts, const FrontCall *call, uint64_t model, int64_t now_ms);
+void front_prompts_requested (FrontPrompts *prompts,
+                              const FrontCall *call,
+                              uint64_t model,
+                              int64_t now_ms);
 
 #endif
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -183,7 +183,7 @@
   request->running_share = query->running_share;
   pick->server->running_share += query->running_share;
   front_prompts_sent (&pick->server->prompts, &request->call, query->model, now_ms);
-  front_prompts_asked (&request->front->caller_prompts, &request->call, query->model, now_ms);
+  front_prompts_requested (&request->front->caller_prompts, &request->call, query->model, now_ms);
   front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms, query->running_share,
                          now_ms);
 }
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -9,7 +9,7 @@
 #include "front_table.h"
 
 /** Milliseconds until a request fails if its answer has not begun. */
-#define STORE_ANSWER_MS 3000
+#define STORE_ANSWER_TIMEOUT_MS 3000
 /** Milliseconds after the store's return by which living servers are listed again: two seconds and
  *  a margin. */
 #define STORE_RELIST_MS 2200
--- a/src/front_store_source.c
+++ b/src/front_store_source.c
@@ -11,9 +11,9 @@
  * answered; keep-alive doesn't show this. Instead of all fronts waiting for their long polls to
  * time out, a few sentinels, the first by rank, use short polls for the tables that callers depend
  * on. With three, one may be stopped and another frozen. They learn of a change within
- * SENTINEL_WAIT_MS + SENTINEL_ANSWER_MS, announce it in their next message, and the other fronts
- * restart their polls. This costs two calls a second for each sentinel, however many fronts there
- * are. */
+ * SENTINEL_WAIT_MS + SENTINEL_ANSWER_TIMEOUT_MS, announce it in their next message, and the other
+ * fronts restart their polls. This costs two calls a second for each sentinel, however many fronts
+ * there are. */
 #define SENTINELS 3
 
 static bool
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -28,16 +28,16 @@
 /* Milliseconds until the answer with a complete table begins, from another front and from the
  * store: a starting front loses this time if an answer is lost. The store may take a second when it
  * is slow. */
-#define PEER_LOAD_MS  1000
-#define STORE_LOAD_MS 1500
+#define PEER_LOAD_TIMEOUT_MS  1000
+#define STORE_LOAD_TIMEOUT_MS 1500
 /* Milliseconds to connect to another front, a hundred times the round trip within a failure domain.
  * After a power loss that front may not run yet, and the kernel retries a connection only after a
  * second. */
-#define PEER_CONNECT_MS 100
+#define PEER_CONNECT_TIMEOUT_MS 100
 /* Milliseconds that the store holds a sentinel's short poll, and until the answer has to begin
  * after that. */
-#define SENTINEL_WAIT_MS   1000
-#define SENTINEL_ANSWER_MS 500
+#define SENTINEL_WAIT_MS           1000
+#define SENTINEL_ANSWER_TIMEOUT_MS 500
 
 typedef struct
 {
@@ -255,10 +255,11 @@
   Buffer path = { 0 };
 
   front_channel_set_address (watch->channel, &watch->source);
-  front_channel_set_connect_timeout (watch->channel, PEER_CONNECT_MS);
+  front_channel_set_connect_timeout (watch->channel, PEER_CONNECT_TIMEOUT_MS);
   front_store_format_news_path (&path, watch->id, watch->table.version, true);
   front_channel_request (watch->channel, path.data, NULL,
-                         watch->loaded ? STORE_ANSWER_MS + FRONT_LONG_POLL_MS : PEER_LOAD_MS);
+                         watch->loaded ? STORE_ANSWER_TIMEOUT_MS + FRONT_LONG_POLL_MS
+                                       : PEER_LOAD_TIMEOUT_MS);
   buffer_free (&path);
 }
 
@@ -270,7 +271,7 @@
 
   watch->is_short_poll = store_is_sentinel (watch, watch->asked_ms);
   wait_ms = watch->is_short_poll ? SENTINEL_WAIT_MS : FRONT_LONG_POLL_MS;
-  answer_ms = watch->is_short_poll ? SENTINEL_ANSWER_MS : STORE_ANSWER_MS;
+  answer_ms = watch->is_short_poll ? SENTINEL_ANSWER_TIMEOUT_MS : STORE_ANSWER_TIMEOUT_MS;
   front_counter_add (FRONT_COUNTER_STORE_CALLS);
   front_channel_set_address (watch->channel, &watch->store->address);
   front_channel_set_connect_timeout (watch->channel, 0);
@@ -279,7 +280,7 @@
   else
     wire_snapshot_path (&path, kinds[watch->id].name, watch->last_key);
   front_channel_request (watch->channel, path.data, NULL,
-                         watch->loaded ? answer_ms + wait_ms : STORE_LOAD_MS);
+                         watch->loaded ? answer_ms + wait_ms : STORE_LOAD_TIMEOUT_MS);
   buffer_free (&path);
 }
 
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -198,12 +198,12 @@
 
   setup ();
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW, 6000), 0);
-  front_prompts_asked (&asked, &call, 1, NOW);
+  front_prompts_requested (&asked, &call, 1, NOW);
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW + 6000, 6000), 5000);
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW + 6001, 6000), 0);
   CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 2, NOW, 6000), 0);
   call.part_count = 0;
-  front_prompts_asked (&asked, &call, 1, NOW);
+  front_prompts_requested (&asked, &call, 1, NOW);
   front_prompts_clear (&asked);
 }
 
