--- a/src/front_bootstrap.c
+++ b/src/front_bootstrap.c
@@ -8,7 +8,7 @@
  * front that refuses connections may be about to start. */
 #define RETURN_MS 300
 /* At the first start of a site no front is registered, and the fronts of a failure domain learn of
- * each other by messages: three rounds of 500 ms. This delays nobody, as there is nothing to serve
+ * each other by messages: three rounds of 500 ms. This delays no caller, as nothing can be served
  * before the first configuration. */
 #define FIRST_START_MS 1500
 /* Failed requests to other fronts after which a front asks the store, though not before RETURN_MS.
--- a/src/front_budget.c
+++ b/src/front_budget.c
@@ -7,9 +7,9 @@
 
 #define SLICES 40 /* per window; the limit is off by at most one slice's requests */
 
-/* Share of the allowed retries that each use may take. What cascades must leave is for requests
- * that would end without an answer: when cascades could take everything, the budget was empty when
- * a server fell silent, and whole streams were cut off. */
+/* Share of the allowed retries that each use may take. The rest is kept for requests that would end
+ * without an answer: when cascades could take all, the budget was empty when a server stopped
+ * answering, and entire streams were cut off. */
 static const double use_shares[] = {
   [BUDGET_RETRY] = 1.0,
   [BUDGET_CASCADE] = 0.8,
@@ -22,18 +22,19 @@
 #define EXTRA_SHARE_MAX 0.06
 #define EXTRA_USABLE    0.9
 
-/* Milliseconds after which a refused caller is told to retry. After the minimum, other servers have
- * taken over a crashed server's work; the maximum is about a third of the time that callers
- * wait. */
+/* Bounds of Retry-After in refusals, in milliseconds. After the minimum, other servers have taken
+ * over a crashed server's work; the maximum is about a third of the time that callers wait. */
 #define RETRY_AFTER_MIN_MS 250
 #define RETRY_AFTER_MAX_MS 1500
-#define REQUESTS_MIN       10 /* a few refusals at first are no overload */
+/* Minimum of requests assumed besides the refused ones, so that a few refusals at first are no
+ * overload. */
+#define REQUESTS_MIN 10
 
 typedef struct
 {
   int64_t slice; /* slice number since the clock's start */
   unsigned requests;
-  unsigned retries;
+  unsigned retries; /* additional sends, those of cascades included */
   unsigned refused;
 } Slice;
 
--- a/src/front_cold.c
+++ b/src/front_cold.c
@@ -5,12 +5,12 @@
 
 /* Shares of a server's limit that fronts of its own failure domain, and those of other domains, may
  * use. The rest covers fronts that know of too few others, and requests that a front sends late
- * because its VM stood still. */
+ * because its VM was paused. */
 #define OWN_DOMAIN_SHARE   0.75
 #define OTHER_DOMAIN_SHARE 0.125
 /* A front's share is rarely a whole number of slots. The remainder is distributed by a hash: a
- * front owns one more slot or doesn't. Fronts need not know each other for that, but the number of
- * owners varies, so only this share of the remainder is given out. */
+ * front owns one more slot or doesn't. Fronts need not communicate for that, but the number of
+ * owners varies, so only this share of the remainder is distributed. */
 #define EXTRA_SLOT_SHARE 0.45
 #define HASH_BITS        53
 /* Milliseconds for which a request holds its slot: a second from its arrival at the server, and
@@ -21,8 +21,8 @@
 #define LARGE_SITE_FRONTS   360
 #define LARGE_DOMAIN_FRONTS 75
 /* With this many registered fronts in a failure domain there may be more that are not registered,
- * and at least DOMAIN_FRONTS_MIN are assumed, so that a front that has not heard of half of them
- * takes no larger share. */
+ * and at least DOMAIN_FRONTS_MIN are assumed, so that a front that does not know half of them takes
+ * no larger share. */
 #define REGISTERED_FULL   5
 #define DOMAIN_FRONTS_MIN 20
 
--- a/src/front_config.h
+++ b/src/front_config.h
@@ -31,7 +31,7 @@
   int64_t objective_ms;  /**< latency objective: to the answer, or to the first event of a stream */
   int64_t gap_ms;        /**< longest pause between two events that meets the objective */
   int64_t priority;      /**< 0 is the most urgent */
-  unsigned attempts_max; /**< most backend servers that one request is sent to */
+  unsigned attempts_max; /**< maximum number of backend servers that one request is sent to */
   bool is_public;        /**< needs no API key */
   bool resumable;
   unsigned model_count;
@@ -56,8 +56,8 @@
   char *name;
   unsigned slots;        /**< requests that one server runs at once; 0: not given */
   int64_t cold_start_ms; /**< how long a server stays cold after its start */
-  double cold_per_s; /**< requests a second that a cold server can take; 0: as many as a warm one */
-  int64_t kv_tokens; /**< key-value cache of one model engine; 0: a service without models */
+  double cold_per_s;     /**< requests per second to a cold server; 0: as many as to a warm one */
+  int64_t kv_tokens;     /**< key-value cache of one model engine; 0: a service without models */
 } FrontService;
 
 /** Limits on what a caller may send. */
--- a/src/front_events.c
+++ b/src/front_events.c
@@ -48,21 +48,21 @@
 {
   size_t taken = 0, len;
 
-  while (!events->gap && (len = event_length (input->data + taken, input->len - taken)) > 0)
+  while (!events->id_skipped && (len = event_length (input->data + taken, input->len - taken)) > 0)
     {
       int64_t id = event_id ((Span){ .text = input->data + taken, .len = len });
 
       if (id == NO_ID || id > events->last_id)
         {
           if (id != NO_ID && events->last_id != NO_ID && id > events->last_id + 1)
-            events->gap = true;
+            events->id_skipped = true;
           else
             {
               buffer_add (output, input->data + taken, len);
-              events->passed++;
+              events->forwarded++;
             }
         }
-      if (id > events->last_id && !events->gap)
+      if (id > events->last_id && !events->id_skipped)
         events->last_id = id;
       taken += len;
     }
--- a/src/front_events.h
+++ b/src/front_events.h
@@ -11,14 +11,14 @@
 
 typedef struct
 {
-  int64_t last_id; /**< of the last event forwarded; -1: none */
-  int64_t passed;  /**< number of events forwarded */
-  bool gap;        /**< an id was skipped; the stream can't continue */
+  int64_t last_id;   /**< of the last event forwarded; -1: none */
+  int64_t forwarded; /**< number of events forwarded */
+  bool id_skipped;   /**< an id was skipped; the stream can't continue */
 } FrontEvents;
 
 void front_events_init (FrontEvents *events);
 /** Moves complete events from input to output. Drops those that were forwarded before, which a
- *  resumed stream may repeat. Stops at the first gap. */
+ *  resumed stream may repeat. Stops where an id is skipped. */
 void front_events_forward (FrontEvents *events, Buffer *input, Buffer *output);
 
 #endif
--- a/src/front_evidence.c
+++ b/src/front_evidence.c
@@ -1,8 +1,8 @@
 #include "front_evidence.h"
 
 /* An answer is slow if it begins later than SLOW_FACTOR times its prediction plus SLOW_MARGIN_MS. A
- * version that is several times slower shows at once; a queue in front of both versions counts
- * against both. */
+ * version that is several times slower is detected at once; a queue in front of both versions
+ * counts against both. */
 #define SLOW_FACTOR    4.0
 #define SLOW_MARGIN_MS 200.0
 
--- a/src/front_health.c
+++ b/src/front_health.c
@@ -2,7 +2,7 @@
 #include <math.h>
 
 /* Milliseconds. Half-life of failures and answers: long enough to avoid a server that fails two of
- * five requests, short enough to give work back to a repaired one. */
+ * five requests, short enough to use a repaired one again soon. */
 #define DECAY_HALF_LIFE_MS 4000.0
 /* An unreachable server is tried again after AVOID_FIRST_MS, then after twice as long each time, up
  * to AVOID_MAX_MS: crashed servers are back within some seconds. */
--- a/src/front_lag.c
+++ b/src/front_lag.c
@@ -18,11 +18,11 @@
 }
 
 void
-front_lag_add (FrontLag *lag, double late_ms, int64_t now_ms)
+front_lag_add (FrontLag *lag, double lag_ms, int64_t now_ms)
 {
   double known = front_lag_now (lag, now_ms);
 
-  late_ms = fmin (fmax (late_ms, 0), known + STEP_MAX_MS);
-  lag->ms = known + SMOOTHING * (late_ms - known);
+  lag_ms = fmin (fmax (lag_ms, 0), known + STEP_MAX_MS);
+  lag->ms = known + SMOOTHING * (lag_ms - known);
   lag->at_ms = now_ms;
 }
--- a/src/front_lag.h
+++ b/src/front_lag.h
@@ -15,7 +15,7 @@
 } FrontLag;
 
 /** Records the lag of an answer that has begun; a negative one counts as none. */
-void front_lag_add (FrontLag *lag, double late_ms, int64_t now_ms);
+void front_lag_add (FrontLag *lag, double lag_ms, int64_t now_ms);
 /** Milliseconds by which the next answer is expected to begin later than predicted. */
 double front_lag_now (const FrontLag *lag, int64_t now_ms);
 
--- a/src/front_log.h
+++ b/src/front_log.h
@@ -1,5 +1,5 @@
 /**
- * Structured log of lovage-front: one JSON object a line on standard output, one line for each
+ * Structured log of lovage-front: one JSON object per line on standard output, one line for each
  * decision. Each event has a maximum rate; lines above it, and lines that a full pipe doesn't take,
  * are omitted and counted in the next line of the event. Writing never blocks.
  */
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -1,5 +1,5 @@
 /* lovage-front: routes callers' requests to the backend servers of the users' platform, in one
- * process a VM. */
+ * process per VM. */
 #include "front.h"
 #include "front_conn.h"
 #include "front_control.h"
@@ -30,7 +30,7 @@
 #define STOP_MARGIN_MS 400 /* margin before the process would be killed */
 /* A session is held longer than it lasts, to allow for differing clocks and network delay. */
 #define SESSION_MARGIN_MS 1000
-/* Part of the permitted retries that is used; the rest allows for requests that the servers count
+/* Share of the permitted retries that is used; the rest allows for requests that the servers count
  * and the router doesn't. */
 #define RETRY_SHARE_FACTOR 0.93
 
--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -59,7 +59,7 @@
 bool
 peer_is_alive (const Peer *peer, int64_t now_ms)
 {
-  return peer->heard_ms != 0 && now_ms - peer->heard_ms < peer->alive_ms;
+  return peer->seen_ms != 0 && now_ms - peer->seen_ms < peer->alive_ms;
 }
 
 /* The IPv4 address of "IP" or "IP:PORT"; 0 if not valid. */
--- a/src/front_peers.h
+++ b/src/front_peers.h
@@ -29,7 +29,7 @@
 bool front_peers_is_registrar (const FrontPeers *peers, int64_t now_ms);
 /** Sends messages and fetches rows that are due. */
 void front_peers_tick (FrontPeers *peers, int64_t now_ms);
-/** Reports to others a request that is being sent to a server: how long its prompt is processed
+/** Reports to others a request that is being sent to a server: how long its prompt will be read
  *  there, and what it adds to the tokens of other requests (PickQuery.running_share). */
 void front_peers_send_work (FrontPeers *peers,
                             FrontServer *server,
@@ -37,8 +37,8 @@
                             double share,
                             int64_t now_ms);
 /** Where changes of a table are polled for: true and *address if another front of the same failure
- *  domain follows the table at the store and passes its changes on; false: this front polls the
- *  store itself. */
+ *  domain polls the store for the table and relays its changes; false: this front polls the store
+ *  itself. */
 bool front_peers_ranked_source (const FrontPeers *peers,
                                 uint64_t table,
                                 int64_t now_ms,
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -16,11 +16,11 @@
 typedef struct
 {
   struct sockaddr_in address;
-  uint64_t incarnation;      /* 0: no message received from it */
-  uint32_t domain;           /* hash; 0: not known */
-  int64_t heard_ms;          /* last message from it, to this front or to another one */
-  int64_t alive_ms;          /* how long it counts as alive after that */
-  int64_t sent_ms;           /* last message to it */
+  uint64_t incarnation; /* 0: no message received from it */
+  uint32_t domain;      /* hash; 0: not known */
+  int64_t seen_ms;      /* last message from it that reached this front or one that reports it */
+  int64_t alive_ms;     /* how long it counts as alive after that */
+  int64_t sent_ms;      /* last message to it */
   int64_t request_failed_ms; /* when a request for rows to it failed; 0: none did */
   bool is_registered;        /* on the store's list of fronts */
   int64_t newest[PEER_TABLES];
@@ -35,7 +35,7 @@
   FrontChannel *channel; /* NULL: no fetch in progress */
   struct sockaddr_in source;
   int64_t asked_ms;
-  int64_t since;  /* version after which changes are requested; 0: all rows are */
+  int64_t since;  /* version after which changes are requested; 0: all rows are requested */
   bool needs_all; /* the peer no longer has the changes since our version */
   bool done;      /* the channel has to be freed, but not within its own callback */
 } Fetch;
@@ -50,15 +50,16 @@
   uint16_t control_port; /* the same at all fronts; network order */
   unsigned count;
   Peer list[PEERS_MAX];
-  unsigned next_peer;       /* first peer considered in the next round */
-  bool is_sessions_turn;    /* this round's message lists sessions instead of members */
-  unsigned next_member;     /* first peer in the next message's list of members */
-  unsigned next_domain;     /* first domain in the next message's list of sums */
-  double work_credit_bytes; /* bytes that may be spent on work messages */
-  int64_t work_ms;          /* time at which work_credit_bytes was computed */
-  unsigned next_work;       /* first peer considered for the next work message */
-  double remote_credit;     /* fraction of a message to other failure domains that is left over */
-  int64_t round_ms;         /* last round of messages */
+  unsigned next_peer;         /* first peer considered as a recipient in the next round */
+  bool is_sessions_turn;      /* this round's message lists sessions instead of members */
+  unsigned next_member;       /* first peer in the next message's list of members */
+  unsigned next_domain;       /* first domain in the next message's list of sums */
+  double work_credit_bytes;   /* bytes that may be spent on work messages */
+  int64_t work_ms;            /* time at which work_credit_bytes was computed */
+  unsigned next_work;         /* first peer considered for the next work message */
+  double other_domain_credit; /* messages to other failure domains that may still be sent; less than
+                                 one is left over by a round */
+  int64_t round_ms;           /* last round of messages */
   int64_t started_ms;
   bool is_registered;                  /* this front is on the store's list */
   int64_t ahead_since_ms[PEER_TABLES]; /* since when some peer is ahead; 0: none is */
--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -7,7 +7,7 @@
  * knowing any other finds one; four may be lost at one moment. */
 #define REGISTRARS        5
 #define REGISTRAR_SUBJECT 0x72656731u
-#define DOMAINS_MAX       16 /* domains that are told apart; the target has 6 */
+#define DOMAINS_MAX       16 /* domains that are distinguished; the target has 6 */
 /* Makes the order of collectors differ from that of followers. */
 #define COLLECTOR_SUBJECT 0x636f6c6cu
 
@@ -34,12 +34,12 @@
   for (unsigned i = 0; i < peers->count; i++)
     {
       const Peer *peer = &peers->list[i];
-      bool heard = peer->heard_ms != 0 && now_ms - peer->heard_ms < COUNTED_MS;
+      bool seen_recently = peer->seen_ms != 0 && now_ms - peer->seen_ms < COUNTED_MS;
       bool same_domain = peer->domain == peers->own_domain;
 
       view->registered += same_domain && peer->is_registered;
-      view->domain_fronts += same_domain && (heard || peer->is_registered);
-      view->fronts += heard || peer->is_registered;
+      view->domain_fronts += same_domain && (seen_recently || peer->is_registered);
+      view->fronts += seen_recently || peer->is_registered;
     }
 }
 
--- a/src/front_peers_receive.c
+++ b/src/front_peers_receive.c
@@ -42,17 +42,17 @@
     front_rollouts_hold_session (front->rollouts, rollout, &report->sessions[i], now_ms);
 }
 
-/* A front that another one heard from is alive, even if it never sends to this one. */
+/* A front from which another one receives messages is alive, even if it never sends to this one. */
 static void
 receive_member (FrontPeers *peers, const PeerMember *member, int64_t now_ms)
 {
   Peer *peer = peer_add (peers, htonl (member->ip));
-  int64_t heard_ms = now_ms - member->age_ms;
+  int64_t seen_ms = now_ms - member->age_ms;
 
   if (!peer)
     return;
-  if (heard_ms > peer->heard_ms)
-    peer->heard_ms = heard_ms;
+  if (seen_ms > peer->seen_ms)
+    peer->seen_ms = seen_ms;
   if (peer->domain == 0)
     peer->domain = member->domain;
 }
@@ -74,7 +74,7 @@
       peer->sent_ms = 0; /* earlier messages went to the previous process */
     }
   peer->incarnation = message->incarnation;
-  peer->heard_ms = now_ms;
+  peer->seen_ms = now_ms;
   peer->domain = message->domain;
   memcpy (peer->newest, message->newest, sizeof peer->newest);
   for (uint32_t i = 0; i < message->rollout_count; i++)
--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -17,15 +17,15 @@
  * sixty. */
 #define SESSIONS_BESIDE_MEMBERS 24
 #define ANSWER_INTERVAL_MS      300 /* milliseconds between answers to a front that starts */
-/* A front that knows less than 1/STARTING_FRACTION of the fronts known here has just started. */
+/* A front that knows fewer than 1/STARTING_FRACTION of the fronts known here has just started. */
 #define STARTING_FRACTION   4
 #define SAME_DOMAIN_FANOUT  4 /* peers of the own failure domain in a round, collectors included */
 #define OTHER_DOMAIN_FANOUT 3 /* peers of other failure domains in a round */
 #define PROBE_FANOUT        6 /* peers that are not known to be alive in a round */
 /* Messages to other failure domains that all fronts of one domain together send in a round, those
  * of collectors not counted. Traffic between domains has a cost, and what one front receives it
- * passes on within its domain. Compared with three of each front this saves 14% of all bytes
- * between the domains of 69 fronts, callers' requests included. */
+ * relays within its domain. Compared with three messages from each front this saves 14% of all
+ * bytes between the domains of 69 fronts, callers' requests included. */
 #define OTHER_DOMAIN_MESSAGES_PER_DOMAIN 12.0
 
 _Static_assert(SAME_DOMAIN_FANOUT + OTHER_DOMAIN_FANOUT + PROBE_FANOUT <= PEERS_PER_ROUND_MAX,
@@ -37,7 +37,7 @@
   message->members[message->member_count++] = (PeerMember){
     .ip = ntohl (peer->address.sin_addr.s_addr),
     .domain = peer->domain,
-    .age_ms = (uint32_t)(now_ms - peer->heard_ms),
+    .age_ms = (uint32_t)(now_ms - peer->seen_ms),
   };
 }
 
@@ -154,9 +154,9 @@
 
   if (is_collector || share >= OTHER_DOMAIN_FANOUT)
     return OTHER_DOMAIN_FANOUT;
-  peers->remote_credit += share;
-  quota = (unsigned)peers->remote_credit;
-  peers->remote_credit -= quota;
+  peers->other_domain_credit += share;
+  quota = (unsigned)peers->other_domain_credit;
+  peers->other_domain_credit -= quota;
   return quota;
 }
 
--- a/src/front_peers_source.c
+++ b/src/front_peers_source.c
@@ -2,9 +2,9 @@
 #include "front_peers_private.h"
 
 /* Fronts of each failure domain that follow a table at the store; the others ask one of these. If
- * one of the two is frozen or cut off, the half of the domain that follows the other one learns of
- * a change at once, and tells the rest by messages. Each additional follower costs one more call to
- * the store for each change. */
+ * one of the two is frozen or cut off, the half of the domain that follows the other one receives a
+ * change at once and announces it to the rest by messages. Each additional follower costs one more
+ * call to the store for each change. */
 #define FOLLOWERS 2
 /* Milliseconds until a front whose request failed is asked again; it may be frozen for seconds.
  * While all fronts start, one that refuses connections is about to listen. */
@@ -83,8 +83,9 @@
   return source_set (peers, best, address);
 }
 
-/* True if the peer reported rows of the table; or if it is registered and was not heard of since
- * our start, as it then requests the rows from the store if it has none. */
+/* True if the peer reported rows of the table; or if it is registered and not known to be dead
+ * (alive, or no message from it since our start), as it then requests the rows from the store if it
+ * has none. */
 static bool
 is_informed (const FrontPeers *peers, const Peer *peer, uint64_t table, int64_t now_ms)
 {
@@ -93,7 +94,7 @@
   if (peer_is_alive (peer, now_ms) && peer->newest[table] > 0)
     return true;
   return peer->is_registered && !peers->is_registered
-         && (peer->heard_ms == 0 || peer_is_alive (peer, now_ms));
+         && (peer->seen_ms == 0 || peer_is_alive (peer, now_ms));
 }
 
 /* Of the informed fronts of the domain with at least this hash, the one that our address selects.
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -1,19 +1,20 @@
-/* Announces the prompts that this front sends to backend servers, so that other fronts can include
- * them in their load. */
+/* Announces the prompts that this front sends to backend servers, so that other fronts include them
+ * in the load of these servers. */
 #include "front_counter.h"
 #include "front_peers_private.h"
 #include "front_work_message.h"
 #include <math.h>
 #include <sys/socket.h>
 
-/* Milliseconds of prompt processing at one server from which it is announced: shorter prompts are
- * finished before another front could use the information. */
+/* Milliseconds of reading at one server from which it is announced: shorter prompts have been read
+ * before another front could use the information. */
 #define ANNOUNCE_MIN_MS 10.0
-/* Fronts that are told, those of the same failure domain first, as they use the same servers. */
+/* Maximum number of fronts that get a message, those of the same failure domain first, as they use
+ * the same servers. */
 #define RECIPIENTS_MAX 24
 #define SHARE_UNITS    100.0 /* of WorkReport.running */
 /* Bytes per second for work messages, UDP and IP headers included. A front of 80 needs 7,200 at 6
- * requests a second; one of 360 with 28 would need 32,000, but its control traffic has to stay
+ * requests per second; one of 360 with 28 would need 32,000, but its control traffic has to stay
  * within 14,000, of which other messages take 4,700, or 12,600 during a roll-out with many fronts.
  * Work that can't be announced now is added to the next announcement for the same server. */
 #define BYTES_PER_S         8000.0
--- a/src/front_pick.c
+++ b/src/front_pick.c
@@ -57,7 +57,7 @@
 affinity_server (FrontServers *servers, const PickQuery *query, int64_t now_ms)
 {
   const FrontCall *call = query->call;
-  const FrontServer *preferred = NULL;
+  const FrontServer *affinity = NULL;
   FrontServer *server;
   uint64_t best = 0, prompt;
 
@@ -70,19 +70,19 @@
 
     if (!server->is_same_domain || !matches_query (query, server)
         || front_server_state (server, now_ms) >= FRONT_SERVER_AVOIDED
-        || (preferred && hash <= best))
+        || (affinity && hash <= best))
       continue;
-    preferred = server;
+    affinity = server;
     best = hash;
   }
-  return preferred;
+  return affinity;
 }
 
 /* Prompt tokens that the server has to read. */
 static int64_t
 prompt_tokens (const PickQuery *query,
                const FrontServer *server,
-               const FrontServer *preferred,
+               const FrontServer *affinity,
                int64_t now_ms)
 {
   int64_t cached;
@@ -91,7 +91,7 @@
     return 0;
   cached = front_prompts_cached (&server->prompts, query->call, query->model, now_ms,
                                  query->reuse_window_ms);
-  if (server == preferred && cached < query->affinity_tokens)
+  if (server == affinity && cached < query->affinity_tokens)
     cached = query->affinity_tokens;
   return query->call->prompt_tokens > cached ? query->call->prompt_tokens - cached : 0;
 }
@@ -99,10 +99,10 @@
 static double
 prompt_ms (const PickQuery *query,
            const FrontServer *server,
-           const FrontServer *preferred,
+           const FrontServer *affinity,
            int64_t now_ms)
 {
-  return read_time_ms (&query->read_time, prompt_tokens (query, server, preferred, now_ms),
+  return read_time_ms (&query->read_time, prompt_tokens (query, server, affinity, now_ms),
                        query->call->prompt_tokens);
 }
 
@@ -123,10 +123,10 @@
 static double
 cost_ms (const PickQuery *query,
          const FrontServer *server,
-         const FrontServer *preferred,
+         const FrontServer *affinity,
          int64_t now_ms)
 {
-  double cost = queue_ms (query, server, now_ms) + prompt_ms (query, server, preferred, now_ms)
+  double cost = queue_ms (query, server, now_ms) + prompt_ms (query, server, affinity, now_ms)
                 + front_health_penalty_ms (&server->health, now_ms);
 
   if (!server->is_same_domain)
@@ -181,7 +181,7 @@
 PickAnswer
 front_pick (FrontServers *servers, const PickQuery *query, int64_t now_ms)
 {
-  const FrontServer *preferred = affinity_server (servers, query, now_ms);
+  const FrontServer *affinity = affinity_server (servers, query, now_ms);
   PickAnswer best = { 0 };
   double best_cost = 0;
   FrontServer *server;
@@ -196,7 +196,7 @@
       continue;
     if (best.server && avoided && !best.avoided)
       continue;
-    cost = cost_ms (query, server, preferred, now_ms);
+    cost = cost_ms (query, server, affinity, now_ms);
     if (best.server && avoided == best.avoided && cost >= best_cost)
       continue;
     best.server = server;
@@ -205,8 +205,8 @@
   }
   if (best.server)
     {
-      best.prompt_ms = prompt_ms (query, best.server, preferred, now_ms);
-      best.prompt_tokens = prompt_tokens (query, best.server, preferred, now_ms);
+      best.prompt_ms = prompt_ms (query, best.server, affinity, now_ms);
+      best.prompt_tokens = prompt_tokens (query, best.server, affinity, now_ms);
       best.predicted_ms = best.prompt_ms + queue_ms (query, best.server, now_ms);
     }
   return best;
--- a/src/front_prompts.c
+++ b/src/front_prompts.c
@@ -50,7 +50,11 @@
 }
 
 static void
-note (FrontPrompts *prompts, const FrontCall *call, unsigned parts, uint64_t model, int64_t now_ms)
+record (FrontPrompts *prompts,
+        const FrontCall *call,
+        unsigned parts,
+        uint64_t model,
+        int64_t now_ms)
 {
   if (!prompts->slots)
     prompts->slots = memory_array (PROMPT_SLOTS, sizeof *prompts->slots);
@@ -65,7 +69,7 @@
 void
 front_prompts_sent (FrontPrompts *prompts, const FrontCall *call, uint64_t model, int64_t now_ms)
 {
-  note (prompts, call, call->part_count, model, now_ms);
+  record (prompts, call, call->part_count, model, now_ms);
 }
 
 void
@@ -74,5 +78,5 @@
                          uint64_t model,
                          int64_t now_ms)
 {
-  note (prompts, call, call->part_count ? call->part_count - 1 : 0, model, now_ms);
+  record (prompts, call, call->part_count ? call->part_count - 1 : 0, model, now_ms);
 }
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -14,13 +14,13 @@
 #define STATUS_UNAVAILABLE  503
 #define STATUS_TIMEOUT      504
 
-/* Milliseconds after which a refused caller is told to retry. */
+/* Retry-After of refusals, in milliseconds. */
 #define RETRY_AFTER_STARTING_MS    400  /* by then a starting process has the configuration */
 #define RETRY_AFTER_QUARANTINED_MS 3000 /* the request crashes servers, and will again soon */
 
-/* Milliseconds after the stop signal from which streams are refused. By then the balancer sends
- * callers elsewhere; those that still arrive are told so at once, as an answer that outlasts the
- * process would be cut off. */
+/* Milliseconds after the stop signal from which streams are refused. By then the load balancer
+ * sends callers elsewhere; streams that still arrive are refused at once, as an answer that
+ * outlasts the process would be cut off. */
 #define STOP_ACCEPTS_STREAMS_MS 2600
 /* Milliseconds before the process is killed by which every other accepted request must have its
  * final answer, even if only that of its time-out. */
@@ -97,7 +97,7 @@
 {
   int64_t now_ms = clock_boot_ms ();
   int64_t backoff_ms;
-  bool late = now_ms >= request->end_ms;
+  bool past_deadline = now_ms >= request->end_ms;
 
   if (request->head_sent)
     {
@@ -109,7 +109,7 @@
       front_conn_abort (conn);
     }
   else if (request->may_have_run)
-    request_refuse (request, late ? STATUS_TIMEOUT : STATUS_BAD_GATEWAY, reason, 0);
+    request_refuse (request, past_deadline ? STATUS_TIMEOUT : STATUS_BAD_GATEWAY, reason, 0);
   else
     {
       backoff_ms = front_budget_count_refusal (request->front->budget, request->service, now_ms);
@@ -239,9 +239,9 @@
   request_send (request);
 }
 
-/* A server that fell silent and restarted closes none of its old connections if a broken network
- * path holds back its resets; without this a stream on such a connection waits for two allowed
- * pauses. */
+/* A server that stopped answering and restarted closes none of its old connections if a broken
+ * network path holds back its resets; without this a stream on such a connection waits for two
+ * allowed pauses. */
 void
 front_requests_cut_restarted (Front *front)
 {
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -121,8 +121,8 @@
   return front_cascade_step (&c);
 }
 
-/* Drops the answer and asks a larger model; false if that isn't wanted, or the budget doesn't allow
- * it. */
+/* Drops the answer and asks a larger model; false if the cascade keeps the answer, or the budget
+ * doesn't allow it. */
 static bool
 try_larger_model (FrontRequest *request, const ReplyInfo *info)
 {
@@ -169,7 +169,7 @@
   front_log_number (line, "objective_ms", request->route->objective_ms);
   front_log_number (line, "pause_ms", request->pause_ms);
   front_log_number (line, "pause_aim_ms", request->route->gap_ms);
-  front_log_number (line, "events", request->events.passed);
+  front_log_number (line, "events", request->events.forwarded);
   front_log_number (line, "attempts", request->attempts);
   front_log_end (line);
   front_counter_add (FRONT_COUNTER_ANSWERED);
@@ -243,7 +243,7 @@
   bool cut_off;
 
   front_events_forward (&request->events, &reply->body, &out);
-  cut_off = request->events.gap || (reply->complete && reply->body.len > 0);
+  cut_off = request->events.id_skipped || (reply->complete && reply->body.len > 0);
   if (out.len > 0)
     {
       if (!request->head_sent)
@@ -281,13 +281,13 @@
 handle_server_failure (FrontRequest *request, const ReplyInfo *info)
 {
   HttpReply *reply = front_attempt_reply (request->attempt);
-  bool may_repeat = front_route_is_idempotent (request->route)
-                    && request->attempts < request->route->attempts_max;
-  /* Callers take these two statuses as a promise that nothing ran, which the server doesn't give
-   * here. */
-  bool promises = reply->status == STATUS_TOO_MANY || reply->status == STATUS_UNAVAILABLE;
+  bool may_retry = front_route_is_idempotent (request->route)
+                   && request->attempts < request->route->attempts_max;
+  /* Callers take these two statuses as a guarantee that nothing ran, which this answer doesn't
+   * give. */
+  bool implies_not_run = reply->status == STATUS_TOO_MANY || reply->status == STATUS_UNAVAILABLE;
 
-  if (may_repeat || promises || request->head_sent || !info->is_signed)
+  if (may_retry || implies_not_run || request->head_sent || !info->is_signed)
     request_retry (request, "server_error", true);
   else
     send_complete_answer (request);
--- a/src/front_rollouts.c
+++ b/src/front_rollouts.c
@@ -16,13 +16,13 @@
    * number of answers and leaves fewer sessions to report. */
   double share;
   /* Milliseconds after the order in which no session begins on the new version. In that time fronts
-   * tell each other of the sessions on the old version; without it, such a session changes version
-   * when its next request reaches a front that has not seen it. */
+   * report to each other the sessions on the old version; without it, such a session changes
+   * version when its next request reaches a front that has not seen it. */
   int64_t hold_ms;
 } FirstStage;
 
-/* 70 fronts need about ten rounds of messages, 200 ms apart, until all know; of 300 fronts all hear
- * of 186 sessions in 4 s, except for one in sixty (test_front_peers). */
+/* Reports reach all of 70 fronts in about ten rounds of messages, 200 ms apart; at 300 fronts and
+ * 186 sessions all but one in sixty arrive within 4 s (test_front_peers). */
 static const FirstStage stages[] = {
   { .servers = 120, .share = 0.02, .hold_ms = 4000 },
   { .servers = 40, .share = 0.04, .hold_ms = 2500 },
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -31,10 +31,10 @@
   FrontEvidence evidence;
 } RolloutDomain;
 
-/** What another front tells about a roll-out. */
+/** Another front's report on a roll-out. */
 typedef struct
 {
-  bool is_bad;            /**< it found the new version bad, or was told so */
+  bool is_bad;            /**< it found the new version bad, or got such a report */
   int64_t old_busy_ms;    /**< when a request on the old version was last known to run anywhere, on
                              our clock; 0: never */
   uint64_t peer;          /**< its incarnation if it is in our failure domain; 0: it is not */
@@ -82,7 +82,7 @@
 /** All FrontRollout, linked by node. */
 struct cds_list_head *front_rollouts_list (FrontRollouts *rollouts);
 
-/** Takes an order that was read; false if it is not newer. servers gives the size of the
+/** Applies an order that was read; false if it is not newer. servers gives the size of the
  *  service. */
 bool front_rollouts_order (FrontRollouts *rollouts,
                            FrontServers *servers,
@@ -90,8 +90,8 @@
                            int64_t now_ms);
 /** The order's row was removed. */
 void front_rollouts_order_removed (FrontRollouts *rollouts, const char *service);
-/** Takes a status that was read, written, or told by another front. A status older than the order
- *  belongs to an earlier order. started_ms 0: unknown. True if the state changes. */
+/** Applies a status that was read or written here, or received from another front. A status older
+ *  than the order belongs to an earlier order. started_ms 0: unknown. True if the state changes. */
 bool front_rollouts_status (FrontRollout *rollout,
                             const char *target,
                             FrontRolloutState state,
@@ -121,7 +121,7 @@
                                   const FrontRollout *rollout,
                                   const SessionUpdate *update,
                                   int64_t now_ms);
-/** Merges what another front tells about this order. */
+/** Merges another front's report on this order. */
 void front_rollout_merge (FrontRollout *rollout, const RolloutUpdate *update);
 /** Sums up the evidence of our failure domain as far as it is known here. */
 void front_rollout_sum_domain (FrontRollout *rollout);
--- a/src/front_server.h
+++ b/src/front_server.h
@@ -20,8 +20,8 @@
   FRONT_SERVER_READY,
   FRONT_SERVER_COLD,    /**< started recently, and slow for a while */
   FRONT_SERVER_AVOIDED, /**< unreachable, failing or full: used only if there is no better one */
-  FRONT_SERVER_UNCONFIRMED, /**< removed from the list while the store could not be trusted:
-                               likewise */
+  FRONT_SERVER_UNCONFIRMED, /**< removed from the list shortly after an outage of the store, which
+                               may have let the entry expire: used only if there is no better one */
   FRONT_SERVER_EVACUATED,   /**< in a failure domain that gets no work for now */
   FRONT_SERVER_LEAVING,     /**< draining, or its address belongs to another server: no new work */
   FRONT_SERVER_GONE,        /**< no longer listed */
@@ -40,7 +40,7 @@
   bool evacuated;      /**< its failure domain gets no work for now */
   bool listed;         /**< false: freed with the last reference */
   bool restarted;   /**< a later start of the same id is known: requests that ran here are lost */
-  bool unconfirmed; /**< removed from the list while the store could not be trusted */
+  bool unconfirmed; /**< removed from the list shortly after an outage of the store */
   int64_t unconfirmed_until_ms; /**< removed for good unless it is listed again by then */
   int64_t cold_until_ms;
   int64_t returned_ms; /**< when the evacuation of its failure domain ended; 0: never */
--- a/src/front_server_entry.h
+++ b/src/front_server_entry.h
@@ -11,8 +11,8 @@
 
 typedef struct
 {
-  char id[SERVER_TEXT_MAX]; /**< kept by a server that restarts, which has no memory of its earlier
-                               start */
+  char id[SERVER_TEXT_MAX]; /**< the same after a restart, though the new process has no state of
+                               the earlier one */
   int64_t born_ms; /**< start time, Unix milliseconds; distinguishes the starts of one id; 0: not
                       given */
   char service[SERVER_TEXT_MAX];
--- a/src/front_sessions.c
+++ b/src/front_sessions.c
@@ -112,9 +112,9 @@
     slot->open--;
 }
 
-/* What this front knows itself takes precedence over updates, which may be older. An update with
+/* An active session known here takes precedence over updates, which may be older. An update with
  * the same version can only move the last use later: a session reported while its request ran was
- * forgotten one idle time after that report, although the request ended seconds later, and its next
+ * dropped one idle time after that report, although the request ended seconds later, and its next
  * request moved to the new version. */
 void
 front_sessions_learn (FrontSessions *sessions,
--- a/src/front_speeds.c
+++ b/src/front_speeds.c
@@ -18,8 +18,8 @@
 #define TARGET_QUANTILE 0.4
 #define FACTOR_MIN      0.05
 #define FACTOR_MAX      20.0
-/* Milliseconds. Shorter reading cannot be measured among the steps of other requests. Where all
- * prompts are that short, the prior stays. */
+/* Milliseconds. A shorter reading time can't be distinguished from the engine's steps for other
+ * requests. Where all prompts are that short, the prior stays. */
 #define READ_MIN_MS 10.0
 /* The same for the time to the first event; half of the answers are to be below it. */
 #define FIRST_STEP   0.05
@@ -27,7 +27,8 @@
 #define FIRST_MAX_MS 2000.0
 
 /* Milliseconds, more than any caller waits. A caller that claims a prompt of a quintillion tokens
- * would otherwise make a server's pending work so large that all else is lost in rounding. */
+ * would otherwise make a server's pending work so large that all other terms are lost in
+ * rounding. */
 #define READ_MAX_MS 60000.0
 
 double
--- a/src/front_speeds.h
+++ b/src/front_speeds.h
@@ -53,7 +53,8 @@
 /** Time of a model as learned so far; the prior if nothing is known of it. */
 ReadTime front_speeds_of (const FrontSpeeds *speeds, uint64_t model, const ReadTime *prior);
 /** What a running request of a model with that time adds to the time per token of all others at its
- *  server; 1 for a middle-sized model. A model that reads slowly writes slowly. */
+ *  server; 1 for a middle-sized model. A model that reads slowly also generates its output
+ *  slowly. */
 double front_speeds_share (const ReadTime *time);
 /** Milliseconds from an idle engine's acceptance to its first event, without reading. */
 double front_speeds_first_ms (const FrontSpeeds *speeds);
--- a/src/front_store.c
+++ b/src/front_store.c
@@ -128,8 +128,8 @@
 }
 
 /* A front that found no other when it started was the first one, or all listed ones had died. It
- * reads the list again, so that it doesn't stay without what others know of bad versions and
- * crashed servers. */
+ * reads the list again, so that it gets other fronts' reports of bad versions and crashed
+ * servers. */
 void
 store_member_list_tick (FrontStore *store, int64_t now_ms)
 {
--- a/src/front_store.h
+++ b/src/front_store.h
@@ -25,8 +25,8 @@
 int64_t front_store_newest (const FrontStore *store, StoreTable table);
 /** True if a change that another front knows is not known here. */
 bool front_store_is_behind (const FrontStore *store, StoreTable table, int64_t newest_elsewhere);
-/** Tells that another front knows the table up to this version. If the pending request should have
- *  brought that change, it is considered lost and sent again. */
+/** Another front has the table up to this version. If the pending request should have brought that
+ *  change, it is considered lost and sent again. */
 void front_store_hint (FrontStore *store, StoreTable table, int64_t version, int64_t now_ms);
 /** True while the store doesn't answer requests for the table. */
 bool front_store_is_lost (const FrontStore *store, StoreTable table);
--- a/src/front_store_source.c
+++ b/src/front_store_source.c
@@ -12,8 +12,8 @@
  * time out, a few sentinels, the first by rank, use short polls for the tables that callers depend
  * on. With three, one may be stopped and another frozen. They learn of a change within
  * SENTINEL_WAIT_MS + SENTINEL_ANSWER_TIMEOUT_MS, announce it in their next message, and the other
- * fronts restart their polls. This costs two calls a second for each sentinel, however many fronts
- * there are. */
+ * fronts restart their polls. This costs two calls per second for each sentinel, however many
+ * fronts there are. */
 #define SENTINELS 3
 
 static bool
@@ -81,8 +81,8 @@
     }
 }
 
-/* The store no longer has the changes since our version. It tells all followers so at one moment;
- * if they then asked each other, nobody would read what has changed. */
+/* The store no longer has the changes since our version. All followers get this answer at one
+ * moment; if they then asked each other, none would read the changes. */
 static bool
 is_history_lost (const Watch *watch)
 {
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -19,11 +19,11 @@
 /* Milliseconds until a retry after an error; doubles up to the maximum. */
 #define RETRY_MIN_MS     120
 #define RETRY_MAX_MS     1000
-#define HINT_INTERVAL_MS 700 /* least milliseconds from a request to its restart by a hint */
+#define HINT_INTERVAL_MS 700 /* minimum milliseconds from a request to its restart by a hint */
 /* Milliseconds between an answer of the store and the next poll for changes of servers. A roll-out
- * or a release changes them several times a second, each call has a cost, and a leaving server goes
- * on serving for two seconds. With a longer pause a front would hear of a change from others first
- * and fetch it from another failure domain (AHEAD_MS of front_peers_fetch.c). */
+ * or a release changes them several times a second, each call has a cost, and a leaving server
+ * continues to serve for two seconds. With a longer delay a front would get reports of a change
+ * from others first and fetch it from another failure domain (AHEAD_MS of front_peers_fetch.c). */
 #define SERVERS_POLL_DELAY_MS 300
 /* Milliseconds until the answer with a complete table begins, from another front and from the
  * store: a starting front loses this time if an answer is lost. The store may take a second when it
@@ -353,7 +353,7 @@
   store_watch_schedule_poll (watch, 0);
 }
 
-/* Rows from another front are as good as the store's own, as it read them there. */
+/* Rows from another front are treated like those from the store, where they were read. */
 void
 store_watch_apply_peer_rows (Watch *watch, int64_t since, StoreAnswer *answer)
 {
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -8,7 +8,9 @@
 #include "wire_rollout.h"
 #include "wire_store.h"
 
-#define RANK_DELAY_MS 300 /* delay between two fronts' attempts at the same write */
+/* Milliseconds between two fronts' attempts at the same write, and from a failed write to the next
+ * one. */
+#define RANK_DELAY_MS 300
 
 static void
 write_row (FrontStore *store,
--- a/src/front_work_message.h
+++ b/src/front_work_message.h
@@ -1,6 +1,6 @@
 /**
- * Message that a front sends to others when it sends prompts to backend servers: how long these
- * will be processed. One datagram, encoded by XDR.
+ * Message that a front sends to others when it sends prompts to backend servers: how long the
+ * servers will read these. One datagram, encoded by XDR.
  */
 #ifndef FRONT_WORK_MESSAGE_H
 #define FRONT_WORK_MESSAGE_H
@@ -15,7 +15,7 @@
 typedef struct
 {
   uint64_t server;  /**< FrontServer.hash */
-  uint32_t read_ms; /**< prompt processing, in milliseconds, sent there since the last report on
+  uint32_t read_ms; /**< milliseconds of reading of the prompts sent there since the last report on
                        this server */
   uint32_t running; /**< requests sent there since then, each counted by its model's share, in
                        hundredths */
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -22,12 +22,12 @@
 #define TABLE            ((uint64_t)STORE_SERVERS)
 #define ORIGIN_MS        1000000
 #define END_MS           20000 /* of the simulation, whatever its state */
-/* Most calls to the store for each start: reading the list of fronts, and one more. */
+/* Maximum calls to the store per start: reading the list of fronts, and one more. */
 #define CALLS_PER_START 2
 
 typedef enum
 {
-  ASKS_NOBODY,
+  ASKS_NONE,
   ASKS_STORE,
   ASKS_FRONT
 } Asks;
@@ -53,7 +53,7 @@
   unsigned list_calls;
   unsigned table_calls;
   int64_t silent_until_ms; /* the store doesn't answer before this time */
-  unsigned lost_every;     /* every so many-th answer of the store is lost; 0: none */
+  unsigned lost_every;     /* one of so many answers of the store is lost; 0: none */
   Node nodes[FRONTS];
 } World;
 
@@ -110,13 +110,13 @@
 }
 
 static void
-note_alive (Node *node, unsigned from, int64_t newest, int64_t now_ms)
+mark_alive (Node *node, unsigned from, int64_t newest, int64_t now_ms)
 {
   Peer *peer = peer_add (&node->peers, address_of (from));
 
   if (!peer)
     return;
-  peer->heard_ms = now_ms;
+  peer->seen_ms = now_ms;
   peer->domain = domain_of (from);
   if (newest > 0)
     peer->newest[TABLE] = newest;
@@ -136,7 +136,7 @@
       if (!peer_is_alive (peer, now_ms) || (domain != 0 && peer->domain != domain))
         continue;
       sent++;
-      note_alive (to, number_of (&peer->address), 0, now_ms);
+      mark_alive (to, number_of (&peer->address), 0, now_ms);
     }
 }
 
@@ -148,12 +148,12 @@
 
   if (!runs (receiver, now_ms))
     return;
-  note_alive (receiver, from, sender->has_table, now_ms);
+  mark_alive (receiver, from, sender->has_table, now_ms);
   send_members (sender, receiver, 0, sender->peers.next_member, now_ms);
   if (!peers_is_starting (&receiver->peers, peer_find (&receiver->peers, address_of (from)), alive,
                           now_ms))
     return;
-  note_alive (sender, to, receiver->has_table, now_ms);
+  mark_alive (sender, to, receiver->has_table, now_ms);
   send_members (receiver, sender, domain_of (from), from, now_ms);
 }
 
@@ -246,7 +246,7 @@
 {
   node->has_table = true;
   node->known_ms = now_ms;
-  node->asks = ASKS_NOBODY;
+  node->asks = ASKS_NONE;
 }
 
 static void
@@ -259,7 +259,7 @@
       node->failures++;
       front_peers_mark_failed (&node->peers, &source, now_ms);
     }
-  node->asks = ASKS_NOBODY;
+  node->asks = ASKS_NONE;
 }
 
 static void
@@ -294,9 +294,9 @@
         continue;
       send_round (world, i, now_ms);
       read_list (world, node, now_ms);
-      if (node->asks != ASKS_NOBODY)
+      if (node->asks != ASKS_NONE)
         wait_for_answer (world, node, now_ms);
-      if (!node->has_table && node->asks == ASKS_NOBODY)
+      if (!node->has_table && node->asks == ASKS_NONE)
         ask (world, node, now_ms);
     }
 }
@@ -328,9 +328,9 @@
 
 /* A site of 300 fronts starts for the first time, and each front knows three addresses. If each
  * considered itself the first of its failure domain, it would read every table, some of them
- * repeatedly, and register: 13 calls a start, 3,800 before the first request. */
+ * repeatedly, and register: 13 calls per start, 3,800 before the first request. */
 static void
-test_first_start (void)
+test_first_start_makes_few_calls (void)
 {
   World *world = world_new ();
 
@@ -341,10 +341,10 @@
 }
 
 /* All VMs lose power at one moment and are back within 300 ms of each other, in any order. Callers
- * are waiting: each front has to have all tables within half a second, without 300 reads of each.
- */
+ * are waiting, so each front has to have all tables within half a second, without 300 reads of
+ * each. */
 static void
-test_all_restart (void)
+test_all_restart_within_half_a_second (void)
 {
   World *world = world_new ();
 
@@ -356,7 +356,7 @@
 
 /* The same, and in one failure domain none of the three registered fronts comes back. */
 static void
-test_registered_fronts_missing (void)
+test_starts_without_registered_fronts (void)
 {
   World *world = world_new ();
 
@@ -371,7 +371,7 @@
 /* The same, and the registered fronts of one domain die 20 ms after their start, while others wait
  * for their answers. */
 static void
-test_registered_fronts_die_meanwhile (void)
+test_starts_although_registered_fronts_die (void)
 {
   World *world = world_new ();
 
@@ -391,7 +391,7 @@
  * asks again after 1.5 s. No front may wait longer than twice that and a margin; the others serve
  * meanwhile. */
 static void
-test_lost_answers (void)
+test_starts_despite_lost_answers (void)
 {
   World *world = world_new ();
 
@@ -404,7 +404,7 @@
 
 /* The store doesn't answer for the first 3 s. Once it does, all fronts get the table soon. */
 static void
-test_silent_store (void)
+test_starts_once_silent_store_answers (void)
 {
   World *world = world_new ();
 
@@ -417,7 +417,7 @@
 /* One front of 300 is killed and starts again while the others run. It has to ask a front of its
  * domain, not the store. */
 static void
-test_one_restarts (void)
+test_single_restart_gets_rows_from_peer (void)
 {
   World *world = world_new ();
 
@@ -463,13 +463,13 @@
 
 static const SuiteCase cases[] = {
   { "step_for_each_state", test_step_for_each_state },
-  { "first_start", test_first_start },
-  { "all_restart", test_all_restart },
-  { "registered_fronts_missing", test_registered_fronts_missing },
-  { "registered_fronts_die_meanwhile", test_registered_fronts_die_meanwhile },
-  { "lost_answers", test_lost_answers },
-  { "silent_store", test_silent_store },
-  { "one_restarts", test_one_restarts },
+  { "first_start_makes_few_calls", test_first_start_makes_few_calls },
+  { "all_restart_within_half_a_second", test_all_restart_within_half_a_second },
+  { "starts_without_registered_fronts", test_starts_without_registered_fronts },
+  { "starts_although_registered_fronts_die", test_starts_although_registered_fronts_die },
+  { "starts_despite_lost_answers", test_starts_despite_lost_answers },
+  { "starts_once_silent_store_answers", test_starts_once_silent_store_answers },
+  { "single_restart_gets_rows_from_peer", test_single_restart_gets_rows_from_peer },
 };
 
 int
--- a/tests/test_front_budget.c
+++ b/tests/test_front_budget.c
@@ -26,8 +26,8 @@
 }
 
 /* Cascades must leave budget for retries. Half of all answers go to a larger model, in bursts, when
- * an engine falls silent: without a reserve its streams find no budget to resume elsewhere, and
- * whole answers are cut off. */
+ * an engine stops answering: without a reserve its streams have no budget to resume elsewhere, and
+ * entire answers are cut off. */
 static void
 test_cascades_leave_budget_for_retries (void)
 {
@@ -105,7 +105,7 @@
 
 /* Engines fail most requests while fronts are killed and restarted, each without memory of what it
  * sent. Over all fronts no window may hold more retries than the limit, or the retries alone keep
- * the engines down. Load: 160 requests per second over six fronts, with two retries wanted for
+ * the engines down. Load: 160 requests per second over six fronts, with two retries attempted for
  * each, and a front restarted every two seconds. */
 static void
 test_limit_holds_while_fronts_restart (void)
--- a/tests/test_front_cold.c
+++ b/tests/test_front_cold.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW          100000
+#define NOW          100000 /* milliseconds */
 #define SECOND_MS    1000
 #define SIMULATED_MS 3000 /* as long as a server stays cold */
 #define SERVERS      20
@@ -25,13 +25,13 @@
 static const Site sites[] = {
   { "six fronts", 2, 4, { 2, 2, 6, false } },
   { "a middle-sized site", 17, 49, { 17, 5, 66, false } },
-  { "with spare fronts", 20, 58, { 20, 5, 78, false } },
-  { "fronts that count half of the others", 17, 49, { 9, 5, 33, false } },
-  { "all have just started", 17, 49, { 1, 0, 1, true } },
+  { "a middle-sized site with spare fronts", 20, 58, { 20, 5, 78, false } },
+  { "a middle-sized site, of which each front counts half", 17, 49, { 9, 5, 33, false } },
+  { "a middle-sized site that has just started", 17, 49, { 1, 0, 1, true } },
   { "a large site", 75, 225, { 75, 5, 300, false } },
-  { "a large site, half counted", 75, 225, { 37, 5, 150, false } },
+  { "a large site, of which each front counts half", 75, 225, { 37, 5, 150, false } },
   { "a large site that has just started", 75, 225, { 5, 5, 20, true } },
-  { "a domain that hears nobody else", 75, 225, { 75, 5, 75, false } },
+  { "a domain that gets no messages from others", 75, 225, { 75, 5, 75, false } },
 };
 
 static ColdRule
@@ -81,7 +81,7 @@
 
 /* A failure domain restarts cold during a burst with a popular prompt. Even if every front sends
  * its servers all that it may, they must not get more than the limit and crash again; also where
- * fronts have just started, hear no others or disagree on their number. */
+ * fronts have just started, get no messages from others or count different numbers of fronts. */
 static void
 test_rate_limit_holds_over_all_fronts (void)
 {
--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -62,7 +62,7 @@
 }
 
 static void
-test_round_trip (void)
+test_rows_survive_round_trip (void)
 {
   Buffer compressed = compressed_rows ();
   StoreAnswer answer;
@@ -105,7 +105,7 @@
  * the store sends it to a dozen others over one link of 10 Mbit/s. Uncompressed, the last of them
  * would get it seconds after it had to be in force. */
 static void
-test_large_configuration (void)
+test_large_configuration_is_small_enough (void)
 {
   Buffer value = configuration (), text = { 0 };
   StoreAnswer answer = { .count = 1, .version = 7 };
@@ -164,7 +164,7 @@
 }
 
 static void
-test_member_row (void)
+test_member_row_is_decoded_or_rejected (void)
 {
   static const char *const odd[] = { "",
                                      "front-1",
@@ -187,11 +187,11 @@
 }
 
 static const SuiteCase cases[] = {
-  { "round_trip", test_round_trip },
-  { "large_configuration", test_large_configuration },
+  { "rows_survive_round_trip", test_rows_survive_round_trip },
+  { "large_configuration_is_small_enough", test_large_configuration_is_small_enough },
   { "damaged_data_is_rejected", test_damaged_data_is_rejected },
   { "decompressed_size_is_limited", test_decompressed_size_is_limited },
-  { "member_row", test_member_row },
+  { "member_row_is_decoded_or_rejected", test_member_row_is_decoded_or_rejected },
 };
 
 int
--- a/tests/test_front_events.c
+++ b/tests/test_front_events.c
@@ -27,7 +27,7 @@
  * part of it was forwarded, the caller joins two parts of different events when the stream resumes
  * at another engine. */
 static void
-test_only_complete_events (void)
+test_only_complete_events_are_forwarded (void)
 {
   begin ();
   check ("id: 0\ndata: a\n\nid: 1\nda", "id: 0\ndata: a\n\n");
@@ -35,34 +35,34 @@
   check ("ta: b\n", "id: 0\ndata: a\n\n");
   check ("\n", "id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
   CU_ASSERT_EQUAL (events.last_id, 1);
-  CU_ASSERT_EQUAL (events.passed, 2);
+  CU_ASSERT_EQUAL (events.forwarded, 2);
   CU_ASSERT_EQUAL (input.len, 0);
 }
 
 /* A resumed stream may repeat events that the caller has; they are dropped. */
 static void
-test_repeated_events (void)
+test_repeated_events_are_dropped (void)
 {
   begin ();
   check ("id:4\ndata: a\n\nid:5\ndata: b\n\n", "id:4\ndata: a\n\nid:5\ndata: b\n\n");
   buffer_clear (&output);
   check ("id:4\ndata: a\n\nid:5\ndata: b\n\nid:6\ndata: c\n\n", "id:6\ndata: c\n\n");
-  CU_ASSERT (!events.gap);
+  CU_ASSERT (!events.id_skipped);
 }
 
 /* A resumed stream that skips an event must be reported. If it were forwarded, the caller's answer
  * would lack a part and yet look complete. */
 static void
-test_missing_event (void)
+test_missing_event_is_reported (void)
 {
   begin ();
   check ("id:0\ndata: a\n\nid:2\ndata: c\n\nid:3\ndata: d\n\n", "id:0\ndata: a\n\n");
-  CU_ASSERT (events.gap);
+  CU_ASSERT (events.id_skipped);
   CU_ASSERT_EQUAL (events.last_id, 0);
 }
 
 static void
-test_line_endings_and_fields (void)
+test_all_line_endings_are_accepted (void)
 {
   begin ();
   check (": comment\n\n", ": comment\n\n");
@@ -75,10 +75,10 @@
 }
 
 static const SuiteCase cases[] = {
-  { "only_complete_events", test_only_complete_events },
-  { "repeated_events", test_repeated_events },
-  { "missing_event", test_missing_event },
-  { "line_endings_and_fields", test_line_endings_and_fields },
+  { "only_complete_events_are_forwarded", test_only_complete_events_are_forwarded },
+  { "repeated_events_are_dropped", test_repeated_events_are_dropped },
+  { "missing_event_is_reported", test_missing_event_is_reported },
+  { "all_line_endings_are_accepted", test_all_line_endings_are_accepted },
 };
 
 int
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -46,7 +46,7 @@
 #define REFUSED(text) refused (text, sizeof (text) - 1)
 
 static void
-test_complete_request (void)
+test_complete_request_is_parsed (void)
 {
   static const char text[]
       = "POST /a/b?c=%20 HTTP/1.1\r\nHost: x.example:80\r\nContent-Length: 3\r\n"
@@ -69,7 +69,7 @@
  * offer. If it were refused, such callers would get 400 whenever head and body arrive in two
  * packets. */
 static void
-test_upgrade_offer (void)
+test_upgrade_offer_is_ignored (void)
 {
   static const char head[] = "POST / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\n"
                              "Upgrade: h2c\r\nContent-Length: 3\r\n\r\n";
@@ -85,7 +85,7 @@
 }
 
 static void
-test_chunked_request (void)
+test_chunked_request_is_parsed (void)
 {
   static const char text[] = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
                              "Connection: close\r\n\r\n2;e=1\r\nab\r\n1\r\nc\r\n0\r\nT: x\r\n\r\n";
@@ -101,9 +101,9 @@
 
 /* Request smuggling: a request contains a second one that only some parsers see, by a length and
  * chunks, two lengths, a folded line or a bare line feed. If it were forwarded, an engine would run
- * a request that nobody sent. Each is refused before any byte is forwarded. */
+ * a request that no caller sent. Each is refused before any byte is forwarded. */
 static void
-test_smuggled_requests (void)
+test_smuggled_requests_are_refused (void)
 {
   CU_ASSERT_EQUAL (REFUSED ("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n"
                             "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
@@ -125,7 +125,7 @@
 }
 
 static void
-test_malformed_requests (void)
+test_malformed_requests_are_refused (void)
 {
   CU_ASSERT_EQUAL (REFUSED ("GET / HTTP/1.1\r\n\r\n"), 400);
   CU_ASSERT_EQUAL (REFUSED ("GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n"), 400);
@@ -138,7 +138,7 @@
 }
 
 static void
-test_too_large (void)
+test_too_large_requests_are_refused (void)
 {
   char text[2000];
   int len = snprintf (text, sizeof text, "GET / HTTP/1.1\r\nHost: x\r\nA: %01100d\r\n\r\n", 0);
@@ -152,7 +152,7 @@
 }
 
 static void
-test_pipelined_requests (void)
+test_pipelined_requests_are_separated (void)
 {
   static const char text[] = "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n";
   HttpIntake intake;
@@ -196,7 +196,7 @@
 /* An engine dies in the middle of its answer. Only the framing shows whether the answer is
  * complete; an incomplete one must not reach the caller as a success. */
 static void
-test_complete_or_truncated_replies (void)
+test_truncated_replies_are_not_complete (void)
 {
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false, true, false, 3);
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false, false, false, 2);
@@ -211,7 +211,7 @@
 }
 
 static void
-test_malformed_replies (void)
+test_malformed_replies_are_broken (void)
 {
   check_reply ("SSH-2.0-x\r\n\r\n", false, false, true, 0);
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", false, false,
@@ -221,7 +221,7 @@
 }
 
 static void
-test_surplus_and_interim_replies (void)
+test_interim_reply_is_skipped_and_surplus_reported (void)
 {
   HttpReply reply = reply_of ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Made\r\n"
                               "Content-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\n",
@@ -235,7 +235,7 @@
 }
 
 static void
-test_hop_fields (void)
+test_hop_by_hop_fields_are_recognized (void)
 {
   static const char text[]
       = "GET / HTTP/1.1\r\nConnection: close, X-Mine\r\nX-Mine: 1\r\nX-Own: 2\r\n"
@@ -250,17 +250,18 @@
 }
 
 static const SuiteCase cases[] = {
-  { "complete_request", test_complete_request },
-  { "upgrade_offer", test_upgrade_offer },
-  { "chunked_request", test_chunked_request },
-  { "smuggled_requests", test_smuggled_requests },
-  { "malformed_requests", test_malformed_requests },
-  { "too_large", test_too_large },
-  { "pipelined_requests", test_pipelined_requests },
-  { "complete_or_truncated_replies", test_complete_or_truncated_replies },
-  { "malformed_replies", test_malformed_replies },
-  { "surplus_and_interim_replies", test_surplus_and_interim_replies },
-  { "hop_fields", test_hop_fields },
+  { "complete_request_is_parsed", test_complete_request_is_parsed },
+  { "upgrade_offer_is_ignored", test_upgrade_offer_is_ignored },
+  { "chunked_request_is_parsed", test_chunked_request_is_parsed },
+  { "smuggled_requests_are_refused", test_smuggled_requests_are_refused },
+  { "malformed_requests_are_refused", test_malformed_requests_are_refused },
+  { "too_large_requests_are_refused", test_too_large_requests_are_refused },
+  { "pipelined_requests_are_separated", test_pipelined_requests_are_separated },
+  { "truncated_replies_are_not_complete", test_truncated_replies_are_not_complete },
+  { "malformed_replies_are_broken", test_malformed_replies_are_broken },
+  { "interim_reply_is_skipped_and_surplus_reported",
+    test_interim_reply_is_skipped_and_surplus_reported },
+  { "hop_by_hop_fields_are_recognized", test_hop_by_hop_fields_are_recognized },
 };
 
 int
--- a/tests/test_front_lag.c
+++ b/tests/test_front_lag.c
@@ -2,14 +2,14 @@
 #include "front_lag.h"
 #include "suite.h"
 
-#define NOW 100000
+#define NOW 100000 /* milliseconds */
 
 /* Load: a burst of four times the normal rate for some seconds. One of 69 fronts sees 15 answers
- * per second begin, at 88 engines; of no single one it learns in time that its queue has grown by a
- * second. Over all of them it must know two fifths of that lag after these 15 answers, and have
- * forgotten it 4 s later. */
+ * per second begin, at 88 engines; from a single engine it gets too few answers to detect in time
+ * that the queue has grown by a second. Over all of them it must measure two fifths of that lag
+ * after these 15 answers, and nearly all of that must have decayed 4 s later. */
 static void
-test_burst (void)
+test_burst_is_measured_and_decays (void)
 {
   FrontLag lag = { 0 };
 
@@ -32,7 +32,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "burst", test_burst },
+  { "burst_is_measured_and_decays", test_burst_is_measured_and_decays },
   { "one_slow_engine_changes_little", test_one_slow_engine_changes_little },
 };
 
--- a/tests/test_front_log.c
+++ b/tests/test_front_log.c
@@ -55,7 +55,7 @@
 
 /* Any bytes that a caller sends must be escaped so that a JSON parser returns them unchanged. */
 static void
-test_escaped_values (void)
+test_values_are_escaped (void)
 {
   static const char hostile[] = "a\"},{\"b\\\n\t\001\x7f\xc3\xa9";
   struct json_object *line;
@@ -80,8 +80,8 @@
   json_object_put (line);
 }
 
-/* When nobody reads the log and the pipe is full, writing must not block, and the first line that
- * is written again reports how many were lost. */
+/* When no process reads the log and the pipe is full, writing must not block, and the first line
+ * that is written again reports how many were lost. */
 static void
 test_full_pipe_loses_lines (void)
 {
@@ -154,7 +154,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "escaped_values", test_escaped_values },
+  { "values_are_escaped", test_values_are_escaped },
   { "full_pipe_loses_lines", test_full_pipe_loses_lines },
   { "long_line_is_omitted", test_long_line_is_omitted },
   { "rate_limit_per_event", test_rate_limit_per_event },
--- a/tests/test_front_peer_message.c
+++ b/tests/test_front_peer_message.c
@@ -30,7 +30,7 @@
 }
 
 static void
-test_round_trip (void)
+test_message_survives_round_trip (void)
 {
   PeerMessage in = full_message (), out;
   unsigned char data[PEER_MESSAGE_MAX], again[PEER_MESSAGE_MAX];
@@ -63,7 +63,7 @@
 }
 
 static void
-test_buffer_too_small (void)
+test_too_small_buffer_is_reported (void)
 {
   PeerMessage in = full_message ();
   unsigned char data[64];
@@ -74,7 +74,7 @@
 /* Stray datagrams, truncated ones and those of another release must be rejected, without writing
  * beyond the arrays. */
 static void
-test_malformed_messages (void)
+test_malformed_messages_are_rejected (void)
 {
   PeerMessage in = full_message (), out;
   unsigned char data[PEER_MESSAGE_MAX], copy[PEER_MESSAGE_MAX];
@@ -103,9 +103,9 @@
 }
 
 static const SuiteCase cases[] = {
-  { "round_trip", test_round_trip },
-  { "buffer_too_small", test_buffer_too_small },
-  { "malformed_messages", test_malformed_messages },
+  { "message_survives_round_trip", test_message_survives_round_trip },
+  { "too_small_buffer_is_reported", test_too_small_buffer_is_reported },
+  { "malformed_messages_are_rejected", test_malformed_messages_are_rejected },
 };
 
 int
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -1,5 +1,5 @@
 /** How fast information spreads among many fronts: src/front_peers_send.c, front_peers_rank.c,
- *  front_rollouts_judge.c, without a network. */
+ *  front_rollouts_verdict.c, without a network. */
 #include "front_peers_private.h"
 #include "suite.h"
 #include "util_id.h"
@@ -10,9 +10,9 @@
 #include <string.h>
 
 #define FRONTS_MAX     360
-#define ROUND_MS       400 /* interval of messages at a large site during a roll-out */
-#define NOW            1000000
-#define HOLDING_FRONTS 300 /* fronts that exchange held sessions */
+#define ROUND_MS       400     /* interval of messages at a large site during a roll-out */
+#define NOW            1000000 /* milliseconds */
+#define HOLDING_FRONTS 300     /* fronts that exchange held sessions */
 #define SESSION_MS     9500
 /* Most milliseconds since the last known request on the old version: three rounds. */
 #define AGE_MAX_MS 1200
@@ -26,8 +26,8 @@
   FrontRollout *rollout;
 } Node;
 
-/** All fronts. Of the messages sent, every loss-th is lost, as the last of a burst on a congested
- *  link; 0: none. */
+/** All fronts. One of so many messages (loss) is lost, as the last of a burst on a congested link;
+ *  0: none. */
 typedef struct
 {
   unsigned count;
@@ -105,7 +105,7 @@
   for (unsigned i = 0; i < net->count; i++)
     {
       for (unsigned j = 0; j < net->nodes[i].peers.count; j++)
-        net->nodes[i].peers.list[j].heard_ms = now_ms;
+        net->nodes[i].peers.list[j].seen_ms = now_ms;
     }
 }
 
@@ -113,12 +113,12 @@
 deliver_sessions (Net *net, unsigned from, unsigned to, int64_t now_ms)
 {
   Node *sender = &net->nodes[from], *receiver = &net->nodes[to];
-  SessionUpdate news[PEER_SESSIONS_MAX];
-  unsigned count = front_rollouts_held_sessions (sender->rollouts, sender->rollout, news,
+  SessionUpdate updates[PEER_SESSIONS_MAX];
+  unsigned count = front_rollouts_held_sessions (sender->rollouts, sender->rollout, updates,
                                                  peers_sessions_max (&sender->peers), now_ms);
 
   for (unsigned i = 0; i < count; i++)
-    front_rollouts_hold_session (receiver->rollouts, receiver->rollout, &news[i], now_ms);
+    front_rollouts_hold_session (receiver->rollouts, receiver->rollout, &updates[i], now_ms);
 }
 
 /* Delivers one message from a front to another. */
@@ -127,7 +127,7 @@
 {
   FrontRollout *rollout = net->nodes[from].rollout;
   PeerRollout message = { 0 };
-  RolloutUpdate news = {
+  RolloutUpdate update = {
     .is_bad = rollout->is_bad,
     .old_busy_ms = rollout->old_busy_ms,
     .peer = domain_of (net, from) == domain_of (net, to) ? from + 1 : 0,
@@ -135,15 +135,15 @@
   };
 
   peers_domains_fill (&net->nodes[from].peers, rollout, &message);
-  news.domain_count = message.domain_count;
-  news.domains = message.domains;
-  front_rollout_merge (net->nodes[to].rollout, &news);
+  update.domain_count = message.domain_count;
+  update.domains = message.domains;
+  front_rollout_merge (net->nodes[to].rollout, &update);
   if (net->nodes[from].sessions)
     deliver_sessions (net, from, to, now_ms);
 }
 
 static void
-play_round (Net *net, int64_t now_ms)
+simulate_round (Net *net, int64_t now_ms)
 {
   mark_all_alive (net, now_ms);
   for (unsigned i = 0; i < net->count; i++)
@@ -197,17 +197,17 @@
   while (fronts_that_know (net, net->count) < net->count && rounds < 100)
     {
       rounds++;
-      play_round (net, NOW + (int64_t)rounds * ROUND_MS);
+      simulate_round (net, NOW + (int64_t)rounds * ROUND_MS);
     }
   return rounds;
 }
 
 /* A version is bad for a few requests of each of 360 fronts. If each front reported only its own
- * counts, to 7 others a round, each would know all of them after 51 rounds, and the version would
+ * counts, to 7 others per round, each would know all of them after 51 rounds, and the version would
  * do harm meanwhile. Through the sums of failure domains all know all counts after 10 rounds (4 s),
  * though every tenth message is lost; the bound is that and a third. */
 static void
-test_evidence_of_360_fronts (void)
+test_evidence_reaches_360_fronts (void)
 {
   Net *net = net_new (360, 6, 10);
 
@@ -217,7 +217,7 @@
 
 /* The same bound for 3 to 85 fronts, which need 1 to 6 rounds of 200 ms. */
 static void
-test_evidence_of_smaller_sites (void)
+test_evidence_reaches_fronts_of_smaller_sites (void)
 {
   static const struct
   {
@@ -233,10 +233,10 @@
     }
 }
 
-/* A front sends at most 7 messages a round, and all fronts of a failure domain together 20 to other
- * domains, however many fronts there are: traffic between domains has a cost. */
+/* A front sends at most 7 messages per round, and all fronts of a failure domain together 20 to
+ * other domains, however many fronts there are: traffic between domains has a cost. */
 static void
-test_messages_per_round (void)
+test_messages_per_round_are_limited (void)
 {
   static const unsigned counts[] = { 30, 100, 360 };
 
@@ -245,7 +245,7 @@
       Net *net = net_new (counts[i], 4, 0);
 
       for (unsigned round = 1; round <= 10; round++)
-        play_round (net, NOW + (int64_t)round * ROUND_MS);
+        simulate_round (net, NOW + (int64_t)round * ROUND_MS);
       CU_ASSERT (net->sent <= counts[i] * 7 * 10);
       CU_ASSERT (net->to_other_domains <= 4 * 20 * 10);
       net_free (net);
@@ -256,7 +256,7 @@
  * and its old engines stop, once no front has reported such a request for a while. So while the
  * request runs, what all fronts know of it must be at most three rounds old. */
 static void
-test_age_of_old_version_reports (void)
+test_old_version_reports_are_recent (void)
 {
   Net *net = net_new (360, 6, 10);
   int64_t oldest_ms = 0;
@@ -266,7 +266,7 @@
       int64_t now_ms = NOW + (int64_t)round * ROUND_MS;
 
       net->nodes[77].rollout->old_busy_ms = now_ms;
-      play_round (net, now_ms);
+      simulate_round (net, now_ms);
       for (unsigned i = 0; i < net->count && round > 10; i++)
         {
           int64_t age_ms = now_ms - net->nodes[i].rollout->old_busy_ms;
@@ -280,7 +280,7 @@
 
 /* When one front finds a version bad, all others know after two rounds; the bound is one more. */
 static void
-test_spread_of_a_bad_version (void)
+test_bad_version_is_known_within_three_rounds (void)
 {
   Net *net = net_new (360, 6, 10);
   unsigned rounds = 0, known = 1;
@@ -289,7 +289,7 @@
   while (known < net->count && rounds < 50)
     {
       rounds++;
-      play_round (net, NOW + (int64_t)rounds * ROUND_MS);
+      simulate_round (net, NOW + (int64_t)rounds * ROUND_MS);
       known = 0;
       for (unsigned i = 0; i < net->count; i++)
         known += net->nodes[i].rollout->is_bad;
@@ -317,15 +317,15 @@
     }
   for (unsigned i = 0; i < count; i++)
     {
-      SessionUpdate news = { .session = session_of (i) };
+      SessionUpdate update = { .session = session_of (i) };
       Node *node = &net->nodes[i * 7 % HOLDING_FRONTS];
 
-      front_rollouts_hold_session (node->rollouts, node->rollout, &news, NOW);
+      front_rollouts_hold_session (node->rollouts, node->rollout, &update, NOW);
     }
   return count;
 }
 
-/* Of all pairs of a front and a held session, the share in which the front doesn't know of it. */
+/* Of all pairs of a front and a held session, the share in which the front has no report of it. */
 static double
 share_unknown (const Net *net, unsigned count, int64_t now_ms)
 {
@@ -340,17 +340,18 @@
 }
 
 /* 9,300 sessions continue during a roll-out at 300 fronts, 186 of them in the share that starts on
- * the new version. Four seconds after the order new sessions start there; a session that a front
- * doesn't know of changes its version in its middle. With twice the share, and 2.5 s, four to five
- * sessions did so at low load. At most three may, which is 0.016 of one request of each. */
+ * the new version. Four seconds after the order new sessions start there; a session of which a
+ * front has no report changes its version between two of its requests. With twice the share, and
+ * 2.5 s, four to five sessions did so at low load. At most three may, which is 0.016 of one request
+ * of each. */
 static void
-test_sessions_held_at_300_fronts (void)
+test_sessions_are_held_at_300_fronts (void)
 {
   Net *net = net_new (HOLDING_FRONTS, 6, 10);
   unsigned count = hold_sessions (net, 186);
 
   for (unsigned round = 1; round <= 4000 / ROUND_MS; round++)
-    play_round (net, NOW + (int64_t)round * ROUND_MS);
+    simulate_round (net, NOW + (int64_t)round * ROUND_MS);
   CU_ASSERT (share_unknown (net, count, NOW + 4000) <= 0.016);
   printf ("unknown %f\n", share_unknown (net, count, NOW + 4000));
   for (unsigned i = 0; i < net->count; i++)
@@ -392,12 +393,12 @@
 }
 
 static const SuiteCase cases[] = {
-  { "evidence_of_360_fronts", test_evidence_of_360_fronts },
-  { "evidence_of_smaller_sites", test_evidence_of_smaller_sites },
-  { "messages_per_round", test_messages_per_round },
-  { "age_of_old_version_reports", test_age_of_old_version_reports },
-  { "spread_of_a_bad_version", test_spread_of_a_bad_version },
-  { "sessions_held_at_300_fronts", test_sessions_held_at_300_fronts },
+  { "evidence_reaches_360_fronts", test_evidence_reaches_360_fronts },
+  { "evidence_reaches_fronts_of_smaller_sites", test_evidence_reaches_fronts_of_smaller_sites },
+  { "messages_per_round_are_limited", test_messages_per_round_are_limited },
+  { "old_version_reports_are_recent", test_old_version_reports_are_recent },
+  { "bad_version_is_known_within_three_rounds", test_bad_version_is_known_within_three_rounds },
+  { "sessions_are_held_at_300_fronts", test_sessions_are_held_at_300_fronts },
   { "oversized_message_is_shortened", test_oversized_message_is_shortened },
 };
 
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW 100000
+#define NOW 100000 /* milliseconds */
 
 static FrontServers *servers;
 static FrontCall call;
@@ -190,7 +190,8 @@
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 7000);
 }
 
-/* Callers' requests show how often a shared part is wanted; the last part is one caller's own. */
+/* Callers' requests show how often a shared part is requested; the last part is one caller's
+ * own. */
 static void
 test_requested_prompts_expire (void)
 {
@@ -255,9 +256,9 @@
 
 /* Each of 50 fronts of a failure domain sees a fiftieth of what its 27 servers get, so that at any
  * moment some of them seems to have 20 ms more queued than one elsewhere. With a cost of 10 ms for
- * other domains, 40% of short questions left their domain, for callers who wait two seconds. The
- * cost is 0.02 of the 2,000 and 3,000 ms that callers of model engines are ready to wait; callers
- * of plain services, at 150 ms, gain by a server that is 15 ms faster. */
+ * other domains, 40% of short questions left their domain, for callers who accept two seconds. The
+ * cost is 0.02 of the 2,000 and 3,000 ms that callers of model engines accept; callers of plain
+ * services, at 150 ms, gain by a server that is 15 ms faster. */
 static void
 test_crosses_domains_only_for_gain (void)
 {
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -4,8 +4,8 @@
 #include "util_span.h"
 #include <string.h>
 
-#define NOW              100000
-#define DURATION         24000
+#define NOW              100000 /* milliseconds */
+#define DURATION_MS      24000
 #define SESSION_MS       6000
 #define SESSION_IN_SHARE 5 /* a session hash below the first stage's share */
 #define OWN_DOMAIN       1
@@ -51,7 +51,7 @@
 order (int64_t row_version, int64_t now_ms)
 {
   RolloutOrder text = {
-    .service = "drafts", .target = "v2", .duration_ms = DURATION, .row_version = row_version
+    .service = "drafts", .target = "v2", .duration_ms = DURATION_MS, .row_version = row_version
   };
 
   CU_ASSERT (front_rollouts_order (rollouts, servers, &text, now_ms));
@@ -223,8 +223,8 @@
   CU_ASSERT (!front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
 }
 
-/* Each of six fronts sees two failures of a bad version, which none can tell from chance alone.
- * Together they must stop it, everywhere and at once, even if the store is unreachable. */
+/* Each of six fronts sees two failures of a bad version, which alone could be chance. Together they
+ * must stop it, everywhere and at once, even if the store is unreachable. */
 static void
 test_evidence_of_all_peers_counts (void)
 {
@@ -248,8 +248,8 @@
 }
 
 /* A bad version fails requests at hundreds of fronts of three failure domains, each of which sees
- * too few of them. The sums of the domains, passed on from front to front in any order, must stop
- * it, and nothing may be counted twice. */
+ * too few of them. The sums of the domains, relayed from front to front in any order, must stop it,
+ * and nothing may be counted twice. */
 static void
 test_evidence_of_all_domains_counts (void)
 {
@@ -281,7 +281,7 @@
 
 /* A domain's sum must hold what each of its fronts has counted, including dead ones. */
 static void
-test_sum_of_own_domain (void)
+test_domain_sum_includes_dead_fronts (void)
 {
   setup ();
   add ("c", "v2");
@@ -343,7 +343,7 @@
   add_answers (&rollout->evidence, 0, 2, 1, false);
   front_rollout_update_verdict (rollout, NOW + 10000);
   CU_ASSERT (!rollout->is_bad);
-  front_rollout_update_verdict (rollout, NOW + DURATION - 1000);
+  front_rollout_update_verdict (rollout, NOW + DURATION_MS - 1000);
   CU_ASSERT (rollout->is_bad);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_ROLLED_BACK);
 
@@ -351,7 +351,7 @@
   add ("c", "v2");
   order (10, NOW);
   add_answers (&rollout->evidence, 0, 1, 30, false);
-  front_rollout_update_verdict (rollout, NOW + DURATION - 1000);
+  front_rollout_update_verdict (rollout, NOW + DURATION_MS - 1000);
   CU_ASSERT (!rollout->is_bad);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
 }
@@ -399,8 +399,8 @@
   CU_ASSERT_EQUAL (rollout->state, FRONT_ROLLOUT_ROLLED_BACK);
 }
 
-/* All processes are killed in the second half. The new ones must take the start of the roll-out
- * from the status, and not start it anew. */
+/* All processes are killed in the second half. The new ones must read the start time of the
+ * roll-out from the status, and not start it again. */
 static void
 test_restart_takes_start_from_status (void)
 {
@@ -432,8 +432,8 @@
 }
 
 /* A front restarts while servers of the version before last drain, and there are more of them than
- * of the version in use. It took theirs for the version in use, and when they were gone it refused
- * all requests for lack of a server (soak, seeds 2 and 1002). */
+ * of the version in use. The front took the draining version for the one in use, and after these
+ * servers had ended it refused all requests for lack of a server (soak, seeds 2 and 1002). */
 static void
 test_base_ignores_draining_servers (void)
 {
@@ -479,7 +479,7 @@
   { "failures_of_both_versions_are_not_blamed", test_failures_of_both_versions_are_not_blamed },
   { "evidence_of_all_peers_counts", test_evidence_of_all_peers_counts },
   { "evidence_of_all_domains_counts", test_evidence_of_all_domains_counts },
-  { "sum_of_own_domain", test_sum_of_own_domain },
+  { "domain_sum_includes_dead_fronts", test_domain_sum_includes_dead_fronts },
   { "completes_when_old_version_is_idle", test_completes_when_old_version_is_idle },
   { "doubtful_version_is_not_completed", test_doubtful_version_is_not_completed },
   { "dead_peer_does_not_block_completion", test_dead_peer_does_not_block_completion },
--- a/tests/test_front_server.c
+++ b/tests/test_front_server.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW   100000
-#define GRACE 2200
+#define NOW      100000 /* milliseconds */
+#define GRACE_MS 2200
 
 /** What may happen to a server. */
 typedef enum
@@ -65,8 +65,9 @@
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
       { LAPSED, 100, FRONT_SERVER_UNCONFIRMED },
-      { LAPSED, 100 + GRACE - 1, FRONT_SERVER_UNCONFIRMED }, /* its grace period is not restarted */
-      { NOTHING, 100 + GRACE, FRONT_SERVER_GONE } } },
+      { LAPSED, 100 + GRACE_MS - 1,
+        FRONT_SERVER_UNCONFIRMED }, /* its grace period is not restarted */
+      { NOTHING, 100 + GRACE_MS, FRONT_SERVER_GONE } } },
   { "drains while it is not confirmed",
     3,
     { { LISTED, 0, FRONT_SERVER_READY },
@@ -113,7 +114,7 @@
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
       { UNREACHABLE, 10, FRONT_SERVER_AVOIDED },
-      { ANSWERED, 20, FRONT_SERVER_AVOIDED }, /* it was asked for lack of others */
+      { ANSWERED, 20, FRONT_SERVER_AVOIDED }, /* it was used for lack of others */
       { NOTHING, 810, FRONT_SERVER_READY } } },
   { "stays evacuated despite answers and reports",
     5,
@@ -176,7 +177,7 @@
       break;
     case REMOVED:
     case LAPSED:
-      front_servers_remove (servers, "a", now_ms, event == LAPSED ? GRACE : 0);
+      front_servers_remove (servers, "a", now_ms, event == LAPSED ? GRACE_MS : 0);
       break;
     case ADDRESS_LOST:
       front_server_lost_address (server);
@@ -322,7 +323,7 @@
   CU_ASSERT_NOT_EQUAL (after->hash, before->hash);
   CU_ASSERT_EQUAL (front_servers_count (servers), 1);
 
-  /* Late reports of the first start say nothing about the second. */
+  /* Late reports of the first start change nothing for the second. */
   CU_ASSERT_FALSE (apply_report (servers, &drains, NOW));
   CU_ASSERT_FALSE (apply_report (servers, &first, NOW));
   CU_ASSERT_PTR_EQUAL (front_servers_find (servers, "a"), after);
--- a/tests/test_front_speeds.c
+++ b/tests/test_front_speeds.c
@@ -76,7 +76,7 @@
 }
 
 /* Engines become four times as slow, as with a failing cooler: half of the change must be learned
- * after 40 answers, and forgotten again when they are repaired. */
+ * after 40 answers, and unlearned when they are repaired. */
 static void
 test_adapts_to_speed_change (void)
 {
@@ -167,7 +167,7 @@
 
 /* The prior rises with a model's rank, and reading time grows faster than the prompt's length. */
 static void
-test_prior_by_rank_and_length (void)
+test_prior_grows_with_rank_and_length (void)
 {
   ReadTime small = front_speeds_prior (0, 3), middle = front_speeds_prior (1, 3),
            large = front_speeds_prior (2, 3), only = front_speeds_prior (0, 1);
@@ -187,7 +187,7 @@
   { "outlier_has_bounded_effect", test_outlier_has_bounded_effect },
   { "ignores_impossible_prompts", test_ignores_impossible_prompts },
   { "evicts_least_recently_seen_model", test_evicts_least_recently_seen_model },
-  { "prior_by_rank_and_length", test_prior_by_rank_and_length },
+  { "prior_grows_with_rank_and_length", test_prior_grows_with_rank_and_length },
 };
 
 int
--- a/tests/test_front_store_source.c
+++ b/tests/test_front_store_source.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW        1000000
+#define NOW        1000000 /* milliseconds */
 #define FIRST_IP   0x0a000001u
 #define STARTED_MS 1000
 #define SETTLED_MS 60000
@@ -66,7 +66,7 @@
           if (!peer)
             continue;
           peer->domain = 1 + j % domains;
-          peer->heard_ms = NOW;
+          peer->seen_ms = NOW;
           for (unsigned k = 0; k < PEER_TABLES; k++)
             peer->newest[k] = VERSION;
         }
@@ -152,7 +152,8 @@
 }
 
 /* Where a failure domain has two fronts, both poll the store. If one polled the other, and the
- * store refused that one, both would learn of a leaving server from another failure domain only. */
+ * store refused that one, both would get a leaving server's row from another failure domain
+ * only. */
 static void
 test_both_of_two_fronts_poll_store (void)
 {
@@ -162,9 +163,9 @@
   site_free (site);
 }
 
-/* The store drops its history and tells all that poll for changes at one moment. Treated as
- * starting fronts, they asked each other; for six seconds nobody asked the store, and a revoked key
- * was accepted. */
+/* The store drops its history, and all that poll for changes get that answer at one moment. Treated
+ * as starting fronts, they asked each other; for six seconds no front polled the store, and a
+ * revoked key was accepted. */
 static void
 test_all_poll_store_after_lost_history (void)
 {
@@ -215,7 +216,7 @@
  * among fronts that have just started. There are fewer only where the selected failure domains have
  * too few fronts. */
 static void
-test_sentinel_count (void)
+test_three_fronts_are_sentinels (void)
 {
   static const struct
   {
@@ -249,7 +250,7 @@
 
 /* Five fronts of each failure domain register, or all where there are fewer. */
 static void
-test_registrar_count (void)
+test_five_fronts_per_domain_register (void)
 {
   Site *large = site_new (300, 6, SETTLED_MS), *small = site_new (9, 3, SETTLED_MS);
 
@@ -261,7 +262,7 @@
 
 /* The list of fronts may contain this front, known fronts and invalid addresses. */
 static void
-test_listed_addresses (void)
+test_listed_addresses_are_checked (void)
 {
   Site *site = site_new (3, 1, SETTLED_MS);
   FrontPeers *peers = &site->nodes[0].peers;
@@ -286,9 +287,9 @@
   { "both_of_two_fronts_poll_store", test_both_of_two_fronts_poll_store },
   { "all_poll_store_after_lost_history", test_all_poll_store_after_lost_history },
   { "followers_are_replaced", test_followers_are_replaced },
-  { "sentinel_count", test_sentinel_count },
-  { "registrar_count", test_registrar_count },
-  { "listed_addresses", test_listed_addresses },
+  { "three_fronts_are_sentinels", test_three_fronts_are_sentinels },
+  { "five_fronts_per_domain_register", test_five_fronts_per_domain_register },
+  { "listed_addresses_are_checked", test_listed_addresses_are_checked },
 };
 
 int
--- a/tests/test_front_watch.c
+++ b/tests/test_front_watch.c
@@ -65,7 +65,7 @@
   node->watch->table.version = OWN_VERSION;
   peer = peer_add (&node->peers, htonl (INADDR_LOOPBACK));
   peer->domain = 1;
-  peer->heard_ms = clock_boot_ms () + LATER_MS;
+  peer->seen_ms = clock_boot_ms () + LATER_MS;
   peer->newest[STORE_OPERATOR] = PEER_VERSION;
   return node;
 }
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -24,7 +24,7 @@
       "\"Priority\":0},{\"Name\":\"t2\",\"ApiKeys\":[\"k3\"]}]}";
 
 static void
-test_config (void)
+test_config_is_decoded (void)
 {
   Status status;
   FrontConfig *config = wire_config_decode (config_text, strlen (config_text), &status);
@@ -57,7 +57,7 @@
 /* Values for servers that have just started: if absent, malformed or far out of range they impose
  * no limit. */
 static void
-test_config_of_cold_servers (void)
+test_invalid_cold_limits_are_ignored (void)
 {
   static const struct
   {
@@ -100,7 +100,7 @@
 }
 
 static void
-test_bad_config (void)
+test_bad_config_is_refused (void)
 {
   refused_config ("", "no JSON");
   refused_config ("[1]", "no JSON");
@@ -129,7 +129,7 @@
       "Last-Event-Id: 12\r\nContent-Length: 2\r\n\r\nhi";
 
 static void
-test_call_decode (void)
+test_call_is_decoded (void)
 {
   HttpIntake intake;
   FrontCall call;
@@ -153,12 +153,12 @@
 /* Fields that only the router may set, and the caller's key, must not be forwarded: an engine would
  * reserve memory for the caller or charge the work to another team. */
 static void
-test_call_encode (void)
+test_call_is_encoded_without_forged_fields (void)
 {
   HttpIntake intake;
   FrontCall call;
   Buffer out = { 0 };
-  CallHeaders order = {
+  CallHeaders headers = {
     .server_id = "i-1",
     .team = "t1",
     .model = span_of ("small"),
@@ -169,7 +169,7 @@
 
   read_request (&intake, request_text);
   wire_call_decode (&intake, &call);
-  wire_call_encode (&out, &intake, &order);
+  wire_call_encode (&out, &intake, &headers);
   CU_ASSERT_EQUAL (strncmp (out.data, "POST /x/q?a=1 HTTP/1.1\r\n", 24), 0);
   CU_ASSERT_PTR_NOT_NULL (strstr (out.data, "\r\nHost: a.example:80\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (out.data, "\r\nLovagehub-Request-Id: r17\r\n"));
@@ -186,9 +186,9 @@
   CU_ASSERT_PTR_NULL (strstr (out.data, "X-Hop"));
   CU_ASSERT_PTR_NULL (strstr (out.data, "Hold"));
   CU_ASSERT_PTR_NULL (strstr (out.data, "Kv-From"));
-  order.after_event = 30;
+  headers.after_event = 30;
   buffer_clear (&out);
-  wire_call_encode (&out, &intake, &order);
+  wire_call_encode (&out, &intake, &headers);
   CU_ASSERT_PTR_NOT_NULL (strstr (out.data, "\r\nLast-Event-Id: 30\r\n"));
   CU_ASSERT_PTR_NULL (strstr (out.data, "Last-Event-Id: 12"));
   buffer_free (&out);
@@ -196,23 +196,23 @@
 }
 
 static void
-test_reply (void)
+test_reply_and_refusal_heads (void)
 {
   static const char text[] = "HTTP/1.1 200 Fine\r\nLovagehub-Request-Id: r17\r\n"
                              "Lovagehub-Server-Signature: x.y\r\nLovagehub-Confidence: 41\r\n"
                              "Connection: close\r\nContent-Length: 2\r\nX-Own: 1\r\n\r\nab";
   HttpReply reply;
-  ReplyInfo facts;
+  ReplyInfo info;
   Buffer out = { 0 };
 
   http_reply_init (&reply);
   http_reply_feed (&reply, text, strlen (text));
-  wire_reply_decode (&reply, "i-1", &facts);
-  CU_ASSERT (facts.is_signed);
-  CU_ASSERT (!facts.not_executed);
-  CU_ASSERT (!facts.other_server);
-  CU_ASSERT_EQUAL (facts.confidence, 41);
-  CU_ASSERT (span_is (facts.request_id, "r17"));
+  wire_reply_decode (&reply, "i-1", &info);
+  CU_ASSERT (info.is_signed);
+  CU_ASSERT (!info.not_executed);
+  CU_ASSERT (!info.other_server);
+  CU_ASSERT_EQUAL (info.confidence, 41);
+  CU_ASSERT (span_is (info.request_id, "r17"));
   wire_reply_encode (&out, &reply);
   CU_ASSERT_STRING_EQUAL (out.data, "HTTP/1.1 200 Fine\r\nLovagehub-Request-Id: r17\r\n"
                                     "Lovagehub-Server-Signature: x.y\r\n"
@@ -221,8 +221,8 @@
   http_reply_clear (&reply);
   http_reply_init (&reply);
   http_reply_feed (&reply, "HTTP/1.1 421 x\r\nLovagehub-Instance-Id: i-2\r\n\r\n", 47);
-  wire_reply_decode (&reply, "i-1", &facts);
-  CU_ASSERT (facts.other_server);
+  wire_reply_decode (&reply, "i-1", &info);
+  CU_ASSERT (info.other_server);
   http_reply_clear (&reply);
   wire_refusal_encode (&out, 503, span_of ("r17"), 250);
   CU_ASSERT_STRING_EQUAL (out.data, "HTTP/1.1 503 Service Unavailable\r\n"
@@ -231,7 +231,7 @@
 }
 
 static void
-test_rollout (void)
+test_rollout_order_and_status (void)
 {
   static const char text[] = "{\"Service\":\"s1\",\"Target\":\"v2\",\"RampS\":12.5}";
   RolloutOrder order;
@@ -257,7 +257,7 @@
 }
 
 static void
-test_server (void)
+test_server_entry_is_decoded (void)
 {
   ServerEntry entry;
 
@@ -311,10 +311,10 @@
   snprintf (out + len, size - len, "}");
 }
 
-/* Another program may write into the table of servers. If such a row were believed, requests would
- * go to an address without a server, or four billion of them to one server. */
+/* Another program may write into the table of servers. If such a row were used, requests would go
+ * to an address without a server, or four billion of them to one server. */
 static void
-test_invalid_server_entries (void)
+test_invalid_server_entries_are_rejected (void)
 {
   static const Change changes_made[] = {
     { "State", "\"ready\"", true },
@@ -388,10 +388,10 @@
   CU_ASSERT_STRING_EQUAL (changes, expected);
 }
 
-/* A front that the store refuses learns of rows from another front; an older copy of a row that
- * arrives after a newer one must not replace it. */
+/* A front that the store refuses gets rows from another front; an older copy of a row that arrives
+ * after a newer one must not replace it. */
 static void
-test_table (void)
+test_older_rows_replace_no_newer_ones (void)
 {
   FrontTable table, other;
   Buffer out = { 0 };
@@ -449,7 +449,7 @@
 }
 
 static void
-test_write (void)
+test_write_body_is_encoded (void)
 {
   StoreWrite write
       = { .table = "status", .key = "k", .value = span_of ("node-1"), .expected_version = 0 };
@@ -469,18 +469,18 @@
 }
 
 static const SuiteCase cases[] = {
-  { "config", test_config },
-  { "config_of_cold_servers", test_config_of_cold_servers },
-  { "bad_config", test_bad_config },
-  { "call_decode", test_call_decode },
-  { "call_encode", test_call_encode },
-  { "reply", test_reply },
-  { "rollout", test_rollout },
-  { "server", test_server },
-  { "invalid_server_entries", test_invalid_server_entries },
-  { "table", test_table },
+  { "config_is_decoded", test_config_is_decoded },
+  { "invalid_cold_limits_are_ignored", test_invalid_cold_limits_are_ignored },
+  { "bad_config_is_refused", test_bad_config_is_refused },
+  { "call_is_decoded", test_call_is_decoded },
+  { "call_is_encoded_without_forged_fields", test_call_is_encoded_without_forged_fields },
+  { "reply_and_refusal_heads", test_reply_and_refusal_heads },
+  { "rollout_order_and_status", test_rollout_order_and_status },
+  { "server_entry_is_decoded", test_server_entry_is_decoded },
+  { "invalid_server_entries_are_rejected", test_invalid_server_entries_are_rejected },
+  { "older_rows_replace_no_newer_ones", test_older_rows_replace_no_newer_ones },
   { "complete_read_is_not_behind", test_complete_read_is_not_behind },
-  { "write", test_write },
+  { "write_body_is_encoded", test_write_body_is_encoded },
 };
 
 int
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW 100000
+#define NOW 100000 /* milliseconds */
 
 static void
 test_pending_reading_drains (void)
@@ -55,7 +55,7 @@
 }
 
 static void
-test_message (void)
+test_message_survives_round_trip (void)
 {
   WorkMessage message
       = { .incarnation = 5, .count = 2, .reports = { { 11, 250, 300 }, { 12, 30, 5 } } };
@@ -81,7 +81,7 @@
  * its own work, both would send it to the same server, where one is read behind the other, and
  * callers would see streams that stall for two seconds. With a report of the first, the second
  * front must take the next server; once the first prompt is read, the best one again. A front that
- * gets no reports decides as it would alone. */
+ * gets no reports chooses by its own load alone. */
 static void
 test_second_long_prompt_goes_elsewhere (void)
 {
@@ -189,7 +189,7 @@
   peers->own_domain = 1;
   peers->count = 60;
   for (unsigned i = 0; i < peers->count; i++)
-    peers->list[i] = (Peer){ .heard_ms = NOW, .alive_ms = 60000, .domain = 1 };
+    peers->list[i] = (Peer){ .seen_ms = NOW, .alive_ms = 60000, .domain = 1 };
   for (unsigned i = 0; i < SECONDS * REQUESTS_PER_S; i++)
     {
       FrontServer *server = &servers[i % SERVERS];
@@ -213,7 +213,7 @@
   { "pending_reading_drains", test_pending_reading_drains },
   { "running_requests_decay", test_running_requests_decay },
   { "invalid_load_is_clamped", test_invalid_load_is_clamped },
-  { "message", test_message },
+  { "message_survives_round_trip", test_message_survives_round_trip },
   { "second_long_prompt_goes_elsewhere", test_second_long_prompt_goes_elsewhere },
   { "running_requests_weighted_by_model", test_running_requests_weighted_by_model },
   { "message_rate_is_bounded", test_message_rate_is_bounded },
