--- a/tests/test_front_cascade.c
+++ b/tests/test_front_cascade.c
@@ -70,7 +70,7 @@
  * objective lowers the threshold by 40 of 100, so that only answers that are almost certainly poor
  * are replaced. */
 static void
-test_predicted_wait_lowers_threshold (void)
+test_burst (void)
 {
   CU_ASSERT (escalates (20, URGENT, 500, 100));
   CU_ASSERT (!escalates (20, URGENT, 750, 100));
@@ -145,7 +145,7 @@
 static const SuiteCase cases[] = {
   { "low_confidence_escalates", test_low_confidence_escalates },
   { "least_urgent_escalates_less", test_least_urgent_escalates_less },
-  { "predicted_wait_lowers_threshold", test_predicted_wait_lowers_threshold },
+  { "burst", test_burst },
   { "lag_lowers_threshold", test_lag_lowers_threshold },
   { "no_escalation_when_late", test_no_escalation_when_late },
   { "middle_model_by_confidence", test_middle_model_by_confidence },
--- a/tests/test_front_cold.c
+++ b/tests/test_front_cold.c
@@ -25,13 +25,13 @@
 static const Site sites[] = {
   { "six fronts", 2, 4, { 2, 2, 6, false } },
   { "a middle-sized site", 17, 49, { 17, 5, 66, false } },
-  { "a middle-sized site with spare fronts", 20, 58, { 20, 5, 78, false } },
-  { "a middle-sized site, of which each front counts half", 17, 49, { 9, 5, 33, false } },
-  { "a middle-sized site that has just started", 17, 49, { 1, 0, 1, true } },
+  { "with spare fronts", 20, 58, { 20, 5, 78, false } },
+  { "fronts that count half of the others", 17, 49, { 9, 5, 33, false } },
+  { "all have just started", 17, 49, { 1, 0, 1, true } },
   { "a large site", 75, 225, { 75, 5, 300, false } },
-  { "a large site, of which each front counts half", 75, 225, { 37, 5, 150, false } },
+  { "a large site, half counted", 75, 225, { 37, 5, 150, false } },
   { "a large site that has just started", 75, 225, { 5, 5, 20, true } },
-  { "a domain that gets no messages from others", 75, 225, { 75, 5, 75, false } },
+  { "a domain that hears nobody else", 75, 225, { 75, 5, 75, false } },
 };
 
 static ColdRule
--- a/tests/test_front_events.c
+++ b/tests/test_front_events.c
@@ -35,7 +35,7 @@
   check ("ta: b\n", "id: 0\ndata: a\n\n");
   check ("\n", "id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
   CU_ASSERT_EQUAL (events.last_id, 1);
-  CU_ASSERT_EQUAL (events.forwarded, 2);
+  CU_ASSERT_EQUAL (events.passed, 2);
   CU_ASSERT_EQUAL (input.len, 0);
 }
 
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -55,7 +55,7 @@
 }
 
 static void
-test_message_survives_round_trip (void)
+test_message (void)
 {
   WorkMessage message
       = { .incarnation = 5, .count = 2, .reports = { { 11, 250, 300 }, { 12, 30, 5 } } };
@@ -213,7 +213,7 @@
   { "pending_reading_drains", test_pending_reading_drains },
   { "running_requests_decay", test_running_requests_decay },
   { "invalid_load_is_clamped", test_invalid_load_is_clamped },
-  { "message_survives_round_trip", test_message_survives_round_trip },
+  { "message", test_message },
   { "second_long_prompt_goes_elsewhere", test_second_long_prompt_goes_elsewhere },
   { "running_requests_weighted_by_model", test_running_requests_weighted_by_model },
   { "message_rate_is_bounded", test_message_rate_is_bounded },
