--- a/src/front_budget.h
+++ b/src/front_budget.h
@@ -19,8 +19,8 @@
   int64_t window_ms; /**< the limit holds for any time span of this length */
 } BudgetSettings;
 
-/** Reason for an additional send. A request without an answer goes before one whose answer would
- *  only improve. */
+/** Reason for an additional send. A request without an answer takes precedence over one whose
+ *  answer would only improve. */
 typedef enum
 {
   BUDGET_RETRY,   /**< an attempt failed; without another one the caller gets no answer */
--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 #define ROUND_INTERVAL_MS 500 /* milliseconds between rounds of messages */
-/* No other front is known: one that starts should become useful soon. */
+/* The same while no other front is known, so that a starting front finds others soon. */
 #define ROUND_INTERVAL_ALONE_MS 200
 /* During a roll-out: its verdict needs the evidence of all fronts. */
 #define ROUND_INTERVAL_ROLLOUT_MS 200
--- a/src/front_peers_fetch.c
+++ b/src/front_peers_fetch.c
@@ -87,8 +87,8 @@
   return NULL;
 }
 
-/* Prefers the same failure domain, as traffic between domains has a cost. The whole domain may be
- * cut off, though. */
+/* Prefers a peer of the same failure domain, as traffic between domains has a cost; if the whole
+ * domain is cut off from the store, only others are ahead. */
 static const Peer *
 choose_peer_ahead (const FrontPeers *peers, StoreTable table, int64_t now_ms)
 {
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -49,7 +49,7 @@
   int64_t sent_ms;       /* start of the current attempt */
   int64_t event_ms;      /* time of its last event */
   int64_t relayed_ms;    /* time of the last event relayed on any attempt; 0: none */
-  int64_t pause_ms;      /* longest gap between two relayed events, over all attempts */
+  int64_t pause_ms;      /* longest pause between two relayed events, over all attempts */
   bool relaying;         /* the attempt's answer is being relayed */
 
   bool head_sent; /* the head of a streamed answer was sent to the caller */
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -12,8 +12,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A resumable stream continues elsewhere after a silence of this many allowed pauses: twice what is
- * still on time, and far below the eight after which callers leave. */
+/* A resumable stream continues elsewhere after a silence of this many allowed pauses
+ * (FrontRoute.gap_ms): twice what is still on time, and far below the eight after which callers
+ * leave. */
 #define SILENCE_PAUSES 2
 /* An idempotent request is sent elsewhere when its answer has not begun within this share of its
  * objective, or within this many times the predicted time if that is longer. */
--- a/src/front_sessions.c
+++ b/src/front_sessions.c
@@ -4,8 +4,8 @@
 
 #define SLOTS      4096 /* power of two; a few hundred sessions are open at a front at a time */
 #define PROBES_MAX 8    /* slots in which a session may be */
-/* Milliseconds after which a request whose end was never reported (the process would have to lose
- * it) no longer keeps its session; above any route's time-out. */
+/* Milliseconds after which a request whose end was never recorded (only a fault in this process
+ * could miss it) no longer keeps its session; above any route's time-out. */
 #define OPEN_MAX_MS 60000
 
 typedef struct
--- a/tests/test_front_store_source.c
+++ b/tests/test_front_store_source.c
@@ -11,9 +11,9 @@
 
 #define NOW        1000000 /* milliseconds */
 #define FIRST_IP   0x0a000001u
-#define STARTED_MS 1000
-#define SETTLED_MS 60000
-#define VERSION    50 /* of the store, as known to all fronts */
+#define STARTED_MS 1000  /* age of fronts that have just started */
+#define SETTLED_MS 60000 /* age of fronts that know each other */
+#define VERSION    50    /* of the store, as known to all fronts */
 
 typedef struct
 {
--- a/tests/test_front_watch.c
+++ b/tests/test_front_watch.c
@@ -12,10 +12,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define OWN_VERSION  50 /* version of the rows that the front has */
-#define PEER_VERSION 90 /* version that a front of the same domain has */
-#define LATER_MS     5000
-#define LISTEN       8
+#define OWN_VERSION  50   /* version of the rows that the front has */
+#define PEER_VERSION 90   /* version that a front of the same domain has */
+#define LATER_MS     5000 /* above all intervals of these modules */
+#define LISTEN       8    /* backlog */
 
 typedef struct
 {
