--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 #define ROUND_INTERVAL_MS 500 /* milliseconds between rounds of messages */
-/* No other front is known: one that starts should become useful soon. */
+/* The same while no other front is known, so that a starting front finds others soon. */
 #define ROUND_INTERVAL_ALONE_MS 200
 /* During a roll-out: its verdict needs the evidence of all fronts. */
 #define ROUND_INTERVAL_ROLLOUT_MS 200
@@ -59,7 +59,7 @@
 bool
 peer_is_alive (const Peer *peer, int64_t now_ms)
 {
-  return peer->heard_ms != 0 && now_ms - peer->heard_ms < peer->alive_ms;
+  return peer->seen_ms != 0 && now_ms - peer->seen_ms < peer->alive_ms;
 }
 
 /* The IPv4 address of "IP" or "IP:PORT"; 0 if not valid. */
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -12,8 +12,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A resumable stream continues elsewhere after a silence of this many allowed pauses: twice what is
- * still on time, and far below the eight after which callers leave. */
+/* A resumable stream continues elsewhere after a silence of this many allowed pauses
+ * (FrontRoute.gap_ms): twice what is still on time, and far below the eight after which callers
+ * leave. */
 #define SILENCE_PAUSES 2
 /* An idempotent request is sent elsewhere when its answer has not begun within this share of its
  * objective, or within this many times the predicted time if that is longer. */
@@ -183,7 +184,7 @@
   request->running_share = query->running_share;
   pick->server->running_share += query->running_share;
   front_prompts_sent (&pick->server->prompts, &request->call, query->model, now_ms);
-  front_prompts_asked (&request->front->caller_prompts, &request->call, query->model, now_ms);
+  front_prompts_requested (&request->front->caller_prompts, &request->call, query->model, now_ms);
   front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms, query->running_share,
                          now_ms);
 }
--- a/src/front_sessions.c
+++ b/src/front_sessions.c
@@ -4,8 +4,8 @@
 
 #define SLOTS      4096 /* power of two; a few hundred sessions are open at a front at a time */
 #define PROBES_MAX 8    /* slots in which a session may be */
-/* Milliseconds after which a request whose end was never reported (the process would have to lose
- * it) no longer keeps its session; above any route's time-out. */
+/* Milliseconds after which a request whose end was never recorded (only a fault in this process
+ * could miss it) no longer keeps its session; above any route's time-out. */
 #define OPEN_MAX_MS 60000
 
 typedef struct
@@ -112,9 +112,9 @@
     slot->open--;
 }
 
-/* What this front knows itself takes precedence over updates, which may be older. An update with
+/* An active session known here takes precedence over updates, which may be older. An update with
  * the same version can only move the last use later: a session reported while its request ran was
- * forgotten one idle time after that report, although the request ended seconds later, and its next
+ * dropped one idle time after that report, although the request ended seconds later, and its next
  * request moved to the new version. */
 void
 front_sessions_learn (FrontSessions *sessions,
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -8,7 +8,9 @@
 #include "wire_rollout.h"
 #include "wire_store.h"
 
-#define RANK_DELAY_MS 300 /* delay between two fronts' attempts at the same write */
+/* Milliseconds between two fronts' attempts at the same write, and from a failed write to the next
+ * one. */
+#define RANK_DELAY_MS 300
 
 static void
 write_row (FrontStore *store,
@@ -27,7 +29,7 @@
 
   wire_write_body (&body, &write);
   front_counter_add (FRONT_COUNTER_STORE_CALLS);
-  front_channel_request (store->writer, wire_write_path, &body, STORE_ANSWER_MS);
+  front_channel_request (store->writer, wire_write_path, &body, STORE_ANSWER_TIMEOUT_MS);
   buffer_free (&body);
 }
 
--- a/tests/test_front_cascade.c
+++ b/tests/test_front_cascade.c
@@ -55,8 +55,8 @@
   CU_ASSERT (!escalates (-1, URGENT, 50, 100)); /* an engine that gives no confidence */
 }
 
-/* The least urgent requests are many and small. There the largest model's price exceeds the worth
- * of its better answer, except for the worst answers. */
+/* The least urgent requests are many and small. For them the largest model's price exceeds the
+ * value of its better answer, unless the smallest model's confidence is very low. */
 static void
 test_least_urgent_escalates_less (void)
 {
--- a/tests/test_front_cold.c
+++ b/tests/test_front_cold.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW          100000
+#define NOW          100000 /* milliseconds */
 #define SECOND_MS    1000
 #define SIMULATED_MS 3000 /* as long as a server stays cold */
 #define SERVERS      20
@@ -81,7 +81,7 @@
 
 /* A failure domain restarts cold during a burst with a popular prompt. Even if every front sends
  * its servers all that it may, they must not get more than the limit and crash again; also where
- * fronts have just started, hear no others or disagree on their number. */
+ * fronts have just started, get no messages from others or count different numbers of fronts. */
 static void
 test_rate_limit_holds_over_all_fronts (void)
 {
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -47,7 +47,7 @@
 #define REFUSED(text) refused (text, sizeof (text) - 1)
 
 static void
-test_complete_request (void)
+test_complete_request_is_parsed (void)
 {
   static const char text[]
       = "POST /a/b?c=%20 HTTP/1.1\r\nHost: x.example:80\r\nContent-Length: 3\r\n"
@@ -70,7 +70,7 @@
  * offer. If it were refused, such callers would get 400 whenever head and body arrive in two
  * packets. */
 static void
-test_upgrade_offer (void)
+test_upgrade_offer_is_ignored (void)
 {
   static const char head[] = "POST / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\n"
                              "Upgrade: h2c\r\nContent-Length: 3\r\n\r\n";
@@ -87,7 +87,7 @@
 }
 
 static void
-test_chunked_request (void)
+test_chunked_request_is_parsed (void)
 {
   static const char text[] = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
                              "Connection: close\r\n\r\n2;e=1\r\nab\r\n1\r\nc\r\n0\r\nT: x\r\n\r\n";
@@ -103,9 +103,9 @@
 
 /* Request smuggling: a request contains a second one that only some parsers see, by a length and
  * chunks, two lengths, a folded line or a bare line feed. If it were forwarded, an engine would run
- * a request that nobody sent. Each is refused before any byte is forwarded. */
+ * a request that no caller sent. Each is refused before any byte is forwarded. */
 static void
-test_smuggled_requests (void)
+test_smuggled_requests_are_refused (void)
 {
   CU_ASSERT_EQUAL (REFUSED ("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n"
                             "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
@@ -127,7 +127,7 @@
 }
 
 static void
-test_malformed_requests (void)
+test_malformed_requests_are_refused (void)
 {
   CU_ASSERT_EQUAL (REFUSED ("GET / HTTP/1.1\r\n\r\n"), 400);
   CU_ASSERT_EQUAL (REFUSED ("GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n"), 400);
@@ -154,7 +154,7 @@
 }
 
 static void
-test_pipelined_requests (void)
+test_pipelined_requests_are_separated (void)
 {
   static const char text[] = "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n";
   HttpRequestParser intake;
@@ -199,7 +199,7 @@
 /* An engine dies in the middle of its answer. Only the framing shows whether the answer is
  * complete; an incomplete one must not reach the caller as a success. */
 static void
-test_complete_or_truncated_replies (void)
+test_truncated_replies_are_not_complete (void)
 {
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false, true, false, 3);
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false, false, false, 2);
@@ -214,7 +214,7 @@
 }
 
 static void
-test_malformed_replies (void)
+test_malformed_replies_are_broken (void)
 {
   check_reply ("SSH-2.0-x\r\n\r\n", false, false, true, 0);
   check_reply ("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", false, false,
@@ -224,7 +224,7 @@
 }
 
 static void
-test_surplus_and_interim_replies (void)
+test_interim_reply_is_skipped_and_surplus_reported (void)
 {
   HttpReply reply = reply_of ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Made\r\n"
                               "Content-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\n",
@@ -238,7 +238,7 @@
 }
 
 static void
-test_hop_fields (void)
+test_hop_by_hop_fields_are_recognized (void)
 {
   static const char text[]
       = "GET / HTTP/1.1\r\nConnection: close, X-Mine\r\nX-Mine: 1\r\nX-Own: 2\r\n"
@@ -253,17 +253,18 @@
 }
 
 static const SuiteCase cases[] = {
-  { "complete_request", test_complete_request },
-  { "upgrade_offer", test_upgrade_offer },
-  { "chunked_request", test_chunked_request },
-  { "smuggled_requests", test_smuggled_requests },
-  { "malformed_requests", test_malformed_requests },
+  { "complete_request_is_parsed", test_complete_request_is_parsed },
+  { "upgrade_offer_is_ignored", test_upgrade_offer_is_ignored },
+  { "chunked_request_is_parsed", test_chunked_request_is_parsed },
+  { "smuggled_requests_are_refused", test_smuggled_requests_are_refused },
+  { "malformed_requests_are_refused", test_malformed_requests_are_refused },
   { "too_large", test_too_large },
-  { "pipelined_requests", test_pipelined_requests },
-  { "complete_or_truncated_replies", test_complete_or_truncated_replies },
-  { "malformed_replies", test_malformed_replies },
-  { "surplus_and_interim_replies", test_surplus_and_interim_replies },
-  { "hop_fields", test_hop_fields },
+  { "pipelined_requests_are_separated", test_pipelined_requests_are_separated },
+  { "truncated_replies_are_not_complete", test_truncated_replies_are_not_complete },
+  { "malformed_replies_are_broken", test_malformed_replies_are_broken },
+  { "interim_reply_is_skipped_and_surplus_reported",
+    test_interim_reply_is_skipped_and_surplus_reported },
+  { "hop_by_hop_fields_are_recognized", test_hop_by_hop_fields_are_recognized },
 };
 
 int
--- a/tests/test_front_watch.c
+++ b/tests/test_front_watch.c
@@ -12,10 +12,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define OWN_VERSION  50 /* version of the rows that the front has */
-#define PEER_VERSION 90 /* version that a front of the same domain has */
-#define LATER_MS     5000
-#define LISTEN       8
+#define OWN_VERSION  50   /* version of the rows that the front has */
+#define PEER_VERSION 90   /* version that a front of the same domain has */
+#define LATER_MS     5000 /* above all intervals of these modules */
+#define LISTEN       8    /* backlog */
 
 typedef struct
 {
@@ -65,7 +65,7 @@
   node->watch->table.version = OWN_VERSION;
   peer = peer_add (&node->peers, htonl (INADDR_LOOPBACK));
   peer->domain = 1;
-  peer->heard_ms = clock_boot_ms () + LATER_MS;
+  peer->seen_ms = clock_boot_ms () + LATER_MS;
   peer->newest[STORE_OPERATOR] = PEER_VERSION;
   return node;
 }
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOW 100000
+#define NOW 100000 /* milliseconds */
 
 static void
 test_pending_reading_drains (void)
@@ -81,7 +81,7 @@
  * its own work, both would send it to the same server, where one is read behind the other, and
  * callers would see streams that stall for two seconds. With a report of the first, the second
  * front must take the next server; once the first prompt is read, the best one again. A front that
- * gets no reports decides as it would alone. */
+ * gets no reports chooses by its own load alone. */
 static void
 test_second_long_prompt_goes_elsewhere (void)
 {
@@ -189,7 +189,7 @@
   peers->own_domain = 1;
   peers->count = 60;
   for (unsigned i = 0; i < peers->count; i++)
-    peers->list[i] = (Peer){ .heard_ms = NOW, .alive_ms = 60000, .domain = 1 };
+    peers->list[i] = (Peer){ .seen_ms = NOW, .alive_ms = 60000, .domain = 1 };
   for (unsigned i = 0; i < SECONDS * REQUESTS_PER_S; i++)
     {
       FrontServer *server = &servers[i % SERVERS];
