--- a/src/config.h
+++ b/src/config.h
@@ -34,7 +34,7 @@
   char *name;     /**< e.g. "v7" */
   VersionState state;
   double cost_per_1k;   /**< cost units per 1,000 tokens */
-  int64_t released;     /**< brakes raised at a configuration number up to this are released */
+  int64_t released;     /**< configuration number; brakes raised at it or earlier are released */
   double prior_quality; /**< mean rating assumed before any evidence, 0 to 1 */
 } ConfigVersion;
 
@@ -121,9 +121,9 @@
 
 typedef struct
 {
-  int64_t number;
-  int refs;   /**< reference count: use config_ref and config_unref */
-  char *text; /**< the document in canonical JSON */
+  int64_t number; /**< a newer configuration has a higher number */
+  int refs;       /**< reference count: use config_ref and config_unref */
+  char *text;     /**< the document in canonical JSON */
   ConfigModel *models;
   size_t model_count;
   ConfigVersion *versions;
--- a/src/config_model.c
+++ b/src/config_model.c
@@ -6,9 +6,9 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define COST_MAX              1e6 /**< cost units per 1,000 tokens */
-#define CONFIG_NUMBER_MAX     999999999999.0
-#define PRIOR_QUALITY_DEFAULT 0.5
+#define COST_MAX              1e6            /**< cost units per 1,000 tokens */
+#define CONFIG_NUMBER_MAX     999999999999.0 /**< largest configuration number in "released" */
+#define PRIOR_QUALITY_DEFAULT 0.5            /**< mean rating */
 
 typedef struct
 {
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -152,13 +152,13 @@
                    size_t count)
 {
   char member[CONFIG_PATH_MAX];
-  Buffer words = { 0 };
+  Buffer expected = { 0 };
 
   config_path (member, path, name);
   for (size_t i = 0; i < count; i++)
-    buffer_printf (&words, "%s\"%s\"", i == 0 ? "" : ", ", names[i]);
-  check_add (parser->list, member, "expected one of %s", words.data);
-  buffer_free (&words);
+    buffer_printf (&expected, "%s\"%s\"", i == 0 ? "" : ", ", names[i]);
+  check_add (parser->list, member, "expected one of %s", expected.data);
+  buffer_free (&expected);
 }
 
 int
--- a/src/config_rollout.c
+++ b/src/config_rollout.c
@@ -78,13 +78,13 @@
 }
 
 static RolloutState
-read_state (ConfigParser *parser, const char *path, const char *word)
+read_state (ConfigParser *parser, const char *path, const char *name)
 {
   int state;
 
-  if (word == NULL)
+  if (name == NULL)
     return ROLLOUT_RUNNING;
-  state = config_enum_index (config_rollout_states, CONFIG_ROLLOUT_STATES, word);
+  state = config_enum_index (config_rollout_states, CONFIG_ROLLOUT_STATES, name);
   if (state >= 0)
     return (RolloutState)state;
   config_enum_error (parser, path, "state", config_rollout_states, CONFIG_ROLLOUT_STATES);
--- a/src/config_server.c
+++ b/src/config_server.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 #define PORT_MAX      65535
-#define SLOTS_DEFAULT 8
+#define SLOTS_DEFAULT 8 /**< requests that a server runs concurrently */
 #define SLOTS_MAX     100000
 #define ADDRESS_LEN   45 /**< characters of the longest IPv6 address */
 
@@ -48,12 +48,12 @@
   { "slots", FIELD_INT, false, offsetof (ServerFields, slots), 1, SLOTS_MAX },
 };
 
-static const char *const kind_words[] = {
+static const char *const kind_names[] = {
   [SERVER_ENGINE] = "engine",
   [SERVER_SERVICE] = "service",
 };
 
-#define KIND_COUNT (sizeof kind_words / sizeof kind_words[0])
+#define KIND_COUNT (sizeof kind_names / sizeof kind_names[0])
 
 static void
 read_service (ConfigParser *parser, const char *name, struct json_object *entry, const char *path)
@@ -192,9 +192,9 @@
 
   field_read (server_specs, sizeof server_specs / sizeof server_specs[0], entry, &fields, path,
               parser->list);
-  kind = fields.kind == NULL ? -1 : config_enum_index (kind_words, KIND_COUNT, fields.kind);
+  kind = fields.kind == NULL ? -1 : config_enum_index (kind_names, KIND_COUNT, fields.kind);
   if (kind < 0 && fields.kind != NULL)
-    config_enum_error (parser, path, "kind", kind_words, KIND_COUNT);
+    config_enum_error (parser, path, "kind", kind_names, KIND_COUNT);
   free (fields.kind);
   check_address (parser, path, &fields.address);
   check_name (parser, path, "failure_domain", fields.failure_domain);
--- a/src/config_team.c
+++ b/src/config_team.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONCURRENT_MAX   1000000
+#define CONCURRENT_MAX   1000000 /**< requests in progress */
 #define TOKENS_PER_S_MAX 1000000000
 #define WEIGHT_MIN       0.001
 #define WEIGHT_MAX       1000
--- a/src/session.c
+++ b/src/session.c
@@ -5,16 +5,16 @@
 #include <string.h>
 
 /* Token format: "lvs1." and the base64url of a random id, the version's length, the version and a
- * MAC. The MAC covers the team, which is not in the token, since the reader knows it from the
- * caller's key. The random id makes the tokens of two sessions differ, for affinity to a backend
- * server. */
-#define TOKEN_PREFIX "lvs1."
-#define MAC_CONTEXT  "lovage-session-1"
-#define ID_LEN       8
-#define MAC_LEN      crypto_generichash_BYTES
-#define HEAD_LEN     (ID_LEN + 1)
-#define PAYLOAD_MAX  (HEAD_LEN + SESSION_VERSION_MAX + MAC_LEN)
-#define VARIANT      sodium_base64_VARIANT_URLSAFE_NO_PADDING
+ * MAC. The MAC covers the team, which is not in the token, since the gate that reads
+ * it gets the team from the caller's key. The random id makes the tokens of two sessions differ,
+ * for affinity to a backend server. */
+#define TOKEN_PREFIX   "lvs1."
+#define MAC_CONTEXT    "lovage-session-1"
+#define ID_LEN         8 /* bytes */
+#define MAC_LEN        crypto_generichash_BYTES
+#define HEAD_LEN       (ID_LEN + 1) /* bytes before the version */
+#define PAYLOAD_MAX    (HEAD_LEN + SESSION_VERSION_MAX + MAC_LEN)
+#define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
 /* Hashes each part with its length, so that no two pairs of team and payload hash alike. */
 static void
@@ -61,7 +61,7 @@
   compute_mac (key, team, payload, len, payload + len);
   snprintf (out, SESSION_TOKEN_MAX, "%s", TOKEN_PREFIX);
   sodium_bin2base64 (out + prefix_len, SESSION_TOKEN_MAX - prefix_len, payload, len + MAC_LEN,
-                     VARIANT);
+                     BASE64_VARIANT);
 }
 
 bool
@@ -77,7 +77,8 @@
 
   if (!session_is_token (token))
     return false;
-  if (sodium_base642bin (payload, sizeof payload, text, strlen (text), NULL, &len, NULL, VARIANT)
+  if (sodium_base642bin (payload, sizeof payload, text, strlen (text), NULL, &len, NULL,
+                         BASE64_VARIANT)
       != 0)
     return false;
   if (len < HEAD_LEN + MAC_LEN)
--- a/src/session_named.c
+++ b/src/session_named.c
@@ -9,9 +9,9 @@
 #include <string.h>
 
 #define STEP          "session.start"
-#define KEY_MAX       128
-#define KEY_HASH_LEN  16 /* bytes */
-#define TEAM_MAX      63 /* characters of the team in a key */
+#define KEY_MAX       128 /* bytes of a row's key, with the final NUL */
+#define KEY_HASH_LEN  16  /* bytes */
+#define TEAM_MAX      63  /* characters of the team in a key */
 #define SHARDS        16
 #define WAYS          4 /* associativity: entries of the set in which a key is cached */
 #define ATTEMPTS_MAX  2 /* inserts of a row whose outcome is unknown */
@@ -28,13 +28,13 @@
 {
   pthread_mutex_t lock;
   Entry *entries; /* grouped into sets of WAYS entries */
-  uint64_t clock;
+  uint64_t clock; /* incremented at each use of an entry */
 } Shard;
 
 struct SessionNamed
 {
   PlatformGroup *group;
-  size_t sets; /* of each shard */
+  size_t sets; /* in each shard */
   Shard shards[SHARDS];
 };
 
--- a/src/session_named.h
+++ b/src/session_named.h
@@ -1,7 +1,7 @@
 /**
- * Named sessions: the caller chooses a session's name instead of returning a token. A table row has
- * the version on which the first request with that name started, and all later requests with the
- * name get it. See docs/design/sessions.md.
+ * Named sessions: the caller chooses a session's name instead of returning a token. A table row
+ * records the version on which the first request with that name started, and all later requests
+ * with the name use that version. See docs/design/sessions.md.
  */
 #ifndef SESSION_NAMED_H
 #define SESSION_NAMED_H
--- a/src/settings.h
+++ b/src/settings.h
@@ -21,7 +21,7 @@
   char *site_key_file; /**< file with 64 hexadecimal digits: the key shared by all processes of the
                           site */
   char *log_priority;  /**< "err", "warning", "notice", "info", "debug" */
-  SettingsAddress platform;
+  SettingsAddress platform; /**< HTTP endpoint of the platform's services */
 } SettingsCommon;
 
 typedef struct
@@ -33,8 +33,8 @@
   char *tls_certificate_file; /**< NULL: plain HTTP */
   char *tls_key_file;
   int64_t streams_max;           /**< most requests in progress */
-  int64_t body_max;              /**< bytes */
-  int64_t header_max;            /**< bytes */
+  int64_t body_max;              /**< bytes of a request's body */
+  int64_t header_max;            /**< bytes of a request's head */
   int64_t read_timeout_ms;       /**< until a request is read completely */
   int64_t idle_timeout_ms;       /**< until a connection without any transfer is closed */
   int64_t first_byte_timeout_ms; /**< until a backend server's first byte */
@@ -42,7 +42,7 @@
   int64_t spool_max;             /**< most bytes of usage records that are not yet durable */
   int64_t stop_timeout_ms;       /**< longest graceful stop */
   double sample_share; /**< share of answers that are sent to the rating service, 0 to 1 */
-  char *server_policy;
+  char *server_policy; /**< name of a ServerPolicy (choose_server.h) */
 } SettingsGate;
 
 typedef struct
@@ -62,8 +62,8 @@
   SettingsAddress local;     /**< HTTP endpoint for health, readiness and counters */
   char *tls_certificate_file;
   char *tls_key_file;
-  int64_t heartbeat_ms;
-  int64_t poll_ms;  /**< interval between reads of the table service */
+  int64_t heartbeat_ms; /**< interval between heartbeats */
+  int64_t poll_ms;      /**< interval between reads of the table service */
   int64_t grant_ms; /**< how long a grant, the proof that a gate's configuration is up to date, is
                        valid */
   SettingsOperator *operator_list;
--- a/src/settings_common.c
+++ b/src/settings_common.c
@@ -8,7 +8,7 @@
 #include <syslog.h>
 #include <unistd.h>
 
-#define ENDPOINT_PATH_SIZE 64
+#define ENDPOINT_PATH_SIZE 64 /**< bytes of a member's path in an error message */
 
 typedef struct
 {
--- a/src/settings_common.h
+++ b/src/settings_common.h
@@ -9,30 +9,30 @@
 #include "settings.h"
 #include "util_field.h"
 
-#define SETTINGS_NAME_MAX CONFIG_NAME_MAX
-#define SETTINGS_PATH_MAX 4096
+#define SETTINGS_NAME_MAX CONFIG_NAME_MAX /**< bytes */
+#define SETTINGS_PATH_MAX 4096            /**< bytes of a file's path */
 #define SETTINGS_PORT_MAX 65535
 
 /** Longest time that a setting accepts: a day. */
 #define SETTINGS_TIME_MAX_MS (24.0 * 3600 * 1000)
 
-/** Entries of a FieldSpec table: name, offset in the draft, and bounds. */
-#define SETTINGS_TEXT(label, at, most)                                                             \
+/** Entries of a FieldSpec table: name, offset in the struct that is filled, and bounds. */
+#define SETTINGS_TEXT(label, at, upper)                                                            \
   {                                                                                                \
     .name = (label), .type = FIELD_STRING, .required = true, .offset = (at), .min = 1,             \
-    .max = (most)                                                                                  \
+    .max = (upper)                                                                                 \
   }
-#define SETTINGS_OPTIONAL_TEXT(label, at, most)                                                    \
+#define SETTINGS_OPTIONAL_TEXT(label, at, upper)                                                   \
   {                                                                                                \
-    .name = (label), .type = FIELD_STRING, .offset = (at), .min = 1, .max = (most)                 \
+    .name = (label), .type = FIELD_STRING, .offset = (at), .min = 1, .max = (upper)                \
   }
 #define SETTINGS_OBJECT(label, at)                                                                 \
   {                                                                                                \
     .name = (label), .type = FIELD_OBJECT, .required = true, .offset = (at)                        \
   }
-#define SETTINGS_INT(label, at, least, most)                                                       \
+#define SETTINGS_INT(label, at, lower, upper)                                                      \
   {                                                                                                \
-    .name = (label), .type = FIELD_INT, .offset = (at), .min = (least), .max = (most)              \
+    .name = (label), .type = FIELD_INT, .offset = (at), .min = (lower), .max = (upper)             \
   }
 
 /** A member of the settings that holds an address and a port. */
@@ -48,7 +48,7 @@
 void settings_common_clear (SettingsCommon *common);
 
 /** Reads the endpoints; reports any two that are the same. */
-void settings_endpoints_read (const SettingsEndpoint *places, size_t count, CheckList *list);
+void settings_endpoints_read (const SettingsEndpoint *endpoints, size_t count, CheckList *list);
 void settings_address_clear (SettingsAddress *address);
 /** True for the wildcard addresses 0.0.0.0 and ::, which can be bound but not connected to. */
 bool settings_address_is_any (const SettingsAddress *address);
--- a/src/settings_front.c
+++ b/src/settings_front.c
@@ -3,16 +3,16 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define STOP_DEFAULT_S       8.0
-#define RETRY_SHARE_DEFAULT  0.5
-#define RETRY_EXTRA_DEFAULT  20.0
-#define RETRY_WINDOW_DEFAULT 10.0
-#define REUSE_WINDOW_DEFAULT 6.0
-#define SESSION_DEFAULT_S    5.0
-#define COLD_OVERAGE_DEFAULT 1.0
-#define COLD_OVERAGE_MAX     100.0
-#define COLD_SLACK_MAX       1000.0
-#define SECONDS_MAX          86400.0
+#define STOP_DEFAULT_S         8.0
+#define RETRY_SHARE_DEFAULT    0.5
+#define RETRY_EXTRA_DEFAULT    20.0
+#define RETRY_WINDOW_DEFAULT_S 10.0
+#define REUSE_WINDOW_DEFAULT_S 6.0
+#define SESSION_DEFAULT_S      5.0
+#define COLD_OVERAGE_DEFAULT   1.0
+#define COLD_OVERAGE_MAX       100.0
+#define COLD_SLACK_MAX         1000.0
+#define SECONDS_MAX            86400.0 /**< a day */
 
 typedef struct
 {
@@ -22,10 +22,10 @@
 
 #define FRONT_TEXT(label, member)                                                                  \
   SETTINGS_TEXT (label, offsetof (FrontDraft, settings.member), SETTINGS_NAME_MAX)
-#define FRONT_NUMBER(label, member, most)                                                          \
+#define FRONT_NUMBER(label, member, upper)                                                         \
   {                                                                                                \
     .name = (label), .type = FIELD_NUMBER, .offset = offsetof (FrontDraft, settings.member),       \
-    .min = 0, .max = (most)                                                                        \
+    .min = 0, .max = (upper)                                                                       \
   }
 
 static const FieldSpec specs[] = {
@@ -52,8 +52,8 @@
   .stop_s = STOP_DEFAULT_S,
   .retry_share = RETRY_SHARE_DEFAULT,
   .retry_extra = RETRY_EXTRA_DEFAULT,
-  .retry_window_s = RETRY_WINDOW_DEFAULT,
-  .reuse_window_s = REUSE_WINDOW_DEFAULT,
+  .retry_window_s = RETRY_WINDOW_DEFAULT_S,
+  .reuse_window_s = REUSE_WINDOW_DEFAULT_S,
   .cold_overage = COLD_OVERAGE_DEFAULT,
   .cold_slack = 0,
   .session_s = SESSION_DEFAULT_S,
--- a/src/settings_front.h
+++ b/src/settings_front.h
@@ -17,7 +17,7 @@
   char *ip;          /**< IP address that this process binds */
   char *callers;     /**< IP:PORT for callers */
   char *ready;       /**< IP:PORT of the readiness check by the load balancer */
-  char *control;     /**< IP:PORT for metrics and for the news that other fronts fetch */
+  char *control;     /**< IP:PORT for metrics and for the updates that other fronts fetch */
   char *store;       /**< IP:PORT of the platform's store */
   int64_t peer_port; /**< UDP port, the same at each front */
   unsigned seed_count;
--- a/src/settings_gate.c
+++ b/src/settings_gate.c
@@ -6,12 +6,13 @@
 #define KIB INT64_C (1024)
 #define MIB (1024 * KIB)
 
-#define STREAMS_LIMIT   100000
-#define BODY_LIMIT      (1024.0 * MIB)
+/* Bounds of the settings; sizes in bytes. */
+#define STREAMS_MAX     100000
+#define BODY_MAX        (1024.0 * MIB)
 #define HEADER_MIN      KIB
-#define HEADER_LIMIT    MIB
+#define HEADER_MAX      MIB
 #define SPOOL_MIN       (64 * KIB)
-#define SPOOL_LIMIT     (1024.0 * MIB)
+#define SPOOL_MAX       (1024.0 * MIB)
 #define POLICY_NAME_MAX 63
 
 /* The settings while they are read, and the objects that are read in a second step. */
@@ -45,9 +46,9 @@
   SETTINGS_OPTIONAL_TEXT ("tls_key_file",
                           offsetof (GateDraft, settings.tls_key_file),
                           SETTINGS_PATH_MAX),
-  SETTINGS_INT ("streams_max", offsetof (GateDraft, settings.streams_max), 1, STREAMS_LIMIT),
-  SETTINGS_INT ("body_max", offsetof (GateDraft, settings.body_max), KIB, BODY_LIMIT),
-  SETTINGS_INT ("header_max", offsetof (GateDraft, settings.header_max), HEADER_MIN, HEADER_LIMIT),
+  SETTINGS_INT ("streams_max", offsetof (GateDraft, settings.streams_max), 1, STREAMS_MAX),
+  SETTINGS_INT ("body_max", offsetof (GateDraft, settings.body_max), KIB, BODY_MAX),
+  SETTINGS_INT ("header_max", offsetof (GateDraft, settings.header_max), HEADER_MIN, HEADER_MAX),
   SETTINGS_INT ("read_timeout_ms",
                 offsetof (GateDraft, settings.read_timeout_ms),
                 1,
@@ -64,7 +65,7 @@
                 offsetof (GateDraft, settings.token_timeout_ms),
                 1,
                 SETTINGS_TIME_MAX_MS),
-  SETTINGS_INT ("spool_max", offsetof (GateDraft, settings.spool_max), SPOOL_MIN, SPOOL_LIMIT),
+  SETTINGS_INT ("spool_max", offsetof (GateDraft, settings.spool_max), SPOOL_MIN, SPOOL_MAX),
   SETTINGS_INT ("stop_timeout_ms",
                 offsetof (GateDraft, settings.stop_timeout_ms),
                 1,
--- a/src/settings_operator.c
+++ b/src/settings_operator.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_HASH_LEN     64
-#define PATH_SIZE        64
-#define MEMBER_PATH_SIZE 128
+#define KEY_HASH_LEN     64  /* hexadecimal digits */
+#define PATH_SIZE        64  /* bytes of an operator's path in an error message */
+#define MEMBER_PATH_SIZE 128 /* bytes of a member's path in an error message */
 
 typedef struct
 {
--- a/src/settings_steward.c
+++ b/src/settings_steward.c
@@ -1,10 +1,10 @@
 #include "settings_common.h"
 #include <stdlib.h>
 
-#define HEARTBEAT_MIN_MS   10
-#define HEARTBEAT_LIMIT_MS 60000
-#define POLL_MIN_MS        10
-#define GRANT_LIMIT_MS     600000
+#define HEARTBEAT_MIN_MS 10
+#define HEARTBEAT_MAX_MS 60000
+#define POLL_MIN_MS      10
+#define GRANT_MAX_MS     600000
 
 /* A grant must stay valid if one heartbeat is lost; otherwise each lost datagram stops all new
    requests. */
@@ -46,15 +46,15 @@
   SETTINGS_INT ("heartbeat_ms",
                 offsetof (StewardDraft, settings.heartbeat_ms),
                 HEARTBEAT_MIN_MS,
-                HEARTBEAT_LIMIT_MS),
+                HEARTBEAT_MAX_MS),
   SETTINGS_INT ("poll_ms",
                 offsetof (StewardDraft, settings.poll_ms),
                 POLL_MIN_MS,
-                HEARTBEAT_LIMIT_MS),
+                HEARTBEAT_MAX_MS),
   SETTINGS_INT ("grant_ms",
                 offsetof (StewardDraft, settings.grant_ms),
                 HEARTBEAT_MIN_MS,
-                GRANT_LIMIT_MS),
+                GRANT_MAX_MS),
   { .name = "operator_list",
     .type = FIELD_ARRAY,
     .required = true,
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -107,7 +107,7 @@
 }
 
 static void
-test_entries (void)
+test_entries_have_their_values (void)
 {
   Config *config = parse_document ();
   const ConfigServer *engine = &config->servers[1];
@@ -151,7 +151,7 @@
 }
 
 static void
-test_not_json (void)
+test_invalid_json_is_refused (void)
 {
   const char *texts[] = { "", "{", "null", "{} x", "{\"models\":{},\"models\":{}}", "{\"a\":NaN}" };
   const char with_nul[] = "{}\0";
@@ -170,8 +170,9 @@
   check_free (&list);
 }
 
+/** A longer document, or brakes on more versions, would not fit an RPC. */
 static void
-test_too_long_or_too_many_versions (void)
+test_too_long_or_too_many_versions_are_refused (void)
 {
   CheckList list = { 0 };
   Buffer text = { 0 };
@@ -194,7 +195,7 @@
 }
 
 static void
-test_names (void)
+test_valid_and_invalid_names (void)
 {
   CU_ASSERT (config_name_valid ("a"));
   CU_ASSERT (config_name_valid ("v7.1_b-2"));
@@ -209,7 +210,7 @@
 
 /** The hash of "abc" is the published test value of BLAKE2b-256. */
 static void
-test_key (void)
+test_team_is_found_by_key (void)
 {
   char hash[CONFIG_KEY_HASH_LEN + 1];
   char key_hash[CONFIG_KEY_HASH_LEN + 1];
@@ -283,7 +284,7 @@
 /** The example documents of the manual must be valid, have the sizes expected by their users, and
  *  allow each class to some team. */
 static void
-test_examples (void)
+test_example_documents_are_valid (void)
 {
   static const Example examples[] = { { "examples/site/routing.json", 3, 5, 2 },
                                       { "examples/kyushu.json", 4, 30, 10 },
@@ -308,7 +309,7 @@
 }
 
 static void
-test_file_that_can_not_be_read (void)
+test_unreadable_file_is_reported (void)
 {
   CheckList list = { .file = "examples/none.json" };
 
@@ -330,11 +331,11 @@
 }
 
 /**
- * Every request holds a reference to the configuration that it was decided under. If a reference
- * were lost among threads, the configuration would be freed while in use, or never.
+ * Every request holds a reference to the configuration that it was planned with. If a reference
+ * were lost by a race of threads, the configuration would be freed while in use, or never.
  */
 static void
-test_references_from_many_threads (void)
+test_references_from_threads_are_counted (void)
 {
   Config *config = parse_document ();
   pthread_t threads[THREADS];
@@ -350,15 +351,15 @@
 
 static const SuiteCase cases[] = {
   { "indices_in_name_order", test_indices_in_name_order },
-  { "entries", test_entries },
+  { "entries", test_entries_have_their_values },
   { "text_parses_to_itself", test_text_parses_to_itself },
-  { "not_json", test_not_json },
-  { "too_long_or_too_many_versions", test_too_long_or_too_many_versions },
-  { "names", test_names },
-  { "key", test_key },
-  { "examples", test_examples },
-  { "file_that_can_not_be_read", test_file_that_can_not_be_read },
-  { "references_from_many_threads", test_references_from_many_threads },
+  { "invalid_json_is_refused", test_invalid_json_is_refused },
+  { "too_long_or_too_many_versions_are_refused", test_too_long_or_too_many_versions_are_refused },
+  { "valid_and_invalid_names", test_valid_and_invalid_names },
+  { "key", test_team_is_found_by_key },
+  { "example_documents_are_valid", test_example_documents_are_valid },
+  { "unreadable_file_is_reported", test_unreadable_file_is_reported },
+  { "references_from_threads_are_counted", test_references_from_threads_are_counted },
 };
 
 int
--- a/tests/test_config_text.c
+++ b/tests/test_config_text.c
@@ -40,7 +40,7 @@
 };
 
 static void
-test_patch_apply (void)
+test_patch_apply_gives_rfc_results (void)
 {
   for (size_t i = 0; i < sizeof patch_cases / sizeof patch_cases[0]; i++)
     {
@@ -57,7 +57,7 @@
 }
 
 static void
-test_patch_refused (void)
+test_invalid_text_is_refused (void)
 {
   CheckList list = { 0 };
 
@@ -75,7 +75,7 @@
 }
 
 static void
-test_canonical (void)
+test_canonical_text_is_unique (void)
 {
   static const char text[] = "{\"b\":[1.0,0.1,1e2,-0.0,0.30000000000000004,1e300],"
                              "\"a\":{\"z\":\"\\u00e9/\\\\u0000\",\"y\":true,\"x\":null}}";
@@ -190,9 +190,9 @@
 }
 
 static const SuiteCase cases[] = {
-  { "patch_apply", test_patch_apply },
-  { "patch_refused", test_patch_refused },
-  { "canonical", test_canonical },
+  { "patch_apply_gives_rfc_results", test_patch_apply_gives_rfc_results },
+  { "invalid_text_is_refused", test_invalid_text_is_refused },
+  { "canonical_text_is_unique", test_canonical_text_is_unique },
   { "diff_then_apply_gives_the_other", test_diff_then_apply_gives_the_other },
 };
 
--- a/tests/test_session.c
+++ b/tests/test_session.c
@@ -10,7 +10,7 @@
 static const uint8_t other_key[SESSION_KEY_SIZE] = { 1, 2, 4 };
 
 static void
-test_token_opens (void)
+test_valid_token_gives_its_version (void)
 {
   char token[SESSION_TOKEN_MAX];
   char version[SESSION_VERSION_MAX];
@@ -26,7 +26,7 @@
 /* A token must not be valid for another team, which could otherwise reach a version that it is not
  * allowed. The MAC covers the team. */
 static void
-test_token_of_another_team (void)
+test_token_of_another_team_is_refused (void)
 {
   char token[SESSION_TOKEN_MAX];
   char version[SESSION_VERSION_MAX];
@@ -40,7 +40,7 @@
 /* A caller must not be able to choose a version by altering its token: a token with any single
  * character changed, added or dropped must be refused. */
 static void
-test_token_altered (void)
+test_altered_token_is_refused (void)
 {
   char token[SESSION_TOKEN_MAX];
   char altered[SESSION_TOKEN_MAX + 2];
@@ -82,7 +82,7 @@
 
 /* Tokens of two sessions of a team on one version must differ, for affinity to a backend server. */
 static void
-test_tokens_differ (void)
+test_tokens_of_two_sessions_differ (void)
 {
   char a[SESSION_TOKEN_MAX];
   char b[SESSION_TOKEN_MAX];
@@ -159,7 +159,7 @@
 /* The reply to the insert of the row is lost; the session must keep the version that was inserted.
  */
 static void
-test_named_reply_lost (void)
+test_named_keeps_version_after_lost_reply (void)
 {
   Site site = site_new ();
 
@@ -172,7 +172,7 @@
 /* The table service is down. A session that this VM has cached continues; another one is refused,
  * since another VM may have started it on another version. */
 static void
-test_named_outage (void)
+test_named_in_outage_continues_only_if_cached (void)
 {
   Site site = site_new ();
   char version[SESSION_VERSION_MAX] = "draft@v8";
@@ -222,14 +222,14 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "token_opens", test_token_opens },
-    { "token_of_another_team", test_token_of_another_team },
-    { "token_altered", test_token_altered },
+    { "valid_token_gives_its_version", test_valid_token_gives_its_version },
+    { "token_of_another_team_is_refused", test_token_of_another_team_is_refused },
+    { "altered_token_is_refused", test_altered_token_is_refused },
     { "name_is_no_token", test_name_is_no_token },
-    { "tokens_differ", test_tokens_differ },
+    { "tokens_of_two_sessions_differ", test_tokens_of_two_sessions_differ },
     { "named_keeps_first_version", test_named_keeps_first_version },
-    { "named_reply_lost", test_named_reply_lost },
-    { "named_outage", test_named_outage },
+    { "named_keeps_version_after_lost_reply", test_named_keeps_version_after_lost_reply },
+    { "named_in_outage_continues_only_if_cached", test_named_in_outage_continues_only_if_cached },
     { "named_cache_is_bounded", test_named_cache_is_bounded },
   };
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -129,7 +129,7 @@
 }
 
 static void
-test_gate_absent (void)
+test_gate_missing_members_are_reported (void)
 {
   SettingsGate s;
   CheckList list = { .file = "none.json" };
@@ -151,7 +151,7 @@
 }
 
 static void
-test_gate_files (void)
+test_gate_names_and_files_are_checked (void)
 {
   expect_gate_errors (
       "{\"vm\":\"a b\",\"failure_domain\":\"Le\303\263n\",\"site_key_file\":\"/nonexistent\","
@@ -166,7 +166,7 @@
 }
 
 static void
-test_steward_values (void)
+test_steward_values_are_read (void)
 {
   SettingsSteward s;
   Input input;
@@ -189,7 +189,7 @@
 }
 
 static void
-test_steward_operators (void)
+test_steward_operator_errors_are_reported (void)
 {
   expect_steward_errors (
       "{" COMMON STEWARD_ENDPOINTS "\"operator_list\":["
@@ -217,7 +217,7 @@
  * datagram is lost; it must be reported as an error.
  */
 static void
-test_steward_short_grant (void)
+test_steward_short_grant_is_refused (void)
 {
   expect_steward_errors ("{" COMMON STEWARD_ENDPOINTS "\"heartbeat_ms\":1000,\"grant_ms\":1999,"
                          "\"operator_list\":[]}",
@@ -229,11 +229,12 @@
 }
 
 /*
- * A steward that listens on 0.0.0.0 needs "advertise"; without it, it would tell the others to send
- * heartbeats to 0.0.0.0, that is to themselves. The advertised port is the same as that of rpc.
+ * A steward that listens on 0.0.0.0 needs "advertise"; without it, the other stewards would send
+ * their heartbeats to 0.0.0.0, that is to themselves. The advertised port is the same as that of
+ * rpc.
  */
 static void
-test_steward_advertise (void)
+test_steward_on_any_address_needs_advertise (void)
 {
   const char *endpoints = "\"operators\":{\"address\":\"127.0.0.1\",\"port\":8003},"
                           "\"local\":{\"address\":\"127.0.0.1\",\"port\":8004},"
@@ -253,7 +254,7 @@
 }
 
 static void
-test_log_priority (void)
+test_log_priority_by_name (void)
 {
   CU_ASSERT_EQUAL (settings_log_priority ("err"), LOG_ERR);
   CU_ASSERT_EQUAL (settings_log_priority ("debug"), LOG_DEBUG);
@@ -263,13 +264,13 @@
 static const SuiteCase cases[] = {
   { "gate_defaults", test_gate_defaults },
   { "gate_all_errors_in_one_pass", test_gate_all_errors_in_one_pass },
-  { "gate_absent", test_gate_absent },
-  { "gate_files", test_gate_files },
-  { "steward_values", test_steward_values },
-  { "steward_operators", test_steward_operators },
-  { "steward_short_grant", test_steward_short_grant },
-  { "steward_advertise", test_steward_advertise },
-  { "log_priority", test_log_priority },
+  { "gate_missing_members_are_reported", test_gate_missing_members_are_reported },
+  { "gate_names_and_files_are_checked", test_gate_names_and_files_are_checked },
+  { "steward_values_are_read", test_steward_values_are_read },
+  { "steward_operator_errors_are_reported", test_steward_operator_errors_are_reported },
+  { "steward_short_grant_is_refused", test_steward_short_grant_is_refused },
+  { "steward_on_any_address_needs_advertise", test_steward_on_any_address_needs_advertise },
+  { "log_priority", test_log_priority_by_name },
 };
 
 int
