--- a/src/choose.c
+++ b/src/choose.c
@@ -183,7 +183,7 @@
 
 /** Looks up "MODEL@VERSION". */
 static Reason
-version_by_name (const Config *config, const char *name, unsigned *out)
+version_by_label (const Config *config, const char *name, unsigned *out)
 {
   char model_name[CHOOSE_NAME_MAX];
   const char *at = strrchr (name, '@');
@@ -212,7 +212,7 @@
   const Config *config = request->config;
   const ConfigRollout *rollout;
   unsigned version = 0;
-  Reason reason = version_by_name (config, request->model, &version);
+  Reason reason = version_by_label (config, request->model, &version);
 
   if (reason != REASON_NONE)
     return reason;
@@ -259,7 +259,7 @@
 
   if (strchr (request->session_version, '@') == NULL)
     return REASON_UNKNOWN_VERSION;
-  if (version_by_name (config, request->session_version, &version) != REASON_NONE)
+  if (version_by_label (config, request->session_version, &version) != REASON_NONE)
     return REASON_VERSION_WITHDRAWN;
   if (!team_allows (request, version))
     return REASON_NOT_ALLOWED;
--- a/src/choose.h
+++ b/src/choose.h
@@ -35,13 +35,13 @@
 /** Name used on the wire, e.g. "version_withdrawn"; "unknown" for a value out of range. */
 const char *reason_name (Reason reason);
 
-#define CHOOSE_STAGES_MAX 8
-#define CHOOSE_NAME_MAX   128 /**< longest "MODEL@VERSION", with the final NUL */
+#define CHOOSE_STAGES_MAX 8   /**< stages of a plan */
+#define CHOOSE_NAME_MAX   128 /**< bytes of the longest model name, with the final NUL */
 
 /** Whether a request may be run more than once. */
 typedef enum
 {
-  IDEMPOTENCY_DEFAULT = 0, /**< by the class; yes if the request names a model */
+  IDEMPOTENCY_DEFAULT = 0, /**< as the class says; yes if the request names a model */
   IDEMPOTENCY_YES,
   IDEMPOTENCY_NO /**< at most once: the plan has a single stage */
 } Idempotency;
@@ -49,7 +49,7 @@
 typedef struct
 {
   const Config *config;
-  unsigned team;
+  unsigned team;               /**< index into Config.teams */
   const char *model;           /**< from the caller: MODEL, MODEL@VERSION or CLASS */
   const char *session_version; /**< "MODEL@VERSION" the session is bound to, or NULL */
   uint64_t caller;             /**< stable hash of the caller's identity, for choose_bucket */
@@ -59,7 +59,7 @@
   Idempotency idempotency; /**< from the caller's header */
 } ChooseRequest;
 
-/** What a plan's stages were chosen by. */
+/** How a plan's stages were chosen. */
 typedef enum
 {
   PLAN_CONFIGURED = 0, /**< in the order in which the class lists them */
--- a/src/choose_breaker.c
+++ b/src/choose_breaker.c
@@ -1,6 +1,6 @@
 #include "choose_breaker.h"
 
-#define JITTER_DIVISOR 4 /**< up to this fraction of the interval is added: a quarter */
+#define JITTER_DIVISOR 4 /**< up to a quarter of the interval is added at random */
 
 void
 breaker_failure (ServerView *view, int64_t now_ms, uint64_t random)
--- a/src/choose_breaker.h
+++ b/src/choose_breaker.h
@@ -8,9 +8,9 @@
 
 #include "choose_server.h"
 
-#define BREAKER_FAILURES    3    /**< consecutive failures that open the breaker */
-#define BREAKER_OPEN_MIN_MS 1000 /**< interval after the first opening */
-#define BREAKER_OPEN_MAX_MS 30000
+#define BREAKER_FAILURES    3     /**< consecutive failures that open the breaker */
+#define BREAKER_OPEN_MIN_MS 1000  /**< interval after the first opening */
+#define BREAKER_OPEN_MAX_MS 30000 /**< longest interval, without jitter */
 #define BREAKER_PROBE_MS    10000 /**< how long other requests are held off while a probe runs */
 
 /** Records an attempt that failed because of the server (refused, cut or timed out). random spreads
--- a/src/choose_cascade.c
+++ b/src/choose_cascade.c
@@ -62,7 +62,7 @@
   return choose_plan (query->request, plan);
 }
 
-typedef bool (*IsBetter) (const ConfigVersion *version, const ConfigVersion *than);
+typedef bool (*IsBetter) (const ConfigVersion *version, const ConfigVersion *other);
 
 /** Plans only the best candidate; the first of several equal ones. */
 static Reason
@@ -88,15 +88,15 @@
 }
 
 static bool
-costs_less (const ConfigVersion *version, const ConfigVersion *than)
+costs_less (const ConfigVersion *version, const ConfigVersion *other)
 {
-  return version->cost_per_1k < than->cost_per_1k;
+  return version->cost_per_1k < other->cost_per_1k;
 }
 
 static bool
-has_higher_quality (const ConfigVersion *version, const ConfigVersion *than)
+has_higher_quality (const ConfigVersion *version, const ConfigVersion *other)
 {
-  return version->prior_quality > than->prior_quality;
+  return version->prior_quality > other->prior_quality;
 }
 
 /** Baseline: the version of lowest cost, whatever its quality. */
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -1,6 +1,6 @@
 /**
  * Chooses a request's stages: the plan of lowest expected cost whose quality meets the class's
- * target and whose time meets the deadline, as estimated from the verdicts of the rating service.
+ * target and whose time meets the deadline, as estimated from the ratings of the rating service.
  */
 #ifndef CHOOSE_CASCADE_H
 #define CHOOSE_CASCADE_H
--- a/src/choose_estimate.c
+++ b/src/choose_estimate.c
@@ -17,10 +17,10 @@
 
 typedef struct
 {
-  uint64_t key;  /**< 0: free */
-  int64_t at_ms; /**< time up to which the sums have decayed */
-  double weight, passes, pass_scores, fail_scores;
-  double runs, tokens, ms, ms_squares;
+  uint64_t key;                                    /**< 0: free */
+  int64_t at_ms;                                   /**< time up to which the sums have decayed */
+  double weight, passes, pass_scores, fail_scores; /**< sums over ratings */
+  double runs, tokens, ms, ms_squares;             /**< sums over answers */
 } Cell;
 
 typedef struct
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -129,8 +129,8 @@
   ForecastRating pooled, out;
   Estimate own;
 
-  /* Good ratings of other versions do not justify answering unrated with this one, so the ratio
-     only ever raises the failures. */
+  /* Good ratings of other versions do not justify forwarding this version's answers unrated, so
+     the ratio only ever raises the failures. */
   prior.pass
       = clamp (1 - (1 - prior.pass) * fmax (keys->failure_ratio, 1), PASS_MARGIN, 1 - PASS_MARGIN);
   pooled = blend (all, &prior, settings->prior_weight);
@@ -150,12 +150,12 @@
  *  this version passes all answers that the other passes, so only the rest of its passes is
  *  left. */
 static ForecastRating
-after_rating (const Keys *keys, const Forecast *forecast, size_t stage, size_t before)
+after_rating (const Keys *keys, const Forecast *forecast, size_t stage, size_t previous)
 {
   const CascadeSettings *settings = keys->query->settings;
   const ForecastRating *self = &forecast->stages[stage].first;
-  const ForecastRating *other = &forecast->stages[before].first;
-  Estimate e = read_estimate (keys, stage, keys->version_keys[before], 0);
+  const ForecastRating *other = &forecast->stages[previous].first;
+  Estimate e = read_estimate (keys, stage, keys->version_keys[previous], 0);
   Prior prior = { .pass_score = self->pass_score, .fail_score = keys->target / 3 };
   double fail = 1 - self->pass;
 
@@ -202,8 +202,8 @@
     }
 }
 
-/** All stages except those with enough ratings that pass no more often than a cheaper one. (What
- *  such a stage would pass of the cheaper one's failures is ignored.) */
+/** All stages except those with enough ratings that pass no more often than a cheaper one. (That
+ *  such a stage may pass answers where the cheaper one failed is ignored.) */
 static unsigned
 useful_stages (const Forecast *forecast, double enough)
 {
@@ -277,7 +277,7 @@
 {
   const ForecastStage *s = &forecast->stages[stage];
 
-  return path->count == 0 ? &s->first : &s->after[path->before];
+  return path->count == 0 ? &s->first : &s->after[path->previous];
 }
 
 void
@@ -296,7 +296,7 @@
   path->passed += path->reach_probability * rating->pass;
   path->scores += path->reach_probability * rating->pass * rating->pass_score;
   path->reach_probability *= 1 - rating->pass;
-  path->before = stage;
+  path->previous = stage;
   path->mask |= 1U << stage;
 }
 
@@ -317,7 +317,8 @@
 }
 
 /** Computes quality and standard error from the last stage backwards: an error in a stage's pass
- *  probability affects the whole by the difference between passing there and going on. */
+ *  probability affects the plan's quality by the difference between the rating of the answers that
+ *  pass there and the expected rating if the following stages run. */
 ForecastPlan
 forecast_finish (const Forecast *forecast, const ForecastPath *path, unsigned stage)
 {
--- a/src/choose_forecast.h
+++ b/src/choose_forecast.h
@@ -56,7 +56,7 @@
 {
   unsigned mask;
   unsigned count;
-  unsigned before;          /**< index of the latest stage in Forecast.stages */
+  unsigned previous;        /**< index of the latest stage in Forecast.stages */
   double reach_probability; /**< probability that no stage has passed */
   double cost, ms_high;
   double passed; /**< probability that one has passed */
--- a/src/choose_index.c
+++ b/src/choose_index.c
@@ -115,7 +115,7 @@
 collect (const Config *config,
          unsigned version,
          const char *service,
-         uint64_t node,
+         uint64_t vm_hash,
          const char *failure_domain,
          Eligible *eligible)
 {
@@ -132,7 +132,7 @@
       eligible[n++] = (Eligible){
         .server = i,
         .domain = server->failure_domain,
-        .hash = id_hash_string (server->name, node),
+        .hash = id_hash_string (server->name, vm_hash),
         .own = strcmp (server->failure_domain, failure_domain) == 0,
       };
     }
@@ -149,7 +149,10 @@
 }
 
 ServerIndex *
-server_index_new (const Config *config, uint64_t node, const char *failure_domain, unsigned subset)
+server_index_new (const Config *config,
+                  uint64_t vm_hash,
+                  const char *failure_domain,
+                  unsigned subset)
 {
   ServerIndex *index = memory_alloc (sizeof *index);
   Eligible *eligible = memory_array (config->server_count + 1, sizeof *eligible);
@@ -162,13 +165,13 @@
   index->watched = memory_array (config->server_count + 1, sizeof *index->watched);
   for (i = 0; i < config->version_count; i++)
     {
-      n = collect (config, i, NULL, node, failure_domain, eligible);
+      n = collect (config, i, NULL, vm_hash, failure_domain, eligible);
       index->versions[i] = select_subset (eligible, n, subset);
       mark_watched (index, &index->versions[i]);
     }
   for (i = 0; i < config->service_count; i++)
     {
-      n = collect (config, 0, config->services[i].name, node, failure_domain, eligible);
+      n = collect (config, 0, config->services[i].name, vm_hash, failure_domain, eligible);
       index->services[i] = select_subset (eligible, n, subset);
       mark_watched (index, &index->services[i]);
     }
--- a/src/choose_index.h
+++ b/src/choose_index.h
@@ -25,11 +25,13 @@
   bool *watched; /**< whether the server is in at least one list, by server index */
 } ServerIndex;
 
-/** node is a stable hash of this VM's name; failure_domain is this VM's. Of a version with more
+/** vm_hash is a stable hash of this VM's name; failure_domain is this VM's. Of a version with more
  *  than subset servers a third are taken from the own failure domain if it has as many, and the
  *  rest from the other failure domains in turn. */
-ServerIndex *
-server_index_new (const Config *config, uint64_t node, const char *failure_domain, unsigned subset);
+ServerIndex *server_index_new (const Config *config,
+                               uint64_t vm_hash,
+                               const char *failure_domain,
+                               unsigned subset);
 void server_index_free (ServerIndex *index);
 
 #endif
--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -16,9 +16,9 @@
 #define MS_PER_S          1000.0
 #define SUM_INTERVAL_MS   100    /**< shortest interval between sums over the active teams */
 #define FIXED_POINT_SCALE 1000.0 /**< atomic sums are integers, in thousandths */
-#define DEVIATIONS        2.0    /**< standard deviations kept free for the other teams */
-#define PEAK_FAIR_SHARES  3.0    /**< a short peak may use so many, and one request more */
-#define FLOOD_FACTOR      2.0    /**< times its long-term mean beyond which a team floods */
+#define DEVIATIONS        2.0    /**< standard deviations of the other teams' requests kept free */
+#define PEAK_FAIR_SHARES  3.0    /**< fair shares allowed in a short peak, plus one request */
+#define FLOOD_FACTOR      2.0    /**< multiple of its long-term mean beyond which a team floods */
 
 struct Limiter
 {
@@ -124,7 +124,7 @@
 }
 
 static LimitVerdict
-refuse (Reason reason, int64_t retry_after_ms)
+make_verdict (Reason reason, int64_t retry_after_ms)
 {
   return (LimitVerdict){ .reason = reason, .retry_after_ms = retry_after_ms };
 }
@@ -139,18 +139,18 @@
   if (config->concurrent > 0
       && team->in_progress
              >= limit_shares_count (&limiter->shares, config->concurrent, query->now_ms))
-    return refuse (REASON_TEAM_LIMIT, limit_retry_after_ms (limiter, query->now_ms));
+    return make_verdict (REASON_TEAM_LIMIT, limit_retry_after_ms (limiter, query->now_ms));
   if (config->tokens_per_s <= 0)
-    return refuse (REASON_NONE, 0);
+    return make_verdict (REASON_NONE, 0);
   rate = limit_shares_rate (&limiter->shares, (double)config->tokens_per_s, query->now_ms);
   if (rate <= 0)
-    return refuse (REASON_TEAM_LIMIT, limit_retry_after_ms (limiter, query->now_ms));
+    return make_verdict (REASON_TEAM_LIMIT, limit_retry_after_ms (limiter, query->now_ms));
   limit_team_refill (team, rate, limiter->settings.burst_s, query->now_ms);
   /* A request may overdraw the bucket, or one larger than the burst could never run; the team's
      next requests wait. */
   if (team->tokens <= 0)
-    return refuse (REASON_TEAM_LIMIT, 1 + (int64_t)(-team->tokens / rate * MS_PER_S));
-  return refuse (REASON_NONE, 0);
+    return make_verdict (REASON_TEAM_LIMIT, 1 + (int64_t)(-team->tokens / rate * MS_PER_S));
+  return make_verdict (REASON_NONE, 0);
 }
 
 /** The team's fair share of the capacity, by weight among the active teams; at least one
@@ -165,8 +165,8 @@
 
 /** True if one more request of a team beyond its fair share would use capacity that the other teams
  *  probably need: their recent mean within their fair shares, and two standard deviations more, as
- *  requests arrive independently. The capacity counts whole, or only its best_effort_share for a
- *  team that exceeds its long-term mean. */
+ *  requests arrive independently. For a team that exceeds its long-term mean only the
+ *  best_effort_share of the capacity counts. */
 static bool
 others_probably_need (Limiter *limiter,
                       const LimitQuery *query,
@@ -195,7 +195,7 @@
   bool beyond
       = wanted > share && (team->recent_mean > share + 1 || wanted > PEAK_FAIR_SHARES * share + 1);
   bool within_long_mean = wanted <= FLOOD_FACTOR * team->long_mean + 1;
-  LimitVerdict verdict = refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
+  LimitVerdict verdict = make_verdict (REASON_OVERLOAD, limiter->settings.retry_after_ms);
 
   if (busy >= query->capacity)
     return verdict;
@@ -203,7 +203,7 @@
     return verdict;
   if (beyond && others_probably_need (limiter, query, team, share, within_long_mean))
     return verdict;
-  verdict = refuse (REASON_NONE, 0);
+  verdict = make_verdict (REASON_NONE, 0);
   verdict.beyond_fair_share = beyond && !within_long_mean;
   return verdict;
 }
@@ -213,12 +213,12 @@
 check_deadline (const LimitQuery *query)
 {
   if (query->deadline_ms == 0)
-    return refuse (REASON_NONE, 0);
+    return make_verdict (REASON_NONE, 0);
   if (query->now_ms >= query->deadline_ms)
-    return refuse (REASON_DEADLINE_PAST, 0);
+    return make_verdict (REASON_DEADLINE_PAST, 0);
   if (query->now_ms + query->wait_ms + query->work_ms > query->deadline_ms)
-    return refuse (REASON_OVERLOAD, query->wait_ms > 0 ? query->wait_ms : 1);
-  return refuse (REASON_NONE, 0);
+    return make_verdict (REASON_OVERLOAD, query->wait_ms > 0 ? query->wait_ms : 1);
+  return make_verdict (REASON_NONE, 0);
 }
 
 static LimitVerdict
@@ -237,7 +237,7 @@
   if (team == NULL)
     {
       pthread_mutex_unlock (&shard->lock);
-      return refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
+      return make_verdict (REASON_OVERLOAD, limiter->settings.retry_after_ms);
     }
   team->weight = query->config->teams[query->team].weight;
   team->last_request_ms = query->now_ms;
@@ -274,7 +274,7 @@
 admit_none (Limiter *limiter, const LimitQuery *query)
 {
   count_request (limiter, query);
-  return refuse (REASON_NONE, 0);
+  return make_verdict (REASON_NONE, 0);
 }
 
 /** Baseline: admits up to the capacity, first come, first served. */
@@ -282,9 +282,9 @@
 admit_first_come (Limiter *limiter, const LimitQuery *query)
 {
   if ((unsigned long)atomic_load (&limiter->in_progress) >= query->capacity)
-    return refuse (REASON_OVERLOAD, limiter->settings.retry_after_ms);
+    return make_verdict (REASON_OVERLOAD, limiter->settings.retry_after_ms);
   count_request (limiter, query);
-  return refuse (REASON_NONE, 0);
+  return make_verdict (REASON_NONE, 0);
 }
 
 void
--- a/src/choose_limit.h
+++ b/src/choose_limit.h
@@ -1,7 +1,7 @@
 /**
  * Admission control at one gate: each team's limits, fair shares of the gate's capacity when it is
  * short, and early refusal of requests that can't finish by their deadline. A refusal is immediate
- * and tells the client when to send again.
+ * and has a retry-after time.
  */
 #ifndef CHOOSE_LIMIT_H
 #define CHOOSE_LIMIT_H
@@ -16,7 +16,7 @@
   double best_effort_share; /**< share of the capacity beyond which requests without a deadline are
                                refused */
   double burst_s;           /**< size of a team's token bucket, in seconds of its token rate */
-  int64_t retry_after_ms;   /**< told to refused clients when no better estimate is known */
+  int64_t retry_after_ms;   /**< sent to refused clients when no better estimate is known */
 } LimitSettings;
 
 extern const LimitSettings limit_settings_default;
--- a/src/choose_limit_share.c
+++ b/src/choose_limit_share.c
@@ -41,7 +41,7 @@
   shares->former_count = kept;
 }
 
-/** Adds the newest position to the former ones. If there are too many to remember, they are
+/** Adds the newest position to the former ones. If there are too many to keep, they are
  *  replaced by one position without a share until the last of them is settled, which is safe. */
 static void
 add_former (LimitShares *shares)
--- a/src/choose_limit_share.h
+++ b/src/choose_limit_share.h
@@ -15,10 +15,10 @@
   int64_t until_ms; /**< of a former position: time until which it still applies */
 } LimitPosition;
 
-#define LIMIT_POSITIONS_MAX 16 /**< former positions remembered */
-/** The shares of gates that know different views never add up to more than the limit: each gate
+#define LIMIT_POSITIONS_MAX 16 /**< former positions kept */
+/** The shares of gates that have different views never add up to more than the limit: each gate
  *  applies the smallest of its shares in the newest view and in those that it held within the last
- *  settle_ms. A gate that holds a grant has learned of each view in less time than that. So at any
+ *  settle_ms. A gate that holds a grant has received each view in less time than that. So at any
  *  time there is a view that binds all gates with a grant, and the shares within one view add up to
  *  the limit. */
 typedef struct
--- a/src/choose_load.h
+++ b/src/choose_load.h
@@ -24,9 +24,9 @@
 /** Records the gate's own requests in progress; called after each change of view->in_flight. */
 void load_history_add (LoadHistory *history, const ServerView *view, int64_t now_ms);
 
-/** Applies a report. at_ms is the time on the server's clock when it was taken, of any origin: the
- *  smallest difference seen between arrival and at_ms is taken to be that of a report without
- *  delay. */
+/** Applies a report. at_ms is the time on the server's clock, of any origin, when the report was
+ *  taken. The smallest difference seen between arrival and at_ms is assumed to be that of a report
+ *  without delay. */
 void
 load_report (LoadHistory *history, ServerView *view, int64_t load, int64_t at_ms, int64_t now_ms);
 
--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -153,7 +153,7 @@
 /** True if another fingerprint was in flight at as many of the deaths: either may be the cause, so
  *  neither is quarantined until another death tells them apart. */
 static bool
-has_rival (const Quarantine *quarantine, uint64_t fingerprint, const DeathCounts *counts)
+is_ambiguous (const Quarantine *quarantine, uint64_t fingerprint, const DeathCounts *counts)
 {
   unsigned i, j;
 
@@ -174,8 +174,8 @@
   return false;
 }
 
-/** A request is taken to be the cause if enough different servers died while running it, if it was
- *  in flight at more of the deaths around them than it was not, and if no other request was in
+/** A request is assumed to be the cause if enough different servers died while running it, if it
+ * was in flight at more of the deaths around them than it was not, and if no other request was in
  *  flight at as many. In an outage of a whole pool servers die while running many requests, none of
  *  which was in flight at most of the deaths. */
 static bool
@@ -185,7 +185,7 @@
 
   if (counts.servers < quarantine->settings.servers || counts.others >= counts.servers)
     return false;
-  return !has_rival (quarantine, fingerprint, &counts);
+  return !is_ambiguous (quarantine, fingerprint, &counts);
 }
 
 static QuarantineEntry *
@@ -218,8 +218,8 @@
   held->until_ms = now_ms + quarantine->settings.hold_ms;
 }
 
-/** Releases fingerprints that the deaths known by now no longer support: the first two servers of a
- *  pool that dies one by one look like two killed by a request. */
+/** Releases fingerprints that, by the deaths known now, are no longer the likely cause: the first
+ * two servers of a pool that dies one by one look like two killed by a request. */
 static void
 review_entries (Quarantine *quarantine, int64_t now_ms)
 {
@@ -233,7 +233,7 @@
       if (held->fingerprint == 0)
         continue;
       counts = count_deaths (quarantine, held->fingerprint);
-      /* Without any death of it left there is nothing to review. */
+      /* If all deaths that include it have expired, it stays refused until until_ms. */
       if (held->until_ms > now_ms && (counts.servers == 0 || counts.others < counts.servers))
         continue;
       *held = (QuarantineEntry){ .fingerprint = 0 };
@@ -253,7 +253,7 @@
     }
 }
 
-/** The entry of this death if it is known, else a new one in place of a free or the oldest
+/** The entry of this death if there is one, else a new one in place of a free or the oldest
  *  entry. */
 static Death *
 death_entry (Quarantine *quarantine, uint64_t server, int64_t at_ms)
--- a/src/choose_retry.c
+++ b/src/choose_retry.c
@@ -117,8 +117,8 @@
 }
 
 /** Retry-after time for a client whose request fails. Clients that all send again after the same
- *  short time are retries outside our budget, and keep a pool overloaded just as our own would; so
- *  the time grows with the share of recent requests that failed. */
+ *  short time make retries outside the budget, and keep a pool overloaded just as the gates' own
+ * retries would; so the time grows with the share of recent requests that failed. */
 static int64_t
 client_retry_after_ms (RetryBudget *budget, int64_t now_ms)
 {
--- a/src/choose_retry.h
+++ b/src/choose_retry.h
@@ -27,8 +27,8 @@
   double fraction;            /**< retries earned by each first attempt */
   double burst;               /**< most retries that the budget holds */
   unsigned attempts_max;      /**< attempts of one stage, the first included */
-  int64_t retry_after_min_ms; /**< told to a client whose request fails, when few requests fail */
-  int64_t retry_after_max_ms; /**< told when nearly all requests fail */
+  int64_t retry_after_min_ms; /**< sent to a client whose request fails, when few requests fail */
+  int64_t retry_after_max_ms; /**< the same, when nearly all requests fail */
   int64_t half_life_ms;       /**< of the counts of first attempts and failed requests */
 } RetrySettings;
 
--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define THRESHOLD_SHARE       0.8   /**< of the old version's mean rating: the baseline's limit */
+#define THRESHOLD_SHARE       0.8 /**< of the old version's mean rating; the baseline brakes below it */
 #define THRESHOLD_RATINGS_MIN 10    /**< ratings that the baseline waits for */
 #define TIMER_MS              60000 /**< duration of a stage with the timer baseline */
 typedef enum
@@ -38,6 +38,8 @@
  *  little for smaller ones. */
 #define TEAM_FIRST_ALTERNATIVE 1
 
+/** Cumulative log likelihood ratios, never below zero, of a version that is worse by each of
+ *  worse_by. */
 typedef struct
 {
   double alarms[METRICS][ALTERNATIVES];
@@ -244,13 +246,13 @@
 }
 
 static RolloutDecision
-brake (const RolloutTest *test, const char *whom, unsigned metric, double strength)
+brake (const RolloutTest *test, const char *scope, unsigned metric, double strength)
 {
   RolloutDecision decision = { .verdict = ROLLOUT_BRAKE };
 
   snprintf (decision.why, sizeof decision.why,
             "%s of %s: strength %.1f; stage: %u answers, %u errors, %u slow, rating %.3f of %u",
-            metric_names[metric], whom, strength, test->sum.answers, test->sum.errors,
+            metric_names[metric], scope, strength, test->sum.answers, test->sum.errors,
             test->sum.slow, mean_rating (&test->sum), test->sum.rated);
   return decision;
 }
--- a/src/choose_rollout.h
+++ b/src/choose_rollout.h
@@ -23,7 +23,7 @@
                             and how often they are rated. */
   unsigned answers;
   unsigned errors; /**< answers in which the backend server failed */
-  unsigned slow;   /**< answers slower than the old version's mean and two deviations */
+  unsigned slow;   /**< answers counted as slow, by the same limit for both versions */
   unsigned rated;
   double rating_sum;
   double rating_square_sum;
--- a/src/choose_rollout_control.c
+++ b/src/choose_rollout_control.c
@@ -9,10 +9,10 @@
 
 #define RATE_MIN       0.01 /**< assumed rate of errors and of slow answers before any was observed */
 #define RATE_MAX       0.55 /**< leaves room up to ROLLOUT_RATE_MAX for a worse version */
-#define VARIANCE_MIN   0.01
-#define PRIOR_WEIGHT   20 /**< weight of the prior, in answers */
-#define PRIOR_RATING   0.8
-#define PRIOR_VARIANCE 0.1
+#define VARIANCE_MIN   0.01 /**< smallest assumed variance of one rating */
+#define PRIOR_WEIGHT   20   /**< weight of the prior, in answers */
+#define PRIOR_RATING   0.8  /**< mean rating assumed before any was observed */
+#define PRIOR_VARIANCE 0.1  /**< variance of one rating, likewise */
 
 /** Answers of the new version without one of the old version between them after which the old
  *  version counts as idle. */
--- a/src/choose_rollout_control.h
+++ b/src/choose_rollout_control.h
@@ -9,7 +9,8 @@
 
 #define ROLLOUT_RATE_MAX 0.95 /**< largest assumed rate of errors or slow answers */
 
-/** Sums over answers; scaled down when they exceed weight_max. */
+/** Sums over answers, scaled down when their number exceeds weight_max; ratings and squares are the
+ *  sums of the ratings and of their squares. */
 typedef struct
 {
   double answers, errors, slow, rated, ratings, squares;
--- a/src/choose_server_baseline.c
+++ b/src/choose_server_baseline.c
@@ -34,6 +34,7 @@
   return -1;
 }
 
+/** Baseline: a random usable server. */
 int
 server_pick_random (const ServerQuery *query)
 {
--- a/src/choose_server_pick.h
+++ b/src/choose_server_pick.h
@@ -1,5 +1,5 @@
 /**
- * The policies that server_policy_find knows; private to choose_server*.c.
+ * The pick functions of the policies that server_policy_find returns; private to choose_server*.c.
  */
 #ifndef CHOOSE_SERVER_PICK_H
 #define CHOOSE_SERVER_PICK_H
--- a/src/choose_server_power_of_two.c
+++ b/src/choose_server_power_of_two.c
@@ -104,7 +104,8 @@
   double load;
 } Best;
 
-/** Takes the server if its load, reduced by bonus, is below that of the best so far. */
+/** Makes the server the best one if its load, reduced by bonus, is below that of the best so far.
+ */
 static void
 consider (const ServerQuery *query, unsigned server, double bonus, Best *best)
 {
--- a/tests/test_choose_cascade.c
+++ b/tests/test_choose_cascade.c
@@ -169,7 +169,7 @@
 /* A version that answers one team badly and all others well must not be that team's only stage
    because of its mean over all teams. */
 static void
-test_team_with_own_ratings (void)
+test_own_ratings_outweigh_the_mean_of_teams (void)
 {
   ChoosePlan plan;
 
@@ -186,8 +186,10 @@
   teardown ();
 }
 
+/* A version that becomes worse must not keep its estimate because of thousands of old ratings: old
+   ratings decay, and the weight of all of them is bounded. */
 static void
-test_estimates_decay (void)
+test_estimates_decay_and_are_bounded (void)
 {
   Estimate e;
   EstimateKey key = { .class_key = 1, .version_key = 2 };
@@ -238,7 +240,7 @@
    second stage. Only versions that finish in time may be planned, and a plan that can't is marked
    late. */
 static void
-test_deadline (void)
+test_plans_finish_by_the_deadline (void)
 {
   CascadeOutcome outcome = { .quality_target = 0.8, .now_ms = 1000, .previous = -1 };
   ChoosePlan plan;
@@ -273,7 +275,7 @@
 /* If no allowed version reaches the target, requests are refused with that reason, except for a
    small share, without which no version could show that it has improved. */
 static void
-test_target_unreachable (void)
+test_unreachable_target_is_refused (void)
 {
   ChoosePlan plan;
   unsigned i, ran = 0;
@@ -315,6 +317,8 @@
   teardown ();
 }
 
+/* Exploring costs answers of versions that may be bad, so it must stay within explore_share of the
+   requests, and each explored answer must be rated before it is forwarded. */
 static void
 test_exploration_is_bounded (void)
 {
@@ -370,11 +374,11 @@
     { "skips_stage_that_does_not_pay", test_skips_stage_that_does_not_pay },
     { "cost_units_do_not_matter", test_cost_units_do_not_matter },
     { "easy_class_does_not_hide_next_version", test_easy_class_does_not_hide_next_version },
-    { "team_with_own_ratings", test_team_with_own_ratings },
-    { "estimates_decay", test_estimates_decay },
+    { "own_ratings_outweigh_the_mean_of_teams", test_own_ratings_outweigh_the_mean_of_teams },
+    { "estimates_decay_and_are_bounded", test_estimates_decay_and_are_bounded },
     { "single_stage_without_ratings", test_single_stage_without_ratings },
-    { "deadline", test_deadline },
-    { "target_unreachable", test_target_unreachable },
+    { "deadline", test_plans_finish_by_the_deadline },
+    { "target_unreachable", test_unreachable_target_is_refused },
     { "at_most_once_gets_one_stage", test_at_most_once_gets_one_stage },
     { "exploration_is_bounded", test_exploration_is_bounded },
     { "baseline_policies", test_baseline_policies },
--- a/tests/test_choose_index.c
+++ b/tests/test_choose_index.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define SERVERS 660
-#define NODES   360
+#define GATES   360
 #define DOMAINS 6
 
 static char names[SERVERS][16];
@@ -62,15 +62,15 @@
 test_large_site_is_watched_evenly (void)
 {
   static unsigned watchers[SERVERS];
-  unsigned node, i, least = ~0U, most = 0;
+  unsigned gate, i, least = ~0U, most = 0;
 
   setup (SERVERS);
   memset (watchers, 0, sizeof watchers);
-  for (node = 0; node < NODES; node++)
+  for (gate = 0; gate < GATES; gate++)
     {
-      const char *own = domain_names[node % DOMAINS];
+      const char *own = domain_names[gate % DOMAINS];
       ServerIndex *index
-          = server_index_new (&config, id_hash (&node, sizeof node, 9), own, INDEX_SUBSET);
+          = server_index_new (&config, id_hash (&gate, sizeof gate, 9), own, INDEX_SUBSET);
       unsigned in_own = 0, seen[DOMAINS] = { 0 };
 
       CU_ASSERT_EQUAL (index->versions[0].count, INDEX_SUBSET);
--- a/tests/test_choose_limit.c
+++ b/tests/test_choose_limit.c
@@ -5,9 +5,9 @@
 #include <pthread.h>
 #include <string.h>
 
-#define TEAMS   10
-#define GATES   9
-#define SETTLED 1000000 /**< milliseconds; long after the first view */
+#define TEAMS      10
+#define GATES      9
+#define SETTLED_MS 1000000 /**< long after the first view */
 
 static char names[TEAMS][8];
 static ConfigTeam teams[TEAMS];
@@ -37,8 +37,8 @@
     .config = &config,
     .tokens = 100,
     .capacity = 100,
-    .now_ms = SETTLED,
-    .deadline_ms = SETTLED + 100000,
+    .now_ms = SETTLED_MS,
+    .deadline_ms = SETTLED_MS + 100000,
   };
   limiter_set_view (limiter, 1, 0, 0);
   return limiter;
@@ -76,7 +76,7 @@
 }
 
 static void
-test_tokens (void)
+test_token_rate_is_limited (void)
 {
   Limiter *limiter = setup (0, 1000);
   LimitVerdict verdict;
@@ -99,8 +99,9 @@
   limiter_free (limiter);
 }
 
+/* The shares of all ranks must add up to the limit; shares of unknown rank must not exceed it. */
 static void
-test_shares_add_up (void)
+test_shares_add_up_to_the_limit (void)
 {
   int64_t limit;
   unsigned members;
@@ -125,21 +126,21 @@
 }
 
 /* With a limit of one request on nine VMs, eight of them have a share of zero. They must refuse the
-   team with a time to send again, not admit it because it has nothing in progress. */
+   team with a retry-after time, not admit it because it has nothing in progress. */
 static void
-test_share_of_zero (void)
+test_share_of_zero_refuses_with_retry_after (void)
 {
   Limiter *limiter = setup (1, 0);
 
-  limiter_set_view (limiter, GATES, 0, SETTLED - 100000);
+  limiter_set_view (limiter, GATES, 0, SETTLED_MS - 100000);
   CU_ASSERT_EQUAL (admit (limiter, 0).reason, REASON_TEAM_LIMIT);
   CU_ASSERT (admit (limiter, 0).retry_after_ms > 0);
-  limiter_set_view (limiter, GATES, GATES - 1, SETTLED - 50000);
+  limiter_set_view (limiter, GATES, GATES - 1, SETTLED_MS - 50000);
   CU_ASSERT_EQUAL (admit (limiter, 0).reason, REASON_NONE);
   limiter_free (limiter);
 }
 
-/* The limit must hold while gates know different views. Three of nine VMs are cut off with the old
+/* The limit must hold while gates have different views. Three of nine VMs are cut off with the old
    view, and the others get a view of seven that includes a new VM. If the six raised their shares
    at once, or the new VM used its share while others still use theirs of the view without it, the
    team would exceed its limit for some seconds. */
@@ -154,22 +155,22 @@
     {
       limiters[i] = setup (limit, 0);
       if (i < GATES)
-        limiter_set_view (limiters[i], GATES, (int)i, SETTLED - 100000);
+        limiter_set_view (limiters[i], GATES, (int)i, SETTLED_MS - 100000);
     }
-  /* Six gates know the new view of seven, in which the new VM is last; three don't. */
+  /* Six gates have the new view of seven, in which the new VM is last; three don't. */
   for (i = 0; i < 6; i++)
-    limiter_set_view (limiters[i], 7, (int)i, SETTLED);
+    limiter_set_view (limiters[i], 7, (int)i, SETTLED_MS);
   limiter_free (limiters[GATES]);
   limiters[GATES] = limiter_new (&limit_settings_default);
-  limiter_set_view (limiters[GATES], 7, 6, SETTLED);
-  query.now_ms = SETTLED + 1;
+  limiter_set_view (limiters[GATES], 7, 6, SETTLED_MS);
+  query.now_ms = SETTLED_MS + 1;
   for (i = 0; i <= GATES; i++)
     total += admit_many (limiters[i], 0, 100);
   CU_ASSERT (total <= limit);
   CU_ASSERT_EQUAL (admit (limiters[GATES], 0).reason, REASON_TEAM_LIMIT);
   CU_ASSERT (admit (limiters[GATES], 0).retry_after_ms >= limit_settings_default.settle_ms - 10);
   /* By now the grants of the three have expired; the seven share the limit. */
-  query.now_ms = SETTLED + limit_settings_default.settle_ms;
+  query.now_ms = SETTLED_MS + limit_settings_default.settle_ms;
   for (i = 0; i <= GATES; i++)
     {
       if (i >= 6 && i < GATES)
@@ -183,7 +184,7 @@
 }
 
 /* When views change several times within seconds, the smallest share of all unsettled views
-   applies. If only the newest and the last settled view were remembered, one VM could use a ninth
+   applies. If only the newest and the last settled view were kept, one VM could use a ninth
    of the limit while others still use a fifth, or the other way round. */
 static void
 test_smallest_unsettled_share_applies (void)
@@ -191,15 +192,15 @@
   Limiter *limiter = setup (90, 0);
   unsigned i;
 
-  limiter_set_view (limiter, 5, 0, SETTLED - 100000);
-  limiter_set_view (limiter, 10, 0, SETTLED);
-  limiter_set_view (limiter, 3, 0, SETTLED + 10);
-  query.now_ms = SETTLED + 20;
+  limiter_set_view (limiter, 5, 0, SETTLED_MS - 100000);
+  limiter_set_view (limiter, 10, 0, SETTLED_MS);
+  limiter_set_view (limiter, 3, 0, SETTLED_MS + 10);
+  query.now_ms = SETTLED_MS + 20;
   CU_ASSERT_EQUAL (admit_many (limiter, 0, 50), 9);
-  query.now_ms = SETTLED + 10 + limit_settings_default.settle_ms;
+  query.now_ms = SETTLED_MS + 10 + limit_settings_default.settle_ms;
   query.capacity = 1000;
   CU_ASSERT_EQUAL (admit_many (limiter, 0, 100), 30 - 9);
-  /* With more views than are remembered there is no share until all are settled. */
+  /* With more views than are kept there is no share until all are settled. */
   query.now_ms += 100000;
   query.deadline_ms = 0;
   for (i = 0; i < 100; i++)
@@ -252,7 +253,8 @@
 }
 
 /* A big team without a configured weight must not be refused as if it flooded while a third of the
-   capacity is idle: what it has had in progress for an hour is its long-term mean. */
+   capacity is idle: the number of requests that it has had in progress for an hour is its long-term
+   mean. */
 static void
 test_steady_big_team_is_no_flood (void)
 {
@@ -286,7 +288,7 @@
   limiter_free (limiter);
 }
 
-/* A request that can't finish by its deadline must be refused at once with a time to send again,
+/* A request that can't finish by its deadline must be refused at once with a retry-after time,
    instead of waiting in a queue until its deadline and failing then. */
 static void
 test_late_requests_are_refused_at_once (void)
@@ -344,8 +346,10 @@
   return NULL;
 }
 
+/* If admissions and ends were counted wrongly by concurrent threads, a team would lose part of its
+   limit, or exceed it, until the gate restarts. */
 static void
-test_concurrent_admission (void)
+test_threads_admit_no_more_than_the_limit (void)
 {
   Limiter *limiter = setup (3, 0);
   pthread_t threads[THREADS];
@@ -365,9 +369,9 @@
 {
   static const SuiteCase cases[] = {
     { "concurrent_requests_are_limited", test_concurrent_requests_are_limited },
-    { "tokens", test_tokens },
-    { "shares_add_up", test_shares_add_up },
-    { "share_of_zero", test_share_of_zero },
+    { "tokens", test_token_rate_is_limited },
+    { "shares_add_up_to_the_limit", test_shares_add_up_to_the_limit },
+    { "share_of_zero_refuses_with_retry_after", test_share_of_zero_refuses_with_retry_after },
     { "limit_holds_across_views", test_limit_holds_across_views },
     { "smallest_unsettled_share_applies", test_smallest_unsettled_share_applies },
     { "flood_does_not_starve_others", test_flood_does_not_starve_others },
@@ -376,7 +380,7 @@
     { "late_requests_are_refused_at_once", test_late_requests_are_refused_at_once },
     { "requests_without_deadline_are_refused_first",
       test_requests_without_deadline_are_refused_first },
-    { "concurrent_admission", test_concurrent_admission },
+    { "threads_admit_no_more_than_the_limit", test_threads_admit_no_more_than_the_limit },
   };
 
   return suite_main (argc, argv, "choose_limit", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_load.c
+++ b/tests/test_choose_load.c
@@ -2,11 +2,12 @@
 #include "choose_load.h"
 #include "suite.h"
 
-/* A report arrives 5 s late, and the gate has sent 40 requests since it was taken. If the gate took
-   them to be counted in the report, it would see an idle server and send the next 40 there as well.
+/* A report arrives 5 s late, and the gate has sent 40 requests since it was taken. If the gate
+   assumed that the report counts them, it would see an idle server and send the next 40 there as
+   well.
    */
 static void
-test_late_report_uses_its_own_time (void)
+test_late_report_is_compared_at_its_own_time (void)
 {
   LoadHistory history = { .sample = 0 };
   ServerView view = { .in_flight = 0 };
@@ -29,8 +30,10 @@
   CU_ASSERT_EQUAL (view.in_flight_at_report, 40);
 }
 
+/* After a server's clock is set back its reports seem to be very late. They must not be compared
+   with the gate's requests of that earlier time for ever. */
 static void
-test_server_clock_set_back (void)
+test_offset_is_measured_anew_if_clock_is_set_back (void)
 {
   LoadHistory history = { .sample = 0 };
   ServerView view = { .in_flight = 0 };
@@ -43,7 +46,7 @@
 }
 
 static void
-test_report_older_than_history (void)
+test_report_older_than_history_uses_oldest_sample (void)
 {
   LoadHistory history = { .sample = 0 };
   ServerView view = { .in_flight = 1 };
@@ -64,9 +67,11 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "late_report_uses_its_own_time", test_late_report_uses_its_own_time },
-    { "server_clock_set_back", test_server_clock_set_back },
-    { "report_older_than_history", test_report_older_than_history },
+    { "late_report_is_compared_at_its_own_time", test_late_report_is_compared_at_its_own_time },
+    { "offset_is_measured_anew_if_clock_is_set_back",
+      test_offset_is_measured_anew_if_clock_is_set_back },
+    { "report_older_than_history_uses_oldest_sample",
+      test_report_older_than_history_uses_oldest_sample },
   };
 
   return suite_main (argc, argv, "choose_load", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_quarantine.c
+++ b/tests/test_choose_quarantine.c
@@ -35,7 +35,7 @@
 }
 
 static void
-test_fingerprint (void)
+test_fingerprint_is_of_team_and_body (void)
 {
   CU_ASSERT_EQUAL (quarantine_fingerprint ("a", "body", 4),
                    quarantine_fingerprint ("a", "body", 4));
@@ -162,8 +162,10 @@
   quarantine_free (other);
 }
 
+/* Reports that another VM sent with wrong values must not be read out of bounds, and the newest
+   crashing request must be refused also when the table is full. */
 static void
-test_input_and_table_bounds (void)
+test_out_of_range_reports_and_full_table (void)
 {
   QuarantineDeath news[4];
   QuarantineDeath huge = { .server = 5, .count = ~0U };
@@ -194,14 +196,14 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "fingerprint", test_fingerprint },
+    { "fingerprint", test_fingerprint_is_of_team_and_body },
     { "refused_after_two_servers", test_refused_after_two_servers },
     { "ambiguous_cause_is_not_refused", test_ambiguous_cause_is_not_refused },
     { "pool_outage_refuses_nothing", test_pool_outage_refuses_nothing },
     { "slow_pool_outage_releases", test_slow_pool_outage_releases },
     { "old_deaths_expire", test_old_deaths_expire },
     { "deaths_reported_between_vms", test_deaths_reported_between_vms },
-    { "input_and_table_bounds", test_input_and_table_bounds },
+    { "out_of_range_reports_and_full_table", test_out_of_range_reports_and_full_table },
   };
 
   return suite_main (argc, argv, "choose_quarantine", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_rollout.c
+++ b/tests/test_choose_rollout.c
@@ -40,14 +40,15 @@
 {
   unsigned brakes;
   unsigned stages_at_brake;
-  unsigned answers_at_brake; /**< answers from batch `turns` on, summed over the seeds */
+  unsigned answers_at_brake; /**< answers from the first bad batch on, summed over the seeds */
   unsigned done;             /**< number of seeds in which three stages were passed */
 } Outcome;
 
-/** Runs a roll-out for each seed: from batch turns on the new version behaves like new_behaviour,
- * for one team or, if team is negative, for all; before that it behaves like the old version. */
+/** Runs a roll-out for each seed: from batch first_bad_batch on the new version behaves like
+ * new_behaviour, for one team or, if team is negative, for all; before that it behaves like the old
+ * version. */
 static Outcome
-run (const char *policy_name, const Behaviour *new_behaviour, int team, unsigned turns)
+run (const char *policy_name, const Behaviour *new_behaviour, int team, unsigned first_bad_batch)
 {
   const RolloutPolicy *policy = rollout_policy_find (policy_name);
   Outcome out = { 0 };
@@ -63,14 +64,14 @@
       for (i = 0; i < BATCHES; i++)
         {
           unsigned t = i % TEAMS;
-          bool bad = i >= turns && (team < 0 || (unsigned)team == t);
+          bool bad = i >= first_bad_batch && (team < 0 || (unsigned)team == t);
           RolloutEvidence control = draw (rng, t, &old_behaviour, BATCH);
           RolloutEvidence fresh = draw (rng, t, bad ? new_behaviour : &old_behaviour, BATCH);
           RolloutDecision decision;
 
           rollout_test_add_control (test, &control);
           rollout_test_add (test, &fresh);
-          answers += i >= turns ? BATCH : 0;
+          answers += i >= first_bad_batch ? BATCH : 0;
           decision = policy->decide (test, (int64_t)i * 1000);
           if (decision.verdict == ROLLOUT_BRAKE)
             {
@@ -186,9 +187,9 @@
   rollout_test_free (test);
 }
 
-/* Classes differ in how strictly they are rated, and gates rate them unequally often. Evidence of a
-   strictly rated class compared with a control of mildly rated classes would make a good version
-   look bad. */
+/* Classes differ in how strictly they are rated, and gates don't rate all of them equally often.
+   Evidence of a strictly rated class compared with a control of mildly rated classes would make a
+   good version look bad. */
 static void
 test_only_same_kinds_are_compared (void)
 {
@@ -213,7 +214,7 @@
 }
 
 static void
-test_inputs_out_of_range (void)
+test_evidence_out_of_range_is_ignored (void)
 {
   RolloutTest *test = rollout_test_new (&rollout_settings_default, 0, 0);
   RolloutEvidence e = { .team = 9999, .request_kind = 9999, .answers = 1, .rated = 1 };
@@ -239,7 +240,7 @@
     { "slow_or_failing_version_is_braked", test_slow_or_failing_version_is_braked },
     { "slowness_needs_live_control", test_slowness_needs_live_control },
     { "only_same_kinds_are_compared", test_only_same_kinds_are_compared },
-    { "inputs_out_of_range", test_inputs_out_of_range },
+    { "evidence_out_of_range_is_ignored", test_evidence_out_of_range_is_ignored },
   };
 
   return suite_main (argc, argv, "choose_rollout", cases, SUITE_COUNT (cases));
--- a/tests/test_choose_server.c
+++ b/tests/test_choose_server.c
@@ -155,7 +155,7 @@
 }
 
 static unsigned
-index_of_most (const unsigned *counts)
+index_of_largest (const unsigned *counts)
 {
   unsigned i, most = 0;
 
@@ -178,14 +178,14 @@
 
   query.prefix_hash = 12345;
   count_prefix (&query, 200, counts);
-  first = index_of_most (counts);
+  first = index_of_largest (counts);
   CU_ASSERT (counts[first] > 0);
   /* While idle, the server with the highest hash gets all of them. */
   CU_ASSERT_EQUAL (counts[first], 200);
   views[first].in_flight = 20;
   count_prefix (&query, 200, counts);
   CU_ASSERT_EQUAL (counts[first], 0);
-  second = index_of_most (counts);
+  second = index_of_largest (counts);
   CU_ASSERT_EQUAL (counts[second], 200);
   /* Busier than the others by one request with four slots: affinity still wins. */
   views[second].in_flight = 1;
@@ -203,7 +203,7 @@
 /* An engine that runs half as fast as the others must get fewer requests; by the number of requests
    alone it would get as many, and its callers would wait twice as long. */
 static void
-test_slow_server_gets_less (void)
+test_slow_server_gets_fewer_requests (void)
 {
   ServerQuery query = setup ();
   unsigned i, n, counts[SERVERS] = { 0 };
@@ -239,7 +239,7 @@
     { "unusable_servers_are_skipped", test_unusable_servers_are_skipped },
     { "own_requests_correct_late_report", test_own_requests_correct_late_report },
     { "affinity_is_bounded", test_affinity_is_bounded },
-    { "slow_server_gets_less", test_slow_server_gets_less },
+    { "slow_server_gets_fewer_requests", test_slow_server_gets_fewer_requests },
     { "round_robin_is_even", test_round_robin_is_even },
   };
 
