--- a/src/gate_answer.h
+++ b/src/gate_answer.h
@@ -9,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ANSWER_FINISH_MAX 32
+#define ANSWER_FINISH_MAX 32 /**< bytes of a finish reason, with the final NUL */
 
 typedef struct
 {
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -20,7 +20,8 @@
 /** A refused connection takes one round trip. A failure that takes longer counts as an attempt. */
 #define REFUSED_WITHIN_US INT64_C (100000)
 #define PROBE_TIMEOUT_MS  200
-/** For the death reports of other VMs, before a request whose server died is sent again. */
+/** Longest wait for the death reports of other VMs before a request whose server died is sent
+ *  again. */
 #define RENEWAL_WAIT_MS 100
 
 /** Result of starting an attempt. */
@@ -262,9 +263,9 @@
 static bool
 is_within_budget (const GateRequest *r, const RetryQuery *query)
 {
-  bool late = query->deadline_ms != 0 && query->now_ms >= query->deadline_ms;
+  bool past_deadline = query->deadline_ms != 0 && query->now_ms >= query->deadline_ms;
 
-  return (r->stage_attempts == 0 || r->retry_granted) && query->server_left && !late;
+  return (r->stage_attempts == 0 || r->retry_granted) && query->server_left && !past_deadline;
 }
 
 /* True if another server may be tried after one failed; otherwise r->refusal says why not. A
@@ -354,8 +355,9 @@
                  * config->versions[a->version].cost_per_1k / 1000.0;
 }
 
-/* The server broke off an answer. One connection attempt shows whether it is dead, so that this VM
-   and the others know before the request is sent elsewhere or refused. */
+/* The server broke off an answer. One connection attempt shows whether it is dead, so that the
+   death is recorded here and reported to the other VMs before the request is sent elsewhere or
+   refused. */
 static void
 confirm_death (GateRequest *r, const GateAttempt *a)
 {
--- a/src/gate_attempt.h
+++ b/src/gate_attempt.h
@@ -30,9 +30,9 @@
   int version; /**< version index; -1: a plain service */
   HttpExchange *exchange;
   int http_status;
-  Buffer peeked; /**< bytes of the body already read to see whether it says "not run" */
+  Buffer peeked; /**< bytes of the body already read to find whether the request ran */
   int64_t begun_us;
-  bool first_seen;
+  bool first_token_seen;
   double first_token_ms;
   int guard_reason;  /**< why gate_guard stopped the attempt; REASON_NONE: it did not */
   GateStream stream; /**< engines only */
@@ -53,8 +53,8 @@
 /** Closes the connection and frees the attempt. With SERVER_NEUTRAL, an engine's unfinished answer
  * is recorded in r->cancel. */
 void gate_attempt_end (struct GateRequest *r, ServerResult result);
-/** Tells the engine to cancel the answer recorded in r->cancel. Closing the connection is not
- * enough: the engine then goes on for a while, since the stream could be resumed. */
+/** Cancels the answer recorded in r->cancel at its engine. Closing the connection is not enough:
+ * the engine then continues for a while, since the stream could be resumed. */
 void gate_attempt_cancel (struct GateRequest *r);
 
 #endif
--- a/src/gate_attempt_send.c
+++ b/src/gate_attempt_send.c
@@ -7,10 +7,10 @@
 #include <json-c/json.h>
 #include <stdio.h>
 
-#define HEADERS_MAX       6
-#define NUMBER_MAX        24
-#define PRIORITY_USUAL    "0"
-#define PRIORITY_BORROWED "-1" /* beyond the team's fair share */
+#define HEADERS_MAX           6
+#define NUMBER_MAX            24 /* bytes of a number in text, with the final NUL */
+#define PRIORITY_USUAL        "0"
+#define PRIORITY_BEYOND_SHARE "-1" /* beyond the team's fair share */
 
 static int
 read_timeout_ms (const GateRequest *r)
@@ -57,7 +57,8 @@
   HttpHeader headers[HEADERS_MAX] = {
     { .name = "X-Lovage-Request", .value = a->id },
     { .name = "X-Lovage-Config", .value = config_number },
-    { .name = "X-Lovage-Priority", .value = r->borrowed ? PRIORITY_BORROWED : PRIORITY_USUAL },
+    { .name = "X-Lovage-Priority",
+      .value = r->beyond_fair_share ? PRIORITY_BEYOND_SHARE : PRIORITY_USUAL },
   };
   HttpRequest request = {
     .method = r->method,
--- a/src/gate_attempt_stream.c
+++ b/src/gate_attempt_stream.c
@@ -86,9 +86,9 @@
   GateAttempt *a = r->attempt;
   StreamResult result = gate_stream_next (&a->stream, out, st);
 
-  if (!a->first_seen && (result == STREAM_CHUNK || result == STREAM_END))
+  if (!a->first_token_seen && (result == STREAM_CHUNK || result == STREAM_END))
     {
-      a->first_seen = true;
+      a->first_token_seen = true;
       a->first_token_ms = (double)(clock_boot_us () - a->begun_us) / 1000.0;
       gate_server_first_token (a->server, a->first_token_ms);
     }
--- a/src/gate_callers.c
+++ b/src/gate_callers.c
@@ -21,7 +21,7 @@
 #include <unistd.h>
 
 #define STEP    "http.start"
-#define BACKLOG 1024
+#define BACKLOG 1024 /* connections waiting to be accepted */
 /* Callbacks are deferred: enabling one end over TLS would otherwise run them at once, and they may
  * free the connection while its caller still uses it. */
 #define END_OPTIONS (BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)
@@ -100,9 +100,9 @@
   Handoff *handoff = memory_alloc (sizeof (*handoff));
 
   handoff->fd = fd;
-  handoff->link = gate_link_hold (link);
+  handoff->link = gate_link_ref (link);
   pthread_mutex_lock (&callers->lock);
-  gate_link_release (take_link (callers, fd));
+  gate_link_unref (take_link (callers, fd));
   cds_list_add_tail (&handoff->node, &callers->handoffs);
   pthread_mutex_unlock (&callers->lock);
 }
@@ -155,7 +155,7 @@
   link = gate_link_new ();
   gate_filter_new (caller, server, link, &callers->limits, &callers->filters);
   hand_off (callers, pair[1], link, from, from_len);
-  gate_link_release (link);
+  gate_link_unref (link);
 }
 
 static void
@@ -305,7 +305,7 @@
   gate_filters_free (&callers->filters);
   cds_list_for_each_entry_safe (handoff, next_handoff, &callers->handoffs, node)
   {
-    gate_link_release (handoff->link);
+    gate_link_unref (handoff->link);
     handoff_free (handoff);
   }
   if (callers->listener)
--- a/src/gate_config.c
+++ b/src/gate_config.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define FETCH_TIMEOUT_MS 2000
-#define QUOTED_MAX       400
+#define QUOTED_MAX       400 /* bytes of the quoted errors in a log line */
 
 static bool *brakes_of (Gate *gate, const Config *config);
 static void put_in_force (Gate *gate, Config *config);
@@ -50,7 +50,7 @@
 }
 
 static void
-take_document (Gate *gate, const rpc_document *document)
+apply_config_document (Gate *gate, const rpc_document *document)
 {
   CheckList list = { .file = "configuration" };
   Config *config;
@@ -82,7 +82,7 @@
                        (xdrproc_t)xdr_rpc_document, &document, FETCH_TIMEOUT_MS, &st)
       != STATUS_OK)
     return;
-  take_document (gate, &document);
+  apply_config_document (gate, &document);
   xdr_free ((xdrproc_t)xdr_rpc_document, (char *)&document);
 }
 
--- a/src/gate_evidence.h
+++ b/src/gate_evidence.h
@@ -25,6 +25,8 @@
 
 GateEvidence *gate_evidence_new (void);
 void gate_evidence_free (GateEvidence *evidence);
+/** Counts a complete answer; slow: its first token took longer than EVIDENCE_SLOW_MS. caller is a
+ * hash of the caller's identity, by which distinct callers are counted. */
 void
 gate_evidence_answer (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller, bool slow);
 void gate_evidence_error (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller);
--- a/src/gate_filter.c
+++ b/src/gate_filter.c
@@ -18,7 +18,7 @@
 /* Interval at which a waiting request checks whether its predecessor has been answered. The caller
  * can see the last byte of an answer some microseconds before the link counts it. */
 #define ANSWERED_CHECK_US 1000
-#define READ_BLOCK        4096
+#define READ_BLOCK        4096 /* bytes */
 /* Time for which the caller's bytes are still read and dropped after the last answer: closing a
  * socket with unread bytes resets the connection, and the caller could lose that answer. */
 #define LINGER_S 1
@@ -55,7 +55,7 @@
   if (filter->server)
     bufferevent_free (filter->server);
   gate_framing_clear (&filter->framing);
-  gate_link_release (filter->link);
+  gate_link_unref (filter->link);
   free (filter);
 }
 
@@ -272,7 +272,7 @@
 
   filter->caller = caller;
   filter->server = server;
-  filter->link = gate_link_hold (link);
+  filter->link = gate_link_ref (link);
   filter->timer = evtimer_new (bufferevent_get_base (caller), on_timer, filter);
   gate_framing_init (&filter->framing, limits->head_max);
   cds_list_add_tail (&filter->node, list);
--- a/src/gate_grant.h
+++ b/src/gate_grant.h
@@ -25,7 +25,7 @@
   uint64_t requested;    /**< renewals requested ahead of the interval, counted */
   uint64_t completed;    /**< value of requested when the last finished renewal began */
   int64_t until_ms;      /**< atomic; boot-time clock; end of the grant; 0: none */
-  int64_t members;       /**< atomic; VMs in the membership view; 0: not known */
+  int64_t members;       /**< atomic; VMs in the membership view; 0: unknown */
   int64_t rank;          /**< atomic; position of this VM among them; -1: not a member */
   ClusterBrakes *brakes; /**< used by the grant thread only */
 } GateGrant;
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -14,9 +14,9 @@
 #define STEP              "http.start"
 #define STACK_SIZE        (256UL * 1024) /**< bytes, per connection's thread */
 #define CONNECTION_MEMORY (16UL * 1024)  /**< bytes in addition to the head: responses */
-#define CONNECTIONS_SPARE 64
-#define DRAIN_MAX_MS      500
-#define DRAIN_STEP_MS     10
+#define CONNECTIONS_SPARE 64             /**< in addition to two per request in progress */
+#define DRAIN_MAX_MS      500            /**< longest wait of a stop; see drain */
+#define DRAIN_STEP_MS     10             /**< interval of its checks */
 
 struct GateHttp
 {
@@ -80,7 +80,7 @@
   if (code == MHD_CONNECTION_NOTIFY_CLOSED)
     {
       gate_sweep_remove (http->sweep, c->sweep);
-      gate_link_release (c->link);
+      gate_link_unref (c->link);
       free (c);
       return;
     }
@@ -281,7 +281,7 @@
   int64_t until_ms = clock_boot_ms () + DRAIN_MAX_MS;
 
   gate_callers_stop_accepting (http->callers);
-  while (clock_boot_ms () < until_ms && gate_sweep_open (http->sweep) > 0)
+  while (clock_boot_ms () < until_ms && gate_sweep_active_count (http->sweep) > 0)
     clock_sleep_ms (DRAIN_STEP_MS);
 }
 
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 #define CAPACITY_FACTOR      1.1 /* of the engines' slots; requests beyond the slots wait */
-#define REFRESH_MS           50  /* least time between two computations of the capacity */
+#define REFRESH_INTERVAL_MS  50  /* shortest interval between computations of the capacity */
 #define BYTES_PER_TOKEN      4
 #define OUTPUT_TOKENS        256     /* assumed if the caller sets no smaller max_tokens */
 #define ANSWER_TIME_FIRST_MS 1000    /* assumed until answers have been measured */
@@ -92,7 +92,7 @@
 /*
  * Recomputes capacity: an equal share of the slots or, if the balancer sends this gate more than
  * the others, its own requests plus the slots that the engines report as free, whichever is larger.
- * Done at most every REFRESH_MS, since it reads the state of each engine.
+ * Done at most every REFRESH_INTERVAL_MS, since it reads the state of each engine.
  */
 static void
 refresh (GateLimit *limit, const GateRequest *r, int64_t now_ms)
@@ -103,7 +103,7 @@
   double equal_share;
   double with_free;
 
-  if (limit->at_ms > 0 && now_ms - limit->at_ms < REFRESH_MS)
+  if (limit->at_ms > 0 && now_ms - limit->at_ms < REFRESH_INTERVAL_MS)
     return;
   sums = sum_pool (r->snapshot, now_ms);
   usable_slots = sums.slots * CAPACITY_FACTOR;
@@ -150,10 +150,10 @@
   query.wait_ms = limit->wait_ms;
   pthread_mutex_unlock (&limit->lock);
   verdict = limit_policy_default.admit (limit->limiter, &query);
-  r->limited_tokens = query.tokens;
-  r->limited = verdict.reason == REASON_NONE;
-  r->borrowed = verdict.beyond_fair_share;
-  if (r->limited)
+  r->reserved_tokens = query.tokens;
+  r->limiter_admitted = verdict.reason == REASON_NONE;
+  r->beyond_fair_share = verdict.beyond_fair_share;
+  if (r->limiter_admitted)
     return true;
   refusal_set (&r->refusal, verdict.reason, REQUEST_NOT_RUN, "request.limit", NULL);
   r->refusal.retry_after_ms = verdict.retry_after_ms;
@@ -165,12 +165,12 @@
 {
   int64_t used = 0;
 
-  if (!r->limited)
+  if (!r->limiter_admitted)
     return;
-  r->limited = false;
+  r->limiter_admitted = false;
   for (size_t i = 0; i < r->bill.attempt_count; i++)
     used += r->bill.attempts[i].prompt_tokens + r->bill.attempts[i].completion_tokens;
-  limiter_end (r->gate->limit.limiter, r->snapshot->config, r->team, r->limited_tokens, used);
+  limiter_end (r->gate->limit.limiter, r->snapshot->config, r->team, r->reserved_tokens, used);
 }
 
 void
--- a/src/gate_limit.h
+++ b/src/gate_limit.h
@@ -33,7 +33,7 @@
  * until the other VMs use a membership view that contains it. Always true if no team has a limit.
  */
 bool gate_limit_settled (GateLimit *limit, const Config *config);
-/** Admits r, or returns false with the reason and the retry time in r->refusal. */
+/** Admits r, or returns false with the reason and the retry-after time in r->refusal. */
 bool gate_limit_admit (struct GateRequest *r);
 /** Releases what an admitted request held. Does nothing if it was not admitted. */
 void gate_limit_end (struct GateRequest *r);
--- a/src/gate_link.c
+++ b/src/gate_link.c
@@ -4,7 +4,7 @@
 
 struct GateLink
 {
-  int holders;     /* atomic */
+  int refs;        /* atomic */
   int64_t answers; /* atomic */
 };
 
@@ -13,21 +13,21 @@
 {
   GateLink *link = memory_alloc (sizeof (*link));
 
-  link->holders = 1;
+  link->refs = 1;
   return link;
 }
 
 GateLink *
-gate_link_hold (GateLink *link)
+gate_link_ref (GateLink *link)
 {
-  __atomic_add_fetch (&link->holders, 1, __ATOMIC_RELAXED);
+  __atomic_add_fetch (&link->refs, 1, __ATOMIC_RELAXED);
   return link;
 }
 
 void
-gate_link_release (GateLink *link)
+gate_link_unref (GateLink *link)
 {
-  if (link != NULL && __atomic_sub_fetch (&link->holders, 1, __ATOMIC_ACQ_REL) == 0)
+  if (link != NULL && __atomic_sub_fetch (&link->refs, 1, __ATOMIC_ACQ_REL) == 0)
     free (link);
 }
 
--- a/src/gate_link.h
+++ b/src/gate_link.h
@@ -11,10 +11,10 @@
 
 /** Starts with one reference. */
 GateLink *gate_link_new (void);
-GateLink *gate_link_hold (GateLink *link);
+GateLink *gate_link_ref (GateLink *link);
 /** NULL is allowed. */
-void gate_link_release (GateLink *link);
-/** All bytes of one more answer have been written. */
+void gate_link_unref (GateLink *link);
+/** Counts one more answer, all bytes of which have been written. */
 void gate_link_answered (GateLink *link);
 int64_t gate_link_answers (const GateLink *link);
 
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -18,11 +18,11 @@
 #define MEMBERS_AT_START  9   /* assumed until the first grant gives the number */
 #define GROUP_OPS_MAX     400 /* operations in one transaction */
 #define TABLE_TIMEOUT_MS  1500
-#define SESSION_CACHE_MAX 20000
-#define FILES_PER_STREAM  7 /* see raise_file_limit */
-#define FILES_SPARE       256
-#define STOP_STEP_MS      20
-#define STOP_BILL_MIN_MS  2000
+#define SESSION_CACHE_MAX 20000 /* rows of named sessions */
+#define FILES_PER_STREAM  7     /* see raise_file_limit */
+#define FILES_SPARE       256   /* for all other files and sockets of the process */
+#define STOP_STEP_MS      20    /* interval of checks for requests in progress */
+#define STOP_BILL_MIN_MS  2000  /* shortest time given to usage records that are not durable yet */
 
 /** The gate and the modules that only main starts and stops. */
 typedef struct
@@ -171,8 +171,8 @@
   return true;
 }
 
-/* Refuses new requests, with a retry time, and waits for those in progress. Their connections stay
-   open until they have ended or the stop timeout has passed. */
+/* Refuses new requests, with a retry-after time, and waits for those in progress. Their connections
+   stay open until they have ended or the stop timeout has passed. */
 static void
 wait_for_requests (Gate *gate)
 {
@@ -191,8 +191,8 @@
     }
 }
 
-/* Stops all modules. Usage records that are not durable yet get the rest of the stop timeout.
-   Returns the number of records left. */
+/* Stops all modules. Usage records that are not durable yet get the rest of the stop timeout,
+   but at least STOP_BILL_MIN_MS. Returns the number of records left. */
 static size_t
 stop (Main *m)
 {
--- a/src/gate_pick.c
+++ b/src/gate_pick.c
@@ -44,7 +44,7 @@
 }
 
 static const IndexList *
-list_of (const ServerQuery *query)
+watched_list (const ServerQuery *query)
 {
   int service;
 
@@ -94,7 +94,7 @@
 {
   size_t count = query->config->server_count;
   ServerView *views = view_array_for (count)->views;
-  const IndexList *list = list_of (query);
+  const IndexList *list = watched_list (query);
   int picked = -1;
 
   query->views = views;
--- a/src/gate_poll.c
+++ b/src/gate_poll.c
@@ -65,7 +65,7 @@
 }
 
 static bool
-take_report (GateServer *server, const Buffer *answer)
+apply_report (GateServer *server, const Buffer *answer)
 {
   struct json_object *root = answer->data != NULL ? json_tokener_parse (answer->data) : NULL;
   struct json_object *draining;
@@ -97,7 +97,7 @@
   int http_status = 0;
   Status st = { 0 };
   StatusCode code = http_reader_get (reader, &read, &http_status, &answer, &st);
-  bool taken = code == STATUS_OK && http_status == 200 && take_report (server, &answer);
+  bool taken = code == STATUS_OK && http_status == 200 && apply_report (server, &answer);
 
   if (!taken)
     gate_server_report_missed (server, code == STATUS_UNAVAILABLE, clock_boot_ms ());
@@ -115,7 +115,7 @@
 
 /* Takes over the existing reader of this address, or creates one. */
 static HttpReader *
-take_reader (PollThread *thread, const ConfigServer *server)
+reuse_or_open_reader (PollThread *thread, const ConfigServer *server)
 {
   for (size_t i = 0; thread->engines != NULL && i < thread->engine_count; i++)
     {
@@ -132,7 +132,7 @@
 /* Rebuilds the thread's share: every POLL_THREADSth watched engine. Connections to engines that are
    no longer in the share are closed. */
 static void
-take_engines (PollThread *thread, const GateSnapshot *snapshot)
+rebuild_engines (PollThread *thread, const GateSnapshot *snapshot)
 {
   const Config *config = snapshot->config;
   PollEngine *engines = memory_array (config->server_count + 1, sizeof (*engines));
@@ -145,7 +145,8 @@
         continue;
       if (watched++ % POLL_THREADS == thread->index)
         engines[count++]
-            = (PollEngine){ .server = i, .reader = take_reader (thread, &config->servers[i]) };
+            = (PollEngine){ .server = i,
+                            .reader = reuse_or_open_reader (thread, &config->servers[i]) };
     }
   engines_free (thread->engines, thread->engine_count);
   thread->engines = engines;
@@ -163,7 +164,7 @@
   if (snapshot == NULL)
     return;
   if (thread->engines == NULL || thread->number != snapshot->config->number)
-    take_engines (thread, snapshot);
+    rebuild_engines (thread, snapshot);
   for (size_t i = 0; i < thread->engine_count && i < READS_PER_ROUND; i++)
     {
       const PollEngine *engine = &thread->engines[thread->next];
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -42,7 +42,7 @@
   Gate *gate = r->gate;
   int reason;
 
-  r->admitted = true;
+  r->counted_in_flight = true;
   if (__atomic_add_fetch (&gate->in_flight, 1, __ATOMIC_ACQ_REL) > gate->settings.streams_max)
     return refuse (r, REASON_OVERLOAD, "request.admit");
   /* Checked after the request was counted in in_flight: either a graceful stop sees the count and
@@ -87,7 +87,7 @@
     .request = &choose,
     .estimates = r->gate->estimates,
     .settings = &cascade_settings_default,
-    .rating_available = gate_rating_up (&r->gate->rating),
+    .rating_available = gate_rating_available (&r->gate->rating),
     .rating_ms = gate_rating_ms (&r->gate->rating),
     .random = id_random_u64 (),
   };
--- a/src/gate_probe.c
+++ b/src/gate_probe.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define PORT_SIZE 8
+#define PORT_SIZE 8 /* bytes of a port in text, with the final NUL */
 
 /* Error of a connection attempt in progress; 0 if it succeeded or did not finish in time. */
 static int
--- a/src/gate_rating.c
+++ b/src/gate_rating.c
@@ -17,7 +17,7 @@
 }
 
 bool
-gate_rating_up (GateRating *rating)
+gate_rating_available (GateRating *rating)
 {
   bool up;
 
--- a/src/gate_rating.h
+++ b/src/gate_rating.h
@@ -20,7 +20,7 @@
 } GateRating;
 
 void gate_rating_init (GateRating *rating);
-bool gate_rating_up (GateRating *rating);
+bool gate_rating_available (GateRating *rating);
 double gate_rating_ms (GateRating *rating);
 /** Rates an answer; a NULL answer is rated as an empty one. False: the service gave no rating. */
 bool gate_rating_rate (struct Gate *gate,
--- a/src/gate_raw.c
+++ b/src/gate_raw.c
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 
 #define DRAIN_MAX_MS 1000
-#define DRAIN_BLOCK  16384
+#define DRAIN_BLOCK  16384 /* bytes */
 
 void
 gate_raw_answer (const Refusal *refusal, Buffer *out)
--- a/src/gate_refusal.h
+++ b/src/gate_refusal.h
@@ -1,6 +1,6 @@
 /**
- * Refusals: the table that maps each reason to its HTTP status, text and retry time, and the JSON
- * that callers get.
+ * Refusals: the table that maps each reason to its HTTP status, text and retry-after time, and the
+ * JSON that callers get.
  */
 #ifndef GATE_REFUSAL_H
 #define GATE_REFUSAL_H
@@ -41,8 +41,8 @@
   REQUEST_UNKNOWN
 } RequestState;
 
-#define REFUSAL_STEP_MAX    32
-#define REFUSAL_MESSAGE_MAX 256
+#define REFUSAL_STEP_MAX    32  /**< bytes, with the final NUL */
+#define REFUSAL_MESSAGE_MAX 256 /**< bytes, with the final NUL */
 
 typedef struct
 {
@@ -57,12 +57,12 @@
 const char *refusal_name (int reason);
 int refusal_http_status (int reason);
 const char *refusal_text (int reason);
-/** Default retry time in milliseconds; 0: retrying does not help. */
+/** Default retry-after time in milliseconds; 0: retrying does not help. */
 int64_t refusal_retry_after_ms (int reason);
 const char *request_state_name (RequestState state);
 
-/** Fills *refusal, with the table's retry time. The message is the table's text if format is NULL,
- * otherwise the formatted one. */
+/** Fills *refusal, with the table's retry-after time. The message is the table's text if format is
+ * NULL, otherwise the formatted one. */
 void refusal_set (Refusal *refusal,
                   int reason,
                   RequestState state,
--- a/src/gate_refused.c
+++ b/src/gate_refused.c
@@ -4,7 +4,7 @@
 #include "util_log.h"
 
 #define LOG_LINES_PER_S 10
-#define QUOTED_MAX      320
+#define QUOTED_MAX      320 /* bytes of a quoted message in a log line */
 
 static int64_t counts[REFUSAL_COUNT]; /* atomic */
 static int64_t log_second;            /* atomic */
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -74,7 +74,7 @@
 /* The caller of a claimed request has left. The engine's answer is read to its end and stored with
    the claim, since the request must not run a second time. */
 static void
-run_on (GateRequest *r)
+run_to_end (GateRequest *r)
 {
   while (r->phase == RELAY_OPEN && r->attempt != NULL)
     {
@@ -94,7 +94,7 @@
       return;
     }
   if (r->claimed)
-    run_on (r);
+    run_to_end (r);
   else
     cancel (r);
 }
--- a/src/gate_reorder.c
+++ b/src/gate_reorder.c
@@ -22,7 +22,7 @@
   buffer_add (&slot->data, data, len);
   slot->held = true;
   reorder->held++;
-  return REORDER_TAKEN;
+  return REORDER_ADDED;
 }
 
 bool
--- a/src/gate_reorder.h
+++ b/src/gate_reorder.h
@@ -26,7 +26,7 @@
 
 typedef enum
 {
-  REORDER_TAKEN,
+  REORDER_ADDED,
   REORDER_DUPLICATE, /**< returned or held already; dropped */
   REORDER_TOO_FAR    /**< the gap before it is larger than the window */
 } ReorderResult;
--- a/src/gate_replicas.c
+++ b/src/gate_replicas.c
@@ -8,7 +8,7 @@
 
 #define COPIES_WANTED   2 /* other failure domains */
 #define COPY_TIMEOUT_MS 500
-#define MESSAGE_MAX     (512UL * 1024) /* bytes; a message takes no more records beyond it */
+#define MESSAGE_MAX     (512UL * 1024) /* bytes; a message that has reached it gets no more records */
 
 static void update_peers (Gate *gate);
 static bool copy_to (Gate *gate, GatePeer *peer, const char *const *records, size_t count);
--- a/src/gate_request.c
+++ b/src/gate_request.c
@@ -262,7 +262,7 @@
   gate_run_abandon (r);
   gate_attempt_cancel (r);
   gate_limit_end (r);
-  if (r->admitted)
+  if (r->counted_in_flight)
     __atomic_sub_fetch (&r->gate->in_flight, 1, __ATOMIC_ACQ_REL);
   json_object_put (r->json);
   buffer_free (&r->body);
--- a/src/gate_request.h
+++ b/src/gate_request.h
@@ -15,13 +15,13 @@
 #include <json-c/json.h>
 #include <microhttpd.h>
 
-#define REQUEST_CALLER_MAX 128
-#define REQUEST_KEY_MAX    128 /**< idempotency key */
+#define REQUEST_CALLER_MAX 128 /**< bytes */
+#define REQUEST_KEY_MAX    128 /**< bytes of an idempotency key */
 /** Backend servers that may break off their answers to one request before it is refused: a request
  * that crashes each server that runs it takes down this many at most. */
 #define REQUEST_LOST_MAX 2
 /** Time until the other VMs have the report of a server's death. A caller whose request was running
- * there is told to retry no sooner. */
+ * there gets at least this retry-after time. */
 #define REQUEST_DEATH_PROPAGATION_MS 3000
 /** Attempts of one stage that may end without the request having been sent, for example because a
  * server refuses the connection. Bounded because each costs a round trip. */
@@ -79,16 +79,16 @@
   bool rated;           /**< the current stage's answer is rated before it is relayed */
   bool sampled;         /**< the answer is rated after the caller has received it */
 
-  bool admitted;
-  bool limited;           /**< holds a slot granted by choose_limit */
-  bool borrowed;          /**< beyond its team's fair share: engines run it after other work */
-  int64_t limited_tokens; /**< tokens reserved at admission */
-  bool claimed;
+  bool counted_in_flight;  /**< counted in gate->in_flight */
+  bool limiter_admitted;   /**< admitted by choose_limit; gate_limit_end releases it */
+  bool beyond_fair_share;  /**< beyond its team's fair share: engines run it after other work */
+  int64_t reserved_tokens; /**< tokens reserved at admission */
+  bool claimed;            /**< holds claim, the claim of its idempotency key */
   Claim claim;
   BillRecord bill;
-  bool billed;
-  GateAttempt *attempt; /**< the current attempt, or NULL */
-  unsigned attempt_number;
+  bool billed;             /**< its usage record has been committed */
+  GateAttempt *attempt;    /**< the current attempt, or NULL */
+  unsigned attempt_number; /**< of the latest attempt, over all stages */
   uint8_t *excluded;       /**< by server index: 1 if already tried in this stage */
   GateCancel cancel;       /**< answer to cancel at its engine once the caller has its refusal */
   unsigned stage_attempts; /**< of the current stage, without those in stage_unsent */
@@ -120,8 +120,8 @@
 bool gate_request_past_deadline (const GateRequest *r);
 /** True if a request with the same fingerprint has crashed backend servers before. */
 bool gate_request_quarantined (const GateRequest *r);
-/** After a server's death, raises the refusal's retry time to REQUEST_DEATH_PROPAGATION_MS, so that
- * all VMs have the death report when the caller retries. */
+/** After a server's death, raises the refusal's retry-after time to REQUEST_DEATH_PROPAGATION_MS,
+ * so that all VMs have the death report when the caller retries. */
 void gate_request_raise_retry_after (GateRequest *r);
 const ConfigTeam *gate_request_team (const GateRequest *r);
 /** Frees the request. An unfinished answer is cancelled and billed. */
--- a/src/gate_respond.c
+++ b/src/gate_respond.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define STREAM_BLOCK 4096
+#define STREAM_BLOCK 4096 /* bytes that libmicrohttpd requests at once */
 
 static ssize_t read_stream (void *cls, uint64_t pos, char *buf, size_t max);
 
@@ -120,7 +120,7 @@
 {
   GateRequest *r = cls;
   size_t len;
-  bool there = true;
+  bool caller_present = true;
 
   (void)pos;
   if (r->sent == r->out.len)
@@ -130,10 +130,10 @@
       if (r->phase == RELAY_FAILING)
         return MHD_CONTENT_READER_END_WITH_ERROR;
       gate_respond_pause_timeout (r);
-      there = gate_run_next (r);
+      caller_present = gate_run_next (r);
       gate_respond_resume_timeout (r);
     }
-  if (!there)
+  if (!caller_present)
     return MHD_CONTENT_READER_END_WITH_ERROR;
   len = r->out.len - r->sent;
   if (len > max)
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define SERVICE_ANSWER_MAX (16UL * 1024 * 1024) /* bytes; of collected engines' answers too */
-#define READ_SIZE          4096
+#define READ_SIZE          4096                 /* bytes */
 
 /** Result of one stage of a plan. */
 typedef enum
@@ -52,20 +52,20 @@
    request may be tried at another server, that is, if it is idempotent and its deadline has not
    passed. */
 static bool
-retry_after_cut (GateRequest *r, const Status *st)
+end_cut_attempt (GateRequest *r, const Status *st)
 {
-  bool late = gate_request_past_deadline (r);
+  bool past_deadline = gate_request_past_deadline (r);
 
   r->may_have_run = true;
-  if (!late)
+  if (!past_deadline)
     {
       r->lost_answers++;
       gate_learn_error (r);
     }
   gate_attempt_bill (r, false);
-  gate_attempt_end (r, late ? SERVER_NEUTRAL : SERVER_FAILED);
+  gate_attempt_end (r, past_deadline ? SERVER_NEUTRAL : SERVER_FAILED);
   buffer_clear (&r->out);
-  if (late)
+  if (past_deadline)
     {
       refusal_set (&r->refusal, REASON_DEADLINE_PAST, REQUEST_UNKNOWN, "attempt.read", NULL);
       return false;
@@ -91,7 +91,7 @@
         case STREAM_CALLER_LEFT:
           return STAGE_CALLER_LEFT;
         case STREAM_CUT:
-          if (!retry_after_cut (r, &st))
+          if (!end_cut_attempt (r, &st))
             return STAGE_FAILED;
         }
     }
@@ -233,7 +233,7 @@
           gate_bill_commit (r, BILL_ANSWERED);
           return RUN_COMPLETE;
         }
-      if (!retry_after_cut (r, &st))
+      if (!end_cut_attempt (r, &st))
         break;
     }
   return RUN_REFUSED;
--- a/src/gate_sample.c
+++ b/src/gate_sample.c
@@ -31,7 +31,7 @@
   pthread_mutex_t lock;
   pthread_cond_t filled;
   struct cds_list_head queue;
-  unsigned waiting;
+  unsigned waiting; /* samples in queue */
   bool stop;
 };
 
@@ -50,7 +50,7 @@
 
 /* Waits for the next sample. NULL: the thread is to end. */
 static Sample *
-take (GateSample *sample)
+wait_for_sample (GateSample *sample)
 {
   Sample *s = NULL;
 
@@ -73,7 +73,7 @@
   GateSample *sample = context;
   Sample *s;
 
-  while ((s = take (sample)) != NULL)
+  while ((s = wait_for_sample (sample)) != NULL)
     {
       Gate *gate = sample->gate;
       double score = 0;
--- a/src/gate_servers.c
+++ b/src/gate_servers.c
@@ -11,7 +11,7 @@
 /* Longest time between an aborted answer and the refused connection that shows that its server
  * died. */
 #define DEATH_WINDOW_MS   5000
-#define BUSY_PAUSE_MS     100 /* no new requests for so long after the server said that it is busy */
+#define BUSY_BACKOFF_MS   100 /* without new requests, after the server answered SERVER_BUSY */
 #define LATENCY_SMOOTHING 0.1 /* weight of the newest value in the moving averages */
 
 static GateServer *server_find (GateServers *servers, const char *name);
@@ -20,7 +20,7 @@
 void
 gate_servers_init (GateServers *servers, const char *vm, const char *failure_domain)
 {
-  *servers = (GateServers){ .node = id_hash_string (vm, 0), .failure_domain = failure_domain };
+  *servers = (GateServers){ .vm_hash = id_hash_string (vm, 0), .failure_domain = failure_domain };
   pthread_mutex_init (&servers->lock, NULL);
   CDS_INIT_LIST_HEAD (&servers->list);
 }
@@ -174,7 +174,7 @@
 
 /* Called with the lock held after a connection was refused. If answers were broken off shortly
    before, the server died while it ran them. All requests in progress there are added to the
-   report, also those whose threads have not noticed the death yet: reported one by one, the first
+   report, also those whose threads have not detected the death yet: reported one by one, the first
    would look like the cause. A server that was stopped or became unreachable has broken off no
    answers. */
 static bool
@@ -234,8 +234,8 @@
 static void
 view_busy (ServerView *view, int64_t now_ms)
 {
-  if (view->open_until_ms < now_ms + BUSY_PAUSE_MS)
-    view->open_until_ms = now_ms + BUSY_PAUSE_MS;
+  if (view->open_until_ms < now_ms + BUSY_BACKOFF_MS)
+    view->open_until_ms = now_ms + BUSY_BACKOFF_MS;
 }
 
 void
--- a/src/gate_servers.h
+++ b/src/gate_servers.h
@@ -39,7 +39,7 @@
 {
   pthread_mutex_t lock;
   struct cds_list_head list;
-  uint64_t node;               /**< hash of this VM's name */
+  uint64_t vm_hash;            /**< hash of this VM's name */
   const char *failure_domain;  /**< of this VM */
   Quarantine *quarantine;      /**< deaths observed by any VM; NULL: not recorded */
   Quarantine *observed_deaths; /**< those observed by this VM, for the others; NULL: not recorded */
@@ -54,7 +54,7 @@
 GateServer **gate_servers_resolve (GateServers *servers, const Config *config);
 void gate_server_put (GateServer *server);
 
-/** What the end of an attempt says about the server's health. */
+/** Outcome of an attempt, as it affects the server's health. */
 typedef enum
 {
   SERVER_SUCCEEDED,
@@ -65,8 +65,8 @@
 } ServerResult;
 
 void gate_server_begin (GateServer *server, int64_t now_ms);
-/** The attempt's last byte is about to be sent: if the server dies from now on, the request counts
- * as running there. */
+/** Called before the attempt's last byte is sent: if the server dies from then on, the request
+ * counts as running there. */
 void gate_server_running (GateServer *server, uint64_t fingerprint);
 void gate_server_first_token (GateServer *server, double ms);
 /** Ends an attempt. fingerprint is the request's (choose_quarantine.h), or 0. */
@@ -74,7 +74,7 @@
 gate_server_end (GateServer *server, ServerResult result, uint64_t fingerprint, int64_t now_ms);
 /** Records the mean time between the tokens of a complete answer, in milliseconds. */
 void gate_server_token_time (GateServer *server, double ms);
-/** Records a load report from the server, made at at_ms by the server's clock. */
+/** Records a load report from the server, taken at at_ms on the server's clock. */
 void
 gate_server_report (GateServer *server, int64_t load, bool draining, int64_t at_ms, int64_t now_ms);
 /** Records that the server's load report could not be read; refused says whether its port refused
--- a/src/gate_snapshot.c
+++ b/src/gate_snapshot.c
@@ -26,14 +26,14 @@
 void
 gate_rcu_register (void)
 {
-  static __thread bool entered;
+  static __thread bool thread_registered;
 
-  if (entered)
+  if (thread_registered)
     return;
   pthread_once (&rcu_once, rcu_key_make);
   rcu_register_thread ();
   pthread_setspecific (rcu_key, &rcu_once);
-  entered = true;
+  thread_registered = true;
 }
 
 GateSnapshot *
@@ -46,7 +46,8 @@
   snapshot->braked = memory_array (config->version_count + 1, sizeof (bool));
   memcpy (snapshot->braked, braked, config->version_count * sizeof (bool));
   snapshot->servers = gate_servers_resolve (servers, config);
-  snapshot->index = server_index_new (config, servers->node, servers->failure_domain, INDEX_SUBSET);
+  snapshot->index
+      = server_index_new (config, servers->vm_hash, servers->failure_domain, INDEX_SUBSET);
   return snapshot;
 }
 
--- a/src/gate_sse.h
+++ b/src/gate_sse.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SSE_EVENT_NAME_MAX 32
+#define SSE_EVENT_NAME_MAX 32 /**< bytes, with the final NUL; longer names are truncated */
 
 typedef struct
 {
--- a/src/gate_stream.c
+++ b/src/gate_stream.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #define STEP           "stream"
-#define READ_SIZE      4096
-#define EVENT_SIZE_MAX (256UL * 1024)
+#define READ_SIZE      4096           /* bytes */
+#define EVENT_SIZE_MAX (256UL * 1024) /* bytes */
 #define DONE_MARK      "[DONE]"
 
 /** Result of one step towards the next chunk. */
@@ -14,7 +14,7 @@
   STEP_CALLER_LEFT
 } StreamStep;
 
-static StreamStep take_event (GateStream *stream, Status *st);
+static StreamStep handle_event (GateStream *stream, Status *st);
 static StreamStep read_more (GateStream *stream, Status *st);
 static StreamStep resume (GateStream *stream, Status *st);
 
@@ -85,7 +85,7 @@
 }
 
 static StreamStep
-take_event (GateStream *stream, Status *st)
+handle_event (GateStream *stream, Status *st)
 {
   SseEvent *event = &stream->event;
 
@@ -115,7 +115,7 @@
     case REORDER_DUPLICATE:
       stream->duplicates++;
       return STEP_AGAIN;
-    case REORDER_TAKEN:
+    case REORDER_ADDED:
       break;
     }
   return STEP_AGAIN;
@@ -127,7 +127,7 @@
   switch (sse_parser_next (&stream->parser, &stream->event))
     {
     case SSE_EVENT:
-      return take_event (stream, st);
+      return handle_event (stream, st);
     case SSE_MALFORMED:
       status_set (st, STATUS_UNKNOWN, STEP, NULL, "the stream's events can't be read");
       return resume (stream, st);
--- a/src/gate_stream.h
+++ b/src/gate_stream.h
@@ -21,7 +21,7 @@
   /** Closes the current connection and reopens the stream from chunk number from.
    *  STATUS_NOT_FOUND: the engine no longer has it. */
   StatusCode (*resume) (void *context, int64_t from, Status *st);
-  /** True if the caller has left and nobody waits for the answer any more. */
+  /** True if the caller has left, so that the answer is no longer needed. */
   bool (*caller_left) (void *context);
   /** Waits before the n-th resumption, counted from 0. */
   void (*pause) (void *context, unsigned n);
--- a/src/gate_sweep.c
+++ b/src/gate_sweep.c
@@ -26,7 +26,7 @@
   struct cds_list_head list;
   int fd;
   SweepState state;
-  int64_t since_ms;
+  int64_t since_ms; /* boot-time clock; when the state was set */
 };
 
 struct GateSweep
@@ -175,7 +175,7 @@
 }
 
 size_t
-gate_sweep_open (GateSweep *sweep)
+gate_sweep_active_count (GateSweep *sweep)
 {
   size_t open = 0;
   SweepEntry *entry;
--- a/src/gate_sweep.h
+++ b/src/gate_sweep.h
@@ -1,7 +1,7 @@
 /**
  * Closes connections whose request takes too long to arrive. A thread checks all connections at
  * regular intervals. libmicrohttpd's own time-out is not enough: each byte restarts it, so a caller
- * that sends a byte now and then could occupy a thread for ever.
+ * that sends a byte now and then could occupy a thread without end.
  */
 #ifndef GATE_SWEEP_H
 #define GATE_SWEEP_H
@@ -23,7 +23,7 @@
 void gate_sweep_working (GateSweep *sweep, SweepEntry *entry);
 /** Number of connections that are not idle: nothing, or a part of a request, has arrived, or a
  * request is being answered. */
-size_t gate_sweep_open (GateSweep *sweep);
+size_t gate_sweep_active_count (GateSweep *sweep);
 /** Call when the request has been answered and the connection waits for the next one. */
 void gate_sweep_idle (GateSweep *sweep, SweepEntry *entry);
 
--- a/src/gate_thread.c
+++ b/src/gate_thread.c
@@ -1,7 +1,7 @@
 #include "gate_thread.h"
 #include "util_assert.h"
 
-#define STACK_SIZE (256UL * 1024)
+#define STACK_SIZE (256UL * 1024) /* bytes */
 
 void
 gate_thread_start (pthread_t *thread, void *(*run) (void *context), void *context)
--- a/src/gate_watch.c
+++ b/src/gate_watch.c
@@ -8,11 +8,11 @@
 #include <string.h>
 
 #define WATCH_INTERVAL_MS 100
-#define CANCELS_PER_ROUND 32
+#define CANCELS_PER_ROUND 32 /* answers collected under one hold of the lock */
 #define CANCEL_TIMEOUT_MS 1000
-#define CANCEL_ANSWER_MAX 4096
-#define ADDRESS_MAX       64
-#define UNRESPONSIVE_MAX  16 /* engines remembered */
+#define CANCEL_ANSWER_MAX 4096 /* bytes */
+#define ADDRESS_MAX       64   /* bytes, with the final NUL */
+#define UNRESPONSIVE_MAX  16   /* engines kept */
 #define UNRESPONSIVE_MS   5000
 
 /** An answer to cancel at its engine, copied so that the lock is not held during the call. */
--- a/src/gate_watch.h
+++ b/src/gate_watch.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 #include <urcu/list.h>
 
-#define WATCH_ID_MAX 48
+#define WATCH_ID_MAX 48 /**< bytes of an attempt's id, with the final NUL */
 
 typedef struct
 {
@@ -44,7 +44,7 @@
 /** Records that part of the answer is being relayed to the caller. */
 void gate_watch_set_relayed (WatchEntry *entry);
 bool gate_watch_is_relayed (const WatchEntry *entry);
-/** True if the watch thread has seen the caller leave. */
+/** True if the watch thread has detected that the caller left. */
 bool gate_watch_caller_left (const WatchEntry *entry);
 /** True if the peer has closed its side of the socket; makes a system call. */
 bool gate_watch_socket_closed (int fd);
--- a/tests/fake_gate.c
+++ b/tests/fake_gate.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REPLICA_MAX      (8U << 20)
+#define REPLICA_MAX      (8U << 20) /* bytes */
 #define TABLE_TIMEOUT_MS 1000
 
 FakeSite
--- a/tests/fake_gate.h
+++ b/tests/fake_gate.h
@@ -8,7 +8,7 @@
 #include "bill_recover.h"
 #include "fake_link.h"
 
-/** The platform and a steward of another failure domain. */
+/** The platform, and the replica of usage records at a steward of another failure domain. */
 typedef struct
 {
   Platform *platform;
--- a/tests/fake_server.c
+++ b/tests/fake_server.c
@@ -26,7 +26,7 @@
   int resumed;
   int connections;
   int requests;
-  int left;
+  int aborted;
   size_t body;
 };
 
@@ -36,13 +36,13 @@
 {
   for (;;)
     {
-      struct pollfd look = { .fd = fd, .events = POLLIN };
+      struct pollfd pfd = { .fd = fd, .events = POLLIN };
       pthread_mutex_lock (&s->lock);
       bool stopping = s->stopping;
       pthread_mutex_unlock (&s->lock);
       if (stopping)
         return false;
-      if (poll (&look, 1, POLL_MS) > 0)
+      if (poll (&pfd, 1, POLL_MS) > 0)
         return true;
     }
 }
@@ -153,12 +153,12 @@
   pthread_mutex_unlock (&s->lock);
   if (!read_request (s, fd))
     return;
-  bool stayed = !answer.text || send_answer (s, fd, &answer);
+  bool delivered = !answer.text || send_answer (s, fd, &answer);
   char block[64];
-  if (stayed && answer.keep_open && wait_readable (s, fd) && read (fd, block, sizeof block) <= 0)
-    stayed = false;
+  if (delivered && answer.keep_open && wait_readable (s, fd) && read (fd, block, sizeof block) <= 0)
+    delivered = false;
   pthread_mutex_lock (&s->lock);
-  s->left += !stayed;
+  s->aborted += !delivered;
   pthread_mutex_unlock (&s->lock);
 }
 
@@ -181,16 +181,17 @@
 fake_server_new (const FakeAnswer *answer)
 {
   FakeServer *s = memory_alloc (sizeof *s);
-  struct sockaddr_in where = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-  socklen_t len = sizeof where;
+  struct sockaddr_in address
+      = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
+  socklen_t len = sizeof address;
   s->answer = *answer;
   pthread_mutex_init (&s->lock, NULL);
   pthread_cond_init (&s->changed, NULL);
   s->fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (bind (s->fd, (struct sockaddr *)&where, sizeof where) != 0 || listen (s->fd, 64) != 0
-      || getsockname (s->fd, (struct sockaddr *)&where, &len) != 0)
+  if (bind (s->fd, (struct sockaddr *)&address, sizeof address) != 0 || listen (s->fd, 64) != 0
+      || getsockname (s->fd, (struct sockaddr *)&address, &len) != 0)
     abort ();
-  s->port = ntohs (where.sin_port);
+  s->port = ntohs (address.sin_port);
   if (pthread_create (&s->thread, NULL, run_server, s) != 0)
     abort ();
   return s;
@@ -257,7 +258,7 @@
 int
 fake_server_aborted (FakeServer *server)
 {
-  return read_count (server, &server->left);
+  return read_count (server, &server->aborted);
 }
 
 size_t
--- a/tests/fake_server.h
+++ b/tests/fake_server.h
@@ -11,8 +11,8 @@
 typedef struct
 {
   const char *text;  /**< NULL: no answer at all */
-  size_t len;        /**< 0: the whole text */
-  size_t pause_at;   /**< bytes after which it waits for fake_server_resume; 0: never */
+  size_t len;        /**< 0: the complete text */
+  size_t pause_at;   /**< bytes after which the server waits for fake_server_resume; 0: never */
   int byte_delay_ms; /**< pause before each byte; 0: all at once */
   bool keep_open;    /**< the connection is left open until the client closes it */
 } FakeAnswer;
@@ -24,7 +24,7 @@
 int fake_server_port (const FakeServer *server);
 /** Sets the answer for connections accepted from now on. */
 void fake_server_answer (FakeServer *server, const FakeAnswer *answer);
-/** Lets an answer that waits at pause_at go on. */
+/** Continues an answer that waits at pause_at. */
 void fake_server_resume (FakeServer *server);
 
 int fake_server_connections (FakeServer *server);
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -14,7 +14,7 @@
 
 /** Each report covers the time since the last one, by team, and counts distinct callers. */
 static void
-test_report_since_last (void)
+test_report_covers_time_since_last (void)
 {
   GateEvidence *evidence = gate_evidence_new ();
   rpc_evidence out[4];
@@ -121,7 +121,7 @@
 }
 
 /** For an engine that sends load reports but fails its attempts, the breaker stays open for its
- * time. */
+ * interval. */
 static void
 test_reports_do_not_close_the_breaker (void)
 {
@@ -233,7 +233,7 @@
 
 /*
  * A crash prompt and an innocent request run at two engines that die one after the other. The
- * thread of the innocent request notices the death first each time; reported alone, that request
+ * thread of the innocent request detects the death first each time; reported alone, that request
  * would look like the cause. The death report contains all requests that ran there, so neither is
  * quarantined, and the end of the second one adds nothing. A request that was answered before the
  * death, or never sent, is not in the report. The callback is called once for each death.
@@ -284,8 +284,8 @@
 }
 
 /*
- * A crash prompt is sent to one VM, then to another, and each observes one death. Only with the
- * reports of both can they tell that one prompt caused the deaths, and then both quarantine it. A
+ * A crash prompt is sent to one VM, then to another, and each observes one death. Only the
+ * reports of both show that one prompt caused the deaths, and then both quarantine it. A
  * report that comes back to the VM that made it changes nothing.
  */
 static void
@@ -328,7 +328,7 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "report-since-last", test_report_since_last },
+    { "report-covers-time-since-last", test_report_covers_time_since_last },
     { "put-back-entries-are-sent-once", test_put_back_entries_are_sent_once },
     { "caller-count-is-bounded", test_caller_count_is_bounded },
     { "refused-connection-opens-breaker", test_refused_connection_opens_breaker },
--- a/tests/test_gate_framing.c
+++ b/tests/test_gate_framing.c
@@ -3,7 +3,7 @@
 #include "suite.h"
 #include <string.h>
 
-#define HEAD_MAX 1000
+#define HEAD_MAX 1000 /* bytes */
 
 typedef struct
 {
--- a/tests/test_gate_pick.c
+++ b/tests/test_gate_pick.c
@@ -11,7 +11,7 @@
 #define SERVERS  120
 #define VERSIONS 3
 #define DOMAINS  4
-#define NOW      INT64_C (1000000)
+#define NOW_MS   INT64_C (1000000)
 #define CHOICES  400
 
 typedef struct
@@ -77,7 +77,7 @@
                         .excluded = s->excluded,
                         .prefix_hash = random % 3,
                         .random = random,
-                        .now_ms = NOW,
+                        .now_ms = NOW_MS,
                         .index = s->index };
 }
 
@@ -121,12 +121,12 @@
 load_at_random (const Site *s)
 {
   for (unsigned i = 0; i < SERVERS; i++)
-    gate_server_report (s->states[i], (int64_t)(id_hash (&i, sizeof i, 3) % 20), i % 7 == 0, NOW,
-                        NOW);
+    gate_server_report (s->states[i], (int64_t)(id_hash (&i, sizeof i, 3) % 20), i % 7 == 0, NOW_MS,
+                        NOW_MS);
 }
 
 /* Copying fewer states must not change the choice: otherwise a gate could send requests to a server
- * that it knows to be draining or failing. */
+ * whose state it has as draining or failing. */
 static void
 test_same_choice_as_with_all_states (void)
 {
@@ -149,7 +149,7 @@
 
   load_at_random (s);
   for (unsigned k = 0; k < list->count; k++)
-    gate_server_report (s->states[list->servers[k]], 0, true, NOW, NOW);
+    gate_server_report (s->states[list->servers[k]], 0, true, NOW_MS, NOW_MS);
   CU_ASSERT_TRUE (compare_picks (s) > 0);
   for (unsigned i = 0; i < CHOICES; i++)
     {
--- a/tests/test_gate_poll.c
+++ b/tests/test_gate_poll.c
@@ -15,17 +15,17 @@
 typedef struct
 {
   Gate gate;
-  FakeHttpServer *keepers[ENGINES];
+  FakeHttpServer *engines[ENGINES];
   int expected; /**< number of requests or open connections to wait for */
 } Site;
 
 static int
-sum (const Site *site, int (*count) (const FakeHttpServer *keeper))
+sum (const Site *site, int (*count) (const FakeHttpServer *engine))
 {
   int n = 0;
 
   for (int i = 0; i < ENGINES; i++)
-    n += count (site->keepers[i]);
+    n += count (site->engines[i]);
   return n;
 }
 
@@ -47,7 +47,7 @@
     buffer_printf (&text,
                    "%s\"e%d\":{\"kind\":\"engine\",\"address\":\"127.0.0.1\",\"port\":%d,"
                    "\"failure_domain\":\"oita\",\"serves\":[\"draft@v%d\"],\"slots\":4}",
-                   i > 0 ? "," : "", i, fake_http_server_port (site->keepers[i]), i);
+                   i > 0 ? "," : "", i, fake_http_server_port (site->engines[i]), i);
   buffer_add_string (&text, "}}");
   config = config_parse (text.data, text.len, number, &list);
   if (config == NULL)
@@ -96,7 +96,7 @@
   int64_t seconds;
 
   for (int i = 0; i < ENGINES; i++)
-    site->keepers[i] = fake_http_server_new ("{\"running\":1,\"queued\":2,\"at_ms\":5}");
+    site->engines[i] = fake_http_server_new ("{\"running\":1,\"queued\":2,\"at_ms\":5}");
   gate_servers_init (&site->gate.servers, "vm-1", "oita");
   publish (site, ENGINES, 1);
   from_ms = clock_boot_ms ();
@@ -122,7 +122,7 @@
   gate_poll_stop (poll);
   gate_snapshot_put (site->gate.snapshots.newest);
   for (int i = 0; i < ENGINES; i++)
-    fake_http_server_free (site->keepers[i]);
+    fake_http_server_free (site->engines[i]);
   free (site);
 }
 
--- a/tests/test_gate_refusal.c
+++ b/tests/test_gate_refusal.c
@@ -20,11 +20,11 @@
 }
 
 /*
- * Guards against a client that is told to retry although a retry cannot succeed, and so retries for
- * ever, and against one that is refused for a temporary reason and not told to retry.
+ * Guards against a retry-after time in a refusal where a retry cannot succeed, so that the client
+ * retries without end, and against a refusal for a temporary reason without a retry-after time.
  */
 static void
-test_retry_time_only_if_retry_helps (void)
+test_retry_after_only_if_it_helps (void)
 {
   static const int temporary[] = { REASON_NO_SERVER,         REASON_TEAM_LIMIT,
                                    REASON_OVERLOAD,          REASON_NO_GRANT,
@@ -105,7 +105,7 @@
 {
   static const SuiteCase suite[] = {
     { "every-reason-has-an-entry", test_every_reason_has_an_entry },
-    { "retry-time-only-if-retry-helps", test_retry_time_only_if_retry_helps },
+    { "retry-after-only-if-it-helps", test_retry_after_only_if_it_helps },
     { "json", test_json_of_a_refusal },
     { "message", test_message_default_and_truncation },
   };
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -322,9 +322,9 @@
 
 /*
  * The caller of a crash prompt sends it again at once. The deaths of the first two engines are
- * known before the refusal is sent, so the second request takes down none. The retry time of the
- * refusal is long enough for the death reports to reach the other VMs. Engines that only break off
- * an answer are not dead.
+ * known before the refusal is sent, so the second request takes down none. The retry-after time of
+ * the refusal is long enough for the death reports to reach the other VMs. Engines that only break
+ * off an answer are not dead.
  */
 static void
 test_crash_prompt_resent_at_once (void)
@@ -395,7 +395,7 @@
 }
 
 /** While the table service is down, a non-idempotent request cannot be claimed: it does not run,
- * and its caller is told so. */
+ * and its refusal says so. */
 static void
 test_no_claim_no_run (void)
 {
@@ -411,7 +411,7 @@
 
 /*
  * A version is withdrawn after a request was planned and before its last byte is sent. The engine
- * gets an incomplete body, the caller is told that the request did not run, and nothing is billed.
+ * gets an incomplete body, the refusal says that the request did not run, and nothing is billed.
  */
 static void
 test_withdrawn_before_the_last_byte (void)
--- a/tests/test_gate_stream.c
+++ b/tests/test_gate_stream.c
@@ -31,7 +31,7 @@
 } StreamCase;
 
 static const StreamCase cases[] = {
-  { .name = "whole",
+  { .name = "complete",
     .connections = { CHUNK (0, "a") CHUNK (1, "b") CHUNK (2, "c") FINISH (3) DONE },
     .result = STREAM_END,
     .text = "abc",
@@ -309,7 +309,7 @@
 }
 
 /*
- * Guards against an engine that goes on generating for a caller that has left. The stream checks
+ * Guards against an engine that continues to generate for a caller that has left. The stream checks
  * for this before each read and before each resumption.
  */
 static void
@@ -374,7 +374,7 @@
       for (unsigned i = 0; i < 6; i++)
         {
           char text[2] = { (char)('0' + order[i]), '\0' };
-          CU_ASSERT_EQUAL (reorder_push (&reorder, order[i], text, 1), REORDER_TAKEN);
+          CU_ASSERT_EQUAL (reorder_push (&reorder, order[i], text, 1), REORDER_ADDED);
           CU_ASSERT_EQUAL (reorder_push (&reorder, order[i], "x", 1), REORDER_DUPLICATE);
           while (reorder_pop (&reorder, &out, &number))
             {
