--- a/bench/steps.h
+++ b/bench/steps.h
@@ -159,7 +159,7 @@
 /** The VM's clock, ms. */
 int64_t steps_clock (const StepsSite *site, unsigned slot);
 /** True if the VM's steward is up and not frozen. */
-bool steps_is_awake (const StepsSite *site, unsigned slot);
+bool steps_is_running (const StepsSite *site, unsigned slot);
 
 /* steps_fault.c */
 /** Begins a phase with a random mix of faults. */
--- a/bench/steps_network.c
+++ b/bench/steps_network.c
@@ -80,7 +80,7 @@
         continue;
       if (site->vms[m->to].state == NULL)
         m->used = false;
-      if (!m->used || !steps_is_awake (site, m->to))
+      if (!m->used || !steps_is_running (site, m->to))
         continue;
       m->used = false;
       receive (site, m);
--- a/bench/steps_run.c
+++ b/bench/steps_run.c
@@ -41,7 +41,7 @@
   site->now += (int64_t)steps_random (site, 6);
   steps_table_step (site);
   steps_deliver (site);
-  if (steps_is_awake (site, slot))
+  if (steps_is_running (site, slot))
     {
       if (!site->fault_free && steps_random (site, 20) == 0)
         steps_steward_submit (site, slot);
--- a/bench/steps_steward.c
+++ b/bench/steps_steward.c
@@ -14,7 +14,7 @@
 }
 
 bool
-steps_is_awake (const StepsSite *site, unsigned slot)
+steps_is_running (const StepsSite *site, unsigned slot)
 {
   const StepsVm *vm = &site->vms[slot];
 
@@ -62,7 +62,7 @@
   unsigned from = (unsigned)steps_random (site, STEPS_SLOTS);
   ClusterState *s = site->vms[slot].state;
 
-  if (from == slot || !steps_is_awake (site, from) || !steps_reaches (site, slot, from))
+  if (from == slot || !steps_is_running (site, from) || !steps_reaches (site, slot, from))
     return;
   if (cluster_state_wanted_number (s) > cluster_state_number (s))
     cluster_state_apply (s, cluster_state_number (site->vms[from].state));
@@ -164,7 +164,7 @@
 }
 
 static void
-take_rows (StepsSite *site, StepsVm *vm, const StepsOp *op)
+merge_read_rows (StepsSite *site, StepsVm *vm, const StepsOp *op)
 {
   vm->rows = op->rows;
   vm->has_rows = true;
@@ -187,7 +187,7 @@
   if (op->answer_lost || !op->committed)
     return;
   if (op->kind == STEPS_READ)
-    take_rows (site, vm, op);
+    merge_read_rows (site, vm, op);
   if (op->kind == STEPS_SUBMIT)
     cluster_state_apply (vm->state, op->number);
   if (op->kind == STEPS_VIEW)
--- a/src/bill_recover.c
+++ b/src/bill_recover.c
@@ -35,9 +35,9 @@
 };
 
 void
-bill_gate_key (uint64_t gate, char out[BILL_GATE_KEY])
+bill_gate_key (uint64_t gate, char out[BILL_GATE_KEY_SIZE])
 {
-  snprintf (out, BILL_GATE_KEY, "%016" PRIx64, gate);
+  snprintf (out, BILL_GATE_KEY_SIZE, "%016" PRIx64, gate);
 }
 
 char *
@@ -216,7 +216,7 @@
 /* Handles one page of rows and moves `from` past the last one. */
 static StatusCode
 page_recover (Platform *platform,
-              char from[BILL_GATE_KEY + 1],
+              char from[BILL_GATE_KEY_SIZE + 1],
               bool *more,
               BillGateAlive alive,
               void *context,
@@ -236,7 +236,7 @@
         code = gate_recover (platform, &rows.rows[i], gate, out, st);
     }
   if (*more)
-    snprintf (from, BILL_GATE_KEY + 1, "%s ", rows.rows[rows.count - 1].key);
+    snprintf (from, BILL_GATE_KEY_SIZE + 1, "%s ", rows.rows[rows.count - 1].key);
   platform_rows_clear (&rows);
   return code;
 }
@@ -248,7 +248,7 @@
                       BillRecovery *out,
                       Status *st)
 {
-  char from[BILL_GATE_KEY + 1] = "";
+  char from[BILL_GATE_KEY_SIZE + 1] = "";
   bool more = true;
   StatusCode code = status_ok (st);
 
--- a/src/bill_recover.h
+++ b/src/bill_recover.h
@@ -11,8 +11,8 @@
 
 #include "bill_replica.h"
 
-#define BILL_GATE_TABLE "bill_gate"
-#define BILL_GATE_KEY   20
+#define BILL_GATE_TABLE    "bill_gate"
+#define BILL_GATE_KEY_SIZE 20
 
 /** Number of passes without a new object after which the row of a terminated gate is deleted.
  *  Passes have to be at least 10 s apart, so that in all they last much longer than a write to the
@@ -28,7 +28,7 @@
 } BillRecovery;
 
 /** Key in table bill_gate of the gate with this incarnation. */
-void bill_gate_key (uint64_t gate, char out[BILL_GATE_KEY]);
+void bill_gate_key (uint64_t gate, char out[BILL_GATE_KEY_SIZE]);
 /** Row value: the number of the first object that may have records that are not in the table, and
  *  the number of passes without a new object. Freed with free. */
 char *bill_gate_text (uint32_t next, int passes);
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -108,7 +108,7 @@
 static void
 index_write (BillWriter *writer, uint32_t objects)
 {
-  char key[BILL_GATE_KEY];
+  char key[BILL_GATE_KEY_SIZE];
   char *text = bill_gate_text (objects, 0);
   TxnOp op = { .kind = TXN_PUT, .table = BILL_GATE_TABLE, .key = key, .value = text };
   StatusCode code;
--- a/src/cluster_view_text.c
+++ b/src/cluster_view_text.c
@@ -105,7 +105,7 @@
 }
 
 static bool
-take_member (const MemberFields *f, const char *path, ClusterMember *out, CheckList *list)
+copy_member (const MemberFields *f, const char *path, ClusterMember *out, CheckList *list)
 {
   *out = (ClusterMember){ .port = (int)f->port };
   snprintf (out->vm, sizeof out->vm, "%s", f->vm);
@@ -122,7 +122,7 @@
 
   snprintf (path, sizeof path, "members[%zu]", index);
   bool ok = field_read (member_specs, sizeof member_specs / sizeof *member_specs, o, &f, path, list)
-            && take_member (&f, path, out, list);
+            && copy_member (&f, path, out, list);
   free (f.vm);
   free (f.address);
   free (f.failure_domain);
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -338,7 +338,7 @@
 }
 
 static StewardSuspicion
-judge_silence (const Steward *s, int64_t now)
+classify_silence (const Steward *s, int64_t now)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   bool silent[CLUSTER_MEMBERS_MAX] = { false };
@@ -352,7 +352,7 @@
       StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       silent[i] = state == STEWARD_MEMBER_SUSPECT || state == STEWARD_MEMBER_DEAD;
     }
-  return steward_suspicion_judge (view, silent, cluster_view_find (view, s->incarnation));
+  return steward_suspicion_classify (view, silent, cluster_view_find (view, s->incarnation));
 }
 
 void
@@ -363,7 +363,7 @@
   bool changed;
 
   pthread_mutex_lock (&s->cluster.lock);
-  found = judge_silence (s, now);
+  found = classify_silence (s, now);
   changed = found.kind != kept->kind;
   *kept = found;
   pthread_mutex_unlock (&s->cluster.lock);
--- a/src/steward_fetch.c
+++ b/src/steward_fetch.c
@@ -16,7 +16,7 @@
 #define CALL_TIMEOUT_MS 1000
 /* Delay before peers are asked. The table's thread reads the table in the meantime; while the
    table answers, a fetch from peers is seldom needed. */
-#define TABLE_HEAD_START_MS 300
+#define PEER_FETCH_DELAY_MS 300
 #define IDLE_INTERVAL_MS    1000
 
 struct StewardFetch
@@ -178,7 +178,7 @@
 static void
 wait_for_table (StewardFetch *f)
 {
-  int64_t end = clock_boot_ms () + TABLE_HEAD_START_MS;
+  int64_t end = clock_boot_ms () + PEER_FETCH_DELAY_MS;
 
   while (!f->stop && clock_boot_ms () < end)
     (void)wait_ms (&f->wake, &f->lock, end - clock_boot_ms ());
--- a/src/steward_orders.c
+++ b/src/steward_orders.c
@@ -201,7 +201,7 @@
 }
 
 static bool
-wants_orders (const ConfigServer *server)
+gets_orders (const ConfigServer *server)
 {
   return server->kind == SERVER_ENGINE && !server->leaving && server->version_count > 0;
 }
@@ -220,7 +220,7 @@
       int64_t fence = steward_duty_fence (o->duty);
       if (fence == 0)
         break;
-      if (wants_orders (&config->servers[i]))
+      if (gets_orders (&config->servers[i]))
         update_engine (o, config, &config->servers[i], fence, in_force);
     }
   config_unref (config);
@@ -295,7 +295,7 @@
     {
       const ConfigServer *server = &config->servers[i];
       const Engine *engine;
-      if (!wants_orders (server) || !serves (server, version))
+      if (!gets_orders (server) || !serves (server, version))
         continue;
       engine = find (o, server->name);
       sent = engine != NULL && engine->fence == fence && engine->number >= config->number;
--- a/src/steward_removal.c
+++ b/src/steward_removal.c
@@ -63,7 +63,7 @@
 /* True if more than half of the other listed members are alive, so that the silence is not due to
    this VM's own network. The lock is held by the caller. */
 static bool
-hears_listed (Steward *s, const ClusterView *view, const PlatformVms *vms, int64_t now)
+most_listed_alive (Steward *s, const ClusterView *view, const PlatformVms *vms, int64_t now)
 {
   size_t others = 0;
   size_t alive = 0;
@@ -90,7 +90,7 @@
   bool may;
 
   pthread_mutex_lock (&s->cluster.lock);
-  may = s->cluster.suspicion.kind != STEWARD_SUSPECT_SELF || hears_listed (s, view, vms, now);
+  may = s->cluster.suspicion.kind != STEWARD_SUSPECT_SELF || most_listed_alive (s, view, vms, now);
   pthread_mutex_unlock (&s->cluster.lock);
   return may;
 }
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -88,7 +88,7 @@
 }
 
 static bool
-nobody_alive (void *context, uint64_t gate)
+no_gate_alive (void *context, uint64_t gate)
 {
   (void)context;
   (void)gate;
@@ -108,7 +108,7 @@
   for (;;)
     {
       size_t written = 0;
-      StatusCode code = bill_replica_flush (s->bills, s->platform, nobody_alive, NULL,
+      StatusCode code = bill_replica_flush (s->bills, s->platform, no_gate_alive, NULL,
                                             clock_boot_ms (), &written, NULL);
 
       bill_replica_size (s->bills, &size);
--- a/src/steward_submit.c
+++ b/src/steward_submit.c
@@ -229,7 +229,7 @@
 }
 
 static void
-read_winner (Attempt *a, StewardSubmitResult *out)
+read_newest_number (Attempt *a, StewardSubmitResult *out)
 {
   StewardHead head;
 
@@ -271,7 +271,7 @@
       out->outcome = commit (&a, out);
       if (out->outcome == STEWARD_SUBMIT_CONFLICT)
         {
-          read_winner (&a, out);
+          read_newest_number (&a, out);
           /* A condition that failed can't hold later. */
           again = out->head == submission->base && submission->condition == NULL;
         }
--- a/src/steward_suspicion.c
+++ b/src/steward_suspicion.c
@@ -68,7 +68,7 @@
 /* When most members are silent at once, what they have in common is the path to this VM: it is cut
    off, was paused, or the platform's network has failed. */
 StewardSuspicion
-steward_suspicion_judge (const ClusterView *view, const bool *silent, int self)
+steward_suspicion_classify (const ClusterView *view, const bool *silent, int self)
 {
   StewardSuspicion s = { 0 };
 
--- a/src/steward_suspicion.h
+++ b/src/steward_suspicion.h
@@ -24,7 +24,7 @@
 } StewardSuspicion;
 
 /** silent: by index of the member in the view; self: index of this steward, or -1. */
-StewardSuspicion steward_suspicion_judge (const ClusterView *view, const bool *silent, int self);
+StewardSuspicion steward_suspicion_classify (const ClusterView *view, const bool *silent, int self);
 const char *steward_suspect_name (StewardSuspect kind);
 
 #endif
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -332,7 +332,7 @@
       quiet[i] = silent[i] == 's';
       snprintf (view->members[i].failure_domain, CLUSTER_NAME_MAX, "%s", domains[i / 3]);
     }
-  suspicion = steward_suspicion_judge (view, quiet, 0);
+  suspicion = steward_suspicion_classify (view, quiet, 0);
   free (view);
   return suspicion;
 }
@@ -355,7 +355,7 @@
 /* The list is empty or of another site, as after a fault of the platform. By such a list all
    members would be removed. */
 static void
-test_foreign_list_removes_nobody (void)
+test_foreign_list_removes_no_member (void)
 {
   static const int without_first[] = { 1 };
   StewardRemoval *r = steward_removal_new ();
@@ -387,7 +387,7 @@
       test_members_are_removed_after_replacement_of_all },
     { "steward_that_is_not_waited_for_gets_no_grant",
       test_steward_that_is_not_waited_for_gets_no_grant },
-    { "foreign_list_removes_nobody", test_foreign_list_removes_nobody },
+    { "foreign_list_removes_nobody", test_foreign_list_removes_no_member },
   };
 
   return suite_main (argc, argv, "steward_view", cases, SUITE_COUNT (cases));
