--- a/src/bill.h
+++ b/src/bill.h
@@ -1,6 +1,6 @@
 /**
  * Billing: each request that ran gets exactly one usage record in the table service. While the
- * table is unavailable a record is stored in a fallback and brought to the table later. See
+ * table is unavailable a record is stored in a fallback and written to the table later. See
  * docs/design/billing.md.
  */
 #ifndef BILL_H
@@ -13,8 +13,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define BILL_KEY_MAX      128
-#define BILL_NAME_MAX     64
+/* Bytes, including the NUL. */
+#define BILL_KEY_MAX  128
+#define BILL_NAME_MAX 64
+
 #define BILL_ATTEMPTS_MAX 8
 
 typedef enum
@@ -83,12 +85,12 @@
 {
   PlatformGroup *group;
   Platform *platform;
-  uint64_t gate;          /**< incarnation of this gate */
-  size_t spool_max;       /**< bytes of records that are not in the table yet */
-  int table_timeout_ms;   /**< after this the first fallback is tried */
-  size_t in_progress_max; /**< most requests in progress at once, for which room is reserved; 0: a
-                               quarter of spool_max is reserved */
-  int batch_interval_ms;  /**< least time between two batches to a fallback; 0: none */
+  uint64_t gate;             /**< incarnation of this gate */
+  size_t spool_max;          /**< bytes of records that are not in the table yet */
+  int table_timeout_ms;      /**< of a write to the table, before the first fallback is tried */
+  size_t in_progress_max;    /**< upper bound on requests in progress, for which room is reserved;
+                                  0: a quarter of spool_max is reserved */
+  int batch_interval_ms;     /**< minimum interval between batches to a fallback; 0: none */
   BillReplicator replicator; /**< copy may be NULL */
 } BillOptions;
 
--- a/src/bill_entry.c
+++ b/src/bill_entry.c
@@ -181,7 +181,8 @@
   return entry;
 }
 
-/* True if the text is a valid record and its outcome is (answered) or is not BILL_ANSWERED. */
+/* True if the text is a valid record whose outcome is BILL_ANSWERED (answered: true) or another one
+ * (answered: false). */
 static bool
 text_is_answered (const char *text, bool answered)
 {
--- a/src/bill_entry.h
+++ b/src/bill_entry.h
@@ -8,13 +8,13 @@
 #include <urcu/list.h>
 
 #define BILL_TABLE     "bill"
-#define BILL_ENTRY_OPS 2 /**< most table operations of one entry */
+#define BILL_ENTRY_OPS 2 /**< upper bound on the table operations of one entry */
 
 typedef struct
 {
   struct cds_list_head node;
-  int refs;
-  BillPlace place;     /**< best place reached */
+  int refs;            /**< references */
+  BillPlace place;     /**< first place, in the order of BillPlace, that has the entry */
   bool spooled;        /**< in a BillSpool */
   bool storing;        /**< bill_commit is storing it in a fallback */
   bool refused;        /**< the table service rejected it as malformed */
--- a/src/bill_fallback.c
+++ b/src/bill_fallback.c
@@ -17,7 +17,7 @@
 #define BATCH_BYTES_MAX   (4U << 20)
 #define DONE_KEYS_MAX     100000 /* queued for the replicas; further ones are dropped */
 
-/* One call of bill_fallback_store; lives on its caller's stack. */
+/* One call of bill_fallback_store, on its caller's stack. */
 typedef struct
 {
   struct cds_list_head node;
@@ -34,7 +34,7 @@
   BillReplicator replicator;
   int timeout_ms;
   int batch_interval_ms;
-  int64_t batch_next_ms; /* earliest time of the next batch */
+  int64_t next_batch_at_ms; /* earliest time of the next batch */
   pthread_mutex_t lock;
   pthread_cond_t work;
   pthread_cond_t finished;
@@ -292,7 +292,7 @@
   Job *job, *next;
 
   batch_collect (fallback, &batch);
-  fallback->batch_next_ms = clock_boot_ms () + fallback->batch_interval_ms;
+  fallback->next_batch_at_ms = clock_boot_ms () + fallback->batch_interval_ms;
   pthread_mutex_unlock (&fallback->lock);
   place = batch_store (fallback, &batch, indexed);
   pthread_mutex_lock (&fallback->lock);
@@ -340,7 +340,7 @@
   pthread_mutex_lock (&fallback->lock);
   while (!fallback->stopping || !cds_list_empty (&fallback->jobs))
     {
-      int64_t delay_ms = fallback->batch_next_ms - clock_boot_ms ();
+      int64_t delay_ms = fallback->next_batch_at_ms - clock_boot_ms ();
       bool jobs = !cds_list_empty (&fallback->jobs);
 
       if (jobs && delay_ms > 0 && !fallback->stopping)
--- a/src/bill_recover.h
+++ b/src/bill_recover.h
@@ -15,15 +15,15 @@
 #define BILL_GATE_KEY_SIZE 20
 
 /** Number of passes without a new object after which the row of a terminated gate is deleted.
- *  Passes have to be at least 10 s apart, so that in all they last much longer than a write to the
- *  object store can take. */
+ *  Passes have to be at least 10 s apart, so that together they last much longer than a write to
+ *  the object store can be delayed. */
 #define BILL_RECOVER_PASSES 30
 
 typedef struct
 {
-  size_t gates;   /**< terminated gates whose objects were looked for */
+  size_t gates;   /**< terminated gates whose objects were read */
   size_t objects; /**< read */
-  size_t records; /**< certainly in the table now */
+  size_t records; /**< that are in the table now */
   size_t refused; /**< rejected as malformed by the table service: not in the table */
 } BillRecovery;
 
--- a/src/bill_replica.c
+++ b/src/bill_replica.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUCKETS          1024 /* a power of two */
+#define BUCKETS          1024 /* of the hash table of copies; a power of two */
 #define FLUSH_MAX        128  /* records of one transaction */
 #define FLUSH_TIMEOUT_MS 2000
 #define DONE_NAME        "done"
@@ -19,7 +19,7 @@
   struct cds_list_head node;  /* of the bucket */
   struct cds_list_head order; /* of all, oldest first */
   uint64_t gate;
-  int64_t taken_ms;
+  int64_t taken_ms; /* boot clock */
   BillEntry *entry;
 } Copy;
 
--- a/src/bill_replica.h
+++ b/src/bill_replica.h
@@ -8,7 +8,7 @@
 
 #include "bill_entry.h"
 
-/** After this time copies of a running gate are written too: its report may have been lost. */
+/** Age from which copies of a running gate are written too: its report may have been lost. */
 #define BILL_REPLICA_HOLD_MS INT64_C (600000)
 
 typedef struct BillReplica BillReplica;
--- a/src/bill_spool.h
+++ b/src/bill_spool.h
@@ -39,7 +39,7 @@
 /** True if more than half of the room is used and bill_spool_spill can free some of it. */
 bool bill_spool_may_spill (const BillSpool *spool);
 /** Removes the oldest entries that are in the object store until half of the room is free; returns
- *  how many. The caller has to bring them to the table from the object store. */
+ *  how many. The caller has to write them to the table from the object store. */
 size_t bill_spool_spill (BillSpool *spool);
 
 #endif
--- a/src/bill_writer.c
+++ b/src/bill_writer.c
@@ -41,7 +41,7 @@
     return 0;
   pthread_mutex_lock (&writer->lock);
   writer->stopping = true;
-  writer->stop_ms = clock_boot_ms () + timeout_ms;
+  writer->stop_at_ms = clock_boot_ms () + timeout_ms;
   pthread_cond_signal (&writer->work);
   pthread_mutex_unlock (&writer->lock);
   pthread_join (writer->thread, NULL);
--- a/src/bill_writer_private.h
+++ b/src/bill_writer_private.h
@@ -21,15 +21,15 @@
   PlatformBreaker breaker; /* of the table */
   bool full;               /* the spool is full, which has been logged */
   bool stopping;
-  int64_t stop_ms;           /* with stopping: when to end with records left */
-  int64_t flush_next_ms;     /* earliest next transaction from the spool */
-  int64_t index_next_ms;     /* earliest next write of the gate's row */
-  int64_t unspill_next_ms;   /* earliest next read of the spilled records */
-  bool indexed;              /* the gate's row is in the table */
-  uint32_t objects_in_table; /* value in the gate's row: the objects before it are in the table */
-  size_t spilled;            /* records in later objects that are no longer in the spool */
-  uint32_t unspill_object;   /* the next object to read for the spilled records */
-  bool unspill_refused;      /* the table service refused a spilled record: all are read again */
+  int64_t stop_at_ms;         /* with stopping: when the thread ends even if records are left */
+  int64_t next_flush_at_ms;   /* earliest next transaction from the spool */
+  int64_t next_index_at_ms;   /* earliest next write of the gate's row */
+  int64_t next_unspill_at_ms; /* earliest next read of the spilled records */
+  bool indexed;               /* the gate's row is in the table */
+  uint32_t objects_in_table;  /* value in the gate's row: the objects before it are in the table */
+  size_t spilled;             /* records in later objects that are no longer in the spool */
+  uint32_t unspill_object;    /* the next object to read for the spilled records */
+  bool unspill_refused;       /* a spilled record was refused: all of them are read again later */
   pthread_t thread;
 };
 
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -98,9 +98,9 @@
     flush_entries (writer, entries, count);
   if (writer->breaker.open)
     retry_fallback (writer);
-  writer->flush_next_ms = clock_boot_ms () + FLUSH_PAUSE_MS;
-  if (writer->breaker.open && writer->breaker.try_next_ms > writer->flush_next_ms)
-    writer->flush_next_ms = writer->breaker.try_next_ms;
+  writer->next_flush_at_ms = clock_boot_ms () + FLUSH_PAUSE_MS;
+  if (writer->breaker.open && writer->breaker.try_next_ms > writer->next_flush_at_ms)
+    writer->next_flush_at_ms = writer->breaker.try_next_ms;
 }
 
 /* Writes the gate's row, by which stewards find its objects: at the start, and whenever all records
@@ -127,7 +127,7 @@
       writer->indexed = true;
       writer->objects_in_table = objects;
     }
-  writer->index_next_ms = clock_boot_ms () + INDEX_RETRY_MS;
+  writer->next_index_at_ms = clock_boot_ms () + INDEX_RETRY_MS;
 }
 
 /* Writes spilled records to the table, from up to UNSPILL_MAX objects. Other records of the same
@@ -149,12 +149,12 @@
   writer->unspill_object = next;
   writer->unspill_refused = writer->unspill_refused || recovery.refused > 0;
   if (code != STATUS_OK)
-    writer->unspill_next_ms = clock_boot_ms () + INDEX_RETRY_MS;
+    writer->next_unspill_at_ms = clock_boot_ms () + INDEX_RETRY_MS;
   else if (recovery.objects < UNSPILL_MAX && writer->unspill_refused)
     {
       writer->unspill_object = writer->objects_in_table;
       writer->unspill_refused = false;
-      writer->unspill_next_ms = clock_boot_ms () + BILL_REFUSED_RETRY_MS;
+      writer->next_unspill_at_ms = clock_boot_ms () + BILL_REFUSED_RETRY_MS;
     }
   else if (recovery.objects < UNSPILL_MAX)
     writer->spilled = 0;
@@ -163,7 +163,7 @@
 static bool
 index_is_due (BillWriter *writer, uint32_t *objects)
 {
-  if (clock_boot_ms () < writer->index_next_ms)
+  if (clock_boot_ms () < writer->next_index_at_ms)
     return false;
   *objects = bill_fallback_objects (writer->fallback);
   if (!writer->indexed)
@@ -177,7 +177,7 @@
 unspill_is_due (const BillWriter *writer)
 {
   return writer->spilled > 0 && writer->spool.count == 0
-         && clock_boot_ms () >= writer->unspill_next_ms;
+         && clock_boot_ms () >= writer->next_unspill_at_ms;
 }
 
 static bool
@@ -185,21 +185,21 @@
 {
   bool all_written = writer->spool.count == 0 && writer->spilled == 0;
 
-  return writer->stopping && (all_written || clock_boot_ms () >= writer->stop_ms);
+  return writer->stopping && (all_written || clock_boot_ms () >= writer->stop_at_ms);
 }
 
-/* Time of the next thing to do; the `work` condition may wake the thread before. */
+/* Time of the next action that is due; the `work` condition may wake the thread before. */
 static int64_t
 next_wake (const BillWriter *writer)
 {
-  int64_t at = writer->indexed ? clock_boot_ms () + INDEX_RETRY_MS : writer->index_next_ms;
-
-  if (writer->spool.count > 0 && writer->flush_next_ms < at)
-    at = writer->flush_next_ms;
-  if (writer->spilled > 0 && writer->spool.count == 0 && writer->unspill_next_ms < at)
-    at = writer->unspill_next_ms;
-  if (writer->stopping && writer->stop_ms < at)
-    at = writer->stop_ms;
+  int64_t at = writer->indexed ? clock_boot_ms () + INDEX_RETRY_MS : writer->next_index_at_ms;
+
+  if (writer->spool.count > 0 && writer->next_flush_at_ms < at)
+    at = writer->next_flush_at_ms;
+  if (writer->spilled > 0 && writer->spool.count == 0 && writer->next_unspill_at_ms < at)
+    at = writer->next_unspill_at_ms;
+  if (writer->stopping && writer->stop_at_ms < at)
+    at = writer->stop_at_ms;
   return at;
 }
 
@@ -218,7 +218,7 @@
         writer->spilled += bill_spool_spill (&writer->spool);
       else if (unspill_is_due (writer))
         unspill (writer);
-      else if (writer->spool.count > 0 && clock_boot_ms () >= writer->flush_next_ms)
+      else if (writer->spool.count > 0 && clock_boot_ms () >= writer->next_flush_at_ms)
         flush (writer);
       else
         wait_ms (&writer->work, &writer->lock, next_wake (writer) - clock_boot_ms ());
--- a/src/claim.c
+++ b/src/claim.c
@@ -8,10 +8,10 @@
 
 #define STEP "claim.take"
 
-/* Bounds on finding out whether an insert with a lost reply took effect. */
+/* Limits on finding out whether a write with a lost reply took effect. */
 #define TRIES_MAX          4
 #define RESOLVE_TIMEOUT_MS 2000
-#define READ_TIMEOUT_MS    500
+#define CALL_TIMEOUT_MS    500 /* of one read or take-over */
 
 static const CounterId result_counters[] = {
   [CLAIM_TAKEN] = COUNTER_CLAIM_TAKEN,
@@ -21,7 +21,7 @@
   [CLAIM_UNAVAILABLE] = COUNTER_CLAIM_UNAVAILABLE,
 };
 
-/* Result of one read or write of the row. */
+/* Result of one insert or read of the row. */
 typedef enum
 {
   TRY_DONE,  /* out->result is set */
@@ -54,7 +54,7 @@
     { .kind = TXN_CHECK, .table = CLAIM_TABLE, .key = out->claim.key, .version = version },
     { .kind = TXN_PUT, .table = CLAIM_TABLE, .key = out->claim.key, .value = text },
   };
-  StatusCode code = platform->ops->txn (platform, ops, 2, READ_TIMEOUT_MS, st);
+  StatusCode code = platform->ops->txn (platform, ops, 2, CALL_TIMEOUT_MS, st);
 
   txn_ops_clear (ops, 2);
   if (code == STATUS_OK)
@@ -137,7 +137,7 @@
   PlatformRow row = { .key = NULL };
   TryResult result = TRY_AGAIN;
 
-  if (platform->ops->get (platform, CLAIM_TABLE, out->claim.key, READ_TIMEOUT_MS, &row, st)
+  if (platform->ops->get (platform, CLAIM_TABLE, out->claim.key, CALL_TIMEOUT_MS, &row, st)
           == STATUS_OK
       && row.version > 0)
     result = evaluate_row (platform, row.value, row.version, text, out, st);
--- a/src/claim.h
+++ b/src/claim.h
@@ -13,7 +13,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CLAIM_KEY_MAX    192
+#define CLAIM_KEY_MAX    192   /**< bytes of a row key, including the NUL */
 #define CLAIM_ANSWER_MAX 65536 /**< bytes; longer ones are not stored, a retry gets "unknown" */
 
 typedef enum
--- a/src/claim_release.c
+++ b/src/claim_release.c
@@ -12,10 +12,10 @@
 
 #define STEP "claim.release"
 
-#define TRIES_MAX    3
-#define TIMEOUT_MS   500
-#define RETRY_MS     500
-#define RELEASES_MAX 4096 /* queued */
+#define TRIES_MAX         3    /* of one release: another attempt may change the row meanwhile */
+#define TIMEOUT_MS        500  /* of one call of the table service */
+#define RETRY_INTERVAL_MS 500  /* after a failed release */
+#define RELEASES_MAX      4096 /* queued */
 
 typedef struct
 {
@@ -173,7 +173,7 @@
       if (releaser->count == 0)
         pthread_cond_wait (&releaser->work, &releaser->lock);
       else if (!release_first (releaser) && !releaser->stopping)
-        wait_ms (&releaser->work, &releaser->lock, RETRY_MS);
+        wait_ms (&releaser->work, &releaser->lock, RETRY_INTERVAL_MS);
     }
   pthread_mutex_unlock (&releaser->lock);
   return NULL;
--- a/src/claim_row.c
+++ b/src/claim_row.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_HASH_LEN 16
-#define TEAM_MAX     63
+#define KEY_HASH_LEN 16 /* bytes of the hash of an idempotency key */
+#define TEAM_MAX     63 /* bytes of a team's name in a row key */
 
 static const char *const state_names[] = {
   [CLAIM_STARTED] = "started",
--- a/src/cluster.h
+++ b/src/cluster.h
@@ -12,8 +12,8 @@
 #include <stdint.h>
 
 #define CLUSTER_MEMBERS_MAX 512
-#define CLUSTER_NAME_MAX    32
-#define CLUSTER_ADDRESS_MAX 48
+#define CLUSTER_NAME_MAX    32 /**< bytes; for names of VMs and failure domains including the NUL */
+#define CLUSTER_ADDRESS_MAX 48 /**< bytes, including the NUL */
 
 /** A time before all others: the event has not happened or its time is not known. */
 #define CLUSTER_NEVER INT64_MIN
@@ -34,7 +34,7 @@
 /**
  * The membership view, as stored in the view row of the table service. A view is *established*, or
  * *pending* until a majority of the members of the last established view (previous) are known to
- * have heard of it or are proved dead.
+ * have seen it or are proved dead.
  */
 typedef struct
 {
--- a/src/cluster_brake.h
+++ b/src/cluster_brake.h
@@ -17,8 +17,8 @@
 
 #include "cluster.h"
 
-#define CLUSTER_BRAKES_MAX 256
-#define CLUSTER_WHY_MAX    129
+#define CLUSTER_BRAKES_MAX 256 /**< versions that have a brake or a release */
+#define CLUSTER_WHY_MAX    129 /**< bytes of a reason, including the NUL */
 
 typedef struct
 {
--- a/src/cluster_grant.c
+++ b/src/cluster_grant.c
@@ -21,7 +21,7 @@
   return (x < y) - (x > y);
 }
 
-/* A member that has applied a newer number or heard of a newer view does not support our grant: its
+/* A member that has applied a newer number or seen a newer view does not support our grant: its
    vote may have been counted to accept a patch that we have not applied. Any other member had not
    applied such a patch at its as_of time. */
 static bool
@@ -77,8 +77,8 @@
 }
 
 /* Under a pending view either set may accept the next number: the previous members do now, and the
-   new ones as soon as the view is established, which we may not hear of. So both majorities are
-   needed. */
+   new ones as soon as the view is established, which this steward may not see. So both majorities
+   are needed. */
 static Quorum
 quorum_of_view (const ClusterState *s, int64_t now)
 {
--- a/src/cluster_lease.h
+++ b/src/cluster_lease.h
@@ -9,7 +9,7 @@
  * the same time, whatever the offset of their clocks. Each take-over increments the fence; the row
  * is never deleted.
  *
- * An order is a command that the holder sends in its duty. Orders are sent with a timeout of
+ * An order is a command that the holder sends in its duty. Orders are sent with a time-out of
  * flight_ms, and only while the lease lasts at least that much longer; a successor waits lease_ms +
  * flight_ms. So an order arrives before the successor's first one even if the holder was paused for
  * up to flight_ms between its check and the send. After a longer pause the fencing number protects
@@ -24,15 +24,15 @@
 #include "cluster.h"
 #include "util_status.h"
 
-#define CLUSTER_HOLDER_MAX 33
+#define CLUSTER_HOLDER_MAX 33 /**< bytes, including the NUL */
 
 /** The row's value with its version; version 0: there is no row. */
 typedef struct
 {
   char holder[CLUSTER_HOLDER_MAX]; /**< empty: released */
   int64_t fence;
-  int64_t lease_ms; /**< of the holder: a successor waits at least that long */
-  int64_t version;
+  int64_t lease_ms; /**< of the holder: a successor waits at least that long; 0: released */
+  int64_t version;  /**< of the row */
 } ClusterLeaseRow;
 
 typedef struct
@@ -40,7 +40,7 @@
   const char *holder; /**< our own name: the steward's incarnation, 16 hexadecimal digits */
   int64_t lease_ms;   /**< how long one renewal lasts */
   int64_t renew_ms;   /**< time from the send of one renewal to the next; under lease_ms / 2 */
-  int64_t flight_ms;  /**< timeout with which orders are sent: none arrives later */
+  int64_t flight_ms;  /**< time-out with which orders are sent: none arrives later */
   int64_t read_ms;    /**< interval at which a steward that is not the holder reads the row */
 } ClusterLeaseOptions;
 
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -5,9 +5,9 @@
  * docs/design/configuration.md shows why the merge is correct.
  *
  * What is known of an incarnation is (number, view, as_of) and states two bounds:
- * - a lower bound from now on: it has applied `number` and has heard of `view`;
- * - an upper bound at the time as_of: by then it had applied no number above `number` and heard of
- *   no view newer than `view`.
+ * - a lower bound from now on: it has applied `number` and has seen `view`;
+ * - an upper bound at the time as_of: by then it had applied no number above `number` and seen no
+ *   view newer than `view`.
  *
  * Number and view of a running incarnation never decrease, so merging by the maximum of each of the
  * three values keeps both bounds, in any order and with duplicates.
@@ -22,7 +22,8 @@
 /** age_ms of news that is a lower bound only. */
 #define CLUSTER_AGE_UNKNOWN UINT32_MAX
 
-/** Outstanding asks; a new one replaces the older one with the same nonce modulo this. */
+/** Upper bound on the outstanding asks; a new ask replaces the one with the same nonce modulo this
+ *  number. */
 #define CLUSTER_ASKS_MAX 2048
 
 /** The clocks of two VMs drift apart by at most one part in this many. */
@@ -38,7 +39,7 @@
 {
   uint64_t incarnation;
   int64_t number;  /**< newest configuration number applied */
-  int64_t view;    /**< newest view number heard of */
+  int64_t view;    /**< newest view number seen */
   uint32_t age_ms; /**< time since as_of, or CLUSTER_AGE_UNKNOWN */
 } ClusterNews;
 
@@ -47,7 +48,7 @@
 {
   uint64_t nonce;       /**< of the ask; the answer repeats it */
   uint64_t incarnation; /**< of the sender */
-  int64_t view;         /**< newest view number that the sender has heard of */
+  int64_t view;         /**< newest view number that the sender has seen */
   int64_t number;       /**< newest configuration number that the sender applies */
   int64_t accepted;     /**< newest accepted number that the sender knows */
   int64_t ages_view;    /**< 0: no packed ages */
@@ -102,7 +103,7 @@
 bool cluster_state_apply (ClusterState *s, int64_t number);
 int64_t cluster_state_number (const ClusterState *s);
 
-/** Newest durable number heard of from the table or from peers. The caller fetches it if it is
+/** Newest durable number seen, from the table or from peers. The caller fetches it if it is
  *  above cluster_state_number. */
 int64_t cluster_state_wanted_number (const ClusterState *s);
 
@@ -113,11 +114,11 @@
 /** Makes view our own. It was read from the table or from a peer that has adopted it; a view whose
  *  write is not known to be committed must not be adopted. False if it is not newer than ours, or
  *  if our applied number is below view->head: the caller applies that first and tries again. Its
- *  number counts as heard of in any case. */
+ *  number counts as seen in any case. */
 bool cluster_state_adopt_view (ClusterState *s, const ClusterView *view);
 /** The view adopted last; its number is 0 if there is none. */
 const ClusterView *cluster_state_view (const ClusterState *s);
-/** Newest view number heard of. The caller fetches it if it is above that of cluster_state_view. */
+/** Newest view number seen. The caller fetches it if it is above that of cluster_state_view. */
 int64_t cluster_state_wanted_view (const ClusterState *s);
 
 /** What is known of an incarnation, or of our own; NULL if nothing is. Valid until the next call
--- a/src/cluster_state_private.h
+++ b/src/cluster_state_private.h
@@ -27,9 +27,9 @@
   uint64_t incarnation;
   int64_t grant_ms;
   bool leaving;
-  int64_t wanted_number;
-  int64_t accepted;
-  int64_t table_proof; /**< send time of the newest head read without a number above ours */
+  int64_t wanted_number; /**< newest durable number seen */
+  int64_t accepted;      /**< newest accepted number seen */
+  int64_t table_proof;   /**< send time of the newest head read without a number above ours */
   ClusterTableRead pending_read; /**< newest head read with a number above ours, not yet applied */
   ClusterView view;
   size_t dropped_count;
@@ -38,7 +38,7 @@
   ClusterProgressTable progress; /**< includes our own entry, whose as_of is CLUSTER_ALWAYS */
 };
 
-/** Our own entry: the number that we apply and the newest view that we have heard of. */
+/** Our own entry: the number that we apply and the newest view that we have seen. */
 const ClusterProgress *cluster_state_own (const ClusterState *s);
 
 /** Merges what a message says of one incarnation; as_of is on our clock, or CLUSTER_NEVER for a
--- a/src/cluster_view.c
+++ b/src/cluster_view.c
@@ -31,7 +31,7 @@
 static bool
 begin_change (const ClusterView *row, int64_t head, ClusterView *out)
 {
-  /* The head was read before the view row was written: the transaction would fail its CHECK. */
+  /* The head is older than the view row: the transaction would fail its CHECK of the head row. */
   if (head < row->head)
     return false;
   *out = *row;
@@ -106,8 +106,8 @@
   if (cluster_view_find (row, incarnation) < 0)
     return true;
   const ClusterProgress *k = cluster_state_progress (s, incarnation);
-  /* It must know this number itself: a member that knows only an earlier version of the pending
-     view may still support a grant that counts the members of that version. */
+  /* It must have seen this very number: a member that has seen only an earlier version of the
+     pending view may still support a grant that counts the members of that version. */
   return k != NULL && k->view >= row->number;
 }
 
--- a/src/cluster_view.h
+++ b/src/cluster_view.h
@@ -35,7 +35,7 @@
                           int64_t head,
                           ClusterView *out);
 
-/** Returns how many members of `previous` have heard of the pending view or are proved dead;
+/** Returns how many members of `previous` have seen the pending view or are proved dead;
  *  *needed receives how many must. */
 size_t cluster_view_confirmed (const ClusterView *row, const ClusterState *s, size_t *needed);
 
--- a/src/steward.h
+++ b/src/steward.h
@@ -23,15 +23,15 @@
 
 #define STEWARD_TABLE_TIMEOUT_MS 1000 /**< time-out of one call of the table service */
 
-/** State of the cluster as this steward knows it. */
+/** This steward's state of the cluster protocol. */
 typedef struct
 {
   pthread_mutex_t lock;
   pthread_cond_t changed; /**< broadcast when a change may end a wait */
   ClusterState *state;
-  bool granted;           /**< whether a grant could be given at the last check, for the log */
-  bool member_left;       /**< an adopted view lacks an address of the view before it, and it is not
-                             established yet */
+  bool granted;     /**< whether a grant could be given at the last check; a change is logged */
+  bool member_left; /**< an adopted view lacks an address of the view before it, and it is not
+                       established yet */
   int64_t member_left_at; /**< last time that such a view was adopted or established; 0: never */
   StewardSuspicion suspicion; /**< result of the last check */
   /** A member whose heartbeat arrived while this steward had no view: the source to fetch one from.
@@ -68,7 +68,8 @@
   StewardHttp *http;
   StewardRollout *rollout;
   int64_t started_at;       /**< boot-time clock, ms */
-  int64_t next_recovery_at; /**< of the object store; table's thread only */
+  int64_t next_recovery_at; /**< time of the next recovery of usage records from the object store;
+                               used by the table's thread only */
   atomic_bool platform_up;  /**< the last read of the head row was answered */
 } Steward;
 
--- a/src/steward_api_record.c
+++ b/src/steward_api_record.c
@@ -6,6 +6,7 @@
 #include "steward_usage.h"
 #include <string.h>
 
+/* Entries in one answer. */
 #define LIST_DEFAULT 200
 #define LIST_MAX     10000
 
--- a/src/steward_api_version.c
+++ b/src/steward_api_version.c
@@ -11,11 +11,12 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Versions in one answer. */
 #define LIST_DEFAULT    200
 #define LIST_MAX        1000
 #define WAIT_DEFAULT_MS 8000
 #define WAIT_MAX_MS     600000
-#define REASON_MAX      512
+#define REASON_MAX      512 /* bytes */
 #define QUOTED_SIZE     (2 * REASON_MAX)
 
 typedef struct json_object Json;
--- a/src/steward_audit.c
+++ b/src/steward_audit.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FLUSH_ROWS 64
+#define FLUSH_ROWS 64 /* rows of one transaction */
 
 static void
 add_text (struct json_object *obj, const char *name, const char *text)
--- a/src/steward_audit.h
+++ b/src/steward_audit.h
@@ -10,9 +10,9 @@
 #include <pthread.h>
 
 #define STEWARD_AUDIT_KEY_SIZE  64
-#define STEWARD_AUDIT_QUEUE_MAX 512
+#define STEWARD_AUDIT_QUEUE_MAX 512 /**< entries */
 
-/** Strings are borrowed; NULL is written as "". */
+/** One entry. Strings are borrowed; NULL is written as "". */
 typedef struct
 {
   const char *who;
--- a/src/steward_brake.c
+++ b/src/steward_brake.c
@@ -5,8 +5,9 @@
 
 #define LABEL_SIZE (2 * ((size_t)CLUSTER_NAME_MAX + 1))
 
-/* The ask carries the brake to each member at once. A member that the datagram doesn't reach gets
-   it with the answers to its next asks, since its digest differs from the others'. */
+/* The broadcast is an ask to each member that carries the brake. A member that this datagram
+   doesn't reach receives the brake with the answers to its next asks, because the digest of its
+   brakes differs from the answering member's. */
 ClusterBrakeResult
 steward_brake_raise (Steward *s, const ClusterBrake *brake)
 {
--- a/src/steward_brakes.c
+++ b/src/steward_brakes.c
@@ -268,7 +268,7 @@
   return good;
 }
 
-/** What the table has for a version. */
+/** The table's row for the brake of a version. */
 typedef struct
 {
   int64_t since;   /**< -1: no row, or one that can't be parsed */
--- a/src/steward_brakes.h
+++ b/src/steward_brakes.h
@@ -39,8 +39,8 @@
 /** Adds the brakes of a message; returns how many were new. */
 size_t steward_brakes_merge (StewardBrakes *b, const rpc_brake *brakes, size_t count);
 uint64_t steward_brakes_digest (StewardBrakes *b);
-/** Puts at most max brakes of the set into a message. If there are more, successive calls return
- * them in turn. Freed with xdr_free of the message. */
+/** Puts at most max brakes of the set into a message. If there are more, successive calls continue
+ * where the previous one ended. Freed with xdr_free of the message. */
 void steward_brakes_fill (StewardBrakes *b, size_t max, rpc_brake **out, u_int *count);
 /** Applies a new configuration: removes the brakes that it releases, and those of versions that no
  * longer exist. */
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -8,10 +8,10 @@
 #include "util_wait.h"
 #include <stdlib.h>
 
-/* Up to this number of members each is asked directly more than once a second. */
+/* Up to this number of members each member is asked directly more than once per second. */
 #define SMALL_CLUSTER_MEMBERS 16
-/* Silence, as a multiple of the grants' duration, after which no grant of a member can be in use
-   any more. */
+/* A member is dead after silence of this many times the grants' duration: no grant of it can be in
+   use any more. */
 #define DEAD_AFTER_GRANTS 3
 /* Added to the drift between the clocks of two VMs, one part in CLUSTER_DRIFT_PARTS, since each
    side rounds. */
@@ -63,9 +63,9 @@
 
 /* True if operators wait for this steward before a number counts as in force, which it does when
    all members apply it. A steward that is no member, nor at the address of one, is not waited for;
-   if it took work on a proof by its peers, it could do so under an older number after that. This
-   occurs after a planned stop and a restart during an outage of the table service, when it can't
-   be registered yet. */
+   if it took work on a proof by its peers, it could do so under an older number after the newer one
+   counts as in force. This occurs after a planned stop and a restart during an outage of the table
+   service, when it can't be registered yet. */
 static bool
 is_waited_for (const Steward *s)
 {
@@ -344,7 +344,7 @@
   bool silent[CLUSTER_MEMBERS_MAX] = { false };
   int64_t age_ms;
 
-  /* The members have not been asked often enough yet to be called silent. */
+  /* The members have not been asked often enough since the start to be classified as silent. */
   if (now - s->started_at < DEAD_AFTER_GRANTS * s->settings.grant_ms)
     return (StewardSuspicion){ 0 };
   for (size_t i = 0; i < view->count; i++)
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -1,6 +1,6 @@
 /**
- * This steward's knowledge of the cluster: the protocol logic of cluster_state.h behind one lock,
- * for use by several threads.
+ * This steward's state of the cluster: the protocol logic of cluster_state.h behind one lock, for
+ * use by several threads.
  */
 #ifndef STEWARD_CLUSTER_H
 #define STEWARD_CLUSTER_H
@@ -13,8 +13,8 @@
 {
   STEWARD_MEMBER_SELF,
   STEWARD_MEMBER_ALIVE,
-  STEWARD_MEMBER_SUSPECT, /**< not heard from for longer than a few heartbeats take */
-  STEWARD_MEMBER_DEAD     /**< not heard from for longer than any grant of it can last */
+  STEWARD_MEMBER_SUSPECT, /**< no information about it for longer than a few heartbeats take */
+  STEWARD_MEMBER_DEAD     /**< no information about it for longer than any grant of it can last */
 } StewardMemberState;
 
 /** How far a configuration number has been rolled out to the members. */
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -3,8 +3,7 @@
 #include <string.h>
 
 /* A death is no longer sent for this long before the end of its retention. Otherwise a peer that
-   has just dropped it would learn it again and send it back, so that it would circulate for
-   ever. */
+   has just dropped it would add it again and send it back, so that it would circulate for ever. */
 #define SEND_MARGIN_MS INT64_C (60000)
 /* Sizes on the wire: server, age and the number of flights; one flight. */
 #define DEATH_BYTES  16
--- a/src/steward_deaths.h
+++ b/src/steward_deaths.h
@@ -22,7 +22,7 @@
 {
   size_t count;
   size_t bytes; /**< of all deaths together; the first one is carried whatever its size */
-  size_t older; /**< number of deaths that are no longer fresh */
+  size_t older; /**< upper bound on the deaths that are no longer fresh */
 } StewardDeathsLimits;
 
 /** Limits of an answer to a heartbeat, of which one steward sends and receives 9 per second with
@@ -50,8 +50,8 @@
 /** True if a broadcast to that many other members is allowed now; it then counts as sent. When a
  * whole pool dies, broadcasts are limited, and the heartbeats carry the remaining deaths. */
 bool steward_deaths_may_broadcast (StewardDeaths *d, size_t others, int64_t now_ms);
-/** Selects the deaths for a message, newest first. If they exceed the limits, the next message goes
- * on with the others. Freed with xdr_free of the message. */
+/** Selects the deaths for a message, newest first. If they exceed the limits, the next message
+ * continues with the others. Freed with xdr_free of the message. */
 void steward_deaths_fill (StewardDeaths *d,
                           const StewardDeathsLimits *limits,
                           int64_t now_ms,
--- a/src/steward_document.c
+++ b/src/steward_document.c
@@ -22,7 +22,7 @@
 }
 
 /* A document that this program version can't read is stored and served all the same. A newer
-   version wrote it, and without it gates would go on under the number before. */
+   version wrote it, and without it gates would continue under the number before. */
 static Config *
 parse (int64_t number, const char *text)
 {
--- a/src/steward_duty.c
+++ b/src/steward_duty.c
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #define TABLE      "duty"
-#define TIMEOUT_MS 1000
+#define TIMEOUT_MS 1000 /* of one call of the table service */
 /* Reads per second that all stewards together make for one duty. */
 #define READS_PER_S_MAX 50
 #define ROW_SIZE        128
@@ -216,7 +216,7 @@
   log_change (d);
 }
 
-/* Otherwise a successor would wait for the lease to expire. */
+/* Without the release a successor would wait for the lease to expire. */
 void
 steward_duty_release (StewardDuty *d)
 {
--- a/src/steward_duty.h
+++ b/src/steward_duty.h
@@ -8,9 +8,11 @@
 
 #include "platform.h"
 
+/** Duration of the lease: how long one renewal lasts. */
 #define STEWARD_DUTY_LEASE_MS INT64_C (8000)
+/** Interval between renewals by the holder. */
 #define STEWARD_DUTY_RENEW_MS INT64_C (2500)
-/** Time-out of an order to an engine, so that none arrives later. */
+/** Time-out of an order to an engine: no order arrives later than this after its send. */
 #define STEWARD_DUTY_ORDER_TIMEOUT_MS INT64_C (2000)
 /** Interval between reads of the row with few members. */
 #define STEWARD_DUTY_READ_INTERVAL_MS INT64_C (1000)
--- a/src/steward_evidence.c
+++ b/src/steward_evidence.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 #define INTERVAL_MIN_MS 2000
-/* A row has at most about 1,100 bytes; 6.7 rows per second are 7.3 KB/s of the holder's 14
-   KB/s. */
+/* A row has at most about 1,100 bytes. At this interval all members together write 6.7 rows per
+   second, which the holder reads: 7.3 KB/s of its limit of 14 KB/s. */
 #define INTERVAL_PER_MEMBER_MS 150
 
 void
@@ -89,8 +89,8 @@
   pthread_mutex_unlock (&e->lock);
 }
 
-/* The sums of a team; a team without any gets unused ones, or the sums for all other teams if
-   there are none left. */
+/* The sums of a team. A team that has none yet gets unused ones; if all are in use, it is added to
+   the sums of all other teams. */
 static EvidenceSums *
 team_sums (EvidenceRollout *r, EvidenceSide side, const char *team)
 {
--- a/src/steward_evidence.h
+++ b/src/steward_evidence.h
@@ -1,7 +1,8 @@
 /**
  * Evidence about the versions of open roll-outs from this VM's gates: totals by team since this
  * steward first saw the roll-out. Totals, never increments, go to the table and from there to the
- * holder of the roll-out duty, so that a write that is repeated, lost or late counts nothing twice.
+ * holder of the roll-out duty, so that no answer is counted twice or lost if a write is repeated,
+ * lost or late.
  */
 #ifndef STEWARD_EVIDENCE_H
 #define STEWARD_EVIDENCE_H
@@ -10,7 +11,7 @@
 #include "lovage.h"
 #include <pthread.h>
 
-/** Upper bound on the roll-outs that are judged at a time. */
+/** Upper bound on the roll-outs that are tested at a time. */
 #define EVIDENCE_ROLLOUTS_MAX 8
 /** Teams counted separately by one VM, per version; the others are summed under the empty name. */
 #define EVIDENCE_TEAMS_MAX 12
@@ -20,10 +21,10 @@
   char team[CONFIG_NAME_MAX + 1];
   int64_t answers; /**< complete answers */
   int64_t errors;
-  int64_t slow;
-  int64_t rated;
-  int64_t callers; /**< callers; one that is in several reports is counted in each */
-  double rating_sum;
+  int64_t slow;      /**< slow answers */
+  int64_t rated;     /**< rated answers */
+  int64_t callers;   /**< callers; one that is in several reports is counted in each */
+  double rating_sum; /**< of the rated answers */
   double rating_square_sum;
 } EvidenceSums;
 
--- a/src/steward_fetch.c
+++ b/src/steward_fetch.c
@@ -14,10 +14,11 @@
 #include <string.h>
 
 #define CALL_TIMEOUT_MS 1000
-/* Delay before peers are asked. The table's thread reads the table in the meantime; while the
-   table answers, a fetch from peers is seldom needed. */
+/* Delay before peers are asked. The table's thread reads the table in the meantime, so that a fetch
+   from peers is seldom needed while the table service answers. */
 #define PEER_FETCH_DELAY_MS 300
-#define IDLE_INTERVAL_MS    1000
+/* Interval between checks without a wake-up. */
+#define IDLE_INTERVAL_MS 1000
 
 struct StewardFetch
 {
@@ -102,8 +103,8 @@
   { LOVAGE_VIEW_GET, view_wanted, view_has, view_apply },
 };
 
-/* Picks a random one of the members that have the number, so that the members that lack it don't
-   all ask the same one. */
+/* Picks a random member of those that have the number, so that the members that lack it don't all
+   ask the same one. */
 static bool
 pick_member (Steward *s, const FetchKind *kind, int64_t wanted, ClusterMember *out)
 {
--- a/src/steward_fetch.h
+++ b/src/steward_fetch.h
@@ -1,6 +1,7 @@
 /**
  * Fetches configuration documents and views from other stewards when the table service does not
- * answer. Stewards serve only what came from the table.
+ * answer. Stewards serve only documents and views that came from the table, directly or through
+ * a peer.
  */
 #ifndef STEWARD_FETCH_H
 #define STEWARD_FETCH_H
--- a/src/steward_gates.h
+++ b/src/steward_gates.h
@@ -20,20 +20,20 @@
   int64_t until; /**< end of the last grant that it can use under number; boot-time clock, ms */
   int64_t pending_until;  /**< the same for grants that it can use only from pending_number on */
   int64_t pending_number; /**< above number; 0: no pending grants */
-  int64_t asked_at;
-  unsigned in_flight;
+  int64_t asked_at;       /**< time of its last ask */
+  unsigned in_flight;     /**< requests in progress at its last ask */
 } StewardGate;
 
 typedef struct
 {
   pthread_mutex_t lock;
-  int64_t inherited_until; /**< end of all grants of the steward that ran on this VM before */
+  int64_t inherited_until; /**< latest end of a grant of the steward that ran on this VM before */
   bool asked;              /**< a gate has asked since this process started */
   StewardGate gates[STEWARD_GATES_MAX];
 } StewardGates;
 
 /** inherited_until: end of the last grant that a steward that ran on this VM before may have given;
- * its gate may still use it. */
+ * the VM's gate may still use that grant. */
 void steward_gates_init (StewardGates *g, int64_t inherited_until);
 void steward_gates_clear (StewardGates *g);
 /** Records that a gate asked for a grant. False if there is no room: it gets no grant. */
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -31,8 +31,8 @@
   bool stop;
   uint64_t next_peer; /**< index of the next member to ask, in this steward's order */
   uint64_t seed;      /**< seed of this steward's order of members */
-  double credit;      /**< asks that may be sent now */
-  int64_t credit_at;
+  double credit;      /**< asks that may be sent now: the rate limit's tokens */
+  int64_t credit_at;  /**< time of the last increase of credit */
 };
 
 /** What an ask carries in addition to the heartbeat. */
@@ -47,7 +47,7 @@
 typedef struct
 {
   uint64_t order; /**< sort key in this steward's order */
-  bool silent;    /**< not alive: the process there may be a new one that knows no member */
+  bool silent;    /**< not alive: the process there may be a new one that has no view */
   struct sockaddr_in address;
 } Peer;
 
@@ -328,9 +328,9 @@
   steward_message_clear (&message);
 }
 
-/* A process that was restarted in an outage of the table service knows no member. The others' asks
-   still arrive at its address and carry an address to fetch the configuration and the view
-   from. */
+/* A process that was restarted in an outage of the table service has no view. The other members'
+   asks still arrive at its address and carry the address of their sender, from which it can fetch
+   the configuration and the view. */
 static void
 set_introducer (Steward *s, const rpc_heartbeat *ask)
 {
--- a/src/steward_http.c
+++ b/src/steward_http.c
@@ -16,7 +16,7 @@
 #define CONNECTION_MEMORY_BYTES ((size_t)16 * 1024)
 #define BODY_BYTES_MAX          (2 * (size_t)CONFIG_TEXT_MAX)
 #define FILE_BYTES_MAX          ((size_t)256 * 1024)
-#define KEY_MAX                 256
+#define KEY_MAX                 256 /* bytes of an operator's key */
 #define BEARER                  "Bearer "
 
 struct StewardHttp
@@ -54,16 +54,16 @@
 find_operator (const Steward *s, const char *key)
 {
   const SettingsOperator *found = NULL;
-  char hash[CONFIG_KEY_HASH_LEN + 1], theirs[CONFIG_KEY_HASH_LEN];
+  char hash[CONFIG_KEY_HASH_LEN + 1], stored[CONFIG_KEY_HASH_LEN];
 
   config_key_hash (key, hash);
   for (size_t i = 0; i < s->settings.operator_count; i++)
     {
       const SettingsOperator *op = &s->settings.operator_list[i];
-      for (size_t j = 0; j < sizeof theirs; j++)
-        theirs[j] = (char)(op->key_hash[j] >= 'A' && op->key_hash[j] <= 'F' ? op->key_hash[j] + 32
+      for (size_t j = 0; j < sizeof stored; j++)
+        stored[j] = (char)(op->key_hash[j] >= 'A' && op->key_hash[j] <= 'F' ? op->key_hash[j] + 32
                                                                             : op->key_hash[j]);
-      if (sodium_memcmp (hash, theirs, sizeof theirs) == 0)
+      if (sodium_memcmp (hash, stored, sizeof stored) == 0)
         found = op;
     }
   sodium_memzero (hash, sizeof hash);
--- a/src/steward_leave.c
+++ b/src/steward_leave.c
@@ -8,7 +8,7 @@
 
 #define TIMEOUT_MS         STEWARD_TABLE_TIMEOUT_MS
 #define LEAVE_TIMEOUT_MS   3000
-#define RETRY_DELAY_MAX_MS 50
+#define RETRY_DELAY_MAX_MS 50 /* the delay is random, up to this */
 
 static StatusCode
 leave_once (Steward *s, StewardViewRow *row, ClusterView *next, bool *removed)
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -22,6 +22,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Memory for copies of other VMs' usage records. */
 #define BILLS_BYTES_MAX ((size_t)8 * 1024 * 1024)
 /* Part of a planned stop in which copies of usage records are written to the table. */
 #define LEAVE_BILLS_TIMEOUT_MS INT64_C (10000)
@@ -133,9 +134,10 @@
   (void)pthread_sigmask (SIG_BLOCK, &signals, NULL);
 }
 
-/* A gate that runs on after this steward's stop uses its last grant. If this steward were removed
-   from the view before, an operator could be told that a number is in force on all members while
-   that gate still works under an older one. So the removal waits for the grant's end. */
+/* The VM's gate may continue to use its last grant after this steward's stop. If this steward were
+   removed from the view before the grant's end, an operator could see a number as in force on all
+   members while that gate still takes work under an older one. So the removal waits for the grant's
+   end. */
 static void
 wait_for_grants_end (Steward *s)
 {
--- a/src/steward_meter.c
+++ b/src/steward_meter.c
@@ -4,14 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Estimated bytes of a transaction beside its operations: the heads of request and answer, and the
-   packets of one connection. */
+/* Estimated bytes of a transaction beside its operations: the headers of request and answer, and
+   the packets of one connection. */
 #define EXCHANGE_BYTES 1100
-/* Estimated bytes of a read on a kept-alive connection beside its rows: 3 segments with 52 bytes
-   of TCP/IP each, 104 bytes of request, and the answer's head. Compared with TCP_INFO of the
+/* Estimated bytes of a read on a persistent connection beside its rows: 3 segments with 52 bytes
+   of TCP/IP each, 104 bytes of request, and the answer's headers. Compared with TCP_INFO of the
    stand-in's sockets the sum is 1% too low with 9 stewards and 5% with 36; the sockets' figure
    includes the lists of VMs, which are not counted here. A read that has to connect first, as when
-   the server keeps no connection, is counted about 700 bytes too low. */
+   the server closes the connection after each answer, is counted about 700 bytes too low. */
 #define READ_BYTES 360
 /* Estimated bytes of names and quotes of one operation, or of one row of an answer, beside its
    texts. */
--- a/src/steward_orders.c
+++ b/src/steward_orders.c
@@ -30,7 +30,7 @@
   bool accepted;         /**< the engine accepted the order */
   int64_t next_check_at; /**< time of the next check, or of the next attempt if the order was not
                             accepted */
-  int64_t interval_ms;
+  int64_t interval_ms;   /**< from the next order to its check; doubles with each order */
 } Engine;
 
 struct StewardOrders
@@ -84,7 +84,7 @@
 }
 
 /* The interval doubles with each order, so that an engine that does not answer, or that accepts
-   orders without loading the versions, is sent fewer and fewer. */
+   orders without loading the versions, is sent orders less and less often. */
 static void
 send_order (StewardOrders *o,
             Engine *engine,
@@ -116,8 +116,8 @@
 }
 
 /* Reads back what the engine has loaded. This is repeated from time to time, since an engine that
-   does not check fencing numbers may have obeyed a late order of an earlier holder, and any engine
-   may have been restarted. */
+   does not check fencing numbers may have executed a late order of an earlier holder, and any
+   engine may have been restarted. */
 static bool
 has_versions (StewardOrders *o,
               Engine *engine,
--- a/src/steward_orders_call.c
+++ b/src/steward_orders_call.c
@@ -10,7 +10,7 @@
 /* Answer of an engine that has seen a newer fencing number. */
 #define HTTP_PRECONDITION_FAILED 412
 
-/* Called directly before the order's last byte: an engine can't obey an incomplete order. A holder
+/* Called directly before the order's last byte: an engine executes no incomplete order. A holder
    that was paused while it connected or sent the rest stops here. */
 static bool
 still_held (void *context)
--- a/src/steward_removal.c
+++ b/src/steward_removal.c
@@ -81,21 +81,22 @@
 }
 
 /* While this VM's own network is suspected, silence says nothing about the others. The exception
-   is the replacement of all VMs at once: the members that left are as many as the new ones, and if
-   they were not removed, most members would be silent for ever and no configuration would ever be
-   accepted. */
+   is the replacement of all VMs at once: as many members are gone as are new, and if those that are
+   gone were not removed, half of the members would be silent for ever and no majority could accept
+   a configuration. */
 static bool
-may_judge (Steward *s, const ClusterView *view, const PlatformVms *vms, int64_t now)
+silence_counts (Steward *s, const ClusterView *view, const PlatformVms *vms, int64_t now)
 {
-  bool may;
+  bool counts;
 
   pthread_mutex_lock (&s->cluster.lock);
-  may = s->cluster.suspicion.kind != STEWARD_SUSPECT_SELF || most_listed_alive (s, view, vms, now);
+  counts
+      = s->cluster.suspicion.kind != STEWARD_SUSPECT_SELF || most_listed_alive (s, view, vms, now);
   pthread_mutex_unlock (&s->cluster.lock);
-  return may;
+  return counts;
 }
 
-/* A list that lacks this VM is of another site, or broken: no member is judged by it. */
+/* A list that lacks this VM is of another site, or wrong: no member is removed because of it. */
 size_t
 steward_removal_select (StewardRemoval *r,
                         Steward *s,
@@ -108,8 +109,8 @@
   size_t count = 0;
 
   *dead = memory_array (view->count + 1, sizeof **dead);
-  bool judges = is_listed (vms, s->self.vm) && may_judge (s, view, vms, now);
-  for (size_t i = 0; judges && i < view->count; i++)
+  bool usable = is_listed (vms, s->self.vm) && silence_counts (s, view, vms, now);
+  for (size_t i = 0; usable && i < view->count; i++)
     {
       const ClusterMember *m = &view->members[i];
       if (is_listed (vms, m->vm) || !is_silent (s, m, now))
--- a/src/steward_removal.h
+++ b/src/steward_removal.h
@@ -1,7 +1,7 @@
 /**
- * Finds members that have left for good: those that the platform's list of VMs no longer shows and
- * that no member hears from. The list lags and may be wrong for a while, so it is never sufficient
- * alone.
+ * Finds members whose VMs no longer exist: those that the platform's list of VMs no longer contains
+ * and that have been silent for as long. The list lags and may be wrong for a while, so it is never
+ * sufficient alone.
  */
 #ifndef STEWARD_REMOVAL_H
 #define STEWARD_REMOVAL_H
--- a/src/steward_rollout.c
+++ b/src/steward_rollout.c
@@ -98,7 +98,7 @@
                       steward_cluster_members (r->s), now);
 }
 
-/* Each steward tests its own VM's evidence: in an outage of the table service no other is
+/* Each steward tests its own VM's evidence: in an outage of the table service no other evidence is
    available. */
 static void
 test_own_evidence (StewardRollout *r, const Config *config, int64_t now)
@@ -146,7 +146,8 @@
   return rollout_set_add_totals (context, key, totals);
 }
 
-/* Without open roll-outs the rows are read in order to delete them: one may be written late. */
+/* Without open roll-outs the rows are still read from time to time, to delete rows that are written
+   late. */
 static void
 merge_rows (StewardRollout *r, int64_t now)
 {
@@ -204,8 +205,8 @@
   return true;
 }
 
-/* A new holder knows nothing of earlier evidence. It uses the rows' totals, which contain all
-   evidence since the roll-out began. */
+/* A new holder starts without evidence. It needs none of its predecessor's, because the rows'
+   totals contain all evidence since the roll-out began. */
 static void
 act_as_holder (StewardRollout *r, const Config *config, int64_t now)
 {
--- a/src/steward_rollout_table.h
+++ b/src/steward_rollout_table.h
@@ -15,7 +15,7 @@
 {
   char key[EVIDENCE_KEY_SIZE];
   int64_t version; /**< version of the row as last read or written */
-  bool known;
+  bool known;      /**< false: the version must be read before the next write */
 } EvidenceRow;
 
 void evidence_row_init (EvidenceRow *row, uint64_t incarnation);
--- a/src/steward_rows.c
+++ b/src/steward_rows.c
@@ -37,8 +37,8 @@
              r->row.view.count);
 }
 
-/* If many stewards write the same row at once, as after a restart of all, their writes keep
-   failing each other. Back-off of random and growing length lets one after another succeed. */
+/* If many stewards write the same row at once, as after a restart of all, most writes conflict.
+   Back-off of random and growing length lets one after another succeed. */
 static void
 update_backoff (StewardRows *r, StatusCode code, int64_t now)
 {
@@ -73,7 +73,7 @@
            (long long)next->number, detail, next->count);
   r->wrote_pending = !next->established;
   steward_rows_adopt (r);
-  /* The asks tell the members the view's number, and their answers confirm that they know it. */
+  /* The asks carry the view's number; the members' answers confirm that they have seen it. */
   steward_heartbeat_ask_lagging (s, INT64_MAX);
   return true;
 }
--- a/src/steward_rows.h
+++ b/src/steward_rows.h
@@ -13,7 +13,7 @@
 {
   Steward *s;
   StewardHead head;
-  StewardViewRow row;
+  StewardViewRow row; /**< the view row */
   StewardRemoval *removal;
   int64_t pending_since; /**< time since which the view is not established or a number not accepted;
                             0: neither */
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -95,10 +95,10 @@
   return false;
 }
 
-/* Copies must not wait until their gate counts as gone, STEWARD_GATE_GONE_MS after its last
-   report: if a VM fails and the two VMs that hold its copies are replaced within that minute, its
-   answers would never be billed. A record that its gate writes as well is stored once, since it is
-   inserted only if absent. */
+/* Copies are written although their gate may still run. If they waited until it counts as gone,
+   STEWARD_GATE_GONE_MS after its last report, records could be lost: if a VM fails and the two VMs
+   that hold its copies are replaced within that minute, its answers would never be billed. A record
+   that its gate writes as well is stored once, since it is inserted only if absent. */
 size_t
 steward_settle_leave (Steward *s, int64_t timeout_ms)
 {
--- a/src/steward_submit.c
+++ b/src/steward_submit.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMEOUT_MS     1000
+#define TIMEOUT_MS     1000 /* of one call of the table service */
 #define RETRY_DELAY_MS 50
 #define NUMBER_SIZE    24
 /* Operations of one submission, including its optional condition. */
@@ -196,8 +196,8 @@
  * Writes until the outcome is known. If a reply is lost, the transaction may have taken effect, may
  * still do so, or never will. Of two identical writes at most one takes effect, since each is
  * conditional on the head row's version; so the change is written again until its row, or
- * another's, exists. STATUS_CONFLICT after an unknown outcome may be due to the first write's
- * success: only the row's nonce tells.
+ * another's, exists. STATUS_CONFLICT after an unknown outcome may be due to the success of an
+ * earlier write: the row's nonce shows whether it was.
  */
 static StewardSubmitOutcome
 commit (Attempt *a, StewardSubmitResult *out)
--- a/src/steward_suspicion.c
+++ b/src/steward_suspicion.c
@@ -65,8 +65,8 @@
     }
 }
 
-/* When most members are silent at once, what they have in common is the path to this VM: it is cut
-   off, was paused, or the platform's network has failed. */
+/* When most members are silent at once, the likely cause is their common path to this VM: this VM
+   is cut off or was paused, or the platform's network has failed. */
 StewardSuspicion
 steward_suspicion_classify (const ClusterView *view, const bool *silent, int self)
 {
--- a/src/steward_suspicion.h
+++ b/src/steward_suspicion.h
@@ -12,7 +12,7 @@
   STEWARD_SUSPECT_NONE,
   STEWARD_SUSPECT_MEMBERS, /**< some members, with nothing in common */
   STEWARD_SUSPECT_DOMAIN,  /**< all members of one failure domain, and fewer others */
-  STEWARD_SUSPECT_SELF     /**< more than half of the others; the others are not judged then */
+  STEWARD_SUSPECT_SELF     /**< more than half of the others: this VM's own network is suspected */
 } StewardSuspect;
 
 typedef struct
