--- a/bench/steps.h
+++ b/bench/steps.h
@@ -3,8 +3,8 @@
  * cluster_*.c under a virtual clock, with a table service that loses replies and applies writes
  * late, messages that are lost, delayed, duplicated and reordered, paused processes, restarts,
  * replaced VMs, partitions and concurrent patches. There are no sockets, threads or files. Phases
- * with faults alternate with fault-free ones (calm periods), and an oracle checks the protocol's
- * guarantees throughout.
+ * with faults alternate with fault-free ones, and an oracle checks the protocol's guarantees
+ * throughout.
  */
 #ifndef STEPS_H
 #define STEPS_H
@@ -13,13 +13,13 @@
 #include "cluster_state.h"
 #include <gsl/gsl_rng.h>
 
-#define STEPS_SLOTS       12   /**< addresses at which a VM can be */
-#define STEPS_PORT        7000 /**< of slot 0 */
-#define STEPS_MESSAGES    128  /**< in transit at once */
-#define STEPS_OPS         32   /**< table operations in flight at once */
-#define STEPS_GRANT_MS    2000
-#define STEPS_LIST_LAG_MS 3000 /**< the platform's list contains a lost VM at most that long */
-#define STEPS_NUMBERS_MAX (1 << 20)
+#define STEPS_SLOTS       12        /**< addresses at which a VM can be */
+#define STEPS_PORT        7000      /**< of slot 0 */
+#define STEPS_MESSAGES    128       /**< in transit at once */
+#define STEPS_OPS         32        /**< table operations in flight at once */
+#define STEPS_GRANT_MS    2000      /**< duration of a grant */
+#define STEPS_LIST_LAG_MS 3000      /**< the platform's list contains a lost VM at most that long */
+#define STEPS_NUMBERS_MAX (1 << 20) /**< configuration numbers in one run */
 
 /** Conditions of the network and the table service. Rates are per 1,000. */
 typedef struct
@@ -83,8 +83,8 @@
 typedef struct
 {
   bool up;
-  int64_t lost_at; /**< true time, if not up */
-  int64_t clock_offset;
+  int64_t lost_at;      /**< true time, if not up */
+  int64_t clock_offset; /**< ms */
   int64_t clock_rate;   /**< parts per million by which its clock is fast */
   int64_t frozen_until; /**< true time */
   ClusterState *state;  /**< NULL: the steward is down */
--- a/bench/steps_network.c
+++ b/bench/steps_network.c
@@ -18,7 +18,7 @@
 static void
 put (StepsSite *site, unsigned from, unsigned to, bool is_answer, const ClusterHeartbeat *h)
 {
-  /* If the queue is full the message replaces a random other one, which is lost. */
+  /* If all places are in use the message replaces a random other one, which is lost. */
   StepsMessage *m = &site->messages[steps_random (site, STEPS_MESSAGES)];
 
   for (size_t i = 0; i < STEPS_MESSAGES; i++)
--- a/tests/fake_http_server.h
+++ b/tests/fake_http_server.h
@@ -1,5 +1,5 @@
 /**
- * An HTTP server on loopback with kept-alive connections that counts connections and requests, and
+ * An HTTP server on loopback with persistent connections that counts connections and requests, and
  * answers each GET with the same text. It can be stopped, which closes all connections, and started
  * again on the same port.
  */
--- a/tests/fake_members.c
+++ b/tests/fake_members.c
@@ -64,9 +64,9 @@
   ClusterHeartbeat *answer = memory_alloc (sizeof *answer);
 
   cluster_state_make_ask (asker, next_nonce++, sent_at, ask);
-  bool taken = cluster_state_handle_ask (answerer, ask, answered_at, answer)
-               && cluster_state_handle_answer (asker, answer, answered_at);
+  bool merged = cluster_state_handle_ask (answerer, ask, answered_at, answer)
+                && cluster_state_handle_answer (asker, answer, answered_at);
   free (ask);
   free (answer);
-  return taken;
+  return merged;
 }
--- a/tests/fake_order.c
+++ b/tests/fake_order.c
@@ -9,7 +9,8 @@
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 0, 64, 1000);
 
-  /* Faults change far faster than in operation: each attempt is to meet them. */
+  /* Each attempt must reach the platform: with a threshold the group would refuse calls for a while
+     after injected faults. */
   platform_group_set_failure_threshold (group, 0);
   return (OrderSite){ .p = p, .group = group };
 }
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -1,3 +1,6 @@
+/**
+ * Usage records: text and keys, the order of the fallbacks, one bill for each request.
+ */
 #include "bill_entry.h"
 #include "claim_row.h"
 #include "fake_gate.h"
@@ -29,7 +32,7 @@
 }
 
 static void
-test_invalid_text (void)
+test_invalid_text_is_rejected (void)
 {
   BillRecord record;
 
@@ -79,7 +82,7 @@
 /* Each place stores the record if the earlier ones are down, and the record reaches the table in
  * the end. */
 static void
-test_fallbacks_in_order (void)
+test_fallbacks_are_tried_in_order (void)
 {
   static const struct
   {
@@ -111,7 +114,7 @@
 /* The reply to the record's write is lost after it took effect, and the write is repeated: there
  * must be one row. */
 static void
-test_lost_reply (void)
+test_lost_reply_leaves_one_row (void)
 {
   Fixture w;
 
@@ -221,10 +224,10 @@
 {
   static const SuiteCase cases[] = {
     { "text_parses_to_the_same_record", test_text_parses_to_the_same_record },
-    { "invalid_text", test_invalid_text },
+    { "invalid_text_is_rejected", test_invalid_text_is_rejected },
     { "keys_are_unique_per_request", test_keys_are_unique_per_request },
-    { "fallbacks_in_order", test_fallbacks_in_order },
-    { "lost_reply", test_lost_reply },
+    { "fallbacks_are_tried_in_order", test_fallbacks_are_tried_in_order },
+    { "lost_reply_leaves_one_row", test_lost_reply_leaves_one_row },
     { "claim_is_settled_with_its_bill", test_claim_is_settled_with_its_bill },
     { "answer_replaces_cut", test_answer_replaces_cut },
     { "malformed_record_blocks_no_others", test_malformed_record_blocks_no_others },
--- a/tests/test_bill_kill.c
+++ b/tests/test_bill_kill.c
@@ -1,3 +1,6 @@
+/**
+ * Gates that are killed at any call: each request whose answer ended is billed exactly once.
+ */
 #include "fake_gate.h"
 #include "suite.h"
 #include "util_memory.h"
@@ -15,8 +18,8 @@
 #define RANDOM_SEED        20261202
 #define GATES              150
 #define THREADS            4
-#define BURSTS             6
-#define BURST              4
+#define BURSTS             6 /* of one gate */
+#define BURST              4 /* requests of one thread in a burst */
 
 /* Result of one request, as its caller saw it. */
 typedef struct
@@ -90,7 +93,7 @@
 /* The VM dies at each of its calls to the platform or to another VM in turn, before or after the
  * call takes effect, with each set of places down. Then stewards recover its records, twice. */
 static void
-test_killed_at_every_step (void)
+test_kill_at_any_call_keeps_stored_bills (void)
 {
   static const unsigned down[] = {
     0,
@@ -134,7 +137,7 @@
 typedef struct
 {
   pthread_t thread;
-  Fixture *world;
+  Fixture *fixture;
   FakeGate *gate;
   int first;
 } Client;
@@ -145,7 +148,7 @@
   Client *c = argument;
 
   for (int i = 0; i < BURST; i++)
-    request (c->world, c->gate, c->first + i);
+    request (c->fixture, c->gate, c->first + i);
   return NULL;
 }
 
@@ -156,7 +159,7 @@
 
   for (int i = 0; i < THREADS; i++)
     {
-      clients[i] = (Client){ .world = w, .gate = gate, .first = first + i * BURST };
+      clients[i] = (Client){ .fixture = w, .gate = gate, .first = first + i * BURST };
       pthread_create (&clients[i].thread, NULL, client_run, &clients[i]);
     }
   for (int i = 0; i < THREADS; i++)
@@ -182,7 +185,7 @@
  * random call, some are stopped with records in the spool, some end normally. Stewards recover
  * records now and then, also while the next gate is running. */
 static void
-test_random_kills (void)
+test_random_kills_keep_stored_bills (void)
 {
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_mt19937);
   Fixture w;
@@ -226,8 +229,8 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "killed_at_every_step", test_killed_at_every_step },
-    { "random_kills", test_random_kills },
+    { "kill_at_any_call_keeps_stored_bills", test_kill_at_any_call_keeps_stored_bills },
+    { "random_kills_keep_stored_bills", test_random_kills_keep_stored_bills },
   };
 
   if (sodium_init () < 0)
--- a/tests/test_bill_outage.c
+++ b/tests/test_bill_outage.c
@@ -1,3 +1,6 @@
+/**
+ * Simulation of the spool in an outage of eight hours, on a virtual clock.
+ */
 #include "bill_spool.h"
 #include "fake_gate.h"
 #include "platform_breaker.h"
@@ -7,13 +10,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HOUR_MS        INT64_C (3600000)
-#define OUTAGE_MS      (8 * HOUR_MS)
-#define RUN_MS         2000 /* how long each request is in progress */
-#define SPOOL_MAX      (8U << 20)
-#define FLUSH          128 /* records of one transaction, as in bill_writer_thread.c */
-#define FLUSH_EVERY_MS 20
-#define PAUSE_MAX_MS   2000 /* the circuit breaker's longest */
+#define HOUR_MS               INT64_C (3600000)
+#define OUTAGE_MS             (8 * HOUR_MS)
+#define RUN_MS                2000 /* how long each request is in progress */
+#define SPOOL_MAX             (8U << 20)
+#define FLUSH_MAX             128 /* records of one transaction, as in bill_writer_thread.c */
+#define FLUSH_INTERVAL_MS     20
+#define RETRY_INTERVAL_MAX_MS 2000 /* of the circuit breaker */
 
 /* Simulation of a gate on a virtual clock: the spool, the circuit breaker and the writer's
    thread. */
@@ -26,7 +29,7 @@
   int64_t ends[1000]; /* of requests in progress, as a ring buffer */
   int first, in_progress, in_progress_max;
   int64_t taken, refused, billed, spilled, tries;
-  size_t bytes_most;
+  size_t bytes_max;
 } Gate;
 
 static void
@@ -74,17 +77,17 @@
     platform_breaker_failed (&g->breaker, g->now);
   if (bill_spool_may_spill (&g->spool))
     g->spilled += (int64_t)bill_spool_spill (&g->spool);
-  if (g->spool.bytes > g->bytes_most)
-    g->bytes_most = g->spool.bytes;
+  if (g->spool.bytes > g->bytes_max)
+    g->bytes_max = g->spool.bytes;
 }
 
 static void
 gate_flush (Gate *g)
 {
-  BillEntry *entries[FLUSH];
+  BillEntry *entries[FLUSH_MAX];
   size_t count;
 
-  if (g->spool.count == 0 || g->now % FLUSH_EVERY_MS != 0
+  if (g->spool.count == 0 || g->now % FLUSH_INTERVAL_MS != 0
       || !platform_breaker_allows (&g->breaker, g->now))
     return;
   g->tries++;
@@ -94,19 +97,19 @@
       return;
     }
   platform_breaker_succeeded (&g->breaker);
-  count = bill_spool_oldest (&g->spool, g->now, entries, FLUSH);
+  count = bill_spool_oldest (&g->spool, g->now, entries, FLUSH_MAX);
   for (size_t i = 0; i < count; i++)
     bill_spool_remove (&g->spool, entries[i]);
   g->billed += (int64_t)count;
 }
 
-/* Runs for ms, with one request each every_ms. */
+/* Runs for ms, with one request every interval_ms. */
 static void
-gate_run (Gate *g, int64_t ms, int every_ms)
+gate_run (Gate *g, int64_t ms, int interval_ms)
 {
   for (int64_t end = g->now + ms; g->now < end; g->now++)
     {
-      if (g->now % every_ms == 0)
+      if (g->now % interval_ms == 0)
         gate_request (g);
       while (g->in_progress > 0 && g->ends[g->first] <= g->now)
         gate_end_of_answer (g);
@@ -115,23 +118,23 @@
 }
 
 static void
-run_outage (Gate *g, int every_ms, const char *name)
+run_outage (Gate *g, int interval_ms, const char *name)
 {
   int64_t tries;
 
   g->table_up = true;
-  gate_run (g, 10000, every_ms);
+  gate_run (g, 10000, interval_ms);
   CU_ASSERT_EQUAL (g->refused, 0);
   g->table_up = false;
-  gate_run (g, OUTAGE_MS, every_ms);
-  CU_ASSERT_TRUE (g->bytes_most <= SPOOL_MAX);
-  CU_ASSERT_TRUE (g->tries <= OUTAGE_MS / PAUSE_MAX_MS + 10);
-  CU_ASSERT_EQUAL (g->taken + g->refused, (g->now + every_ms - 1) / every_ms);
-  printf ("%s: taken %lld refused %lld spilled %lld most bytes %zu; ", name, (long long)g->taken,
-          (long long)g->refused, (long long)g->spilled, g->bytes_most);
+  gate_run (g, OUTAGE_MS, interval_ms);
+  CU_ASSERT_TRUE (g->bytes_max <= SPOOL_MAX);
+  CU_ASSERT_TRUE (g->tries <= OUTAGE_MS / RETRY_INTERVAL_MAX_MS + 10);
+  CU_ASSERT_EQUAL (g->taken + g->refused, (g->now + interval_ms - 1) / interval_ms);
+  printf ("%s: taken %lld refused %lld spilled %lld max bytes %zu; ", name, (long long)g->taken,
+          (long long)g->refused, (long long)g->spilled, g->bytes_max);
   g->table_up = true;
   tries = g->tries;
-  gate_run (g, 60000, every_ms);
+  gate_run (g, 60000, interval_ms);
   CU_ASSERT_TRUE (g->tries > tries);
   CU_ASSERT_EQUAL (g->spool.count, 0);
   CU_ASSERT_EQUAL (g->billed + g->spilled + g->in_progress, g->taken);
@@ -142,7 +145,7 @@
  * room must be refused at once, the table must be tried at most every two seconds, and within a
  * minute of its return all records must be written. */
 static void
-test_long_outage_of_every_place (void)
+test_memory_is_bounded_in_long_outage_of_every_place (void)
 {
   static Gate g;
 
@@ -153,7 +156,7 @@
 
 /* The same with the object store up: nothing must be refused. */
 static void
-test_long_outage_with_object_store (void)
+test_long_outage_with_object_store_refuses_nothing (void)
 {
   static Gate g;
 
@@ -168,8 +171,10 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "long_outage_of_every_place", test_long_outage_of_every_place },
-    { "long_outage_with_object_store", test_long_outage_with_object_store },
+    { "memory_is_bounded_in_long_outage_of_every_place",
+      test_memory_is_bounded_in_long_outage_of_every_place },
+    { "long_outage_with_object_store_refuses_nothing",
+      test_long_outage_with_object_store_refuses_nothing },
   };
 
   if (sodium_init () < 0)
--- a/tests/test_bill_recover.c
+++ b/tests/test_bill_recover.c
@@ -1,3 +1,6 @@
+/**
+ * Recovery of the records that a gate left in the object store or as copies on other VMs.
+ */
 #include "bill_fallback.h"
 #include "fake_gate.h"
 #include "suite.h"
@@ -19,7 +22,7 @@
 /* The table is down, records are stored in the object store, and the VM dies. Two stewards, one
  * after the other, recover them: each record must be in the table once. */
 static void
-test_objects_of_a_terminated_gate (void)
+test_objects_of_a_terminated_gate_are_recovered (void)
 {
   FakeSite site = fake_site_new ();
   FakeGate *gate = fake_gate_new (&site, 0xfedcba9876543210U, SPOOL_MAX);
@@ -324,7 +327,8 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "objects_of_a_terminated_gate", test_objects_of_a_terminated_gate },
+    { "objects_of_a_terminated_gate_are_recovered",
+      test_objects_of_a_terminated_gate_are_recovered },
     { "object_numbers_are_consecutive", test_object_numbers_are_consecutive },
     { "no_objects_without_the_gate_row", test_no_objects_without_the_gate_row },
     { "delayed_object_is_recovered", test_delayed_object_is_recovered },
--- a/tests/test_bill_spool.c
+++ b/tests/test_bill_spool.c
@@ -1,3 +1,6 @@
+/**
+ * The spool of a gate: its limits, and the records that it spills to the object store.
+ */
 #include "bill_spool.h"
 #include "fake_gate.h"
 #include "suite.h"
@@ -102,7 +105,7 @@
  * removed from memory, so that new work is accepted, and must reach the table from the object
  * store. */
 static void
-test_long_outage_spills (void)
+test_long_outage_spills_to_object_store (void)
 {
   Fixture w = { .site = fake_site_new () };
   int n;
@@ -118,7 +121,7 @@
 /* The gate dies when its spool is empty but its spilled records are not in the table yet. Its row
  * must still lead to the objects with these records. */
 static void
-test_killed_with_spilled_records (void)
+test_spilled_records_of_a_killed_gate_are_recovered (void)
 {
   Fixture w = { .site = fake_site_new () };
   int n;
@@ -228,8 +231,9 @@
 {
   static const SuiteCase cases[] = {
     { "full_spool_refuses_new_work", test_full_spool_refuses_new_work },
-    { "long_outage_spills", test_long_outage_spills },
-    { "killed_with_spilled_records", test_killed_with_spilled_records },
+    { "long_outage_spills_to_object_store", test_long_outage_spills_to_object_store },
+    { "spilled_records_of_a_killed_gate_are_recovered",
+      test_spilled_records_of_a_killed_gate_are_recovered },
     { "spilled_records_are_read_again", test_spilled_records_are_read_again },
     { "only_stored_records_are_spilled", test_only_stored_records_are_spilled },
     { "full_spool_drops_answers", test_full_spool_drops_answers },
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -1,3 +1,7 @@
+/**
+ * Claims: an order runs at most once, with retries, killed holders, lost replies and delayed
+ * writes.
+ */
 #include "fake_link.h"
 #include "fake_order.h"
 #include "suite.h"
@@ -52,7 +56,7 @@
  * end of the answer. A retry at another VM may run the order only in the first case, and must get
  * the answer in the last. */
 static void
-test_holder_killed (void)
+test_order_of_a_killed_holder_runs_at_most_once (void)
 {
   for (int after_effect = 0; after_effect < 2; after_effect++)
     {
@@ -114,7 +118,7 @@
 /* The reply to the claim's write is lost after the write took effect. Without the nonce the gate
  * would treat its own row as another attempt's, and the order would never run. */
 static void
-test_lost_reply (void)
+test_lost_reply_is_recognised_by_nonce (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -126,7 +130,7 @@
 }
 
 static void
-test_lost_call (void)
+test_lost_call_is_repeated (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -140,7 +144,7 @@
 /* The table service is down, so that no claim can be made durable: the order must not run, and the
  * caller is told so. */
 static void
-test_table_down (void)
+test_order_does_not_run_while_table_is_down (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -183,7 +187,7 @@
 /* The delayed write of an attempt that was told "not run" takes effect after the release. If the
  * release deleted the row, the write would create a claim that no attempt owns. */
 static void
-test_delayed_write_after_release (void)
+test_delayed_write_after_release_has_no_effect (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -203,7 +207,7 @@
 /* Attempt B takes over a released row, its write is delayed, and B is told "not run". The release
  * of B finds the row still released and must prevent B's delayed write from taking effect. */
 static void
-test_delayed_take_over_after_release (void)
+test_delayed_take_over_after_release_has_no_effect (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome a, b;
@@ -284,7 +288,7 @@
 /* Two retries find the order released; the second takes it over between the first one's read and
  * write. If both ran it, two crews would be sent. */
 static void
-test_take_over_race (void)
+test_take_over_between_read_and_write_fails (void)
 {
   OrderSite site = order_site_new ();
   ClaimOutcome out;
@@ -339,17 +343,19 @@
 {
   static const SuiteCase cases[] = {
     { "retry_does_not_run_again", test_retry_does_not_run_again },
-    { "holder_killed", test_holder_killed },
+    { "order_of_a_killed_holder_runs_at_most_once",
+      test_order_of_a_killed_holder_runs_at_most_once },
     { "another_body_is_a_mismatch", test_another_body_is_a_mismatch },
     { "too_long_answer_is_not_stored", test_too_long_answer_is_not_stored },
-    { "lost_reply", test_lost_reply },
-    { "lost_call", test_lost_call },
-    { "down", test_table_down },
+    { "lost_reply_is_recognised_by_nonce", test_lost_reply_is_recognised_by_nonce },
+    { "lost_call_is_repeated", test_lost_call_is_repeated },
+    { "order_does_not_run_while_table_is_down", test_order_does_not_run_while_table_is_down },
     { "unknown_outcome_is_released", test_unknown_outcome_is_released },
-    { "delayed_write_after_release", test_delayed_write_after_release },
-    { "delayed_take_over_after_release", test_delayed_take_over_after_release },
+    { "delayed_write_after_release_has_no_effect", test_delayed_write_after_release_has_no_effect },
+    { "delayed_take_over_after_release_has_no_effect",
+      test_delayed_take_over_after_release_has_no_effect },
     { "release_leaves_a_later_claim", test_release_leaves_a_later_claim },
-    { "take_over_race", test_take_over_race },
+    { "take_over_between_read_and_write_fails", test_take_over_between_read_and_write_fails },
     { "take_over_has_one_winner", test_take_over_has_one_winner },
   };
 
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -1,11 +1,13 @@
+/**
+ * Random attempts on one claimed order, under every fault of the table service.
+ */
 #include "fake_order.h"
 #include "suite.h"
 #include <gsl/gsl_rng.h>
 #include <sodium.h>
 
-/* Random attempts on one order from several VMs, under every fault of the table service and with
- * delayed writes. A second attempt may run only after proof that the earlier one did not; an
- * attempt that was told "not run" must never run. */
+/* Attempts on one order from several VMs, with delayed writes. A second attempt may run only after
+ * proof that the earlier one did not; an attempt that was told "not run" must never run. */
 typedef struct
 {
   OrderSite site;
--- a/tests/test_cluster_grant.c
+++ b/tests/test_cluster_grant.c
@@ -1,5 +1,6 @@
 /**
- * The two proofs of a grant, and acceptance.
+ * The two proofs of a grant (a read of the head row, a majority of peers), and acceptance of
+ * numbers.
  */
 #include "cluster_accept.h"
 #include "cluster_grant.h"
@@ -169,8 +170,8 @@
 }
 
 /* VMs restart while the table service is unavailable. A new process gets the number from its peers
-   and a grant by a majority of the members. Once a majority has restarted nobody has a grant until
-   the service is back. */
+   and a grant by a majority of the members. Once a majority has restarted no steward has a grant
+   until the service is back. */
 static void
 restarts_during_an_outage (void)
 {
--- a/tests/test_cluster_lease.c
+++ b/tests/test_cluster_lease.c
@@ -179,8 +179,8 @@
   CU_ASSERT_EQUAL (cluster_lease_fence (&b, 4500), 2);
 }
 
-/* The table is unavailable for longer than the lease and nobody takes over. No orders may be sent
-   until a renewal succeeds; it keeps the fence, because the row's version has not changed. */
+/* The table is unavailable for longer than the lease and no steward takes over. No orders may be
+   sent until a renewal succeeds; it keeps the fence, because the row's version has not changed. */
 static void
 an_outage_pauses_the_duty (void)
 {
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -83,7 +83,7 @@
 
 /* Stewards had different views. {c, d, e}, a majority of the old five, are partitioned off from the
    table service. The others are replaced, more members join, and they accept a withdrawal without
-   c, d and e, unless a majority of the old five must have heard of the new view before. */
+   c, d and e, unless a majority of the old five must have seen the new view before. */
 static void
 previous_members_establish_a_view (void)
 {
@@ -98,14 +98,14 @@
   ClusterView out;
   size_t needed;
 
-  /* a and b are removed, which counts as confirmation; c, d, e have not heard of the view. */
+  /* a and b are removed, which counts as confirmation; c, d, e have not seen the view. */
   CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 2);
   CU_ASSERT_EQUAL (needed, 3);
   CU_ASSERT_FALSE (cluster_view_establish (&pending, f, 8, &out));
   fake_exchange (c, d, 1000, 1000);
   fake_exchange (c, e, 1000, 1000);
   CU_ASSERT_TRUE (has_grant (c, 1000));
-  /* d hears of it: from now on the view can be established, and d no longer supports c's grant. */
+  /* d sees it: from now on the view can be established, and d no longer supports c's grant. */
   fake_exchange (d, f, 1500, 1500);
   fake_exchange (f, d, 1500, 1500);
   CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 3);
@@ -134,13 +134,13 @@
   ClusterView out;
 
   /* Of the three previous members b is removed in both versions, which counts; a or c must have
-     heard of the second version. */
+     seen the second version. */
   heartbeat->number = 7;
   heartbeat->incarnation = A;
   heartbeat->view = 2;
   cluster_state_handle_answer (g, heartbeat, 1000);
   CU_ASSERT_FALSE (cluster_view_establish (&second, g, 7, &out));
-  /* Conversely, a supports c's grant under the first version until it has heard of the second. */
+  /* Conversely, a supports c's grant under the first version until it has seen the second. */
   ClusterState *c = fake_member_new (C, 7, &first);
   ClusterState *a = fake_member_new (A, 7, &first);
   fake_exchange (c, a, 1500, 1500);
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -37,8 +37,8 @@
   cluster_state_free (s);
 }
 
-/* A steward that lacks patch 8 hears of it from a peer's ask, from the head row, or as accepted. In
-   each case it must want to fetch the patch, and must not count it as applied. */
+/* A steward without patch 8 sees its number in a peer's ask, in the head row, or as accepted. In
+   each case the number must become wanted, so that it is fetched, and must not count as applied. */
 static void
 newer_numbers_become_wanted (void)
 {
@@ -155,7 +155,7 @@
 #define ORDER_MESSAGES ((size_t)40)
 
 /* UDP reorders and duplicates messages. Two stewards that got the same answers, in any order, must
-   know the same. */
+   have the same state. */
 static void
 merging_does_not_depend_on_order_or_duplicates (void)
 {
@@ -310,7 +310,7 @@
   fake_exchange (b, c, 1000, 1000);
   cluster_state_make_ask (a, 6, 2000, ask);
   cluster_state_handle_ask (b, ask, 2000, answer);
-  /* b has heard of view 2 by the ask but has not adopted it. */
+  /* b has seen view 2 in the ask but has not adopted it. */
   answer->ages_view = 1;
   answer->ages_count = 5;
   answer->ages[2] = 1;
--- a/tests/test_steward_duty.c
+++ b/tests/test_steward_duty.c
@@ -139,7 +139,7 @@
   platform_free (p);
 }
 
-/* The lease can't be renewed in an outage: the holder must stop in time, and goes on under the
+/* The lease can't be renewed in an outage: the holder must stop in time, and continues under the
    same number if no other steward took the duty. */
 static void
 test_holder_stops_in_outage (void)
--- a/tests/test_steward_gates.c
+++ b/tests/test_steward_gates.c
@@ -28,7 +28,7 @@
 /*
  * An operator is told that number 2 is in force, but a request sent after that is answered under
  * number 1: a gate that had just started was granted number 1 before it had it, fetched it and took
- * work under it, and number 2 arrived before its next ask. Found by the soak run.
+ * work under it, and number 2 arrived before its next ask.
  */
 static void
 test_grant_of_number_being_fetched_keeps_that_number (void)
@@ -61,9 +61,9 @@
 
 /*
  * An operator is told that number 17 is in force, but a request sent after that is answered under
- * number 15: a steward was killed and replaced while its gate ran on. The new steward knew of no
- * gate and reported at once that it applied 17, while the gate still had a grant of the old one for
- * 15. Found by the soak run.
+ * number 15: a steward was killed and replaced while its gate ran on. The new steward had no record
+ * of the gate and reported at once that it applied 17, while the gate still had a grant of the old
+ * one for 15.
  */
 static void
 test_replaced_steward_waits_for_predecessors_gate (void)
@@ -104,12 +104,15 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "grant in use", test_grant_in_use_keeps_lower_number },
-    { "number being fetched", test_grant_of_number_being_fetched_keeps_that_number },
-    { "two pending grants", test_lowest_of_two_pending_grants_counts },
-    { "replaced steward", test_replaced_steward_waits_for_predecessors_gate },
-    { "replaced steward, no gate", test_replaced_steward_without_gate_waits_for_end_of_grant },
-    { "end of grants", test_end_is_that_of_the_last_grant },
+    { "grant_in_use_keeps_lower_number", test_grant_in_use_keeps_lower_number },
+    { "grant_of_number_being_fetched_keeps_that_number",
+      test_grant_of_number_being_fetched_keeps_that_number },
+    { "lowest_of_two_pending_grants_counts", test_lowest_of_two_pending_grants_counts },
+    { "replaced_steward_waits_for_predecessors_gate",
+      test_replaced_steward_waits_for_predecessors_gate },
+    { "replaced_steward_without_gate_waits_for_end_of_grant",
+      test_replaced_steward_without_gate_waits_for_end_of_grant },
+    { "end_is_that_of_the_last_grant", test_end_is_that_of_the_last_grant },
   };
 
   return suite_main (argc, argv, "steward_gates", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -324,8 +324,8 @@
   CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 360), 3600);
 }
 
-/* If a gate that still runs were taken to be gone, its row would be deleted and its later objects
-   never be looked for. So a gate of unknown state counts as alive. */
+/* If a gate that still runs counted as gone, its row would be deleted and its later objects would
+   never be read. So a gate of unknown state counts as alive. */
 static void
 test_unknown_gate_counts_as_alive (void)
 {
--- a/tests/test_steward_rollout.c
+++ b/tests/test_steward_rollout.c
@@ -1,5 +1,5 @@
 /**
- * Automatic roll-outs: evidence, which must count once.
+ * Evidence for automatic roll-outs: each answer must count exactly once.
  */
 #include "config.h"
 #include "fake_platform.h"
@@ -89,8 +89,8 @@
   CU_ASSERT_EQUAL (t.sums[EVIDENCE_NEW][0].answers, 5);
   CU_ASSERT_DOUBLE_EQUAL (t.sums[EVIDENCE_NEW][0].rating_sum, 2.5, 1e-9);
   CU_ASSERT_EQUAL (t.sums[EVIDENCE_OLD][0].answers, 4);
-  /* Totals go on in a later stage, but start from zero in an earlier stage and after the roll-out
-     ended. */
+  /* Totals continue in a later stage, but start from zero in an earlier stage and after the
+     roll-out ended. */
   follow (&e, 6, 1, "running");
   CU_ASSERT_EQUAL (totals_of (&e).sums[EVIDENCE_NEW][0].answers, 5);
   CU_ASSERT_EQUAL (totals_of (&e).since, 5);
@@ -496,8 +496,8 @@
     { "row_text_round_trip", test_row_text_round_trip },
     { "repeated_read_counts_once", test_repeated_read_counts_once },
     { "evidence_of_vms_is_merged", test_evidence_of_vms_is_merged },
-    { "errors", test_unrated_errors_raise_brake },
-    { "stages", test_stages_need_own_evidence },
+    { "unrated_errors_raise_brake", test_unrated_errors_raise_brake },
+    { "stages_need_own_evidence", test_stages_need_own_evidence },
     { "earlier_rollout_is_ignored", test_earlier_rollout_is_ignored },
     { "set_follows_open_rollouts", test_set_follows_open_rollouts },
     { "late_write_does_not_lower_totals", test_late_write_does_not_lower_totals },
--- a/tests/test_steward_rollout_step.c
+++ b/tests/test_steward_rollout_step.c
@@ -24,7 +24,7 @@
 }
 
 static void
-test_next_step (void)
+test_next_step_needs_acceptance_and_orders (void)
 {
   const RolloutStepInput good
       = { .verdict = ROLLOUT_NEXT_STAGE, .accepted = true, .ordered = true };
@@ -70,7 +70,7 @@
 }
 
 static void
-test_step_patches (void)
+test_step_patches_apply (void)
 {
   expect_patch (ROLLOUT_STEP_NEXT, "{\"rollouts\":{\"m\":{\"stage\":1}}}");
   expect_patch (ROLLOUT_STEP_DONE, "{\"rollouts\":{\"m\":{\"state\":\"done\"}},"
@@ -99,7 +99,7 @@
 }
 
 static void
-test_desired_orders (void)
+test_desired_orders_unload_withdrawn_versions (void)
 {
   Config *config = fake_rollout_config (7, 1, 0, "running");
   struct json_object *early = orders_desired (config, &config->servers[0], 3, false);
@@ -128,8 +128,8 @@
 }
 
 /*
- * An engine that does not check fencing numbers would obey an order of a steward that has lost its
- * duty, and load what the successor had it unload. So no order may be sent once the lease has
+ * An engine that does not check fencing numbers would execute an order of a steward that has lost
+ * its duty, and load what the successor had it unload. So no order may be sent once the lease has
  * expired, and a refusal by an engine that checks must differ from a missing answer.
  */
 static void
@@ -170,9 +170,9 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "next_step", test_next_step },
-    { "patches", test_step_patches },
-    { "desired_orders", test_desired_orders },
+    { "next_step_needs_acceptance_and_orders", test_next_step_needs_acceptance_and_orders },
+    { "step_patches_apply", test_step_patches_apply },
+    { "desired_orders_unload_withdrawn_versions", test_desired_orders_unload_withdrawn_versions },
     { "orders_need_held_duty", test_orders_need_held_duty },
   };
 
--- a/tests/test_steward_settle.c
+++ b/tests/test_steward_settle.c
@@ -32,8 +32,7 @@
 /*
  * Answers are never billed: their VM was cut off from the platform, so that only stewards of other
  * VMs held their records, and then it died. Within the minute after which a gate counts as gone
- * those VMs were replaced as planned, and the records were lost with their stewards. Found by the
- * soak run.
+ * those VMs were replaced as planned, and the records were lost with their stewards.
  */
 static void
 test_planned_stop_writes_copies_to_the_table (void)
@@ -68,7 +67,7 @@
   fake_site_free (&site);
 }
 
-/* With the table unavailable, the stop must end within its bound and return how many records are
+/* With the table unavailable, the stop must end within its limit and return how many records are
    lost. */
 static void
 test_unavailable_table_bounds_the_stop (void)
@@ -91,9 +90,9 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "planned-stop-writes-copies-to-the-table", test_planned_stop_writes_copies_to_the_table },
-    { "copies-of-a-running-gate-are-billed-once", test_copies_of_a_running_gate_are_billed_once },
-    { "unavailable-table-bounds-the-stop", test_unavailable_table_bounds_the_stop },
+    { "planned_stop_writes_copies_to_the_table", test_planned_stop_writes_copies_to_the_table },
+    { "copies_of_a_running_gate_are_billed_once", test_copies_of_a_running_gate_are_billed_once },
+    { "unavailable_table_bounds_the_stop", test_unavailable_table_bounds_the_stop },
   };
 
   return suite_main (argc, argv, "steward_settle", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -95,7 +95,7 @@
 
 /* A patch becomes durable between a steward's read of the head and its write of the view. The view
    would give new members a head that is too old, and a member that missed the patch could adopt
-   the view and go on. */
+   the view and continue without the patch. */
 static void
 test_new_number_makes_view_conflict (void)
 {
@@ -245,7 +245,7 @@
   steward_removal_free (r);
 }
 
-/* A VM was cut off from all others, and reads the list again before it hears from any member. By
+/* A VM was cut off from all others, and reads the list again before any member has answered it. By
    their silence and a list that lags, all others would be removed. */
 static void
 test_members_are_kept_while_cut_off (void)
@@ -267,7 +267,7 @@
 /*
  * After all VMs were replaced at once by VMs with other addresses, no patch comes into force: the
  * old members stay in the view, and as they are as many as the new ones, each steward suspects its
- * own network and removes none of them. Found by the soak run.
+ * own network and removes none of them.
  */
 static void
 test_members_are_removed_after_replacement_of_all (void)
@@ -293,7 +293,7 @@
 /*
  * An operator is told that number 8 is in force, but a request sent after that is answered under
  * number 7. A VM left the view at a planned stop and was started again in an outage; it took work
- * on its peers' reports, and no number waited for it. Found by the soak run.
+ * on its peers' reports, and no number waited for it.
  */
 static void
 test_steward_that_is_not_waited_for_gets_no_grant (void)
@@ -338,7 +338,7 @@
 }
 
 static void
-test_suspicion_kinds (void)
+test_silence_is_classified (void)
 {
   CU_ASSERT_EQUAL (suspicion_of (".........").kind, STEWARD_SUSPECT_NONE);
   CU_ASSERT_EQUAL (suspicion_of ("....s....").kind, STEWARD_SUSPECT_MEMBERS);
@@ -382,7 +382,7 @@
     { "missing_silent_member_is_removed", test_missing_silent_member_is_removed },
     { "listed_or_live_member_is_kept", test_listed_or_live_member_is_kept },
     { "members_are_kept_while_cut_off", test_members_are_kept_while_cut_off },
-    { "suspicion_kinds", test_suspicion_kinds },
+    { "silence_is_classified", test_silence_is_classified },
     { "members_are_removed_after_replacement_of_all",
       test_members_are_removed_after_replacement_of_all },
     { "steward_that_is_not_waited_for_gets_no_grant",
