--- a/tests/test_bill_outage.c
+++ b/tests/test_bill_outage.c
@@ -29,7 +29,7 @@
   int64_t ends[1000]; /* of requests in progress, as a ring buffer */
   int first, in_progress, in_progress_max;
   int64_t taken, refused, billed, spilled, tries;
-  size_t bytes_max;
+  size_t bytes_peak;
 } Gate;
 
 static void
@@ -77,8 +77,8 @@
     platform_breaker_failed (&g->breaker, g->now);
   if (bill_spool_may_spill (&g->spool))
     g->spilled += (int64_t)bill_spool_spill (&g->spool);
-  if (g->spool.bytes > g->bytes_max)
-    g->bytes_max = g->spool.bytes;
+  if (g->spool.bytes > g->bytes_peak)
+    g->bytes_peak = g->spool.bytes;
 }
 
 static void
@@ -127,11 +127,11 @@
   CU_ASSERT_EQUAL (g->refused, 0);
   g->table_up = false;
   gate_run (g, OUTAGE_MS, interval_ms);
-  CU_ASSERT_TRUE (g->bytes_max <= SPOOL_MAX);
+  CU_ASSERT_TRUE (g->bytes_peak <= SPOOL_MAX);
   CU_ASSERT_TRUE (g->tries <= OUTAGE_MS / RETRY_INTERVAL_MAX_MS + 10);
   CU_ASSERT_EQUAL (g->taken + g->refused, (g->now + interval_ms - 1) / interval_ms);
-  printf ("%s: taken %lld refused %lld spilled %lld max bytes %zu; ", name, (long long)g->taken,
-          (long long)g->refused, (long long)g->spilled, g->bytes_max);
+  printf ("%s: taken %lld refused %lld spilled %lld peak bytes %zu; ", name, (long long)g->taken,
+          (long long)g->refused, (long long)g->spilled, g->bytes_peak);
   g->table_up = true;
   tries = g->tries;
   gate_run (g, 60000, interval_ms);
