--- a/bench/steps.h
+++ b/bench/steps.h
@@ -3,8 +3,8 @@
  * cluster_*.c under a virtual clock, with a table service that loses replies and applies writes
  * late, messages that are lost, delayed, duplicated and reordered, paused processes, restarts,
  * replaced VMs, partitions and concurrent patches. There are no sockets, threads or files. Phases
- * with faults alternate with fault-free ones, and an oracle checks the protocol's guarantees
- * throughout.
+ * with faults alternate with fault-free ones (calm periods), and an oracle checks the protocol's
+ * guarantees throughout.
  */
 #ifndef STEPS_H
 #define STEPS_H
--- a/bench/steps_oracle.c
+++ b/bench/steps_oracle.c
@@ -62,23 +62,21 @@
 {
   site->counts.recoveries++;
   if (site->table.accepted != site->table.head)
-    violation (site, 0, "after a fault-free phase, not accepted: accepted, head",
-               site->table.accepted, site->table.head);
+    violation (site, 0, "calm period, but not accepted: accepted, head", site->table.accepted,
+               site->table.head);
   if (!site->table.view.established)
-    violation (site, 0, "after a fault-free phase, the view is pending", site->table.view.number,
-               0);
+    violation (site, 0, "calm period, but the view is pending", site->table.view.number, 0);
   for (unsigned i = 0; i < STEPS_SLOTS; i++)
     {
       StepsVm *vm = &site->vms[i];
       if (vm->state == NULL || cluster_state_leaving (vm->state))
         continue;
       if (cluster_state_number (vm->state) != site->table.head)
-        violation (site, i, "after a fault-free phase, lagging: number, head",
-                   cluster_state_number (vm->state), site->table.head);
+        violation (site, i, "calm period, but behind", cluster_state_number (vm->state),
+                   site->table.head);
       if (cluster_grant (vm->state, steps_clock (site, i)).proof == CLUSTER_PROOF_NONE)
-        violation (site, i, "after a fault-free phase, no grant", cluster_state_number (vm->state),
-                   0);
+        violation (site, i, "calm period, but no grant", cluster_state_number (vm->state), 0);
       if (cluster_view_find (&site->table.view, cluster_state_incarnation (vm->state)) < 0)
-        violation (site, i, "after a fault-free phase, not registered", 0, 0);
+        violation (site, i, "calm period, but not registered", 0, 0);
     }
 }
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -349,7 +349,7 @@
     { "too_long_answer_is_not_stored", test_too_long_answer_is_not_stored },
     { "lost_reply_is_recognised_by_nonce", test_lost_reply_is_recognised_by_nonce },
     { "lost_call_is_repeated", test_lost_call_is_repeated },
-    { "order_does_not_run_while_table_is_down", test_order_does_not_run_while_table_is_down },
+    { "down", test_order_does_not_run_while_table_is_down },
     { "unknown_outcome_is_released", test_unknown_outcome_is_released },
     { "delayed_write_after_release_has_no_effect", test_delayed_write_after_release_has_no_effect },
     { "delayed_take_over_after_release_has_no_effect",
