--- a/src/bill_fallback.h
+++ b/src/bill_fallback.h
@@ -4,7 +4,7 @@
  *
  * The objects of a gate are named by its incarnation and consecutive numbers from 0: a batch whose
  * write failed is written again under the same name, with the same content, before the next one. So
- * a reader that knows the incarnation finds all of them by reading one number after the other, and
+ * a reader that has the incarnation finds all of them by reading one number after the other, and
  * a delayed write changes nothing.
  */
 #ifndef BILL_FALLBACK_H
--- a/src/bill_recover.c
+++ b/src/bill_recover.c
@@ -9,9 +9,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMEOUT_MS 2000
-#define WRITE_MAX  128 /* records of one transaction */
-#define SCAN_MAX   256 /* rows of one page */
+#define TIMEOUT_MS 2000 /* of one call of the table service or the object store */
+#define WRITE_MAX  128  /* records of one transaction */
+#define SCAN_MAX   256  /* rows of one page */
 
 typedef struct
 {
--- a/src/bill_replica.c
+++ b/src/bill_replica.c
@@ -9,7 +9,7 @@
 
 #define BUCKETS          1024 /* of the hash table of copies; a power of two */
 #define FLUSH_MAX        128  /* records of one transaction */
-#define FLUSH_TIMEOUT_MS 2000
+#define FLUSH_TIMEOUT_MS 2000 /* of that transaction */
 #define DONE_NAME        "done"
 /* Bytes for the quotes, the comma and the escapes of a key. */
 #define DONE_KEY_EXTRA 64
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -11,7 +11,9 @@
 #define FLUSH_MAX        128
 #define FLUSH_PAUSE_MS   20
 #define FLUSH_TIMEOUT_MS 2000
-#define INDEX_RETRY_MS   1000
+/* Minimum interval between writes of the gate's row, and delay after a failed read of spilled
+ * records. */
+#define INDEX_RETRY_MS 1000
 /* Objects read before the thread checks the spool again. */
 #define UNSPILL_MAX 16
 
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -1,7 +1,8 @@
 /**
  * The state of one steward in the cluster protocol: the number that it applies, its view, and the
  * progress of the other members, merged from heartbeats. A heartbeat is an ask (request) or the
- * answer to one; an answer also passes on news, which is what its sender knows of third members.
+ * answer to one; an answer also relays news, which is the progress of third members as its sender
+ * has it.
  * docs/design/configuration.md shows why the merge is correct.
  *
  * What is known of an incarnation is (number, view, as_of) and states two bounds:
@@ -50,7 +51,7 @@
   uint64_t incarnation; /**< of the sender */
   int64_t view;         /**< newest view number that the sender has seen */
   int64_t number;       /**< newest configuration number that the sender applies */
-  int64_t accepted;     /**< newest accepted number that the sender knows */
+  int64_t accepted;     /**< newest accepted number that the sender has seen */
   int64_t ages_view;    /**< 0: no packed ages */
   size_t ages_count;
   uint8_t ages[CLUSTER_MEMBERS_MAX]; /**< indexed as the members of view ages_view */
--- a/src/cluster_view.c
+++ b/src/cluster_view.c
@@ -99,7 +99,7 @@
 }
 
 /* A previous member that is no longer in the view was proved dead: a new process took its slot, it
-   left, or its VM is gone from the platform's list. */
+   left, or its VM is missing from the platform's list. */
 static bool
 is_confirmed (const ClusterView *row, const ClusterState *s, uint64_t incarnation)
 {
--- a/src/steward_call.c
+++ b/src/steward_call.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define MESSAGE_SIZE  512
+#define MESSAGE_SIZE  512 /* bytes */
 #define RETRY_AFTER_S 2
 
 void
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -135,10 +135,10 @@
 }
 
 /* A VM that left the view at a planned stop and was started again during an outage of the table
-   service may have got a grant from peers that still knew the view with its address in it. The
+   service may have got a grant by peers that still had the view with its address in it. The
    view without it doesn't count it, so a number would be called in force while that VM takes work
    under a lower one. Once the new view is established no majority supports that grant any more (a
-   voter that knows of a newer view is not counted), so it ends grant_ms later at the latest. Until
+   voter that has seen a newer view is not counted), so it ends grant_ms later at the latest. Until
    then the members' reports are not sufficient. */
 static bool
 unseen_grant_possible (const Steward *s, int64_t now)
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -52,7 +52,7 @@
 
 /** The number that this steward applies; 0: none. */
 int64_t steward_cluster_number (Steward *s);
-/** The newest number that this steward knows of. */
+/** The newest number that this steward has seen. */
 int64_t steward_cluster_wanted_number (Steward *s);
 /** True if another member has reported a newer view than the one adopted here. */
 bool steward_cluster_wants_view (Steward *s);
--- a/src/steward_orders_call.c
+++ b/src/steward_orders_call.c
@@ -7,7 +7,7 @@
 #define READ_TIMEOUT_MS    1000
 #define ANSWER_BYTES_MAX   ((size_t)256 * 1024)
 #define HTTP_OK            200
-/* Answer of an engine that has seen a newer fencing number. */
+/* HTTP status of an engine that has seen a newer fencing number. */
 #define HTTP_PRECONDITION_FAILED 412
 
 /* Called directly before the order's last byte: an engine executes no incomplete order. A holder
--- a/src/steward_remote_gates.h
+++ b/src/steward_remote_gates.h
@@ -1,6 +1,6 @@
 /**
  * Gates of other VMs, as their stewards report them in heartbeats. Used to decide whether a gate
- * that left usage records behind may still write them itself.
+ * may still write its usage records itself.
  */
 #ifndef STEWARD_REMOTE_GATES_H
 #define STEWARD_REMOTE_GATES_H
--- a/src/steward_rollout_table.c
+++ b/src/steward_rollout_table.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 
 #define TABLE      "evidence"
-#define TIMEOUT_MS 1000
+#define TIMEOUT_MS 1000 /* of one call of the table service */
 /* Upper bound on the rows: those of present members and of members replaced while roll-outs are
    open. */
 #define ROWS_MAX    4096
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -35,7 +35,7 @@
   int index = cluster_view_find (view, entry->steward);
   int64_t age_ms;
 
-  if (now - entry->reported_at <= STEWARD_GATE_GONE_MS)
+  if (now - entry->reported_at <= STEWARD_GATE_TERMINATED_MS)
     return true;
   /* The steward was replaced; its successor reports the gate if it still runs. */
   if (index < 0)
@@ -60,7 +60,7 @@
   if (entry != NULL)
     alive = vm_may_run (s, entry, now);
   else
-    alive = now - s->started_at <= STEWARD_GATE_GONE_MS || !all_alive (s, now);
+    alive = now - s->started_at <= STEWARD_GATE_TERMINATED_MS || !all_alive (s, now);
   pthread_mutex_unlock (&s->cluster.lock);
   return alive;
 }
@@ -95,10 +95,11 @@
   return false;
 }
 
-/* Copies are written although their gate may still run. If they waited until it counts as gone,
-   STEWARD_GATE_GONE_MS after its last report, records could be lost: if a VM fails and the two VMs
-   that hold its copies are replaced within that minute, its answers would never be billed. A record
-   that its gate writes as well is stored once, since it is inserted only if absent. */
+/* Copies are written although their gate may still run. If they waited until it counts as
+   terminated, STEWARD_GATE_TERMINATED_MS after its last report, records could be lost: if a VM
+   fails and the two VMs that hold its copies are replaced within that minute, its answers would
+   never be billed. A record that its gate writes as well is stored once, since it is inserted only
+   if absent. */
 size_t
 steward_settle_leave (Steward *s, int64_t timeout_ms)
 {
--- a/src/steward_settle.h
+++ b/src/steward_settle.h
@@ -10,7 +10,7 @@
 /** A gate that its steward has not reported for this long, although the steward itself is alive, no
  * longer runs. Nor does a gate that no steward has reported since this process started, if that was
  * longer ago and all members are alive. */
-#define STEWARD_GATE_GONE_MS INT64_C (60000)
+#define STEWARD_GATE_TERMINATED_MS INT64_C (60000)
 
 /** True if a gate may still write its records itself, or if that is not certain. */
 bool steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now);
--- a/src/steward_table.c
+++ b/src/steward_table.c
@@ -13,15 +13,17 @@
 
 #define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
 
-/* Reads per second that all stewards together make for polling; the table service serves about two
-   thousand. */
+/* Polls per second of all stewards together; the table service serves about two thousand reads per
+   second. */
 #define POLLS_PER_S_MAX 100
 /* Polls of the head row per read of the view row, unless a newer view was reported. */
 #define POLLS_PER_VIEW_READ 8
-/* Minimum pause between rounds. */
-#define ROUND_PAUSE_MS          20
+/* Minimum pause between rounds, however often the thread is woken. */
+#define ROUND_PAUSE_MS 20
+/* Interval of the synchronisation of the brakes with few members; it grows with their number. */
 #define BRAKES_SYNC_INTERVAL_MS 5000
-#define PENDING_POLL_MS         50
+/* Interval of the checks whether a view that this steward wrote can be established. */
+#define PENDING_POLL_MS 50
 
 struct StewardTable
 {
--- a/src/steward_usage.c
+++ b/src/steward_usage.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PAGE_ROWS  500
-#define TIMEOUT_MS 5000
+#define PAGE_ROWS  500  /* records read by one call */
+#define TIMEOUT_MS 5000 /* of one call of the table service */
 #define SUMS_MAX   4096 /* teams and their versions; when full, the last element sums the rest */
 
 /** Sums of one team, or of one version used by a team. */
--- a/tests/test_bill_kill.c
+++ b/tests/test_bill_kill.c
@@ -33,7 +33,7 @@
   FakeSite site;
   RequestResult *results;
   int count;
-  int lost; /* answered, with the record in the gate's memory only, and never billed */
+  int lost; /* answered, never billed: the record was only in the gate's memory */
 } Fixture;
 
 static void
@@ -183,7 +183,7 @@
 
 /* One gate after the other under random faults, with four callers at a time. Some gates die at a
  * random call, some are stopped with records in the spool, some end normally. Stewards recover
- * records now and then, also while the next gate is running. */
+ * records at random times, also while the next gate is running. */
 static void
 test_random_kills_keep_stored_bills (void)
 {
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -1,7 +1,6 @@
 /**
  * Safety of withdrawals: grant_ms after a patch is accepted no steward lets new work start on an
- * earlier number. Each test guards against a way in which a first version of the protocol broke
- * this.
+ * earlier number. Each test guards against a way in which the protocol could break this.
  */
 #include "cluster_accept.h"
 #include "cluster_grant.h"
@@ -118,7 +117,7 @@
   free_all ((ClusterState *[]){ f, c, d, e }, 4);
 }
 
-/* A pending view is changed before it is established. A member that knows only its first version
+/* A pending view is changed before it is established. A member that has seen only its first version
    may support a grant that counts the members of that version, so it must not confirm the
    second. */
 static void
@@ -217,8 +216,8 @@
   free_all ((ClusterState *[]){ d, e }, 2);
 }
 
-/* The steward that wrote patch 8 dies before the patch is accepted. Any other steward that knows of
-   a majority must be able to accept it; a second attempt has nothing to do. */
+/* The steward that wrote patch 8 dies before the patch is accepted. Any other steward that has seen
+   a majority apply it must be able to accept it; a second attempt has nothing to do. */
 static void
 any_steward_can_accept_a_durable_number (void)
 {
--- a/tests/test_steward_deaths.c
+++ b/tests/test_steward_deaths.c
@@ -68,7 +68,7 @@
 }
 
 /* A prompt has crashed two engines through one VM, and the caller retries at the next VM. That
-   VM's gate has observed neither death; it must learn of both through the stewards and refuse the
+   VM's gate has observed neither death; it must receive both through the stewards and refuse the
    prompt. */
 static void
 test_deaths_reach_gate_of_another_vm (void)
@@ -173,8 +173,8 @@
 }
 
 /* A failure domain fails with its 40 engines. A message has room for 16 deaths; the others must
-   follow soon, since a gate that knows only some of the deaths could attribute an outage to one
-   request. */
+   follow soon, since a gate that has received only some of the deaths could attribute an outage to
+   one request. */
 static void
 test_deaths_beyond_limits_follow_in_turn (void)
 {
--- a/tests/test_steward_duty.c
+++ b/tests/test_steward_duty.c
@@ -218,12 +218,12 @@
 static void
 pause_holder (void *context, FakeCall call)
 {
-  Pause *f = context;
+  Pause *holder_pause = context;
 
-  if (call != CALL_TXN || f->has_paused)
+  if (call != CALL_TXN || holder_pause->has_paused)
     return;
-  f->has_paused = true;
-  run_for (30000, f->successor, NULL);
+  holder_pause->has_paused = true;
+  run_for (30000, holder_pause->successor, NULL);
 }
 
 static StewardSubmitOutcome
@@ -262,17 +262,17 @@
   Platform *p = fake_platform_new ();
   StewardDuty *a = duty_new (p, "vm-1", 1);
   StewardDuty *b = duty_new (p, "vm-2", 2);
-  Pause f = { .successor = b };
+  Pause holder_pause = { .successor = b };
 
   now = 1000;
   CU_ASSERT_EQUAL (submit (p, 0, document, NULL), STEWARD_SUBMIT_DURABLE);
   run_for (3000, a, b);
   CU_ASSERT (steward_duty_may_order (a));
   TxnOp condition = steward_duty_condition (a);
-  fake_platform_hook (p, pause_holder, &f);
+  fake_platform_hook (p, pause_holder, &holder_pause);
   CU_ASSERT_EQUAL (submit (p, 1, change, &condition), STEWARD_SUBMIT_CONFLICT);
   fake_platform_hook (p, NULL, NULL);
-  CU_ASSERT (f.has_paused);
+  CU_ASSERT (holder_pause.has_paused);
   CU_ASSERT_EQUAL (head_number (p), 1);
   CU_ASSERT_EQUAL (steward_duty_fence (b), 2);
   CU_ASSERT_FALSE (steward_duty_may_order (a));
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -324,8 +324,8 @@
   CU_ASSERT_EQUAL (steward_table_poll_interval_ms (500, 360), 3600);
 }
 
-/* If a gate that still runs counted as gone, its row would be deleted and its later objects would
-   never be read. So a gate of unknown state counts as alive. */
+/* If a gate that still runs counted as terminated, its row would be deleted and its later objects
+   would never be read. So a gate of unknown state counts as alive. */
 static void
 test_unknown_gate_counts_as_alive (void)
 {
@@ -338,17 +338,17 @@
   steward_cluster_init (&s->cluster, 1, 3000);
   steward_gates_init (&s->gates, 0);
   CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 1000));
-  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
   ClusterView *view = memory_alloc (sizeof *view);
   *view = (ClusterView){ .number = 1, .established = true, .count = 1 };
   view->members[0].incarnation = 1;
   CU_ASSERT_TRUE (cluster_state_adopt_view (s->cluster.state, view));
-  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
-  steward_remote_gates_update (&s->remote_gates, 2, &gate, 1, STEWARD_GATE_GONE_MS);
-  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_GONE_MS + 1));
-  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
-  CU_ASSERT_TRUE (steward_gates_record_ask (&s->gates, gate, 1, 0, 2 * STEWARD_GATE_GONE_MS));
-  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_GONE_MS + 1));
+  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
+  steward_remote_gates_update (&s->remote_gates, 2, &gate, 1, STEWARD_GATE_TERMINATED_MS);
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
+  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_TERMINATED_MS + 1));
+  CU_ASSERT_TRUE (steward_gates_record_ask (&s->gates, gate, 1, 0, 2 * STEWARD_GATE_TERMINATED_MS));
+  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_TERMINATED_MS + 1));
   free (view);
   steward_gates_clear (&s->gates);
   steward_cluster_clear (&s->cluster);
@@ -357,7 +357,7 @@
 
 /* An operator sees "in force" for a number that withdraws a version, but a later request is
    answered under the number before. vm0 left the view at a planned stop, was started again in an
-   outage of the table service, learned the old view from its peers and got a grant on their
+   outage of the table service, fetched the old view from its peers and got a grant on their
    reports. After the outage the peers adopted the view without vm0, accepted the next number and
    had it in force among themselves, while vm0's grant still lasted. */
 static void
--- a/tests/test_steward_settle.c
+++ b/tests/test_steward_settle.c
@@ -31,8 +31,8 @@
 
 /*
  * Answers are never billed: their VM was cut off from the platform, so that only stewards of other
- * VMs held their records, and then it died. Within the minute after which a gate counts as gone
- * those VMs were replaced as planned, and the records were lost with their stewards.
+ * VMs held their records, and then it died. Within the minute after which a gate counts as
+ * terminated those VMs were replaced as planned, and the records were lost with their stewards.
  */
 static void
 test_planned_stop_writes_copies_to_the_table (void)
--- a/tests/test_steward_submit.c
+++ b/tests/test_steward_submit.c
@@ -134,8 +134,8 @@
   platform_free (p);
 }
 
-/* The patch is committed and its reply lost. Told that it failed, the operator would submit it
-   again and get a conflict with the same patch. */
+/* The patch is committed and its reply lost. If the operator were told that it failed, they would
+   submit it again and get a conflict with the same patch. */
 static void
 test_lost_reply_is_found_durable (void)
 {
@@ -216,7 +216,7 @@
 }
 
 /* The first transaction is lost, and another operator's patch is committed. Its row with the same
-   number must not be taken for the own one. */
+   number must not be mistaken for that of the first patch. */
 static void
 test_lost_call_reports_conflict_of_other_patch (void)
 {
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -323,16 +323,16 @@
 {
   static const char *const domains[] = { "a", "b", "c" };
   ClusterView *view = memory_alloc (sizeof *view);
-  bool quiet[9];
+  bool is_silent[9];
   StewardSuspicion suspicion;
 
   view->count = strlen (silent);
   for (size_t i = 0; i < view->count; i++)
     {
-      quiet[i] = silent[i] == 's';
+      is_silent[i] = silent[i] == 's';
       snprintf (view->members[i].failure_domain, CLUSTER_NAME_MAX, "%s", domains[i / 3]);
     }
-  suspicion = steward_suspicion_classify (view, quiet, 0);
+  suspicion = steward_suspicion_classify (view, is_silent, 0);
   free (view);
   return suspicion;
 }
