--- a/src/cluster_lease.h
+++ b/src/cluster_lease.h
@@ -96,7 +96,7 @@
 /** Fencing number for orders sent at now; 0 if none may be sent. */
 int64_t cluster_lease_fence (const ClusterLease *l, int64_t now);
 
-/** For a planned stop: no orders may be sent from now on; *row is the value whose write releases
+/** For a graceful stop: no orders may be sent from now on; *row is the value whose write releases
  *  the lease. False if we don't hold it. */
 bool cluster_lease_release (ClusterLease *l, ClusterLeaseRow *row);
 
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -126,7 +126,7 @@
  *  that changes the state. */
 const ClusterProgress *cluster_state_progress (const ClusterState *s, uint64_t incarnation);
 
-/** Begins a planned stop: no answers and no grant from now on, so that our removal from the view
+/** Begins a graceful stop: no answers and no grant from now on, so that our removal from the view
  *  counts as a proof of death. To be called before the removal's transaction is sent. */
 void cluster_state_leave (ClusterState *s);
 bool cluster_state_leaving (const ClusterState *s);
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -64,7 +64,7 @@
 /* True if operators wait for this steward before a number counts as in force, which it does when
    all members apply it. A steward that is no member, nor at the address of one, is not waited for;
    if it took work on a proof by its peers, it could do so under an older number after the newer one
-   counts as in force. This occurs after a planned stop and a restart during an outage of the table
+   counts as in force. This occurs after a graceful stop and a restart during an outage of the table
    service, when it can't be registered yet. */
 static bool
 is_waited_for (const Steward *s)
@@ -134,7 +134,7 @@
   return true;
 }
 
-/* A VM that left the view at a planned stop and was started again during an outage of the table
+/* A VM that left the view at a graceful stop and was started again during an outage of the table
    service may have got a grant by peers that still had the view with its address in it. The
    view without it doesn't count it, so a number would be called in force while that VM takes work
    under a lower one. Once the new view is established no majority supports that grant any more (a
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -45,7 +45,7 @@
 bool steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now);
 /** Waits until the state may have changed, at most ms. */
 void steward_cluster_wait (Steward *s, int64_t ms);
-/** True once a planned stop has begun: all waits end then. */
+/** True once a graceful stop has begun: all waits end then. */
 bool steward_cluster_leaving (Steward *s);
 /** Wakes all threads in steward_cluster_wait. */
 void steward_cluster_notify (Steward *s);
--- a/src/steward_duty.h
+++ b/src/steward_duty.h
@@ -35,7 +35,7 @@
 /** Reads or writes the row if that is due; called by one thread. The interval between reads of a
  * steward that does not hold the duty grows with the number of members. */
 void steward_duty_step (StewardDuty *d, size_t members);
-/** Releases the duty, for a planned stop; no order may be sent from now on. */
+/** Releases the duty, for a graceful stop; no order may be sent from now on. */
 void steward_duty_release (StewardDuty *d);
 
 /** True if an order may be sent now. Callable from any thread; to be checked directly before each
--- a/src/steward_leave.h
+++ b/src/steward_leave.h
@@ -1,5 +1,5 @@
 /**
- * Removal of this member from the view at a planned stop.
+ * Removal of this member from the view at a graceful stop.
  */
 #ifndef STEWARD_LEAVE_H
 #define STEWARD_LEAVE_H
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -24,7 +24,7 @@
 
 /* Memory for copies of other VMs' usage records. */
 #define BILLS_BYTES_MAX ((size_t)8 * 1024 * 1024)
-/* Part of a planned stop in which copies of usage records are written to the table. */
+/* Part of a graceful stop in which copies of usage records are written to the table. */
 #define LEAVE_BILLS_TIMEOUT_MS INT64_C (10000)
 
 const char *argp_program_version = "lovage-steward 0.1";
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -6,7 +6,7 @@
 
 /* Interval between recoveries from the object store; each costs a scan of the gates' rows. */
 #define RECOVERY_INTERVAL_MS 60000
-/* Delay between attempts at a planned stop while the table service is unavailable. */
+/* Delay between attempts at a graceful stop while the table service is unavailable. */
 #define LEAVE_RETRY_MS 100
 
 /* The cluster's lock is held. */
--- a/src/steward_settle.h
+++ b/src/steward_settle.h
@@ -17,9 +17,9 @@
 /** Makes one pass. Only the first member of the view recovers records from the object store. */
 void steward_settle (Steward *s, int64_t now);
 /**
- * To be called at a planned stop, when no further copies arrive: writes all copies held here to the
- * table, for about timeout_ms at most. Returns the number of records left, which are lost with this
- * process.
+ * To be called at a graceful stop, when no further copies arrive: writes all copies held here to
+ * the table, for about timeout_ms at most. Returns the number of records left, which are lost with
+ * this process.
  */
 size_t steward_settle_leave (Steward *s, int64_t timeout_ms);
 
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -356,7 +356,7 @@
 }
 
 /* An operator sees "in force" for a number that withdraws a version, but a later request is
-   answered under the number before. vm0 left the view at a planned stop, was started again in an
+   answered under the number before. vm0 left the view at a graceful stop, was started again in an
    outage of the table service, fetched the old view from its peers and got a grant on their
    reports. After the outage the peers adopted the view without vm0, accepted the next number and
    had it in force among themselves, while vm0's grant still lasted. */
--- a/tests/test_steward_settle.c
+++ b/tests/test_steward_settle.c
@@ -1,5 +1,5 @@
 /**
- * Usage records that a steward holds for other VMs, at its planned stop.
+ * Usage records that a steward holds for other VMs, at its graceful stop.
  */
 #include "fake_gate.h"
 #include "steward_settle.h"
@@ -35,7 +35,7 @@
  * terminated those VMs were replaced as planned, and the records were lost with their stewards.
  */
 static void
-test_planned_stop_writes_copies_to_the_table (void)
+test_graceful_stop_writes_copies_to_the_table (void)
 {
   FakeSite site = fake_site_new ();
   Steward s = { .bills = site.replica, .platform = site.platform };
@@ -90,7 +90,7 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "planned_stop_writes_copies_to_the_table", test_planned_stop_writes_copies_to_the_table },
+    { "graceful_stop_writes_copies_to_the_table", test_graceful_stop_writes_copies_to_the_table },
     { "copies_of_a_running_gate_are_billed_once", test_copies_of_a_running_gate_are_billed_once },
     { "unavailable_table_bounds_the_stop", test_unavailable_table_bounds_the_stop },
   };
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -292,7 +292,7 @@
 
 /*
  * An operator is told that number 8 is in force, but a request sent after that is answered under
- * number 7. A VM left the view at a planned stop and was started again in an outage; it took work
+ * number 7. A VM left the view at a graceful stop and was started again in an outage; it took work
  * on its peers' reports, and no number waited for it.
  */
 static void
