--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -13,6 +13,8 @@
  * Number and view of a running incarnation never decrease, so merging by the maximum of each of the
  * three values keeps both bounds, in any order and with duplicates.
  *
+ * In comments of cluster_*.h and cluster_*.c "we" and "our" mean the steward whose state it is.
+ *
  * Not thread-safe: the caller holds its own lock around each call.
  */
 #ifndef CLUSTER_STATE_H
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -17,7 +17,7 @@
   STEWARD_MEMBER_DEAD     /**< no information about it for longer than any grant of it can last */
 } StewardMemberState;
 
-/** How far a configuration number has been rolled out to the members. */
+/** How far a configuration number has taken effect on the members. */
 typedef struct
 {
   bool accepted;
@@ -39,7 +39,7 @@
 ClusterGrant steward_cluster_grant_now (const Steward *s, int64_t now);
 /** Time, in ms from now, for which new work may be taken; 0: none. */
 int64_t steward_cluster_grant (Steward *s, int64_t now);
-/** How far a number has been rolled out. */
+/** How far a number has taken effect. */
 StewardProgress steward_cluster_progress (Steward *s, int64_t number, int64_t now);
 /** Adopts a view (cluster_state_adopt_view). The caller holds the cluster's lock. */
 bool steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now);
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -5,7 +5,8 @@
 /* A death is no longer sent for this long before the end of its retention. Otherwise a peer that
    has just dropped it would add it again and send it back, so that it would circulate for ever. */
 #define SEND_MARGIN_MS INT64_C (60000)
-/* Sizes on the wire: server, age and the number of flights; one flight. */
+/* Bytes on the wire of a death without its flights (server, age, number of flights), and of one
+   flight: a request that was running there. */
 #define DEATH_BYTES  16
 #define FLIGHT_BYTES 8
 
--- a/src/steward_evidence_text.c
+++ b/src/steward_evidence_text.c
@@ -22,7 +22,7 @@
   json_object_array_add (array, json_object_new_int64 (n));
 }
 
-/* Ten digits are enough for sums of ratings that have a few digits each. */
+/* Ten digits are enough for sums of ratings, each of which has a few digits. */
 static void
 add_double (Json *array, double x)
 {
--- a/src/steward_rows.c
+++ b/src/steward_rows.c
@@ -11,8 +11,9 @@
 
 #define TIMEOUT_MS STEWARD_TABLE_TIMEOUT_MS
 
-/* A write that any member may make is left to the member that caused it: for FIRST_MEMBER_DELAY_MS
-   by the first member of the view, for OTHERS_DELAY_MS by all others. */
+/* A write that any member may make is left to the member that caused it at first: the first member
+   of the view that is alive waits FIRST_MEMBER_DELAY_MS before it makes the write, all others wait
+   OTHERS_DELAY_MS. */
 #define FIRST_MEMBER_DELAY_MS 300
 #define OTHERS_DELAY_MS       2000
 #define BACKOFF_MIN_MS        20
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -25,8 +25,8 @@
   return view->count > 0;
 }
 
-/* The VM of a steward that is silent but still registered may still run, with its gate: a steward
-   stays registered until the platform's list lacks its VM or another takes its slot
+/* The VM of a steward that is silent but still registered may still run, and its gate with it: a
+   steward stays registered until the platform's list lacks its VM or another takes its slot
    (steward_removal.h). The cluster's lock is held. */
 static bool
 vm_may_run (const Steward *s, const StewardRemoteGate *entry, int64_t now)
