--- a/bench/steps.h
+++ b/bench/steps.h
@@ -13,13 +13,13 @@
 #include "cluster_state.h"
 #include <gsl/gsl_rng.h>
 
-#define STEPS_SLOTS       12   /**< addresses at which a VM can be */
-#define STEPS_PORT        7000 /**< of slot 0 */
-#define STEPS_MESSAGES    128  /**< in transit at once */
-#define STEPS_OPS         32   /**< table operations in flight at once */
-#define STEPS_GRANT_MS    2000
-#define STEPS_LIST_LAG_MS 3000 /**< the platform's list contains a lost VM at most that long */
-#define STEPS_NUMBERS_MAX (1 << 20)
+#define STEPS_SLOTS       12        /**< addresses at which a VM can be */
+#define STEPS_PORT        7000      /**< of slot 0 */
+#define STEPS_MESSAGES    128       /**< in transit at once */
+#define STEPS_OPS         32        /**< table operations in flight at once */
+#define STEPS_GRANT_MS    2000      /**< duration of a grant */
+#define STEPS_LIST_LAG_MS 3000      /**< the platform's list contains a lost VM at most that long */
+#define STEPS_NUMBERS_MAX (1 << 20) /**< configuration numbers in one run */
 
 /** Conditions of the network and the table service. Rates are per 1,000. */
 typedef struct
@@ -83,8 +83,8 @@
 typedef struct
 {
   bool up;
-  int64_t lost_at; /**< true time, if not up */
-  int64_t clock_offset;
+  int64_t lost_at;      /**< true time, if not up */
+  int64_t clock_offset; /**< ms */
   int64_t clock_rate;   /**< parts per million by which its clock is fast */
   int64_t frozen_until; /**< true time */
   ClusterState *state;  /**< NULL: the steward is down */
@@ -159,7 +159,7 @@
 /** The VM's clock, ms. */
 int64_t steps_clock (const StepsSite *site, unsigned slot);
 /** True if the VM's steward is up and not frozen. */
-bool steps_is_awake (const StepsSite *site, unsigned slot);
+bool steps_is_running (const StepsSite *site, unsigned slot);
 
 /* steps_fault.c */
 /** Begins a phase with a random mix of faults. */
--- a/bench/steps_network.c
+++ b/bench/steps_network.c
@@ -18,7 +18,7 @@
 static void
 put (StepsSite *site, unsigned from, unsigned to, bool is_answer, const ClusterHeartbeat *h)
 {
-  /* If the queue is full the message replaces a random other one, which is lost. */
+  /* If all places are in use the message replaces a random other one, which is lost. */
   StepsMessage *m = &site->messages[steps_random (site, STEPS_MESSAGES)];
 
   for (size_t i = 0; i < STEPS_MESSAGES; i++)
@@ -80,7 +80,7 @@
         continue;
       if (site->vms[m->to].state == NULL)
         m->used = false;
-      if (!m->used || !steps_is_awake (site, m->to))
+      if (!m->used || !steps_is_running (site, m->to))
         continue;
       m->used = false;
       receive (site, m);
--- a/bench/steps_oracle.c
+++ b/bench/steps_oracle.c
@@ -3,7 +3,8 @@
 #include "steps.h"
 #include <stdio.h>
 
-/* Longest time of a grant in true time: with clocks that drift, and truncated to milliseconds. */
+/* Upper bound on the duration of a grant in true time: clocks drift and are truncated to
+   milliseconds. */
 #define BOUND_MS (STEPS_GRANT_MS + 2 * STEPS_GRANT_MS / CLUSTER_DRIFT_PARTS + 2)
 
 static void
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -1,17 +1,20 @@
 /**
  * The state of one steward in the cluster protocol: the number that it applies, its view, and the
  * progress of the other members, merged from heartbeats. A heartbeat is an ask (request) or the
- * answer to one; an answer also passes on news, which is what its sender knows of third members.
+ * answer to one; an answer also relays news, which is the progress of third members as its sender
+ * has it.
  * docs/design/configuration.md shows why the merge is correct.
  *
  * What is known of an incarnation is (number, view, as_of) and states two bounds:
- * - a lower bound from now on: it has applied `number` and has heard of `view`;
- * - an upper bound at the time as_of: by then it had applied no number above `number` and heard of
- *   no view newer than `view`.
+ * - a lower bound from now on: it has applied `number` and has seen `view`;
+ * - an upper bound at the time as_of: by then it had applied no number above `number` and seen no
+ *   view newer than `view`.
  *
  * Number and view of a running incarnation never decrease, so merging by the maximum of each of the
  * three values keeps both bounds, in any order and with duplicates.
  *
+ * In comments of cluster_*.h and cluster_*.c "we" and "our" mean the steward whose state it is.
+ *
  * Not thread-safe: the caller holds its own lock around each call.
  */
 #ifndef CLUSTER_STATE_H
@@ -22,7 +25,8 @@
 /** age_ms of news that is a lower bound only. */
 #define CLUSTER_AGE_UNKNOWN UINT32_MAX
 
-/** Outstanding asks; a new one replaces the older one with the same nonce modulo this. */
+/** Upper bound on the outstanding asks; a new ask replaces the one with the same nonce modulo this
+ *  number. */
 #define CLUSTER_ASKS_MAX 2048
 
 /** The clocks of two VMs drift apart by at most one part in this many. */
@@ -38,7 +42,7 @@
 {
   uint64_t incarnation;
   int64_t number;  /**< newest configuration number applied */
-  int64_t view;    /**< newest view number heard of */
+  int64_t view;    /**< newest view number seen */
   uint32_t age_ms; /**< time since as_of, or CLUSTER_AGE_UNKNOWN */
 } ClusterNews;
 
@@ -47,9 +51,9 @@
 {
   uint64_t nonce;       /**< of the ask; the answer repeats it */
   uint64_t incarnation; /**< of the sender */
-  int64_t view;         /**< newest view number that the sender has heard of */
+  int64_t view;         /**< newest view number that the sender has seen */
   int64_t number;       /**< newest configuration number that the sender applies */
-  int64_t accepted;     /**< newest accepted number that the sender knows */
+  int64_t accepted;     /**< newest accepted number that the sender has seen */
   int64_t ages_view;    /**< 0: no packed ages */
   size_t ages_count;
   uint8_t ages[CLUSTER_MEMBERS_MAX]; /**< indexed as the members of view ages_view */
@@ -102,7 +106,7 @@
 bool cluster_state_apply (ClusterState *s, int64_t number);
 int64_t cluster_state_number (const ClusterState *s);
 
-/** Newest durable number heard of from the table or from peers. The caller fetches it if it is
+/** Newest durable number seen, from the table or from peers. The caller fetches it if it is
  *  above cluster_state_number. */
 int64_t cluster_state_wanted_number (const ClusterState *s);
 
@@ -113,18 +117,18 @@
 /** Makes view our own. It was read from the table or from a peer that has adopted it; a view whose
  *  write is not known to be committed must not be adopted. False if it is not newer than ours, or
  *  if our applied number is below view->head: the caller applies that first and tries again. Its
- *  number counts as heard of in any case. */
+ *  number counts as seen in any case. */
 bool cluster_state_adopt_view (ClusterState *s, const ClusterView *view);
 /** The view adopted last; its number is 0 if there is none. */
 const ClusterView *cluster_state_view (const ClusterState *s);
-/** Newest view number heard of. The caller fetches it if it is above that of cluster_state_view. */
+/** Newest view number seen. The caller fetches it if it is above that of cluster_state_view. */
 int64_t cluster_state_wanted_view (const ClusterState *s);
 
 /** What is known of an incarnation, or of our own; NULL if nothing is. Valid until the next call
  *  that changes the state. */
 const ClusterProgress *cluster_state_progress (const ClusterState *s, uint64_t incarnation);
 
-/** Begins a planned stop: no answers and no grant from now on, so that our removal from the view
+/** Begins a graceful stop: no answers and no grant from now on, so that our removal from the view
  *  counts as a proof of death. To be called before the removal's transaction is sent. */
 void cluster_state_leave (ClusterState *s);
 bool cluster_state_leaving (const ClusterState *s);
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -8,10 +8,10 @@
 #include "util_wait.h"
 #include <stdlib.h>
 
-/* Up to this number of members each is asked directly more than once a second. */
+/* Up to this number of members each member is asked directly more than once per second. */
 #define SMALL_CLUSTER_MEMBERS 16
-/* Silence, as a multiple of the grants' duration, after which no grant of a member can be in use
-   any more. */
+/* A member is dead after silence of this many times the grants' duration: no grant of it can be in
+   use any more. */
 #define DEAD_AFTER_GRANTS 3
 /* Added to the drift between the clocks of two VMs, one part in CLUSTER_DRIFT_PARTS, since each
    side rounds. */
@@ -63,9 +63,9 @@
 
 /* True if operators wait for this steward before a number counts as in force, which it does when
    all members apply it. A steward that is no member, nor at the address of one, is not waited for;
-   if it took work on a proof by its peers, it could do so under an older number after that. This
-   occurs after a planned stop and a restart during an outage of the table service, when it can't
-   be registered yet. */
+   if it took work on a proof by its peers, it could do so under an older number after the newer one
+   counts as in force. This occurs after a graceful stop and a restart during an outage of the table
+   service, when it can't be registered yet. */
 static bool
 is_waited_for (const Steward *s)
 {
@@ -134,11 +134,11 @@
   return true;
 }
 
-/* A VM that left the view at a planned stop and was started again during an outage of the table
-   service may have got a grant from peers that still knew the view with its address in it. The
+/* A VM that left the view at a graceful stop and was started again during an outage of the table
+   service may have got a grant by peers that still had the view with its address in it. The
    view without it doesn't count it, so a number would be called in force while that VM takes work
    under a lower one. Once the new view is established no majority supports that grant any more (a
-   voter that knows of a newer view is not counted), so it ends grant_ms later at the latest. Until
+   voter that has seen a newer view is not counted), so it ends grant_ms later at the latest. Until
    then the members' reports are not sufficient. */
 static bool
 unseen_grant_possible (const Steward *s, int64_t now)
@@ -338,13 +338,13 @@
 }
 
 static StewardSuspicion
-judge_silence (const Steward *s, int64_t now)
+classify_silence (const Steward *s, int64_t now)
 {
   const ClusterView *view = cluster_state_view (s->cluster.state);
   bool silent[CLUSTER_MEMBERS_MAX] = { false };
   int64_t age_ms;
 
-  /* The members have not been asked often enough yet to be called silent. */
+  /* The members have not been asked often enough since the start to be classified as silent. */
   if (now - s->started_at < DEAD_AFTER_GRANTS * s->settings.grant_ms)
     return (StewardSuspicion){ 0 };
   for (size_t i = 0; i < view->count; i++)
@@ -352,7 +352,7 @@
       StewardMemberState state = steward_cluster_member_state (s, &view->members[i], now, &age_ms);
       silent[i] = state == STEWARD_MEMBER_SUSPECT || state == STEWARD_MEMBER_DEAD;
     }
-  return steward_suspicion_judge (view, silent, cluster_view_find (view, s->incarnation));
+  return steward_suspicion_classify (view, silent, cluster_view_find (view, s->incarnation));
 }
 
 void
@@ -363,7 +363,7 @@
   bool changed;
 
   pthread_mutex_lock (&s->cluster.lock);
-  found = judge_silence (s, now);
+  found = classify_silence (s, now);
   changed = found.kind != kept->kind;
   *kept = found;
   pthread_mutex_unlock (&s->cluster.lock);
--- a/src/steward_cluster.h
+++ b/src/steward_cluster.h
@@ -1,6 +1,6 @@
 /**
- * This steward's knowledge of the cluster: the protocol logic of cluster_state.h behind one lock,
- * for use by several threads.
+ * This steward's state of the cluster: the protocol logic of cluster_state.h behind one lock, for
+ * use by several threads.
  */
 #ifndef STEWARD_CLUSTER_H
 #define STEWARD_CLUSTER_H
@@ -13,11 +13,11 @@
 {
   STEWARD_MEMBER_SELF,
   STEWARD_MEMBER_ALIVE,
-  STEWARD_MEMBER_SUSPECT, /**< not heard from for longer than a few heartbeats take */
-  STEWARD_MEMBER_DEAD     /**< not heard from for longer than any grant of it can last */
+  STEWARD_MEMBER_SUSPECT, /**< no information about it for longer than a few heartbeats take */
+  STEWARD_MEMBER_DEAD     /**< no information about it for longer than any grant of it can last */
 } StewardMemberState;
 
-/** How far a configuration number has been rolled out to the members. */
+/** How far a configuration number has taken effect on the members. */
 typedef struct
 {
   bool accepted;
@@ -39,20 +39,20 @@
 ClusterGrant steward_cluster_grant_now (const Steward *s, int64_t now);
 /** Time, in ms from now, for which new work may be taken; 0: none. */
 int64_t steward_cluster_grant (Steward *s, int64_t now);
-/** How far a number has been rolled out. */
+/** How far a number has taken effect. */
 StewardProgress steward_cluster_progress (Steward *s, int64_t number, int64_t now);
 /** Adopts a view (cluster_state_adopt_view). The caller holds the cluster's lock. */
 bool steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now);
 /** Waits until the state may have changed, at most ms. */
 void steward_cluster_wait (Steward *s, int64_t ms);
-/** True once a planned stop has begun: all waits end then. */
+/** True once a graceful stop has begun: all waits end then. */
 bool steward_cluster_leaving (Steward *s);
 /** Wakes all threads in steward_cluster_wait. */
 void steward_cluster_notify (Steward *s);
 
 /** The number that this steward applies; 0: none. */
 int64_t steward_cluster_number (Steward *s);
-/** The newest number that this steward knows of. */
+/** The newest number that this steward has seen. */
 int64_t steward_cluster_wanted_number (Steward *s);
 /** True if another member has reported a newer view than the one adopted here. */
 bool steward_cluster_wants_view (Steward *s);
--- a/src/steward_settle.c
+++ b/src/steward_settle.c
@@ -6,7 +6,7 @@
 
 /* Interval between recoveries from the object store; each costs a scan of the gates' rows. */
 #define RECOVERY_INTERVAL_MS 60000
-/* Delay between attempts at a planned stop while the table service is unavailable. */
+/* Delay between attempts at a graceful stop while the table service is unavailable. */
 #define LEAVE_RETRY_MS 100
 
 /* The cluster's lock is held. */
@@ -25,8 +25,8 @@
   return view->count > 0;
 }
 
-/* The VM of a steward that is silent but still registered may still run, with its gate: a steward
-   stays registered until the platform's list lacks its VM or another takes its slot
+/* The VM of a steward that is silent but still registered may still run, and its gate with it: a
+   steward stays registered until the platform's list lacks its VM or another takes its slot
    (steward_removal.h). The cluster's lock is held. */
 static bool
 vm_may_run (const Steward *s, const StewardRemoteGate *entry, int64_t now)
@@ -35,7 +35,7 @@
   int index = cluster_view_find (view, entry->steward);
   int64_t age_ms;
 
-  if (now - entry->reported_at <= STEWARD_GATE_GONE_MS)
+  if (now - entry->reported_at <= STEWARD_GATE_TERMINATED_MS)
     return true;
   /* The steward was replaced; its successor reports the gate if it still runs. */
   if (index < 0)
@@ -60,7 +60,7 @@
   if (entry != NULL)
     alive = vm_may_run (s, entry, now);
   else
-    alive = now - s->started_at <= STEWARD_GATE_GONE_MS || !all_alive (s, now);
+    alive = now - s->started_at <= STEWARD_GATE_TERMINATED_MS || !all_alive (s, now);
   pthread_mutex_unlock (&s->cluster.lock);
   return alive;
 }
@@ -88,17 +88,18 @@
 }
 
 static bool
-nobody_alive (void *context, uint64_t gate)
+no_gate_alive (void *context, uint64_t gate)
 {
   (void)context;
   (void)gate;
   return false;
 }
 
-/* Copies must not wait until their gate counts as gone, STEWARD_GATE_GONE_MS after its last
-   report: if a VM fails and the two VMs that hold its copies are replaced within that minute, its
-   answers would never be billed. A record that its gate writes as well is stored once, since it is
-   inserted only if absent. */
+/* Copies are written although their gate may still run. If they waited until it counts as
+   terminated, STEWARD_GATE_TERMINATED_MS after its last report, records could be lost: if a VM
+   fails and the two VMs that hold its copies are replaced within that minute, its answers would
+   never be billed. A record that its gate writes as well is stored once, since it is inserted only
+   if absent. */
 size_t
 steward_settle_leave (Steward *s, int64_t timeout_ms)
 {
@@ -108,7 +109,7 @@
   for (;;)
     {
       size_t written = 0;
-      StatusCode code = bill_replica_flush (s->bills, s->platform, nobody_alive, NULL,
+      StatusCode code = bill_replica_flush (s->bills, s->platform, no_gate_alive, NULL,
                                             clock_boot_ms (), &written, NULL);
 
       bill_replica_size (s->bills, &size);
--- a/src/steward_settle.h
+++ b/src/steward_settle.h
@@ -7,19 +7,19 @@
 
 #include "steward.h"
 
-/** A gate that its steward has not reported for this long, although the steward itself was heard
- * from, no longer runs. Nor does a gate that nobody has reported since this process started, if
- * all members were heard from. */
-#define STEWARD_GATE_GONE_MS INT64_C (60000)
+/** A gate that its steward has not reported for this long, although the steward itself is alive, no
+ * longer runs. Nor does a gate that no steward has reported since this process started, if that was
+ * longer ago and all members are alive. */
+#define STEWARD_GATE_TERMINATED_MS INT64_C (60000)
 
 /** True if a gate may still write its records itself, or if that is not certain. */
 bool steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now);
 /** Makes one pass. Only the first member of the view recovers records from the object store. */
 void steward_settle (Steward *s, int64_t now);
 /**
- * To be called at a planned stop, when no further copies arrive: writes all copies held here to the
- * table, for about timeout_ms at most. Returns the number of records left, which are lost with this
- * process.
+ * To be called at a graceful stop, when no further copies arrive: writes all copies held here to
+ * the table, for about timeout_ms at most. Returns the number of records left, which are lost with
+ * this process.
  */
 size_t steward_settle_leave (Steward *s, int64_t timeout_ms);
 
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -1,7 +1,6 @@
 /**
  * Safety of withdrawals: grant_ms after a patch is accepted no steward lets new work start on an
- * earlier number. Each test guards against a way in which a first version of the protocol broke
- * this.
+ * earlier number. Each test guards against a way in which the protocol could break this.
  */
 #include "cluster_accept.h"
 #include "cluster_grant.h"
@@ -83,7 +82,7 @@
 
 /* Stewards had different views. {c, d, e}, a majority of the old five, are partitioned off from the
    table service. The others are replaced, more members join, and they accept a withdrawal without
-   c, d and e, unless a majority of the old five must have heard of the new view before. */
+   c, d and e, unless a majority of the old five must have seen the new view before. */
 static void
 previous_members_establish_a_view (void)
 {
@@ -98,14 +97,14 @@
   ClusterView out;
   size_t needed;
 
-  /* a and b are removed, which counts as confirmation; c, d, e have not heard of the view. */
+  /* a and b are removed, which counts as confirmation; c, d, e have not seen the view. */
   CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 2);
   CU_ASSERT_EQUAL (needed, 3);
   CU_ASSERT_FALSE (cluster_view_establish (&pending, f, 8, &out));
   fake_exchange (c, d, 1000, 1000);
   fake_exchange (c, e, 1000, 1000);
   CU_ASSERT_TRUE (has_grant (c, 1000));
-  /* d hears of it: from now on the view can be established, and d no longer supports c's grant. */
+  /* d sees it: from now on the view can be established, and d no longer supports c's grant. */
   fake_exchange (d, f, 1500, 1500);
   fake_exchange (f, d, 1500, 1500);
   CU_ASSERT_EQUAL (cluster_view_confirmed (&pending, f, &needed), 3);
@@ -118,7 +117,7 @@
   free_all ((ClusterState *[]){ f, c, d, e }, 4);
 }
 
-/* A pending view is changed before it is established. A member that knows only its first version
+/* A pending view is changed before it is established. A member that has seen only its first version
    may support a grant that counts the members of that version, so it must not confirm the
    second. */
 static void
@@ -134,13 +133,13 @@
   ClusterView out;
 
   /* Of the three previous members b is removed in both versions, which counts; a or c must have
-     heard of the second version. */
+     seen the second version. */
   heartbeat->number = 7;
   heartbeat->incarnation = A;
   heartbeat->view = 2;
   cluster_state_handle_answer (g, heartbeat, 1000);
   CU_ASSERT_FALSE (cluster_view_establish (&second, g, 7, &out));
-  /* Conversely, a supports c's grant under the first version until it has heard of the second. */
+  /* Conversely, a supports c's grant under the first version until it has seen the second. */
   ClusterState *c = fake_member_new (C, 7, &first);
   ClusterState *a = fake_member_new (A, 7, &first);
   fake_exchange (c, a, 1500, 1500);
@@ -217,8 +216,8 @@
   free_all ((ClusterState *[]){ d, e }, 2);
 }
 
-/* The steward that wrote patch 8 dies before the patch is accepted. Any other steward that knows of
-   a majority must be able to accept it; a second attempt has nothing to do. */
+/* The steward that wrote patch 8 dies before the patch is accepted. Any other steward that has seen
+   a majority apply it must be able to accept it; a second attempt has nothing to do. */
 static void
 any_steward_can_accept_a_durable_number (void)
 {
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -95,7 +95,7 @@
 
 /* A patch becomes durable between a steward's read of the head and its write of the view. The view
    would give new members a head that is too old, and a member that missed the patch could adopt
-   the view and go on. */
+   the view and continue without the patch. */
 static void
 test_new_number_makes_view_conflict (void)
 {
@@ -245,7 +245,7 @@
   steward_removal_free (r);
 }
 
-/* A VM was cut off from all others, and reads the list again before it hears from any member. By
+/* A VM was cut off from all others, and reads the list again before any member has answered it. By
    their silence and a list that lags, all others would be removed. */
 static void
 test_members_are_kept_while_cut_off (void)
@@ -267,7 +267,7 @@
 /*
  * After all VMs were replaced at once by VMs with other addresses, no patch comes into force: the
  * old members stay in the view, and as they are as many as the new ones, each steward suspects its
- * own network and removes none of them. Found by the soak run.
+ * own network and removes none of them.
  */
 static void
 test_members_are_removed_after_replacement_of_all (void)
@@ -292,8 +292,8 @@
 
 /*
  * An operator is told that number 8 is in force, but a request sent after that is answered under
- * number 7. A VM left the view at a planned stop and was started again in an outage; it took work
- * on its peers' reports, and no number waited for it. Found by the soak run.
+ * number 7. A VM left the view at a graceful stop and was started again in an outage; it took work
+ * on its peers' reports, and no number waited for it.
  */
 static void
 test_steward_that_is_not_waited_for_gets_no_grant (void)
@@ -323,22 +323,22 @@
 {
   static const char *const domains[] = { "a", "b", "c" };
   ClusterView *view = memory_alloc (sizeof *view);
-  bool quiet[9];
+  bool is_silent[9];
   StewardSuspicion suspicion;
 
   view->count = strlen (silent);
   for (size_t i = 0; i < view->count; i++)
     {
-      quiet[i] = silent[i] == 's';
+      is_silent[i] = silent[i] == 's';
       snprintf (view->members[i].failure_domain, CLUSTER_NAME_MAX, "%s", domains[i / 3]);
     }
-  suspicion = steward_suspicion_judge (view, quiet, 0);
+  suspicion = steward_suspicion_classify (view, is_silent, 0);
   free (view);
   return suspicion;
 }
 
 static void
-test_suspicion_kinds (void)
+test_silence_is_classified (void)
 {
   CU_ASSERT_EQUAL (suspicion_of (".........").kind, STEWARD_SUSPECT_NONE);
   CU_ASSERT_EQUAL (suspicion_of ("....s....").kind, STEWARD_SUSPECT_MEMBERS);
@@ -355,7 +355,7 @@
 /* The list is empty or of another site, as after a fault of the platform. By such a list all
    members would be removed. */
 static void
-test_foreign_list_removes_nobody (void)
+test_foreign_list_removes_no_member (void)
 {
   static const int without_first[] = { 1 };
   StewardRemoval *r = steward_removal_new ();
@@ -382,12 +382,12 @@
     { "missing_silent_member_is_removed", test_missing_silent_member_is_removed },
     { "listed_or_live_member_is_kept", test_listed_or_live_member_is_kept },
     { "members_are_kept_while_cut_off", test_members_are_kept_while_cut_off },
-    { "suspicion_kinds", test_suspicion_kinds },
+    { "silence_is_classified", test_silence_is_classified },
     { "members_are_removed_after_replacement_of_all",
       test_members_are_removed_after_replacement_of_all },
     { "steward_that_is_not_waited_for_gets_no_grant",
       test_steward_that_is_not_waited_for_gets_no_grant },
-    { "foreign_list_removes_nobody", test_foreign_list_removes_nobody },
+    { "foreign_list_removes_nobody", test_foreign_list_removes_no_member },
   };
 
   return suite_main (argc, argv, "steward_view", cases, SUITE_COUNT (cases));
