--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -101,8 +101,8 @@
   if (writer->breaker.open)
     retry_fallback (writer);
   writer->next_flush_at_ms = clock_boot_ms () + FLUSH_PAUSE_MS;
-  if (writer->breaker.open && writer->breaker.try_next_ms > writer->next_flush_at_ms)
-    writer->next_flush_at_ms = writer->breaker.try_next_ms;
+  if (writer->breaker.open && writer->breaker.next_try_at_ms > writer->next_flush_at_ms)
+    writer->next_flush_at_ms = writer->breaker.next_try_at_ms;
 }
 
 /* Writes the gate's row, by which stewards find its objects: at the start, and whenever all records
