--- a/standin/common_http.c
+++ b/standin/common_http.c
@@ -7,9 +7,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STACK_SIZE      ((size_t)192 * 1024) /* bytes, of each connection's thread */
-#define CONNECTIONS_MAX 8192U
-#define LISTEN_BACKLOG  4096U
+#define STACK_SIZE      ((size_t)192 * 1024)       /* bytes, of each connection's thread */
+#define CONNECTIONS_MAX 8192U                      /* open at once */
+#define LISTEN_BACKLOG  4096U                      /* connections not accepted yet */
 #define BODY_MAX        ((size_t)64 * 1024 * 1024) /* bytes of a request */
 
 static enum MHD_Result handle_fault (StandinRequest *request);
--- a/standin/engine_load.c
+++ b/standin/engine_load.c
@@ -5,7 +5,7 @@
 #include <pthread.h>
 
 #define SAMPLE_INTERVAL_MS 50
-#define SAMPLES_MAX        2400 /* two minutes' */
+#define SAMPLES_MAX        2400 /* kept: those of two minutes */
 
 typedef struct
 {
--- a/standin/engine_models.c
+++ b/standin/engine_models.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define QUALITY_DEFAULT 0.8
+#define QUALITY_DEFAULT 0.8  /* of versions for which none was set */
 #define QUALITY_BAD     0.05 /* with the fault bad_version */
 
 typedef struct
@@ -27,8 +27,8 @@
 static size_t model_count;
 static Quality *qualities;
 static size_t quality_count;
-static int64_t highest_fence;
-static struct json_object *orders;
+static int64_t highest_fence;      /* highest fencing number of an order so far */
+static struct json_object *orders; /* array of all orders so far; NULL: none */
 
 static int
 find_model (const char *name)
--- a/standin/engine_run.c
+++ b/standin/engine_run.c
@@ -12,7 +12,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TICK_INTERVAL_MS             2
+#define TICK_INTERVAL_MS             2  /* between two runs of the scheduler */
 #define CONNECTION_CHECK_INTERVAL_MS 40 /* between two checks for closed connections */
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
--- a/standin/engine_run.h
+++ b/standin/engine_run.h
@@ -34,15 +34,16 @@
   char idempotency[IDEMPOTENCY_MAX];
   char user[IDEMPOTENCY_MAX]; /**< member "user" of the body */
   Prompt prompt;
-  double quality;
+  double quality;  /**< of the answer, from 0 to 1 */
   int priority;    /**< higher first */
   unsigned length; /**< tokens of the complete answer */
   unsigned tokens; /**< generated so far */
   RunState state;
-  int64_t started_ms;   /**< boot-time clock, when the complete request had arrived */
-  int64_t ended_ms;     /**< boot-time clock; 0: not ended */
-  int64_t next_ms;      /**< boot-time clock of the next token */
-  int64_t resume_ms;    /**< how long it waits for another connection when its own has closed */
+  int64_t started_ms; /**< boot-time clock, when the complete request had arrived */
+  int64_t ended_ms;   /**< boot-time clock; 0: not ended */
+  int64_t next_ms;    /**< boot-time clock of the next token */
+  int64_t resume_ms; /**< time after its connection closed until it is cancelled, unless another one
+                        attaches */
   int64_t cancel_at_ms; /**< boot-time clock at which it is cancelled; 0: a caller is connected */
   int fd;               /**< of the connection that it answers; -1: none */
   unsigned attachments; /**< connections that it has answered so far */
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BLOCK_SIZE 4096 /* bytes, of one read by libmicrohttpd */
+#define BLOCK_SIZE 4096 /* bytes that libmicrohttpd reads at once */
 
 typedef struct
 {
--- a/standin/platform_calls.c
+++ b/standin/platform_calls.c
@@ -7,7 +7,7 @@
 #define OBJECT_PATH "/v1/object/"
 
 static pthread_mutex_t vms_lock = PTHREAD_MUTEX_INITIALIZER;
-static Buffer vms_json;
+static Buffer vms_json; /* body of the last PUT of /v1/vms */
 
 static enum MHD_Result
 reply_txn (StandinRequest *request, struct json_object *results, int failed)
--- a/standin/platform_rate.c
+++ b/standin/platform_rate.c
@@ -1,6 +1,6 @@
 /*
- * Rating service: an answer's score is the value of its first marker "[q=0.82]", plus noise that
- * depends only on the seed, the prompt and the answer, so that runs are repeatable.
+ * Rating service: an answer's score is the value of its first quality tag "[q=0.82]", plus noise
+ * that depends only on the seed, the prompt and the answer, so that runs are repeatable.
  */
 #include "platform_calls.h"
 #include "util_id.h"
@@ -9,8 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MARKER         "[q="
-#define SCORE_UNMARKED 0.5
+#define QUALITY_TAG    "[q="
+#define SCORE_UNTAGGED 0.5 /* of an answer without the tag */
 
 static double noise_deviation;
 static uint64_t noise_seed;
@@ -55,8 +55,8 @@
       json_object_put (body);
       return standin_reply_error (request, MHD_HTTP_BAD_REQUEST, "bad_rating");
     }
-  const char *marker = strstr (answer, MARKER);
-  double score = marker ? strtod (marker + strlen (MARKER), NULL) : SCORE_UNMARKED;
+  const char *tag = strstr (answer, QUALITY_TAG);
+  double score = tag ? strtod (tag + strlen (QUALITY_TAG), NULL) : SCORE_UNTAGGED;
   score += noise (prompt, answer);
   score = score < 0 ? 0 : score > 1 ? 1 : score;
   json_object_put (body);
--- a/standin/platform_table.h
+++ b/standin/platform_table.h
@@ -18,6 +18,7 @@
   int64_t objects_put;
 } TableStats;
 
+/** Creates the empty database; false if that fails. */
 bool table_open (void);
 void table_close (void);
 
--- a/standin/service_main.c
+++ b/standin/service_main.c
@@ -1,7 +1,7 @@
 /*
- * standin-service: a backend server that is no model engine, for tests only. It answers every call
- * with a description of the request, and logs all requests, so that a test can check what ran and
- * how often.
+ * standin-service: a backend server other than a model engine, for tests only. It answers every
+ * call with a description of the request, and logs all requests, so that a test can check what ran
+ * and how often.
  */
 #include "common_fault.h"
 #include "common_http.h"
@@ -26,7 +26,7 @@
 
 static Options options;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static struct json_object *record;
+static struct json_object *record; /* array of all runs so far */
 
 static void
 add_string (struct json_object *obj, const char *name, const char *value)
