--- a/bench/bench_bill.c
+++ b/bench/bench_bill.c
@@ -20,18 +20,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LATENCY_MS      2 /**< of the table service */
-#define CLOSED_LOOP_MS  3000
-#define SITE_MS         10000
+#define LATENCY_MS      2     /**< of the table service */
+#define CLOSED_LOOP_MS  3000  /**< length of a run without pauses between records */
+#define SITE_MS         10000 /**< length of a run at SITE_RATE */
 #define SITE_GATES      9
 #define FEWER_GATES     6
 #define SITE_RATE       300 /**< requests per second of the site */
 #define SITE_THREADS    16  /**< committers of each gate */
 #define CLAIM_SHARE     0.1 /**< of requests that also write a claim */
 #define TIMEOUT_MS      1000
-#define OPS_MAX         256
+#define OPS_MAX         256         /**< operations of a transaction */
 #define SPOOL_MAX       (64U << 20) /**< bytes */
-#define SAMPLES_MAX     400000
+#define SAMPLES_MAX     400000      /**< of each committer */
 #define BACKLOG_RECORDS 20000
 #define SPOOL_RECORDS   10000
 
@@ -55,7 +55,7 @@
   pthread_t thread;
   Gate *gate;
   unsigned seed;
-  double rate; /* of this thread, per second; 0: one after the other without a pause */
+  double rate; /* records per second of this thread; 0: one after the other without a pause */
   int64_t end_ms;
   double *samples_ms;
   size_t samples;
@@ -143,8 +143,8 @@
   platform_group_free (gate->group);
 }
 
-/* Commits the records of one request: for some a claim, then the bill. Returns the milliseconds by
- * which the commit of the bill delays the end of the answer. */
+/* Commits the records of one request: a claim if claimed, then the usage record. Returns the
+ * milliseconds by which the commit of the usage record delays the end of the answer. */
 static double
 commit_one (Committer *c, bool claimed)
 {
--- a/bench/bench_cluster.c
+++ b/bench/bench_cluster.c
@@ -11,10 +11,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEADER_BYTES 48 /**< of an answer without news and ages */
-#define NEWS_BYTES   28 /**< of a news entry in an answer */
-#define GRANT_MS     4000
-#define BATCH        100 /**< calls that are timed together */
+#define HEADER_BYTES 48   /**< of an answer without news and ages */
+#define NEWS_BYTES   28   /**< of a news entry in an answer */
+#define GRANT_MS     4000 /**< duration of a grant */
+#define BATCH        100  /**< calls that are timed together */
 #define BATCHES      41
 
 typedef struct
@@ -23,7 +23,7 @@
   ClusterState *answerer;
   ClusterHeartbeat *ask;
   ClusterHeartbeat *answer;
-  int64_t now;
+  int64_t now;  /**< virtual time, ms */
   int64_t sink; /**< uses the results, so that the compiler does not remove the calls */
 } Bench;
 
--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -4,8 +4,9 @@
  *   bench_decision SERVERS MODELS TEAMS DECISIONS PART [cold]
  *
  * PART is "admit", "plan" or "pick" for one part of a decision, "all" for all parts, or "gate" for
- * all parts with copies of the servers' states as in the gate. With "cold" nothing has been learned
- * yet, so that every set of stages has to be evaluated. To count only decide_many: valgrind
+ * all parts with the states of the servers copied for each decision, as in the gate. With "cold"
+ * nothing has been learned yet, so that every set of stages has to be evaluated. To count only
+ * decide_many: valgrind
  * --tool=callgrind --toggle-collect=decide_many bench_decision ...
  */
 #include "choose_cascade.h"
@@ -39,7 +40,7 @@
   Estimates *estimates;
   Limiter *limiter;
   Quarantine *quarantine;
-  GateServers owner;
+  GateServers owner; /**< holds the states of servers */
   GateServer **servers;
   bool admit, plan, pick, copies;
   unsigned picked; /**< decisions that ended with a server */
--- a/bench/bench_front.c
+++ b/bench/bench_front.c
@@ -7,7 +7,8 @@
  *   bench_front data [SEEDS]
  *     Prints a line per figure, for plots: scenario policy figure mean deviation
  *   bench_front check
- *     Checks with one seed that the product leads the other policies as required; part of CI.
+ *     Checks with one seed that lovage-front's own policy ("product") leads the other policies as
+ *     required; part of CI.
  */
 #include "front_model.h"
 #include "util_span.h"
@@ -22,8 +23,8 @@
 
 typedef struct
 {
-  const char *name;
-  size_t offset; /* in ModelResult */
+  const char *name; /* as printed */
+  size_t offset;    /* in ModelResult */
 } FigureKind;
 
 static const FigureKind figures[] = {
@@ -122,8 +123,8 @@
   return spread_of (results, SEEDS_CHECK, &net).mean;
 }
 
-/* Checks that the product, the first policy, leads every other one by the scenario's net_lead_min.
- */
+/* Checks that the policy "product", the first one, leads every other one by the scenario's
+ * net_lead_min. */
 static int
 check (void)
 {
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -34,7 +34,7 @@
 {
   FIGURE_COST,
   FIGURE_GOOD,
-  FIGURE_SCORE,
+  FIGURE_OVER_TARGET,
   FIGURE_FIRST_50,
   FIGURE_FIRST_95,
   FIGURE_FIRST_99,
@@ -48,7 +48,7 @@
   FIGURE_OTHERS_99,
   FIGURE_OTHERS_REFUSED,
   FIGURE_CRASHED,
-  FIGURE_INNOCENT,
+  FIGURE_FALSE_QUARANTINES,
   FIGURE_EXPOSED,
   FIGURE_EXPOSED_BAD,
   FIGURE_BRAKE,
@@ -56,10 +56,11 @@
   FIGURE_COUNT
 };
 
+/** Names as printed. Times (first, whole) are in milliseconds, those that end in -s in seconds. */
 static const char *const figure_names[FIGURE_COUNT] = {
   [FIGURE_COST] = "cost",
   [FIGURE_GOOD] = "good%",
-  [FIGURE_SCORE] = "over-target",
+  [FIGURE_OVER_TARGET] = "over-target",
   [FIGURE_FIRST_50] = "first50",
   [FIGURE_FIRST_95] = "first95",
   [FIGURE_FIRST_99] = "first99",
@@ -71,7 +72,7 @@
   [FIGURE_FAILED] = "failed%",
   [FIGURE_RETRIES] = "retry%",
   [FIGURE_CRASHED] = "crashed",
-  [FIGURE_INNOCENT] = "innocent",
+  [FIGURE_FALSE_QUARANTINES] = "innocent",
   [FIGURE_EXPOSED] = "exposed%",
   [FIGURE_OTHERS_99] = "others-first99",
   [FIGURE_OTHERS_REFUSED] = "others-refused%",
@@ -94,7 +95,7 @@
 
   figures[FIGURE_COST].values[seed] = ratio (r->cost, r->answered);
   figures[FIGURE_GOOD].values[seed] = 100 * ratio (r->good, r->with_class);
-  figures[FIGURE_SCORE].values[seed] = result_min_over_target (r);
+  figures[FIGURE_OVER_TARGET].values[seed] = result_min_over_target (r);
   figures[FIGURE_FIRST_50].values[seed] = times_quantile (&r->first, 0.5);
   figures[FIGURE_FIRST_95].values[seed] = times_quantile (&r->first, 0.95);
   figures[FIGURE_FIRST_99].values[seed] = times_quantile (&r->first, 0.99);
@@ -109,7 +110,7 @@
   figures[FIGURE_OTHERS_REFUSED].values[seed]
       = 100 * ratio (r->others_refused, r->others_submitted);
   figures[FIGURE_CRASHED].values[seed] = r->crashed;
-  figures[FIGURE_INNOCENT].values[seed] = r->false_quarantines;
+  figures[FIGURE_FALSE_QUARANTINES].values[seed] = r->false_quarantines;
   figures[FIGURE_EXPOSED].values[seed] = 100 * r->exposed / callers;
   figures[FIGURE_EXPOSED_BAD].values[seed] = 100 * r->exposed_bad / callers;
   figures[FIGURE_BRAKE].values[seed] = r->brake_s;
@@ -135,9 +136,9 @@
   for (i = 0; i < FIGURE_COUNT; i++)
     {
       double mean = gsl_stats_mean (figures[i].values, 1, seeds);
-      double spread = seeds > 1 ? gsl_stats_sd (figures[i].values, 1, seeds) : 0;
+      double deviation = seeds > 1 ? gsl_stats_sd (figures[i].values, 1, seeds) : 0;
 
-      printf (" %9.*f ±%-6.*f", decimals (mean), mean, decimals (mean), spread);
+      printf (" %9.*f ±%-6.*f", decimals (mean), mean, decimals (mean), deviation);
     }
   printf ("\n");
 }
@@ -166,9 +167,9 @@
   for (i = 0; i < FIGURE_COUNT; i++)
     {
       double mean = gsl_stats_mean (figures[i].values, 1, seeds);
-      double spread = seeds > 1 ? gsl_stats_sd (figures[i].values, 1, seeds) : 0;
+      double deviation = seeds > 1 ? gsl_stats_sd (figures[i].values, 1, seeds) : 0;
 
-      printf ("%s %s %s %s %.6g %.6g\n", group, scenario, policy, figure_names[i], mean, spread);
+      printf ("%s %s %s %s %.6g %.6g\n", group, scenario, policy, figure_names[i], mean, deviation);
     }
 }
 
--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -12,13 +12,13 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define GRANT_MS   8000
-#define STEP_MS    10 /**< of the virtual time */
-#define DELAY_MS   20 /**< from sending an ask to receiving its answer */
-#define WARM_UP_MS 20000
-#define END_MS     40000
-#define ASK_BYTES  INT64_C (48) /**< of an ask, and of an answer without news and ages */
-#define NEWS_BYTES 28           /**< of a news entry in an answer */
+#define GRANT_MS     8000         /**< duration of a grant */
+#define STEP_MS      10           /**< of the virtual time */
+#define DELAY_MS     20           /**< from sending an ask to receiving its answer */
+#define WARM_UP_MS   20000        /**< not measured */
+#define END_MS       40000        /**< of the measurement of the evidence */
+#define HEADER_BYTES INT64_C (48) /**< of an ask, and of an answer without news and ages */
+#define NEWS_BYTES   28           /**< of a news entry in an answer */
 
 typedef struct
 {
@@ -30,7 +30,7 @@
   gsl_rng *rng;
   uint64_t nonce;
   int64_t bytes; /**< sent by all after the warm-up */
-  int64_t now;
+  int64_t now;   /**< virtual time, ms */
 } Site;
 
 static Site
@@ -70,8 +70,8 @@
   gsl_rng_free (site->rng);
 }
 
-/* A steward asks a random other one. The round trip is processed at once, with an ask that counts
- * as sent DELAY_MS ago. */
+/* A steward sends an ask to a random other one. The round trip is processed at once, with an ask
+ * that counts as sent DELAY_MS ago. */
 static void
 ask_next (Site *site, size_t i)
 {
@@ -84,7 +84,7 @@
   cluster_heartbeat_pack (site->states[to], site->answer);
   cluster_state_handle_answer (site->states[i], site->answer, site->now);
   if (site->now >= WARM_UP_MS)
-    site->bytes += 2 * ASK_BYTES + (int64_t)site->answer->ages_count
+    site->bytes += 2 * HEADER_BYTES + (int64_t)site->answer->ages_count
                    + (int64_t)(site->answer->news_count * NEWS_BYTES);
 }
 
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -16,8 +16,8 @@
 patches=$3
 shift 3
 
-START_MAX_S=120
-HTTP_MAX_S=30
+START_TIMEOUT_S=120
+HTTP_TIMEOUT_S=30
 # Counts below this are left out of the fit: there the number of asks is limited by the number of
 # members, not by bytes.
 FIT_COUNT_MIN=18
@@ -87,7 +87,7 @@
 call() {
   local -a body=()
   [ $# -lt 4 ] || body=(--data-binary "$4")
-  curl -s --max-time $HTTP_MAX_S -X "$1" -H "Authorization: Bearer $OPERATOR_KEY" "${body[@]}" \
+  curl -s --max-time $HTTP_TIMEOUT_S -X "$1" -H "Authorization: Bearer $OPERATOR_KEY" "${body[@]}" \
     "http://127.0.0.1:$(operators_port "$2")$3"
 }
 
@@ -99,9 +99,9 @@
 }
 
 wait_settled() {
-  local until=$((SECONDS + START_MAX_S))
+  local until=$((SECONDS + START_TIMEOUT_S))
   until settled; do
-    [ $SECONDS -lt $until ] || fail "$count stewards did not settle in ${START_MAX_S}s: $(call GET 1 /v1/status | jq -c '[.view, .view_established, (.members | length), ([.members[] | select(.state != "alive" and .state != "self")] | length)]')"
+    [ $SECONDS -lt $until ] || fail "$count stewards did not settle in ${START_TIMEOUT_S}s: $(call GET 1 /v1/status | jq -c '[.view, .view_established, (.members | length), ([.members[] | select(.state != "alive" and .state != "self")] | length)]')"
     sleep 0.1
   done
 }
@@ -155,7 +155,7 @@
 counters() {
   local n
   for ((n = 1; n <= count; n++)); do
-    curl -s --max-time $HTTP_MAX_S "http://127.0.0.1:$(local_port $n)/metrics"
+    curl -s --max-time $HTTP_TIMEOUT_S "http://127.0.0.1:$(local_port $n)/metrics"
   done | awk -v names="$*" 'BEGIN { k = split(names, name, " ") } { sum[$1] += $2 }
     END { for (i = 1; i <= k; i++) printf "%d ", sum[name[i]]; print "" }'
 }
--- a/bench/front_model.h
+++ b/bench/front_model.h
@@ -1,8 +1,8 @@
 /**
- * Simulation of a platform's site on a virtual clock, to compare policies of lovage-front: fronts
- * with the product's own view of servers; engines with a batch, a queue, a cache of prompt prefixes
- * and three sizes of model; callers with three classes of requests. The parameters of the simulated
- * site are in front_site.c. Times are in milliseconds.
+ * Simulation of a platform's site on a virtual clock, to compare policies of lovage-front; the one
+ * named "product" is lovage-front's own. The site has fronts with lovage-front's view of servers;
+ * engines with a batch, a queue, a cache of prompt prefixes and three sizes of model; callers with
+ * three classes of requests. Its parameters are in front_site.c. Times are in milliseconds.
  */
 #ifndef FRONT_MODEL_H
 #define FRONT_MODEL_H
@@ -15,8 +15,8 @@
 #define MODELS             3
 #define CLASSES            3
 #define MODEL_BATCH_MAX    64
-#define MODEL_PROMPT_SLOTS 4096 /**< prompt parts that an engine's cache holds; a power of two */
-#define MODEL_CALLS_MAX    80000
+#define MODEL_PROMPT_SLOTS 4096  /**< prompt parts that an engine's cache holds; a power of two */
+#define MODEL_CALLS_MAX    80000 /**< requests of a simulation */
 
 /** A class of requests. */
 typedef struct
@@ -28,10 +28,10 @@
   int64_t objective_ms; /**< within which an answer should begin */
   int64_t deadline_ms;  /**< within which an answer must end to be worth anything */
   int64_t priority;
-  double prompt_tokens;     /**< mean */
-  double prompt_spread;     /**< of the logarithm */
-  double output_tokens;     /**< mean */
-  int64_t shared_tokens;    /**< length of the prompt's shared prefix */
+  double prompt_tokens;  /**< mean */
+  double prompt_spread;  /**< standard deviation of the logarithm of the part that is not shared */
+  double output_tokens;  /**< mean */
+  int64_t shared_tokens; /**< length of the prompt's shared prefix */
   unsigned shared_prefixes; /**< number of different ones, all equally frequent */
 } ModelClass;
 
@@ -40,7 +40,8 @@
 {
   double time_factor; /**< of reading the prompt and of generating a token */
   double quality;     /**< share of requests that it answers well */
-  double price; /**< of 1,000 generated tokens, in units of worth; prompts cost a part of it */
+  double price; /**< of 1,000 generated tokens, in units of worth; tokens of prompts cost a share of
+                   it */
 } ModelSize;
 
 /** Load of the site, and the faults in the middle third of the simulated time. */
@@ -99,15 +100,15 @@
 /** A simulated engine. */
 typedef struct
 {
-  bool lost; /**< unreachable */
-  double slowness;
+  bool lost;            /**< unreachable */
+  double slowness;      /**< factor of all its times; 1: not slow */
   unsigned running;     /**< requests in the batch and in the queue */
   double read_until_ms; /**< prompts are read one after the other; when the last is done */
-  uint64_t prompts[MODEL_PROMPT_SLOTS];
+  uint64_t prompts[MODEL_PROMPT_SLOTS]; /**< cached prompt parts, by the hash of part and model */
 } SiteEngine;
 
-#define ENGINE_BATCH 24
-#define ENGINE_QUEUE 72
+#define ENGINE_BATCH 24 /**< requests that an engine runs at once */
+#define ENGINE_QUEUE 72 /**< further requests that wait at an engine */
 
 /** True if the engine accepts another request, into its batch or its queue. */
 bool site_engine_accepts (const SiteEngine *engine);
--- a/bench/front_policies.c
+++ b/bench/front_policies.c
@@ -1,4 +1,4 @@
-/* The product's policy and the policies that it is compared with. */
+/* The policy of lovage-front ("product") and the policies that it is compared with. */
 #include "front_model.h"
 #include <string.h>
 
--- a/bench/front_simulation.c
+++ b/bench/front_simulation.c
@@ -14,16 +14,15 @@
 #define FRONTS          68
 #define ENGINES         88
 #define LENGTH_MS       24000 /* of a scenario; its faults are active in the middle third */
-#define TRIES_MAX       3
-#define REUSE_WINDOW_MS 6000 /* in which fronts expect a shared prefix to be used again */
-#define FIRST_TOKEN_MS  60.0 /* added to a predicted time to the first token */
+#define ATTEMPTS_MAX    3     /* of a request */
+#define REUSE_WINDOW_MS 6000  /* in which fronts expect a shared prefix to be used again */
+#define FIRST_TOKEN_MS  60.0  /* added to a predicted time to the first token */
 #define US_PER_MS       1000
 #define MS_PER_S        1000.0
 #define READ_PER_MS     140.0 /* prompt tokens, as fronts assume */
-/* A model's stated confidence in its answer, 0 to 100: noisy, higher for a good one. Of 11,900
- * answers of the smallest model that a site's logs say were dropped, 45% said less than 10, 10%
- * more than 40.
- */
+/* A model's stated confidence in its answer, 0 to 100: noisy, higher for a good one. According to
+ * a site's logs, of 11,900 answers of the smallest model that were dropped, 45% stated less than 10
+ * and 10% more than 40. */
 #define CONFIDENCE_GOOD_MEAN 70.0
 #define CONFIDENCE_POOR_MEAN 14.0
 #define CONFIDENCE_DEVIATION 22.0
@@ -191,7 +190,7 @@
   PickQuery query = query_of (call, call->model);
   int64_t now_ms = sim->clock.now_ms;
 
-  while (call->attempts < TRIES_MAX)
+  while (call->attempts < ATTEMPTS_MAX)
     {
       PickAnswer pick = sim->policy->pick (sim->views[call->front], &query, &sim->clock);
       SiteEngine *engine;
@@ -299,7 +298,7 @@
     .user = &context,
   };
 
-  if (call->model == MODELS - 1 || call->attempts >= TRIES_MAX)
+  if (call->model == MODELS - 1 || call->attempts >= ATTEMPTS_MAX)
     return CASCADE_KEEP;
   return sim->policy->step (&c);
 }
--- a/bench/front_site.c
+++ b/bench/front_site.c
@@ -91,7 +91,7 @@
 
 #define TOKEN_MS      2.2   /* to generate a token for each request in the batch */
 #define READ_PER_MS   140.0 /* prompt tokens, with an empty batch */
-#define FIRST_BASE_MS 53.0
+#define FIRST_BASE_MS 53.0  /* to the first token, besides reading and queueing */
 /* Reading prompts delays the batch: at full load by about this share of a token's time. */
 #define READ_DELAY_SHARE 0.6
 
@@ -107,7 +107,8 @@
   return &engine->prompts[key % MODEL_PROMPT_SLOTS];
 }
 
-/* Returns the tokens to read. A part can only be reused if all parts before it are cached. */
+/* Returns the number of tokens that are not cached. A part can only be reused if all parts before
+ * it are cached. */
 static int64_t
 read_prompt (SiteEngine *engine, const FrontCall *call, unsigned model)
 {
--- a/bench/gate.sh
+++ b/bench/gate.sh
@@ -118,7 +118,7 @@
   echo "most open at once: $(value open-1000 open_most)"
   bound "1000 streams open at once" [ "$(value open-1000 open_most)" = 1000 ]
   echo "memory of the gate: idle $idle KiB, with 1000 open streams $open KiB:" \
-    "$(((open - idle) * 1024 / 1000)) bytes an open stream"
+    "$(((open - idle) * 1024 / 1000)) bytes per open stream"
 }
 
 # Rounds of the same load on the engine and through the gate, in turn, so that other load on the
@@ -169,7 +169,7 @@
   awk -v s="$short" -v sr=$short_requests -v st=$short_tokens \
     -v l="$long" -v lr=$long_requests -v lt=$long_tokens 'BEGIN {
       token = (l / lr - s / sr) / (lt - st)
-      printf "processor time of the gate: %.0f us a request and %.1f us a token\n",
+      printf "processor time of the gate: %.0f us per request and %.1f us per token\n",
         (s / sr - token * st) * 1000, token * 1000
     }'
 }
--- a/bench/gate_idle.sh
+++ b/bench/gate_idle.sh
@@ -8,8 +8,8 @@
 . "$(dirname "$0")/../regress/lib.sh"
 
 WINDOW_S=${WINDOW_S:-60}
-# Engines added for the second window.
-EXTRA=20
+# Engines added for the second window, each at an address of its own, and their port.
+EXTRA_ENGINES=20
 EXTRA_PORT=19777
 
 reads_of() {
@@ -20,7 +20,8 @@
   awk -v tick="$(getconf CLK_TCK)" '{ print ($14 + $15) * 1000 / tick }' "/proc/${pid[gate-1]}/stat"
 }
 
-# window NAME: measures for WINDOW_S seconds, prints a line, and sets $spent_ms and $reads.
+# window NAME: measures for WINDOW_S seconds, prints a line, and sets $spent_ms (processor time) and
+# $reads (load reports).
 window() {
   local cpu before
   cpu=$(cpu_ms)
@@ -29,12 +30,12 @@
   spent_ms=$(awk -v a="$(cpu_ms)" -v b="$cpu" 'BEGIN { print a - b }')
   reads=$(($(reads_of) - before))
   awk -v name="$1" -v ms="$spent_ms" -v s="$WINDOW_S" -v r="$reads" \
-    'BEGIN { printf "%s: %.2f %% of a core, %.1f load reports a second\n", name, ms / s / 10, r / s }'
+    'BEGIN { printf "%s: %.2f %% of a core, %.1f load reports per second\n", name, ms / s / 10, r / s }'
 }
 
 add_engines() {
   local i patch=
-  for ((i = 1; i <= EXTRA; i++)); do
+  for ((i = 1; i <= EXTRA_ENGINES; i++)); do
     start_process "extra-$i" standin-engine --address "127.0.2.$i" --port $EXTRA_PORT \
       --serves draft-small@v1
     patch+=",\"extra-$i\":{\"kind\":\"engine\",\"address\":\"127.0.2.$i\",\"port\":$EXTRA_PORT,
@@ -50,5 +51,5 @@
 sleep 3
 window "24 engines"
 awk -v ms="$(awk -v a="$spent_ms" -v b="$few_ms" 'BEGIN { print a - b }')" -v r=$((reads - few_reads)) \
-  'BEGIN { printf "slope: %.0f us a load report\n", ms * 1000 / r }'
+  'BEGIN { printf "slope: %.0f us per load report\n", ms * 1000 / r }'
 site_stop
--- a/bench/load_call.c
+++ b/bench/load_call.c
@@ -2,7 +2,7 @@
 #include "util_clock.h"
 #include <string.h>
 
-#define BLOCK_SIZE 8192
+#define BLOCK_SIZE 8192 /* bytes of one read */
 #define END_MARKER "data: [DONE]"
 #define EVENT_END  "\n\n"
 
--- a/bench/load_call.h
+++ b/bench/load_call.h
@@ -7,7 +7,7 @@
 #include "http_client.h"
 #include <stdint.h>
 
-#define LOAD_TOKENS_MAX 4096
+#define LOAD_TOKENS_MAX 4096 /**< gaps kept of one answer */
 
 typedef enum
 {
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -20,7 +20,7 @@
 
 #define STACK_SIZE   ((size_t)512 * 1024) /* bytes, of each stream's thread */
 #define GAPS_MAX     ((size_t)4000000)    /* samples kept */
-#define STATUSES_MAX 600
+#define STATUSES_MAX 600                  /* HTTP statuses below it are counted */
 
 typedef struct
 {
@@ -32,7 +32,7 @@
   unsigned requests;
   unsigned tokens;
   unsigned prompt_bytes;
-  double rate; /* requests a second; 0: closed loop */
+  double rate; /* requests per second; 0: closed loop */
   unsigned long seed;
   int timeout_ms;
 } Options;
@@ -77,7 +77,7 @@
         { "requests", OPTION_REQUESTS, "N", 0, "requests in total", 0 },
         { "tokens", OPTION_TOKENS, "N", 0, "tokens of each answer", 0 },
         { "prompt-bytes", OPTION_PROMPT_BYTES, "N", 0, "approximate length of each prompt", 0 },
-        { "rate", OPTION_RATE, "R", 0, "open loop, R requests a second on average", 0 },
+        { "rate", OPTION_RATE, "R", 0, "open loop, R requests per second on average", 0 },
         { "seed", OPTION_SEED, "N", 0, "of the arrival times", 0 },
         { "timeout-ms", OPTION_TIMEOUT_MS, "T", 0, "time without input that ends a request", 0 },
         { 0 } };
--- a/bench/model_attempt.c
+++ b/bench/model_attempt.c
@@ -9,7 +9,7 @@
 
 #define US_PER_MS                1000
 #define LOCAL_HOP_MS             1     /**< one way, within a failure domain */
-#define NO_SERVER_RETRY_AFTER_MS 1000  /**< told to callers if no server is usable */
+#define NO_SERVER_RETRY_AFTER_MS 1000  /**< sent to callers if no server is usable */
 #define RESTART_MS               30000 /**< until an engine that a request crashed runs again */
 
 ModelGate *
@@ -192,7 +192,7 @@
     .prefix_tokens = request->prefix_tokens,
     .output_tokens = request->output_tokens,
     .prefix = request->prefix,
-    .low_priority = request->borrowed,
+    .low_priority = request->beyond_fair_share,
     .crashes = request->crashes,
   };
   if (!engine->up || !engine_enqueue (engine, &work))
@@ -218,7 +218,8 @@
     request_answered (site, event->subject);
 }
 
-/** After a failed attempt: retries at another server, or refuses the request. */
+/** After a failed attempt: retries at another server, or refuses the request. If a part of the
+ * answer was streamed to the caller already, a retry would repeat it. */
 static void
 retry_or_refuse (ModelSite *site, unsigned index, bool streamed)
 {
--- a/bench/model_callers.c
+++ b/bench/model_callers.c
@@ -15,13 +15,14 @@
 #define PROMPT_MEAN        200 /**< tokens, without a shared prefix */
 #define OUTPUT_LOG_MEAN    4.8 /**< of the logarithm of an answer's tokens: a median of about 120 */
 #define OUTPUT_LOG_DEV     0.6
-#define OUTPUT_MAX         1500 /**< tokens */
-#define CALLER_DEADLINE_MS 30000
+#define OUTPUT_MAX         1500  /**< tokens */
+#define CALLER_DEADLINE_MS 30000 /**< after a request was first sent */
 #define US_PER_MS          1000
 #define CRASH_RESENDS      20 /**< times that a request that crashes engines is sent again */
-#define CRASH_TEAM         0
-#define CRASH_CALLER       0
+#define CRASH_TEAM         0  /**< team of the request that crashes engines */
+#define CRASH_CALLER       0  /**< caller of the team of the request that crashes engines */
 
+/** Indices of the classes in the configuration. */
 enum
 {
   CLASS_ISSUE,
--- a/bench/model_check.c
+++ b/bench/model_check.c
@@ -182,7 +182,8 @@
   result_free (&outage);
 }
 
-/** Checks that a bad candidate is braked before too large a share of callers got its answers. */
+/** Checks that a bad candidate is braked before more than exposed_max, a share of all callers, got
+ * its answers. */
 static void
 check_brake (const char *path, double exposed_max)
 {
@@ -200,7 +201,7 @@
   ModelResult good = run ("rollout/good", "sequential");
 
   at_most ("rollout/good", "braked", good.brake_s, 0);
-  at_least ("rollout/good", "seconds until it has all callers", good.done_s, 1);
+  at_least ("rollout/good", "seconds until all callers get it", good.done_s, 1);
   result_free (&good);
   check_brake ("rollout/bad-at-once", 0.01);
   check_brake ("rollout/slow", 0.01);
--- a/bench/model_engine.h
+++ b/bench/model_engine.h
@@ -13,10 +13,9 @@
 #define ENGINE_PREFIXES  24     /**< prompt prefixes that the cache holds */
 #define ENGINE_HISTORY   128    /**< samples of the load that are kept */
 #define ENGINE_SAMPLE_US 100000 /**< between two samples */
-#define ENGINE_QUEUE_MAX 2048
+#define ENGINE_QUEUE_MAX 2048   /**< work items of each priority */
 
 /** One attempt of a request at the engine. */
-
 typedef struct
 {
   unsigned request;
@@ -26,7 +25,7 @@
   unsigned prompt_tokens; /**< of which prefix_tokens need no reading if cached */
   unsigned prefix_tokens;
   unsigned output_tokens;
-  uint64_t prefix;
+  uint64_t prefix;   /**< hash of the shared prompt prefix; 0: none */
   bool low_priority; /**< waits until no other work is queued */
   bool crashes;      /**< the engine dies when this work starts */
   bool dropped;      /**< cancelled while queued; skipped when its turn comes */
@@ -43,7 +42,7 @@
 {
   bool up;
   bool ignores_cancel;
-  unsigned slots;
+  unsigned slots;       /**< size of the batch */
   double slowness;      /**< factor of all times; 1: as most engines */
   unsigned incarnation; /**< incremented at each death */
   unsigned running;
@@ -54,7 +53,7 @@
   uint64_t prefixes[ENGINE_PREFIXES]; /**< most recent first */
   unsigned history[ENGINE_HISTORY];   /**< ring buffer of loads: running and queued, one per
                                          ENGINE_SAMPLE_US */
-  unsigned samples;
+  unsigned samples;                   /**< taken so far */
 } ModelEngine;
 
 /** Times from the start of a work item to its first and to its last token. */
--- a/bench/model_event.h
+++ b/bench/model_event.h
@@ -15,7 +15,7 @@
   EVENT_SUBMIT,  /**< a request reaches a gate, for the first time or again; subject: request */
   EVENT_ENQUEUE, /**< an attempt reaches its engine; subject: request */
   EVENT_DONE,    /**< an engine has completed an answer; subject: request */
-  EVENT_FAILED,  /**< a gate learns that an attempt's engine died or refused it; subject: request */
+  EVENT_FAILED,  /**< an attempt fails: its engine died or refused it; subject: request */
   EVENT_TIMEOUT, /**< an attempt's time-out is over; subject: request */
   EVENT_RATED,   /**< the rating of a stage's answer has arrived; subject: request */
   EVENT_SAMPLE,  /**< engines sample their load */
--- a/bench/model_group.c
+++ b/bench/model_group.c
@@ -94,6 +94,7 @@
   return policies;
 }
 
+/* With a limit of concurrent requests for each team; 0: none. */
 #define LIMIT_SITE(limit)                                                                          \
   .config = { .draft_engines = 20,                                                                 \
               .ledger_engines = 4,                                                                 \
@@ -182,8 +183,8 @@
   return policies;
 }
 
-/* A burst of half a minute, measured from a minute after its end. Engines that ignore cancels go on
-   to run the attempts that gates have given up. */
+/* A burst of half a minute, measured from a minute after its end. Engines that ignore cancels
+   run abandoned attempts to their end. */
 #define RETRY_SITE                                                                                 \
   .config = { .draft_engines = 20,                                                                 \
               .ledger_engines = 4,                                                                 \
--- a/bench/model_quality.c
+++ b/bench/model_quality.c
@@ -60,6 +60,8 @@
   return strcmp (model, "ledger") == 0 ? KIND_LEDGER : KIND_LARGE;
 }
 
+/** True rating of an answer that is good with the given chance: at least target if it is good, else
+ *  below FAIL_SCORE_MAX. */
 static double
 score_of (double chance, double target, uint64_t seed, ModelKind kind)
 {
@@ -144,7 +146,7 @@
 evaluate_plans (const ModelSite *site, const ChoosePlan *candidates, EvaluatedPlan *evaluated)
 {
   double quality_min = candidates->quality_target - cascade_settings_default.mix_shortfall_max;
-  unsigned stages_max = candidates->idempotent && site->rating_up ? ORACLE_STAGES_MAX : 1;
+  unsigned stages_max = candidates->idempotent && site->rating_available ? ORACLE_STAGES_MAX : 1;
   unsigned mask, n = 0;
 
   for (mask = 1; mask < 1U << candidates->count; mask++)
@@ -210,10 +212,10 @@
 
   if (reason != REASON_NONE || class_index < 0)
     return reason;
-  oracle = &site->oracle_plans[class_index][site->rating_up];
-  if (!site->oracle_known[class_index][site->rating_up])
+  oracle = &site->oracle_plans[class_index][site->rating_available];
+  if (!site->oracle_known[class_index][site->rating_available])
     *oracle = search_plans (site, plan);
-  site->oracle_known[class_index][site->rating_up] = true;
+  site->oracle_known[class_index][site->rating_available] = true;
   *plan = gsl_rng_uniform (site->policy_rng) < oracle->share ? oracle->below : oracle->above;
   return REASON_NONE;
 }
--- a/bench/model_request.c
+++ b/bench/model_request.c
@@ -138,7 +138,7 @@
     .request = &choose,
     .estimates = site_gate (site, request)->estimates,
     .settings = &cascade_settings_default,
-    .rating_available = site->rating_up,
+    .rating_available = site->rating_available,
     .rating_ms = RATING_MS,
     .random = site_random (site),
   };
@@ -186,7 +186,7 @@
   LimitVerdict verdict = site->policy->limit->admit (gate->limiter, &query);
 
   request->admitted = verdict.reason == REASON_NONE;
-  request->borrowed = verdict.beyond_fair_share;
+  request->beyond_fair_share = verdict.beyond_fair_share;
   request->tokens = query.tokens;
   return verdict;
 }
@@ -298,7 +298,7 @@
   bool candidate = quality_kind (site->config, outcome->version) == KIND_CANDIDATE;
   double score;
 
-  if (!site->rating_up || (gsl_rng_uniform (site->policy_rng) >= SAMPLE_SHARE && !candidate))
+  if (!site->rating_available || (gsl_rng_uniform (site->policy_rng) >= SAMPLE_SHARE && !candidate))
     return;
   score = draw_rating (site, request);
   rollout_record_rating (site, request, score);
@@ -332,7 +332,7 @@
   CascadeOutcome outcome = make_outcome (site, request);
   double score;
 
-  if (site->rating_up)
+  if (site->rating_available)
     {
       score = draw_rating (site, request);
       rollout_record_rating (site, request, score);
--- a/bench/model_rollout.c
+++ b/bench/model_rollout.c
@@ -9,11 +9,11 @@
 #define CONTROL_INTERVAL_MS 1000 /**< between two merges of the gates' evidence */
 #define IN_FORCE_MS         3000 /**< from a decision until it is in force at all gates */
 #define US_PER_MS           1000
-#define SLOW_DEVIATIONS     2
+#define SLOW_DEVIATIONS     2    /**< standard deviations over the old mean: a slow answer */
 #define OLD_COUNT_MAX       1000 /**< weight of the past in the old version's running mean */
 #define BAD_SCORE           0.6  /**< true rating below which an answer is bad */
-#define EXPOSED             1
-#define EXPOSED_BAD         2
+#define EXPOSED             1    /**< bit of ModelSite.exposed: got an answer of the candidate */
+#define EXPOSED_BAD         2    /**< bit of ModelSite.exposed: got a bad one */
 
 void
 rollout_prepare (ModelSite *site)
--- a/bench/model_scenario.h
+++ b/bench/model_scenario.h
@@ -32,10 +32,10 @@
 
 typedef struct
 {
-  int64_t at_ms;
+  int64_t at_ms; /**< virtual time; 0 ends a scenario's list of faults */
   FaultKind kind;
-  unsigned subject;
-  double factor;
+  unsigned subject; /**< meaning by kind */
+  double factor;    /**< meaning by kind */
 } ModelFault;
 
 #define FAULTS_MAX 8
--- a/bench/model_site.c
+++ b/bench/model_site.c
@@ -117,7 +117,7 @@
   gsl_rng_set (site->policy_rng, seed + POLICY_SEED_OFFSET);
   site->rate = scenario->rate;
   site->lag_ms = scenario->report_lag_ms;
-  site->rating_up = true;
+  site->rating_available = true;
   site->candidate_time_factor = 1;
   site->bad_team_quality = 1;
   site->braked = memory_array (site->config->version_count, sizeof *site->braked);
@@ -259,7 +259,7 @@
       break;
     case FAULT_RATING_DOWN:
     case FAULT_RATING_UP:
-      site->rating_up = fault->kind == FAULT_RATING_UP;
+      site->rating_available = fault->kind == FAULT_RATING_UP;
       break;
     case FAULT_QUALITY:
       set_quality (site, fault->subject, fault->factor);
--- a/bench/model_site.h
+++ b/bench/model_site.h
@@ -39,8 +39,8 @@
   unsigned resends;        /**< times that its caller will still resend it, if it crashes engines */
   bool ended;              /**< answered, or refused for the last time */
   bool admitted;
-  bool borrowed;  /**< admitted beyond the team's fair share */
-  int64_t tokens; /**< with which it was admitted */
+  bool beyond_fair_share; /**< admitted beyond the team's fair share */
+  int64_t tokens;         /**< expected tokens, by which it was admitted */
 
   ChoosePlan plan;
   unsigned stage;
@@ -50,8 +50,8 @@
   unsigned tried_count;
   int engine;                       /**< of the attempt in progress, or -1 */
   bool started;                     /**< the attempt runs in the engine's batch */
-  int64_t sent_us;                  /**< of the attempt */
-  int64_t first_us;                 /**< the attempt's first token */
+  int64_t sent_us;                  /**< when the attempt was sent */
+  int64_t first_us;                 /**< when the attempt's first token reaches the gate */
   double score;                     /**< true rating of the stage's answer */
   struct cds_list_head engine_node; /**< in ModelSite.engine_requests */
 } ModelRequest;
@@ -76,7 +76,7 @@
   RetryBudget *budget;
   Limiter *limiter;
   Quarantine *quarantine;
-  double old_count, old_mean, old_variance; /**< milliseconds per token of the old version */
+  double old_count, old_mean, old_variance; /**< of the old version's milliseconds per token */
   RolloutEvidence *candidate; /**< by team and kind of request, since the last EVENT_CONTROL */
   RolloutEvidence *control;   /**< the same of the old version */
 } ModelGate;
@@ -93,28 +93,27 @@
   double rate;                 /**< requests per second */
   double *team_rates;          /**< share of rate of each team */
   double quality[MODEL_KINDS]; /**< factor of the pass chances, by kind */
-  int64_t lag_ms;
-  bool *braked; /**< by version */
-  RolloutTest *test;
-  int64_t rollout_ms; /**< when the roll-out started; 0: not yet */
-  int64_t verdict_ms; /**< when the verdict is in force at all gates */
+  int64_t lag_ms;              /**< age of load reports when they are read */
+  bool *braked;                /**< by version */
+  RolloutTest *test;           /**< NULL: no roll-out is configured */
+  int64_t rollout_ms;          /**< when the roll-out started; 0: not yet */
+  int64_t verdict_ms;          /**< when the verdict is in force at all gates */
   RolloutVerdict verdict;
   unsigned bad_team; /**< for which the candidate is worse, by bad_team_quality */
   double bad_team_quality;
   double candidate_time_factor; /**< of the candidate's answers */
-  bool rating_up;
-  unsigned next_gate;
+  bool rating_available;
+  unsigned next_gate; /**< counter by which callers are spread over the gates */
   ModelGate *gates;
   ModelEngine *engines;
   struct cds_list_head *engine_requests; /**< list of the requests in progress at each engine */
   unsigned engine_count;
   ModelRequest **requests;
   size_t request_count, request_cap;
-  uint8_t *excluded;
-  OraclePlan oracle_plans[CLASSES_COUNT][2]; /**< by class, and by rating_up */
+  uint8_t *excluded;                         /**< by engine: tried already in the present stage */
+  OraclePlan oracle_plans[CLASSES_COUNT][2]; /**< by class, and by rating_available */
   bool oracle_known[CLASSES_COUNT][2];
-  unsigned char
-      *exposed; /**< by team and caller, bits: 1 got an answer of the candidate, 2 a bad one */
+  unsigned char *exposed; /**< by team and caller: bits defined in model_rollout.c */
   ModelResult result;
 } ModelSite;
 
