--- a/tests/fake_engine.c
+++ b/tests/fake_engine.c
@@ -30,7 +30,7 @@
   int behaviour;     /* atomic */
   bool stop;         /* atomic */
   size_t ran;        /* atomic */
-  size_t unfinished; /* atomic */
+  size_t incomplete; /* atomic */
   size_t cancelled;  /* atomic */
 };
 
@@ -173,7 +173,7 @@
   bool complete = read_request (fd, &request);
 
   if (!complete && request.len > 0)
-    __atomic_add_fetch (&engine->unfinished, 1, __ATOMIC_ACQ_REL);
+    __atomic_add_fetch (&engine->incomplete, 1, __ATOMIC_ACQ_REL);
   else if (complete && strncmp (request.data, "DELETE ", 7) == 0)
     {
       __atomic_add_fetch (&engine->cancelled, 1, __ATOMIC_ACQ_REL);
@@ -275,7 +275,7 @@
 size_t
 fake_engine_incomplete (const FakeEngine *engine)
 {
-  return __atomic_load_n (&engine->unfinished, __ATOMIC_ACQUIRE);
+  return __atomic_load_n (&engine->incomplete, __ATOMIC_ACQUIRE);
 }
 
 size_t
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -148,8 +148,10 @@
 }
 
 static void
-test_stream_faults (void)
+test_streams_are_duplicated_and_reordered (void)
 {
+  /* The faults duplicate and reorder change the sequence of event ids; the stream is still
+   * complete. */
   const struct
   {
     const char *fault;
@@ -177,7 +179,7 @@
 }
 
 static void
-test_cut_and_resume (void)
+test_cut_stream_resumes (void)
 {
   /* After the fault has cut a stream, resuming it from event 2 gives the same bytes as an
    * undisturbed stream from there on. */
@@ -208,6 +210,7 @@
 static void
 test_caller_left_cancels (void)
 {
+  /* A run is cancelled when its caller closes the connection, streamed or not. */
   const char *const marks[] = { "left-stream", "left-whole" };
   for (size_t i = 0; i < SUITE_COUNT (marks); i++)
     {
@@ -251,7 +254,7 @@
 }
 
 static void
-test_priority (void)
+test_higher_priority_runs_first (void)
 {
   /* With one slot, the later of two queued runs goes first if it has the higher priority. */
   Prompt prompt = { .mark = "first", .hash = 1 };
@@ -299,8 +302,10 @@
 }
 
 static void
-test_fencing (void)
+test_outdated_fencing_number_is_refused (void)
 {
+  /* An order with a lower fencing number than an earlier one has no effect, except with the fault
+   * ignore_fencing. */
   Buffer out = { 0 };
   CU_ASSERT_EQUAL (call ("POST", "/v1/orders", "{\"fence\":5,\"load\":[\"m@v2\"]}", &out), 200);
   CU_ASSERT_TRUE (models_loaded ("m@v2"));
@@ -331,7 +336,7 @@
 }
 
 static void
-test_cache_events (void)
+test_cache_events_are_reported_and_omitted (void)
 {
   char path[64];
   int64_t from;
@@ -371,7 +376,7 @@
 }
 
 static void
-test_load_lag (void)
+test_load_report_lags (void)
 {
   Prompt prompt = { .mark = "load", .hash = 1 };
   bool yes = true;
@@ -390,15 +395,16 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "stream_faults", test_stream_faults },
-                              { "cut_and_resume", test_cut_and_resume },
-                              { "caller_left_cancels", test_caller_left_cancels },
-                              { "delete_cancels", test_delete_cancels },
-                              { "priority", test_priority },
-                              { "not_run", test_not_run },
-                              { "fencing", test_fencing },
-                              { "cache_events", test_cache_events },
-                              { "load_lag", test_load_lag } };
+  const SuiteCase cases[]
+      = { { "streams_are_duplicated_and_reordered", test_streams_are_duplicated_and_reordered },
+          { "cut_stream_resumes", test_cut_stream_resumes },
+          { "caller_left_cancels", test_caller_left_cancels },
+          { "delete_cancels", test_delete_cancels },
+          { "higher_priority_runs_first", test_higher_priority_runs_first },
+          { "not_run", test_not_run },
+          { "outdated_fencing_number_is_refused", test_outdated_fencing_number_is_refused },
+          { "cache_events_are_reported_and_omitted", test_cache_events_are_reported_and_omitted },
+          { "load_report_lags", test_load_report_lags } };
   port = suite_free_port ();
   models_serve ("m@v1");
   runs_start ();
