--- a/src/front.c
+++ b/src/front.c
@@ -4,7 +4,7 @@
 bool
 front_is_ready (const Front *front)
 {
-  return front->stop_ms == 0 && front->config && front->servers_known;
+  return front->stop_requested_ms == 0 && front->config && front->servers_known;
 }
 
 void
--- a/src/front.h
+++ b/src/front.h
@@ -49,7 +49,7 @@
   struct cds_list_head requests; /**< FrontRequest by node */
   unsigned conn_count;
   unsigned request_count;
-  int64_t stop_ms; /**< when the stop was requested; 0: it was not */
+  int64_t stop_requested_ms; /**< when a graceful stop was requested; 0: it was not */
 } Front;
 
 /** True once everything that is needed to serve callers is known, and until a stop is requested. */
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -34,7 +34,7 @@
   struct cds_list_head node;
   Front *front;
   struct bufferevent *bev;
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   FrontRequest *request; /* being answered; NULL: none */
   bool reading;          /* set while conn_read runs, so that the end of an answer doesn't call it
                             recursively */
@@ -92,7 +92,7 @@
 conn_destroy (FrontConn *conn)
 {
   cds_list_del (&conn->node);
-  http_request_parser_reset (&conn->intake);
+  http_request_parser_reset (&conn->request_parser);
   free (conn);
 }
 
@@ -111,7 +111,7 @@
 {
   struct evbuffer *output = bufferevent_get_output (conn->bev);
 
-  conn->close_after = !conn->intake.keep_alive || conn->front->stop_ms != 0;
+  conn->close_after = !conn->request_parser.keep_alive || conn->front->stop_requested_ms != 0;
   evbuffer_add (output, head->data, head->len);
   if (conn->close_after)
     evbuffer_add_printf (output, "Connection: close\r\n");
@@ -128,7 +128,7 @@
       close_when_written (conn);
       return;
     }
-  http_request_parser_reset (&conn->intake);
+  http_request_parser_reset (&conn->request_parser);
   idle_begin (conn);
   if (!conn->reading && evbuffer_get_length (bufferevent_get_input (conn->bev)) > 0)
     conn_read (conn);
@@ -150,9 +150,9 @@
 {
   struct evbuffer *output = bufferevent_get_output (conn->bev);
 
-  conn->chunked = conn->intake.parser.http_minor > 0;
+  conn->chunked = conn->request_parser.parser.http_minor > 0;
   if (!conn->chunked)
-    conn->intake.keep_alive = false;
+    conn->request_parser.keep_alive = false;
   write_head (conn, head);
   evbuffer_add_printf (output, "%s\r\n", conn->chunked ? "Transfer-Encoding: chunked\r\n" : "");
 }
@@ -203,9 +203,9 @@
 }
 
 HttpRequestParser *
-front_conn_intake (FrontConn *conn)
+front_conn_request_parser (FrontConn *conn)
 {
-  return &conn->intake;
+  return &conn->request_parser;
 }
 
 static void
@@ -218,7 +218,7 @@
   front_log_end (line);
   front_counter_add (FRONT_COUNTER_BAD_REQUESTS);
   wire_refusal_encode (&head, status, (Span){ 0 }, 0);
-  conn->intake.keep_alive = false;
+  conn->request_parser.keep_alive = false;
   front_conn_answer (conn, &head, "", 0);
   buffer_free (&head);
 }
@@ -241,13 +241,13 @@
 
   if (len == 0 || conn->request || conn->closing)
     return false;
-  if (!http_request_parser_started (&conn->intake))
+  if (!http_request_parser_started (&conn->request_parser))
     {
-      conn->intake.limits = current_limits (conn->front);
+      conn->request_parser.limits = current_limits (conn->front);
       conn->since_ms = clock_boot_ms ();
     }
   switch (http_request_parser_feed (
-      &conn->intake, (const char *)evbuffer_pullup (input, (ev_ssize_t)len), len, &used))
+      &conn->request_parser, (const char *)evbuffer_pullup (input, (ev_ssize_t)len), len, &used))
     {
     case HTTP_PARSE_DONE:
       evbuffer_drain (input, used);
@@ -255,15 +255,15 @@
       return true;
     case HTTP_PARSE_REFUSED:
       evbuffer_drain (input, len);
-      refuse_request (conn, conn->intake.refuse_status);
+      refuse_request (conn, conn->request_parser.refuse_status);
       return false;
     case HTTP_PARSE_MORE:
       break;
     }
   evbuffer_drain (input, used);
-  if (conn->intake.wants_continue)
+  if (conn->request_parser.wants_continue)
     evbuffer_add_printf (bufferevent_get_output (conn->bev), "HTTP/1.1 100 Continue\r\n\r\n");
-  conn->intake.wants_continue = false;
+  conn->request_parser.wants_continue = false;
   return true;
 }
 
@@ -308,7 +308,7 @@
   conn->front = front;
   front_socket_set_options (fd, TCP_TIMEOUT_MS);
   conn->bev = bufferevent_socket_new (front->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  http_request_parser_init (&conn->intake, &limits);
+  http_request_parser_init (&conn->request_parser, &limits);
   idle_begin (conn);
   cds_list_add_tail (&conn->node, &front->conns);
   front->conn_count++;
@@ -334,9 +334,9 @@
       if (passed_ms > TCP_TIMEOUT_MS)
         conn_free (conn);
     }
-  else if (http_request_parser_started (&conn->intake))
+  else if (http_request_parser_started (&conn->request_parser))
     {
-      if (!conn->intake.in_body && passed_ms > header_ms + header_ms / 2)
+      if (!conn->request_parser.in_body && passed_ms > header_ms + header_ms / 2)
         refuse_request (conn, 408);
       else if (passed_ms > 2 * conn->idle_timeout_ms)
         conn_free (conn);
@@ -344,7 +344,8 @@
   else if (!written)
     return;
   else if (passed_ms > conn->idle_timeout_ms
-           || (conn->front->stop_ms != 0 && now_ms - conn->front->stop_ms > STOP_IDLE_MS))
+           || (conn->front->stop_requested_ms != 0
+               && now_ms - conn->front->stop_requested_ms > STOP_IDLE_MS))
     conn_free (conn);
 }
 
--- a/src/front_conn.h
+++ b/src/front_conn.h
@@ -12,7 +12,7 @@
 /** Takes over an accepted connection. */
 void front_conn_new (Front *front, evutil_socket_t fd);
 /** The request being answered; valid until its answer is written. */
-HttpRequestParser *front_conn_intake (FrontConn *conn);
+HttpRequestParser *front_conn_request_parser (FrontConn *conn);
 /** Writes a complete answer: head holds the status line and header fields, without the empty line.
  */
 void front_conn_answer (FrontConn *conn, const Buffer *head, const void *body, size_t len);
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -71,10 +71,10 @@
 stop_check (Main *self, int64_t now_ms)
 {
   Front *front = &self->front;
-  int64_t passed_ms = now_ms - front->stop_ms;
+  int64_t passed_ms = now_ms - front->stop_requested_ms;
   int64_t max_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_MARGIN_MS;
 
-  if (front->stop_ms == 0)
+  if (front->stop_requested_ms == 0)
     return;
   if (passed_ms >= max_ms
       || (passed_ms >= STOP_MIN_MS && front->request_count == 0 && front_conn_all_written (front)))
@@ -107,9 +107,9 @@
   Main *self = user;
   FrontLine *line;
 
-  if (self->front.stop_ms != 0)
+  if (self->front.stop_requested_ms != 0)
     return;
-  self->front.stop_ms = clock_boot_ms ();
+  self->front.stop_requested_ms = clock_boot_ms ();
   line = front_log_begin (FRONT_EVENT_STOP);
   front_log_text (line, "phase", "asked");
   front_log_number (line, "requests", self->front.request_count);
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -159,24 +159,25 @@
 static uint64_t
 fingerprint_of (const FrontRequest *request)
 {
-  const HttpRequestParser *intake = front_conn_intake (request->conn);
+  const HttpRequestParser *request_parser = front_conn_request_parser (request->conn);
   const char *team = request->team ? request->team->name : "";
-  uint64_t hash = quarantine_fingerprint (team, intake->body.data, intake->body.len);
+  uint64_t hash
+      = quarantine_fingerprint (team, request_parser->body.data, request_parser->body.len);
 
-  return id_hash (intake->target.text, intake->target.len, hash) | 1;
+  return id_hash (request_parser->target.text, request_parser->target.len, hash) | 1;
 }
 
-/* Whether the end of a planned stop may cut off the answer. Where all fronts of a failure domain
+/* Whether the end of a graceful stop may cut off the answer. Where all fronts of a failure domain
  * stop at once callers have nowhere else to go, so a request whose time-out ends before the process
  * is killed is still served. */
 static bool
 may_outlive_stop (const FrontRequest *request)
 {
   const Front *front = request->front;
-  int64_t elapsed_ms = request->arrived_ms - front->stop_ms;
+  int64_t elapsed_ms = request->arrived_ms - front->stop_requested_ms;
   int64_t max_ms = (int64_t)(front->settings.stop_s * MS_PER_S) - STOP_MARGIN_MS;
 
-  if (front->stop_ms == 0 || elapsed_ms <= STOP_ACCEPTS_STREAMS_MS)
+  if (front->stop_requested_ms == 0 || elapsed_ms <= STOP_ACCEPTS_STREAMS_MS)
     return false;
   return request->route->kind == ROUTE_STREAM || elapsed_ms + request->route->timeout_ms > max_ms;
 }
@@ -223,7 +224,7 @@
 {
   const FrontRoute *route;
 
-  wire_call_decode (front_conn_intake (request->conn), &request->call);
+  wire_call_decode (front_conn_request_parser (request->conn), &request->call);
   if (!admit (request))
     return;
   route = request->route;
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -200,12 +200,12 @@
     .priority = front_config_priority (request->route, request->team),
     .after_event = request->head_sent ? request->events.last_id : -1,
   };
-  HttpRequestParser *intake = front_conn_intake (request->conn);
+  HttpRequestParser *request_parser = front_conn_request_parser (request->conn);
   Buffer head = { 0 };
 
-  wire_call_encode (&head, intake, &headers);
-  request->attempt = front_attempt_start (request->front, pick->server, &head, &intake->body,
-                                          &attempt_callbacks, request);
+  wire_call_encode (&head, request_parser, &headers);
+  request->attempt = front_attempt_start (request->front, pick->server, &head,
+                                          &request_parser->body, &attempt_callbacks, request);
   buffer_free (&head);
   return request->attempt != NULL;
 }
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -14,7 +14,7 @@
   /* gate_http.c limits the body and writes the refusal of one that is too long. */
   HttpRequestLimits limits = { .head_max = head_max, .body_max = SIZE_MAX };
 
-  http_request_parser_init (&framing->intake, &limits);
+  http_request_parser_init (&framing->request_parser, &limits);
   framing->forwarded = 0;
 }
 
@@ -22,7 +22,7 @@
 static void
 forward_lines (GateFraming *framing, Buffer *forward)
 {
-  const Buffer *raw = &framing->intake.raw;
+  const Buffer *raw = &framing->request_parser.raw;
   const char *end = memrchr (raw->data, '\n', raw->len);
   size_t len = end ? (size_t)(end + 1 - raw->data) : 0;
 
@@ -35,7 +35,7 @@
 static void
 forward_head (GateFraming *framing, Buffer *forward)
 {
-  const HttpHead *head = &framing->intake.head;
+  const HttpHead *head = &framing->request_parser.head;
 
   buffer_add (forward, head->text + framing->forwarded, head->len - framing->forwarded);
   framing->forwarded = head->len;
@@ -44,7 +44,7 @@
 static void
 next_request (GateFraming *framing)
 {
-  http_request_parser_reset (&framing->intake);
+  http_request_parser_reset (&framing->request_parser);
   framing->forwarded = 0;
 }
 
@@ -55,16 +55,16 @@
                    size_t *used,
                    Buffer *forward)
 {
-  HttpRequestParser *intake = &framing->intake;
-  bool was_in_body = intake->in_body;
-  size_t head_had = intake->raw.len;
+  HttpRequestParser *request_parser = &framing->request_parser;
+  bool was_in_body = request_parser->in_body;
+  size_t head_had = request_parser->raw.len;
   size_t body_start = 0;
-  HttpParseResult result = http_request_parser_feed (intake, data, len, used);
+  HttpParseResult result = http_request_parser_feed (request_parser, data, len, used);
 
   if (result == HTTP_PARSE_REFUSED)
     return FRAMING_FAULT;
-  buffer_clear (&intake->body);
-  if (!intake->in_body)
+  buffer_clear (&request_parser->body);
+  if (!request_parser->in_body)
     {
       forward_lines (framing, forward);
       return FRAMING_MORE;
@@ -72,7 +72,7 @@
   if (!was_in_body)
     {
       forward_head (framing, forward);
-      body_start = intake->head.len - head_had;
+      body_start = request_parser->head.len - head_had;
     }
   buffer_add (forward, data + body_start, *used - body_start);
   if (result == HTTP_PARSE_MORE)
@@ -84,12 +84,12 @@
 int
 gate_framing_fault (const GateFraming *framing)
 {
-  return framing->intake.refuse_status == STATUS_HEAD_TOO_LARGE ? REFUSAL_HEAD_TOO_LARGE
-                                                                : REFUSAL_MALFORMED;
+  return framing->request_parser.refuse_status == STATUS_HEAD_TOO_LARGE ? REFUSAL_HEAD_TOO_LARGE
+                                                                        : REFUSAL_MALFORMED;
 }
 
 void
 gate_framing_clear (GateFraming *framing)
 {
-  http_request_parser_reset (&framing->intake);
+  http_request_parser_reset (&framing->request_parser);
 }
--- a/src/gate_framing.h
+++ b/src/gate_framing.h
@@ -18,7 +18,7 @@
 
 typedef struct
 {
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   size_t forwarded; /**< bytes of the current head that have been forwarded */
 } GateFraming;
 
--- a/src/http_request_parser.c
+++ b/src/http_request_parser.c
@@ -8,24 +8,24 @@
 static int
 on_body (http_parser *parser, const char *data, size_t len)
 {
-  HttpRequestParser *intake = parser->data;
+  HttpRequestParser *request_parser = parser->data;
 
-  if (intake->body.len + len > intake->limits.body_max)
+  if (request_parser->body.len + len > request_parser->limits.body_max)
     {
-      intake->refuse_status = STATUS_BODY_TOO_LARGE;
+      request_parser->refuse_status = STATUS_BODY_TOO_LARGE;
       return 1;
     }
-  buffer_add (&intake->body, data, len);
+  buffer_add (&request_parser->body, data, len);
   return 0;
 }
 
 static int
 on_complete (http_parser *parser)
 {
-  HttpRequestParser *intake = parser->data;
+  HttpRequestParser *request_parser = parser->data;
 
-  intake->complete = true;
-  intake->keep_alive = http_should_keep_alive (parser) != 0;
+  request_parser->complete = true;
+  request_parser->keep_alive = http_should_keep_alive (parser) != 0;
   http_parser_pause (parser, 1);
   return 0;
 }
@@ -36,45 +36,45 @@
 };
 
 void
-http_request_parser_init (HttpRequestParser *intake, const HttpRequestLimits *limits)
+http_request_parser_init (HttpRequestParser *request_parser, const HttpRequestLimits *limits)
 {
-  memset (intake, 0, sizeof *intake);
-  intake->limits = *limits;
-  http_parser_init (&intake->parser, HTTP_REQUEST);
-  intake->parser.data = intake;
+  memset (request_parser, 0, sizeof *request_parser);
+  request_parser->limits = *limits;
+  http_parser_init (&request_parser->parser, HTTP_REQUEST);
+  request_parser->parser.data = request_parser;
 }
 
 bool
-http_request_parser_started (const HttpRequestParser *intake)
+http_request_parser_started (const HttpRequestParser *request_parser)
 {
-  return intake->raw.len > 0 || intake->in_body;
+  return request_parser->raw.len > 0 || request_parser->in_body;
 }
 
 void
-http_request_parser_reset (HttpRequestParser *intake)
+http_request_parser_reset (HttpRequestParser *request_parser)
 {
-  HttpRequestLimits limits = intake->limits;
+  HttpRequestLimits limits = request_parser->limits;
 
-  buffer_free (&intake->raw);
-  buffer_free (&intake->body);
-  http_head_clear (&intake->head);
-  http_request_parser_init (intake, &limits);
+  buffer_free (&request_parser->raw);
+  buffer_free (&request_parser->body);
+  http_head_clear (&request_parser->head);
+  http_request_parser_init (request_parser, &limits);
 }
 
 static HttpParseResult
-refuse (HttpRequestParser *intake, int status)
+refuse (HttpRequestParser *request_parser, int status)
 {
-  if (intake->refuse_status == 0)
-    intake->refuse_status = status;
+  if (request_parser->refuse_status == 0)
+    request_parser->refuse_status = status;
   return HTTP_PARSE_REFUSED;
 }
 
 /* Refuses heads whose framing has two interpretations, which request smuggling depends on: both a
  * length and chunks, an unknown transfer coding, two hosts. */
 static bool
-framing_is_unambiguous (const HttpRequestParser *intake)
+framing_is_unambiguous (const HttpRequestParser *request_parser)
 {
-  const HttpHead *head = &intake->head;
+  const HttpHead *head = &request_parser->head;
   Span coding = http_head_get (head, "Transfer-Encoding");
   Span length = http_head_get (head, "Content-Length");
   int64_t number;
@@ -90,83 +90,86 @@
 }
 
 static bool
-split_start_line (HttpRequestParser *intake)
+split_start_line (HttpRequestParser *request_parser)
 {
-  Span rest = intake->head.start_line;
+  Span rest = request_parser->head.start_line;
 
-  intake->method = span_cut (&rest, ' ');
-  intake->target = span_cut (&rest, ' ');
+  request_parser->method = span_cut (&rest, ' ');
+  request_parser->target = span_cut (&rest, ' ');
   return span_is (rest, "HTTP/1.1") || span_is (rest, "HTTP/1.0");
 }
 
 /* Feeds the parser; bytes after the end of the request are not used. */
 static HttpParseResult
-feed_parser (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
+feed_parser (HttpRequestParser *request_parser, const char *data, size_t len, size_t *used)
 {
-  *used = http_parser_execute (&intake->parser, &callbacks, data, len);
-  if (intake->complete)
+  *used = http_parser_execute (&request_parser->parser, &callbacks, data, len);
+  if (request_parser->complete)
     return HTTP_PARSE_DONE;
-  if (HTTP_PARSER_ERRNO (&intake->parser) != HPE_OK)
-    return refuse (intake, STATUS_BAD_REQUEST);
+  if (HTTP_PARSER_ERRNO (&request_parser->parser) != HPE_OK)
+    return refuse (request_parser, STATUS_BAD_REQUEST);
   return HTTP_PARSE_MORE;
 }
 
 static HttpParseResult
-process_head (HttpRequestParser *intake)
+process_head (HttpRequestParser *request_parser)
 {
   size_t used;
   HttpParseResult result;
   int64_t length;
 
-  if (!http_head_parse (&intake->head, intake->raw.data, intake->raw.len)
-      || !split_start_line (intake) || !framing_is_unambiguous (intake))
-    return refuse (intake, STATUS_BAD_REQUEST);
-  if (span_number (http_head_get (&intake->head, "Content-Length"), &length)
-      && (uint64_t)length > intake->limits.body_max)
-    return refuse (intake, STATUS_BODY_TOO_LARGE);
-  result = feed_parser (intake, intake->raw.data, intake->raw.len, &used);
-  buffer_free (&intake->raw);
-  intake->in_body = true;
-  intake->wants_continue
+  if (!http_head_parse (&request_parser->head, request_parser->raw.data, request_parser->raw.len)
+      || !split_start_line (request_parser) || !framing_is_unambiguous (request_parser))
+    return refuse (request_parser, STATUS_BAD_REQUEST);
+  if (span_number (http_head_get (&request_parser->head, "Content-Length"), &length)
+      && (uint64_t)length > request_parser->limits.body_max)
+    return refuse (request_parser, STATUS_BODY_TOO_LARGE);
+  result = feed_parser (request_parser, request_parser->raw.data, request_parser->raw.len, &used);
+  buffer_free (&request_parser->raw);
+  request_parser->in_body = true;
+  request_parser->wants_continue
       = result == HTTP_PARSE_MORE
-        && span_is_nocase (http_head_get (&intake->head, "Expect"), "100-continue");
+        && span_is_nocase (http_head_get (&request_parser->head, "Expect"), "100-continue");
   return result;
 }
 
 static HttpParseResult
-feed_head (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
+feed_head (HttpRequestParser *request_parser, const char *data, size_t len, size_t *used)
 {
-  size_t before = intake->raw.len, head_len;
+  size_t before = request_parser->raw.len, head_len;
 
-  buffer_add (&intake->raw, data, len);
-  head_len = http_head_length (intake->raw.data, intake->raw.len);
+  buffer_add (&request_parser->raw, data, len);
+  head_len = http_head_length (request_parser->raw.data, request_parser->raw.len);
   *used = head_len ? head_len - before : len;
-  if (head_len > intake->limits.head_max
-      || (!head_len && intake->raw.len > intake->limits.head_max))
-    return refuse (intake, STATUS_HEAD_TOO_LARGE);
+  if (head_len > request_parser->limits.head_max
+      || (!head_len && request_parser->raw.len > request_parser->limits.head_max))
+    return refuse (request_parser, STATUS_HEAD_TOO_LARGE);
   if (head_len)
     {
-      intake->raw.len = head_len;
-      return process_head (intake);
+      request_parser->raw.len = head_len;
+      return process_head (request_parser);
     }
-  if (http_head_is_malformed (intake->raw.data, intake->raw.len))
-    return refuse (intake, STATUS_BAD_REQUEST);
+  if (http_head_is_malformed (request_parser->raw.data, request_parser->raw.len))
+    return refuse (request_parser, STATUS_BAD_REQUEST);
   return HTTP_PARSE_MORE;
 }
 
 HttpParseResult
-http_request_parser_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used)
+http_request_parser_feed (HttpRequestParser *request_parser,
+                          const char *data,
+                          size_t len,
+                          size_t *used)
 {
   size_t body_used;
   HttpParseResult result;
 
   *used = 0;
-  if (intake->in_body)
-    return feed_parser (intake, data, len, used);
-  result = feed_head (intake, data, len, used);
-  if (result != HTTP_PARSE_MORE || !intake->in_body || *used == len)
+  if (request_parser->in_body)
+    return feed_parser (request_parser, data, len, used);
+  result = feed_head (request_parser, data, len, used);
+  if (result != HTTP_PARSE_MORE || !request_parser->in_body || *used == len)
     return result;
-  result = feed_parser (intake, data + *used, len - *used, &body_used);
+  result = feed_parser (request_parser, data + *used, len - *used, &body_used);
   *used += body_used;
   return result;
 }
--- a/src/http_request_parser.h
+++ b/src/http_request_parser.h
@@ -38,13 +38,15 @@
   Span method, target; /**< of the start line, unchanged */
 } HttpRequestParser;
 
-void http_request_parser_init (HttpRequestParser *intake, const HttpRequestLimits *limits);
+void http_request_parser_init (HttpRequestParser *request_parser, const HttpRequestLimits *limits);
 /** Consumes bytes up to the end of one request; *used is their number. */
-HttpParseResult
-http_request_parser_feed (HttpRequestParser *intake, const char *data, size_t len, size_t *used);
+HttpParseResult http_request_parser_feed (HttpRequestParser *request_parser,
+                                          const char *data,
+                                          size_t len,
+                                          size_t *used);
 /** True once the first byte of a request has been received. */
-bool http_request_parser_started (const HttpRequestParser *intake);
+bool http_request_parser_started (const HttpRequestParser *request_parser);
 /** Frees the request and prepares for the next one on the same connection. */
-void http_request_parser_reset (HttpRequestParser *intake);
+void http_request_parser_reset (HttpRequestParser *request_parser);
 
 #endif
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -9,16 +9,16 @@
 
 /* Feeds the text byte by byte, as from a slow caller, and returns the last result. */
 static HttpParseResult
-feed (HttpRequestParser *intake, const char *text, size_t len, size_t *taken)
+feed (HttpRequestParser *request_parser, const char *text, size_t len, size_t *taken)
 {
   HttpParseResult result = HTTP_PARSE_MORE;
   size_t used;
 
-  http_request_parser_init (intake, &limits);
+  http_request_parser_init (request_parser, &limits);
   *taken = 0;
   while (*taken < len && result == HTTP_PARSE_MORE)
     {
-      result = http_request_parser_feed (intake, text + *taken, 1, &used);
+      result = http_request_parser_feed (request_parser, text + *taken, 1, &used);
       *taken += used;
       if (used == 0 && result == HTTP_PARSE_MORE)
         break;
@@ -30,16 +30,16 @@
 static int
 refused (const char *text, size_t len)
 {
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   size_t taken, used;
   int slow, fast;
 
-  feed (&intake, text, len, &taken);
-  slow = intake.refuse_status;
-  http_request_parser_reset (&intake);
-  http_request_parser_feed (&intake, text, len, &used);
-  fast = intake.refuse_status;
-  http_request_parser_reset (&intake);
+  feed (&request_parser, text, len, &taken);
+  slow = request_parser.refuse_status;
+  http_request_parser_reset (&request_parser);
+  http_request_parser_feed (&request_parser, text, len, &used);
+  fast = request_parser.refuse_status;
+  http_request_parser_reset (&request_parser);
   CU_ASSERT_EQUAL (slow, fast);
   return slow;
 }
@@ -52,18 +52,18 @@
   static const char text[]
       = "POST /a/b?c=%20 HTTP/1.1\r\nHost: x.example:80\r\nContent-Length: 3\r\n"
         "X-Own:  two words \r\n\r\nabcGET";
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   size_t taken;
 
-  CU_ASSERT_EQUAL (feed (&intake, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
+  CU_ASSERT_EQUAL (feed (&request_parser, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
   CU_ASSERT_EQUAL (taken, sizeof text - 1 - 3);
-  CU_ASSERT (span_is (intake.method, "POST"));
-  CU_ASSERT (span_is (intake.target, "/a/b?c=%20"));
-  CU_ASSERT (span_is (http_head_get (&intake.head, "x-own"), "two words"));
-  CU_ASSERT (intake.keep_alive);
-  CU_ASSERT_EQUAL (intake.body.len, 3);
-  CU_ASSERT (memcmp (intake.body.data, "abc", 3) == 0);
-  http_request_parser_reset (&intake);
+  CU_ASSERT (span_is (request_parser.method, "POST"));
+  CU_ASSERT (span_is (request_parser.target, "/a/b?c=%20"));
+  CU_ASSERT (span_is (http_head_get (&request_parser.head, "x-own"), "two words"));
+  CU_ASSERT (request_parser.keep_alive);
+  CU_ASSERT_EQUAL (request_parser.body.len, 3);
+  CU_ASSERT (memcmp (request_parser.body.data, "abc", 3) == 0);
+  http_request_parser_reset (&request_parser);
 }
 
 /* Java's HTTP client offers HTTP/2 with each first request (Upgrade: h2c). A server may ignore the
@@ -74,16 +74,16 @@
 {
   static const char head[] = "POST / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\n"
                              "Upgrade: h2c\r\nContent-Length: 3\r\n\r\n";
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   size_t used;
 
-  http_request_parser_init (&intake, &limits);
-  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, head, sizeof head - 1, &used),
+  http_request_parser_init (&request_parser, &limits);
+  CU_ASSERT_EQUAL (http_request_parser_feed (&request_parser, head, sizeof head - 1, &used),
                    HTTP_PARSE_MORE);
-  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, "abcGET", 6, &used), HTTP_PARSE_DONE);
+  CU_ASSERT_EQUAL (http_request_parser_feed (&request_parser, "abcGET", 6, &used), HTTP_PARSE_DONE);
   CU_ASSERT_EQUAL (used, 3);
-  CU_ASSERT_EQUAL (intake.body.len, 3);
-  http_request_parser_reset (&intake);
+  CU_ASSERT_EQUAL (request_parser.body.len, 3);
+  http_request_parser_reset (&request_parser);
 }
 
 static void
@@ -91,14 +91,14 @@
 {
   static const char text[] = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
                              "Connection: close\r\n\r\n2;e=1\r\nab\r\n1\r\nc\r\n0\r\nT: x\r\n\r\n";
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   size_t taken;
 
-  CU_ASSERT_EQUAL (feed (&intake, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
+  CU_ASSERT_EQUAL (feed (&request_parser, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
   CU_ASSERT_EQUAL (taken, sizeof text - 1);
-  CU_ASSERT (!intake.keep_alive);
-  CU_ASSERT_EQUAL (intake.body.len, 3);
-  http_request_parser_reset (&intake);
+  CU_ASSERT (!request_parser.keep_alive);
+  CU_ASSERT_EQUAL (request_parser.body.len, 3);
+  http_request_parser_reset (&request_parser);
 }
 
 /* Request smuggling: a request contains a second one that only some parsers see, by a length and
@@ -157,19 +157,20 @@
 test_pipelined_requests_are_separated (void)
 {
   static const char text[] = "GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\n";
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   size_t used, first;
 
-  http_request_parser_init (&intake, &limits);
-  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, text, sizeof text - 1, &first),
+  http_request_parser_init (&request_parser, &limits);
+  CU_ASSERT_EQUAL (http_request_parser_feed (&request_parser, text, sizeof text - 1, &first),
                    HTTP_PARSE_DONE);
-  CU_ASSERT (span_is (intake.target, "/a"));
-  http_request_parser_reset (&intake);
-  CU_ASSERT (!http_request_parser_started (&intake));
-  CU_ASSERT_EQUAL (http_request_parser_feed (&intake, text + first, sizeof text - 1 - first, &used),
-                   HTTP_PARSE_DONE);
-  CU_ASSERT (span_is (intake.target, "/b"));
-  http_request_parser_reset (&intake);
+  CU_ASSERT (span_is (request_parser.target, "/a"));
+  http_request_parser_reset (&request_parser);
+  CU_ASSERT (!http_request_parser_started (&request_parser));
+  CU_ASSERT_EQUAL (
+      http_request_parser_feed (&request_parser, text + first, sizeof text - 1 - first, &used),
+      HTTP_PARSE_DONE);
+  CU_ASSERT (span_is (request_parser.target, "/b"));
+  http_request_parser_reset (&request_parser);
 }
 
 static HttpReply
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -111,13 +111,14 @@
 }
 
 static void
-read_request (HttpRequestParser *intake, const char *text)
+read_request (HttpRequestParser *request_parser, const char *text)
 {
   const HttpRequestLimits limits = { .head_max = 4000, .body_max = 4000 };
   size_t used;
 
-  http_request_parser_init (intake, &limits);
-  CU_ASSERT_EQUAL (http_request_parser_feed (intake, text, strlen (text), &used), HTTP_PARSE_DONE);
+  http_request_parser_init (request_parser, &limits);
+  CU_ASSERT_EQUAL (http_request_parser_feed (request_parser, text, strlen (text), &used),
+                   HTTP_PARSE_DONE);
 }
 
 static const char request_text[]
@@ -131,11 +132,11 @@
 static void
 test_call_is_decoded (void)
 {
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   FrontCall call;
 
-  read_request (&intake, request_text);
-  wire_call_decode (&intake, &call);
+  read_request (&request_parser, request_text);
+  wire_call_decode (&request_parser, &call);
   CU_ASSERT (span_is (call.host, "a.example"));
   CU_ASSERT (span_is (call.path, "/x/q"));
   CU_ASSERT (span_is (call.id, "r17"));
@@ -147,7 +148,7 @@
   CU_ASSERT_EQUAL (call.after_event, 12);
   CU_ASSERT_EQUAL (call.part_count, 2);
   CU_ASSERT_EQUAL (call.parts[1].tokens, 410);
-  http_request_parser_reset (&intake);
+  http_request_parser_reset (&request_parser);
 }
 
 /* Fields that only the router may set, and the caller's key, must not be forwarded: an engine would
@@ -155,7 +156,7 @@
 static void
 test_call_is_encoded_without_forged_fields (void)
 {
-  HttpRequestParser intake;
+  HttpRequestParser request_parser;
   FrontCall call;
   Buffer out = { 0 };
   CallHeaders headers = {
@@ -167,9 +168,9 @@
     .after_event = -1,
   };
 
-  read_request (&intake, request_text);
-  wire_call_decode (&intake, &call);
-  wire_call_encode (&out, &intake, &headers);
+  read_request (&request_parser, request_text);
+  wire_call_decode (&request_parser, &call);
+  wire_call_encode (&out, &request_parser, &headers);
   CU_ASSERT_EQUAL (strncmp (out.data, "POST /x/q?a=1 HTTP/1.1\r\n", 24), 0);
   CU_ASSERT_PTR_NOT_NULL (strstr (out.data, "\r\nHost: a.example:80\r\n"));
   CU_ASSERT_PTR_NOT_NULL (strstr (out.data, "\r\nLovagehub-Request-Id: r17\r\n"));
@@ -188,11 +189,11 @@
   CU_ASSERT_PTR_NULL (strstr (out.data, "Kv-From"));
   headers.after_event = 30;
   buffer_clear (&out);
-  wire_call_encode (&out, &intake, &headers);
+  wire_call_encode (&out, &request_parser, &headers);
   CU_ASSERT_PTR_NOT_NULL (strstr (out.data, "\r\nLast-Event-Id: 30\r\n"));
   CU_ASSERT_PTR_NULL (strstr (out.data, "Last-Event-Id: 12"));
   buffer_free (&out);
-  http_request_parser_reset (&intake);
+  http_request_parser_reset (&request_parser);
 }
 
 static void
