--- a/regress/case_steward.sh
+++ b/regress/case_steward.sh
@@ -196,7 +196,7 @@
   [ "$code" = 503 ] && [ "$(body .error.reason)" = no_grant ] && [ "$(body .error.state)" = not_run ]
 }
 
-# A planned stop takes the VM out of the view at once; the others go on as a view of two.
+# A graceful stop takes the VM out of the view at once; the others go on as a view of two.
 check_leave() {
   stop_process gate-3
   expect_equal "exit status of the gate" 0 "$status"
--- a/regress/front/site_front.py
+++ b/regress/front/site_front.py
@@ -84,7 +84,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def stop(self):
-        """Planned stop; returns the exit status."""
+        """Graceful stop; returns the exit status."""
         self.signal(signal.SIGTERM)
         return await asyncio.wait_for(self.process.wait(), WAIT_S)
 
--- a/regress/front/soak.py
+++ b/regress/front/soak.py
@@ -263,7 +263,7 @@
         planned = answer.sent_at - 1 < self.planned.get(name, 0) < answer.ended_at
         undisturbed = answer.sent_at > self.calm_since(name, "engines") + CALM_S
         if planned and not answer.whole and self.site.runs_of(answer) and undisturbed:
-            self.faults.append(f"{answer!r}: cut by a planned stop of front {name}")
+            self.faults.append(f"{answer!r}: cut by a graceful stop of front {name}")
 
     # -- the run
 
--- a/regress/soak/oracle.py
+++ b/regress/soak/oracle.py
@@ -33,7 +33,7 @@
         for check in (
             self.allowed_version, self.no_work_on_stopped, self.session_keeps_version, self.billed_once,
             self.billed_tokens,
-            self.whole_answer, self.not_run_did_not_run, self.at_most_once, self.planned_stop_cuts_nothing,
+            self.whole_answer, self.not_run_did_not_run, self.at_most_once, self.graceful_stop_cuts_nothing,
             self.configuration_never_reverts, self.in_force_is_kept, self.named_session_keeps_version,
             self.caller_that_left, self.brakes_reach_gates, self.frozen_queues, self.work_in_outage,
         ):  # fmt: skip
@@ -160,18 +160,18 @@
             if len(self.by_tag[tag]) > 1:
                 self.fail("at most once", f"{tag} ran {len(self.by_tag[tag])} times")
 
-    def planned_stop_cuts_nothing(self):
+    def graceful_stop_cuts_nothing(self):
         for vm, begin, end, status in self.faults.planned:
-            self.checked["planned stops"] += 1
+            self.checked["graceful stops"] += 1
             if status != 0:
-                self.fail("planned stop", f"the gate of {vm} ended with status {status}")
+                self.fail("graceful stop", f"the gate of {vm} ended with status {status}")
             # No other fault is brought to this VM meanwhile; those of the engines cut answers too.
             if any(f[0] in ENGINE_FAULTS and f[2] < end and f[3] > begin - 1000 for f in self.faults.log):
                 continue
-            self.checked["planned stops without an engine's fault"] += 1
+            self.checked["graceful stops without an engine's fault"] += 1
             for sent in self.sent:
                 if sent.vm == vm and sent.at < end and sent.end > begin and sent.outcome == "cut":
-                    self.fail("planned stop", f"{sent.tag} was cut while the gate of {vm} stopped")
+                    self.fail("graceful stop", f"{sent.tag} was cut while the gate of {vm} stopped")
 
     def configuration_never_reverts(self):
         """Within one session of callers, a VM's answers carry numbers that only rise."""
--- a/regress/soak/soak.py
+++ b/regress/soak/soak.py
@@ -26,7 +26,7 @@
 CASES = [
     "runs on an allowed model", "requests for a model that is not allowed", "withdrawals in force", "leaving servers", "bills with the engine's tokens",
     "session answers", "answers with a bill", "whole answers", "refusals as not run",
-    "non-idempotent requests", "planned stops", "configuration numbers", "patches in force",
+    "non-idempotent requests", "graceful stops", "configuration numbers", "patches in force",
     "brakes raised", "brakes raised in a partition", "brakes by gates that must have heard",
     "requests refused by a brake", "answers in sessions named by callers", "callers that left",
     "streams whose caller left, cancelled", "bills of callers that left",
@@ -178,7 +178,7 @@
     callers, operators, faults, brakes, episodes, violations = run(args, site)
     statuses = [p.stop(15, 60) for vm in site.vms for p in (vm.gate, vm.steward)]
     if any(statuses):
-        violations.append(f"exit statuses after the last planned stop: {statuses}")
+        violations.append(f"exit statuses after the last graceful stop: {statuses}")
     keep_logs(site, faults, callers)
     oracle = Oracle(site, callers, operators, faults, brakes, args.slack)
     violations += oracle.check() + invariant_lines(site) + missing_cases(args, oracle, episodes)
