--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -9,17 +9,17 @@
 
 /* Feeds the text byte by byte, as from a slow caller, and returns the last result. */
 static HttpParseResult
-feed (HttpRequestParser *request_parser, const char *text, size_t len, size_t *taken)
+feed (HttpRequestParser *request_parser, const char *text, size_t len, size_t *consumed)
 {
   HttpParseResult result = HTTP_PARSE_MORE;
   size_t used;
 
   http_request_parser_init (request_parser, &limits);
-  *taken = 0;
-  while (*taken < len && result == HTTP_PARSE_MORE)
+  *consumed = 0;
+  while (*consumed < len && result == HTTP_PARSE_MORE)
     {
-      result = http_request_parser_feed (request_parser, text + *taken, 1, &used);
-      *taken += used;
+      result = http_request_parser_feed (request_parser, text + *consumed, 1, &used);
+      *consumed += used;
       if (used == 0 && result == HTTP_PARSE_MORE)
         break;
     }
@@ -31,10 +31,10 @@
 refused (const char *text, size_t len)
 {
   HttpRequestParser request_parser;
-  size_t taken, used;
+  size_t consumed, used;
   int slow, fast;
 
-  feed (&request_parser, text, len, &taken);
+  feed (&request_parser, text, len, &consumed);
   slow = request_parser.refuse_status;
   http_request_parser_reset (&request_parser);
   http_request_parser_feed (&request_parser, text, len, &used);
@@ -53,10 +53,10 @@
       = "POST /a/b?c=%20 HTTP/1.1\r\nHost: x.example:80\r\nContent-Length: 3\r\n"
         "X-Own:  two words \r\n\r\nabcGET";
   HttpRequestParser request_parser;
-  size_t taken;
+  size_t consumed;
 
-  CU_ASSERT_EQUAL (feed (&request_parser, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
-  CU_ASSERT_EQUAL (taken, sizeof text - 1 - 3);
+  CU_ASSERT_EQUAL (feed (&request_parser, text, sizeof text - 1, &consumed), HTTP_PARSE_DONE);
+  CU_ASSERT_EQUAL (consumed, sizeof text - 1 - 3);
   CU_ASSERT (span_is (request_parser.method, "POST"));
   CU_ASSERT (span_is (request_parser.target, "/a/b?c=%20"));
   CU_ASSERT (span_is (http_head_get (&request_parser.head, "x-own"), "two words"));
@@ -92,10 +92,10 @@
   static const char text[] = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
                              "Connection: close\r\n\r\n2;e=1\r\nab\r\n1\r\nc\r\n0\r\nT: x\r\n\r\n";
   HttpRequestParser request_parser;
-  size_t taken;
+  size_t consumed;
 
-  CU_ASSERT_EQUAL (feed (&request_parser, text, sizeof text - 1, &taken), HTTP_PARSE_DONE);
-  CU_ASSERT_EQUAL (taken, sizeof text - 1);
+  CU_ASSERT_EQUAL (feed (&request_parser, text, sizeof text - 1, &consumed), HTTP_PARSE_DONE);
+  CU_ASSERT_EQUAL (consumed, sizeof text - 1);
   CU_ASSERT (!request_parser.keep_alive);
   CU_ASSERT_EQUAL (request_parser.body.len, 3);
   http_request_parser_reset (&request_parser);
@@ -140,7 +140,7 @@
 }
 
 static void
-test_too_large (void)
+test_too_large_requests_are_refused (void)
 {
   char text[2000];
   int len = snprintf (text, sizeof text, "GET / HTTP/1.1\r\nHost: x\r\nA: %01100d\r\n\r\n", 0);
@@ -259,7 +259,7 @@
   { "chunked_request_is_parsed", test_chunked_request_is_parsed },
   { "smuggled_requests_are_refused", test_smuggled_requests_are_refused },
   { "malformed_requests_are_refused", test_malformed_requests_are_refused },
-  { "too_large", test_too_large },
+  { "too_large_requests_are_refused", test_too_large_requests_are_refused },
   { "pipelined_requests_are_separated", test_pipelined_requests_are_separated },
   { "truncated_replies_are_not_complete", test_truncated_replies_are_not_complete },
   { "malformed_replies_are_broken", test_malformed_replies_are_broken },
--- a/tests/test_gate_framing.c
+++ b/tests/test_gate_framing.c
@@ -122,7 +122,7 @@
 }
 
 static void
-test_long_head_is_a_fault (void)
+test_too_long_head_is_a_fault (void)
 {
   Buffer text = { 0 };
   Outcome out;
@@ -140,7 +140,7 @@
   { "good_requests_are_forwarded", test_good_requests_are_forwarded },
   { "ambiguous_heads_are_stopped", test_ambiguous_heads_are_stopped },
   { "fault_after_good_request", test_fault_after_good_request },
-  { "long_head_is_a_fault", test_long_head_is_a_fault },
+  { "too_long_head_is_a_fault", test_too_long_head_is_a_fault },
 };
 
 int
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -191,7 +191,7 @@
  * write is still queued gets STATUS_UNAVAILABLE; the latter must not be applied after the service
  * has recovered. */
 static void
-test_bounded_wait (void)
+test_submit_within_limits_wait (void)
 {
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 0, 1, 60000);
@@ -216,7 +216,7 @@
   platform_free (p);
 }
 
-#define CALLERS_REFUSED 2
+#define CALLERS_REFUSED 2 /* callers beyond the capacity */
 
 /* Callers of test_queue_is_bounded: two in transactions, a full queue, and those beyond its
  * capacity. */
@@ -341,7 +341,7 @@
 
 /* The interval grows with the number of members: a larger site does not write more often. */
 static void
-test_site_interval (void)
+test_site_interval_limits_rate (void)
 {
   Platform *p = fake_platform_new ();
   PlatformGroup *group = platform_group_new (p, 60000, 256, 1000);
@@ -371,11 +371,11 @@
     { "writes_share_transactions", test_writes_share_transactions },
     { "same_key_is_inserted_once", test_same_key_is_inserted_once },
     { "faults_reach_every_caller", test_faults_reach_every_caller },
-    { "bounded_wait", test_bounded_wait },
+    { "submit_within_limits_wait", test_submit_within_limits_wait },
     { "queue_is_bounded", test_queue_is_bounded },
     { "refused_at_once_when_down", test_refused_at_once_when_down },
     { "one_caller_probes_when_down", test_one_caller_probes_when_down },
-    { "site_interval", test_site_interval },
+    { "site_interval_limits_rate", test_site_interval_limits_rate },
   };
 
   return suite_main (argc, argv, "group", cases, SUITE_COUNT (cases));
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -38,7 +38,7 @@
 }
 
 static void
-test_complete_answers (void)
+test_complete_answers_are_read (void)
 {
   const char *const texts[] = { LENGTH_OK, CHUNKED_OK, "HTTP/1.1 100 Continue\r\n\r\n" LENGTH_OK };
   const char *const bodies[] = { "hello", "helloyou", "hello" };
@@ -79,7 +79,7 @@
 }
 
 static void
-test_truncated_answers (void)
+test_truncated_answers_are_not_complete (void)
 {
   /*
    * Guards against truncated answers that look complete: a backend server dies while it streams,
@@ -108,7 +108,7 @@
 }
 
 static void
-test_answer_without_framing (void)
+test_answer_without_framing_is_an_error (void)
 {
   Status st;
   Buffer body = { 0 };
@@ -154,7 +154,7 @@
 }
 
 static void
-test_refused (void)
+test_refused_connection_is_unavailable (void)
 {
   Status st;
   Buffer body = { 0 };
@@ -168,7 +168,7 @@
 }
 
 static void
-test_invalid_headers_and_paths (void)
+test_invalid_headers_and_paths_are_not_sent (void)
 {
   /* Guards against header injection: a line break in a header or path would add a header or a
    * second request. */
@@ -197,7 +197,7 @@
 }
 
 static void
-test_too_long (void)
+test_too_long_answer_is_an_error (void)
 {
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = CHUNKED_OK });
   HttpRequest request = request_to (fake_server_port (server));
@@ -212,7 +212,7 @@
 }
 
 static void
-test_silent_and_slow_answers (void)
+test_total_timeout_ends_slow_answers (void)
 {
   /* A server that never answers, and one that sends single bytes so slowly that the read timeout
    * never expires: the total timeout must end the call. */
@@ -241,7 +241,7 @@
 }
 
 static void
-test_streaming_and_cancelling (void)
+test_stream_is_read_and_cancelled (void)
 {
   /* Data is available as soon as it is received, and freeing the exchange closes its connection,
    * which tells the backend server that the request is cancelled. */
@@ -266,16 +266,17 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "complete_answers", test_complete_answers },
-                              { "statuses_are_returned", test_statuses_are_returned },
-                              { "truncated_answers", test_truncated_answers },
-                              { "answer_without_framing", test_answer_without_framing },
-                              { "no_retry_after_close", test_no_retry_after_close },
-                              { "new_connection_per_request", test_new_connection_per_request },
-                              { "refused", test_refused },
-                              { "invalid_headers_and_paths", test_invalid_headers_and_paths },
-                              { "too_long", test_too_long },
-                              { "silent_and_slow_answers", test_silent_and_slow_answers },
-                              { "streaming_and_cancelling", test_streaming_and_cancelling } };
+  const SuiteCase cases[]
+      = { { "complete_answers_are_read", test_complete_answers_are_read },
+          { "statuses_are_returned", test_statuses_are_returned },
+          { "truncated_answers_are_not_complete", test_truncated_answers_are_not_complete },
+          { "answer_without_framing_is_an_error", test_answer_without_framing_is_an_error },
+          { "no_retry_after_close", test_no_retry_after_close },
+          { "new_connection_per_request", test_new_connection_per_request },
+          { "refused_connection_is_unavailable", test_refused_connection_is_unavailable },
+          { "invalid_headers_and_paths_are_not_sent", test_invalid_headers_and_paths_are_not_sent },
+          { "too_long_answer_is_an_error", test_too_long_answer_is_an_error },
+          { "total_timeout_ends_slow_answers", test_total_timeout_ends_slow_answers },
+          { "stream_is_read_and_cancelled", test_stream_is_read_and_cancelled } };
   return suite_main (argc, argv, "http_client", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_http_finish.c
+++ b/tests/test_http_finish.c
@@ -10,8 +10,8 @@
 
 #define LOCALHOST   "127.0.0.1"
 #define BODY        "{\"model\":\"drafts\"}"
-#define BIG_SIZE    100000
-#define FROZEN_SIZE ((size_t)64 * 1024 * 1024)
+#define BIG_SIZE    100000                     /* bytes */
+#define FROZEN_SIZE ((size_t)64 * 1024 * 1024) /* bytes, more than any socket buffer */
 #define LENGTH_OK   "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
 static HttpRequest
@@ -33,7 +33,7 @@
   FakeServer *server;
   size_t body_before; /* bytes that must have arrived by then */
   bool arrived;
-  int asked;
+  int calls;
   bool allow;
 } Finish;
 
@@ -45,10 +45,10 @@
 }
 
 static bool
-ask_finish (void *context)
+decide_finish (void *context)
 {
   Finish *f = context;
-  f->asked++;
+  f->calls++;
   f->arrived = suite_wait (has_arrived, f);
   return f->allow;
 }
@@ -64,7 +64,7 @@
   HttpRequest request = request_to (fake_server_port (f->server));
   request.body = body;
   request.body_len = len;
-  request.may_finish = ask_finish;
+  request.may_finish = decide_finish;
   request.context = f;
   StatusCode code = http_call (&request, &http_status, &out, st);
   buffer_free (&out);
@@ -79,7 +79,7 @@
 }
 
 static void
-test_may_finish (void)
+test_may_finish_before_last_byte (void)
 {
   /*
    * Guards against running a request for a version that is withdrawn while the request waits for a
@@ -96,7 +96,7 @@
         Status st;
         StatusCode code = call_with_finish (&f, big, lengths[i], &st);
         CU_ASSERT_EQUAL (code, allow ? STATUS_OK : STATUS_UNAVAILABLE);
-        CU_ASSERT_EQUAL (f.asked, 1);
+        CU_ASSERT_EQUAL (f.calls, 1);
         CU_ASSERT_TRUE (f.arrived);
         CU_ASSERT_EQUAL (fake_server_requests (f.server), allow);
         fake_server_free (f.server);
@@ -105,33 +105,34 @@
 }
 
 static void
-test_frozen_peer (void)
+test_frozen_peer_does_not_block (void)
 {
   /*
    * Guards against a sender that blocks forever: the kernel of a frozen VM acknowledges data until
    * its buffers are full. The call must return, and since the last byte was not sent, the request
    * has certainly not been executed.
    */
-  struct sockaddr_in where = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-  socklen_t len = sizeof where;
+  struct sockaddr_in address
+      = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
+  socklen_t len = sizeof address;
   int listener = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  CU_ASSERT_EQUAL_FATAL (bind (listener, (struct sockaddr *)&where, len), 0);
+  CU_ASSERT_EQUAL_FATAL (bind (listener, (struct sockaddr *)&address, len), 0);
   CU_ASSERT_EQUAL_FATAL (listen (listener, 1), 0);
-  getsockname (listener, (struct sockaddr *)&where, &len);
+  getsockname (listener, (struct sockaddr *)&address, &len);
   char *long_body = memory_alloc (FROZEN_SIZE);
-  HttpRequest request = request_to (ntohs (where.sin_port));
+  HttpRequest request = request_to (ntohs (address.sin_port));
   Buffer body = { 0 };
   Status st;
   int http_status = 0;
-  int asked = 0;
+  int calls = 0;
   request.body = long_body;
   request.body_len = FROZEN_SIZE;
   request.connect_timeout_ms = 1000;
   request.read_timeout_ms = 1000;
   request.may_finish = refuse;
-  request.context = &asked;
+  request.context = &calls;
   CU_ASSERT_EQUAL (http_call (&request, &http_status, &body, &st), STATUS_UNAVAILABLE);
-  CU_ASSERT_EQUAL (asked, 0);
+  CU_ASSERT_EQUAL (calls, 0);
   /* The abandoned thread uses its own copy of the body. */
   free (long_body);
   close (listener);
@@ -139,19 +140,19 @@
 }
 
 static void
-test_may_finish_get (void)
+test_refused_get_does_not_connect (void)
 {
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = LENGTH_OK });
   HttpRequest request = request_to (fake_server_port (server));
   Buffer body = { 0 };
   int http_status = 0;
-  int asked = 0;
+  int calls = 0;
   request.method = "GET";
   request.body_len = 0;
   request.may_finish = refuse;
-  request.context = &asked;
+  request.context = &calls;
   CU_ASSERT_EQUAL (http_call (&request, &http_status, &body, NULL), STATUS_UNAVAILABLE);
-  CU_ASSERT_EQUAL (asked, 1);
+  CU_ASSERT_EQUAL (calls, 1);
   CU_ASSERT_EQUAL (fake_server_connections (server), 0);
   buffer_free (&body);
   fake_server_free (server);
@@ -160,8 +161,8 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "may_finish", test_may_finish },
-                              { "may_finish_get", test_may_finish_get },
-                              { "frozen_peer", test_frozen_peer } };
+  const SuiteCase cases[] = { { "may_finish_before_last_byte", test_may_finish_before_last_byte },
+                              { "refused_get_does_not_connect", test_refused_get_does_not_connect },
+                              { "frozen_peer_does_not_block", test_frozen_peer_does_not_block } };
   return suite_main (argc, argv, "http_finish", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_http_local.c
+++ b/tests/test_http_local.c
@@ -37,7 +37,7 @@
 }
 
 static void
-test_pages (void)
+test_pages_are_served (void)
 {
   bool ready = false;
   const HttpLocalOps ops = { .ready = is_ready, .gauges = add_gauges, .context = &ready };
@@ -60,7 +60,7 @@
 }
 
 static void
-test_port_taken (void)
+test_port_in_use_is_refused (void)
 {
   /* A second daemon must not share the port with the first, or the load balancer's checks would be
    * distributed between both. */
@@ -79,6 +79,7 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "pages", test_pages }, { "port_taken", test_port_taken } };
+  const SuiteCase cases[] = { { "pages_are_served", test_pages_are_served },
+                              { "port_in_use_is_refused", test_port_in_use_is_refused } };
   return suite_main (argc, argv, "http_local", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -42,76 +42,76 @@
 static void
 test_connection_is_reused (void)
 {
-  FakeHttpServer *keeper = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
+  FakeHttpServer *server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
 
   for (int i = 0; i < READS; i++)
     CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), READS);
-  CU_ASSERT_EQUAL (fake_http_server_connections (keeper), 1);
-  CU_ASSERT_TRUE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (keeper)));
-  CU_ASSERT_FALSE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (keeper) + 1));
-  CU_ASSERT_FALSE (http_reader_has_address (reader, "127.0.0.2", fake_http_server_port (keeper)));
+  CU_ASSERT_EQUAL (fake_http_server_requests (server), READS);
+  CU_ASSERT_EQUAL (fake_http_server_connections (server), 1);
+  CU_ASSERT_TRUE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (server)));
+  CU_ASSERT_FALSE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (server) + 1));
+  CU_ASSERT_FALSE (http_reader_has_address (reader, "127.0.0.2", fake_http_server_port (server)));
   http_reader_free (reader);
-  fake_http_server_free (keeper);
+  fake_http_server_free (server);
 }
 
 static void
-test_idle_connection_closed (void)
+test_closed_idle_connection_is_replaced (void)
 {
   /*
    * Guards against failed reads on a connection that the server closed while it was idle: a healthy
    * backend server would be excluded for a second because its load report is counted as missed.
    */
-  FakeHttpServer *keeper = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
+  FakeHttpServer *server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
 
   for (int i = 1; i <= 5; i++)
     {
       CU_ASSERT_EQUAL (get (reader), STATUS_OK);
       CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-      CU_ASSERT_EQUAL (fake_http_server_requests (keeper), 2 * i);
-      CU_ASSERT_EQUAL (fake_http_server_connections (keeper), i);
-      fake_http_server_stop (keeper);
-      CU_ASSERT_TRUE_FATAL (fake_http_server_start (keeper));
+      CU_ASSERT_EQUAL (fake_http_server_requests (server), 2 * i);
+      CU_ASSERT_EQUAL (fake_http_server_connections (server), i);
+      fake_http_server_stop (server);
+      CU_ASSERT_TRUE_FATAL (fake_http_server_start (server));
     }
   http_reader_free (reader);
-  fake_http_server_free (keeper);
+  fake_http_server_free (server);
 }
 
 static void
-test_server_down (void)
+test_server_down_is_unavailable (void)
 {
-  FakeHttpServer *keeper = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
+  FakeHttpServer *server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
 
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  fake_http_server_stop (keeper);
+  fake_http_server_stop (server);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNAVAILABLE);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNAVAILABLE);
-  CU_ASSERT_TRUE_FATAL (fake_http_server_start (keeper));
+  CU_ASSERT_TRUE_FATAL (fake_http_server_start (server));
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   http_reader_free (reader);
-  fake_http_server_free (keeper);
+  fake_http_server_free (server);
 }
 
 static void
-test_no_answer_on_persistent (void)
+test_lost_answer_is_retried_once (void)
 {
   /* If a persistent connection fails, neon retries once on a new one, and never more often. */
-  FakeHttpServer *keeper = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
+  FakeHttpServer *server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
 
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  fake_http_server_drop (keeper, true);
+  fake_http_server_drop (server, true);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), 3);
+  CU_ASSERT_EQUAL (fake_http_server_requests (server), 3);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), 4);
-  fake_http_server_drop (keeper, false);
+  CU_ASSERT_EQUAL (fake_http_server_requests (server), 4);
+  fake_http_server_drop (server, false);
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   http_reader_free (reader);
-  fake_http_server_free (keeper);
+  fake_http_server_free (server);
 }
 
 /* Reads this answer once, on a new connection. */
@@ -134,7 +134,7 @@
 }
 
 static void
-test_bad_answers (void)
+test_bad_answers_are_unknown (void)
 {
   const struct
   {
@@ -170,7 +170,7 @@
 }
 
 static void
-test_bad_paths (void)
+test_bad_paths_are_not_sent (void)
 {
   const char *const paths[]
       = { "/a b", "/a\r\nX: y", "a", "", "/\x7f", "/a HTTP/1.1\r\n\r\nPOST /v1/txn" };
@@ -202,10 +202,10 @@
 }
 
 static void
-test_two_threads (void)
+test_threads_use_separate_connections (void)
 {
-  FakeHttpServer *keeper = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), THREADS);
+  FakeHttpServer *server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), THREADS);
   ReadThread reads[THREADS];
   pthread_t threads[THREADS];
 
@@ -219,10 +219,10 @@
       pthread_join (threads[i], NULL);
       CU_ASSERT_EQUAL (reads[i].failed, 0);
     }
-  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), THREADS * READS);
-  CU_ASSERT_TRUE (fake_http_server_connections (keeper) <= THREADS);
+  CU_ASSERT_EQUAL (fake_http_server_requests (server), THREADS * READS);
+  CU_ASSERT_TRUE (fake_http_server_connections (server) <= THREADS);
   http_reader_free (reader);
-  fake_http_server_free (keeper);
+  fake_http_server_free (server);
 }
 
 static void
@@ -230,8 +230,8 @@
 {
   /* neon applies the timeouts when it connects, so a read with other timeouts needs a new
    * connection; otherwise it would wait as long as the first read may. */
-  FakeHttpServer *keeper = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (keeper), 1);
+  FakeHttpServer *server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
   const int timeouts_ms[] = { 5000, 4500, 1000, 1000, 5000 };
   const int connections[] = { 1, 1, 2, 2, 3 };
 
@@ -242,11 +242,11 @@
       int http_status;
       read.read_timeout_ms = timeouts_ms[i];
       CU_ASSERT_EQUAL (http_reader_get (reader, &read, &http_status, &answer, NULL), STATUS_OK);
-      CU_ASSERT_EQUAL (fake_http_server_connections (keeper), connections[i]);
+      CU_ASSERT_EQUAL (fake_http_server_connections (server), connections[i]);
       buffer_free (&answer);
     }
   http_reader_free (reader);
-  fake_http_server_free (keeper);
+  fake_http_server_free (server);
 }
 
 static void
@@ -257,8 +257,8 @@
    * that the table service has just closed, the library would re-send it. Only reads use persistent
    * connections.
    */
-  FakeHttpServer *keeper = fake_http_server_new ("{\"key\":\"a\",\"value\":\"1\",\"version\":3}");
-  Platform *p = platform_http_new (LOCALHOST, fake_http_server_port (keeper));
+  FakeHttpServer *server = fake_http_server_new ("{\"key\":\"a\",\"value\":\"1\",\"version\":3}");
+  Platform *p = platform_http_new (LOCALHOST, fake_http_server_port (server));
   TxnOp op = { .kind = TXN_PUT, .table = "t", .key = "a", .value = "1" };
   PlatformRow row;
 
@@ -268,12 +268,12 @@
       CU_ASSERT_EQUAL (row.version, 3);
       platform_row_clear (&row);
     }
-  CU_ASSERT_EQUAL (fake_http_server_connections (keeper), 1);
+  CU_ASSERT_EQUAL (fake_http_server_connections (server), 1);
   CU_ASSERT_EQUAL (p->ops->txn (p, &op, 1, 5000, NULL), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_http_server_requests (keeper), READS + 1);
-  CU_ASSERT_EQUAL (fake_http_server_connections (keeper), 2);
+  CU_ASSERT_EQUAL (fake_http_server_requests (server), READS + 1);
+  CU_ASSERT_EQUAL (fake_http_server_connections (server), 2);
   platform_free (p);
-  fake_http_server_free (keeper);
+  fake_http_server_free (server);
 }
 
 int
@@ -281,12 +281,12 @@
 {
   const SuiteCase cases[]
       = { { "connection_is_reused", test_connection_is_reused },
-          { "idle_connection_closed", test_idle_connection_closed },
-          { "server_down", test_server_down },
-          { "no_answer_on_persistent", test_no_answer_on_persistent },
-          { "bad_answers", test_bad_answers },
-          { "bad_paths", test_bad_paths },
-          { "two_threads", test_two_threads },
+          { "closed_idle_connection_is_replaced", test_closed_idle_connection_is_replaced },
+          { "server_down_is_unavailable", test_server_down_is_unavailable },
+          { "lost_answer_is_retried_once", test_lost_answer_is_retried_once },
+          { "bad_answers_are_unknown", test_bad_answers_are_unknown },
+          { "bad_paths_are_not_sent", test_bad_paths_are_not_sent },
+          { "threads_use_separate_connections", test_threads_use_separate_connections },
           { "timeouts_need_own_connection", test_timeouts_need_own_connection },
           { "platform_writes_use_new_connection", test_platform_writes_use_new_connection } };
   return suite_main (argc, argv, "http_reader", cases, SUITE_COUNT (cases));
--- a/tests/test_http_tls.c
+++ b/tests/test_http_tls.c
@@ -106,7 +106,7 @@
 }
 
 static void
-test_tls (void)
+test_only_trusted_certificate_is_accepted (void)
 {
   /* Only the server with the trusted certificate gets requests. If a certificate has the trusted
    * name but another key, neon reports no reason; then only an unsent body proves that the request
@@ -147,6 +147,7 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "tls", test_tls } };
+  const SuiteCase cases[]
+      = { { "only_trusted_certificate_is_accepted", test_only_trusted_certificate_is_accepted } };
   return suite_main (argc, argv, "http_tls", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -242,10 +242,10 @@
 };
 
 static void
-test_write_faults (void)
+test_write_outcome_is_reported (void)
 {
   /*
-   * Guards against writes that are repeated or given up because their outcome is misreported: a
+   * Guards against writes that are repeated or abandoned because their outcome is misreported: a
    * call whose reply was lost after the commit must be distinguished from one that was not
    * executed.
    */
@@ -287,7 +287,7 @@
 }
 
 static void
-test_read_faults (void)
+test_failed_reads_are_unavailable (void)
 {
   Site site = site_new_http ();
   Platform *fake = fake_platform_new ();
@@ -321,7 +321,7 @@
 }
 
 static void
-test_late_effect (void)
+test_unknown_write_may_take_effect_late (void)
 {
   /* A write reported as unknown can take effect after its caller has timed out. */
   Site site = site_new_http ();
@@ -341,7 +341,7 @@
 }
 
 static void
-test_late_check (void)
+test_late_transaction_is_checked (void)
 {
   /* A late transaction must not take effect if its check no longer holds. */
   Platform *fake = fake_platform_new ();
@@ -359,8 +359,11 @@
 main (int argc, char **argv)
 {
   const SuiteCase cases[]
-      = { { "protocol_http", test_protocol_http }, { "protocol_fake", test_protocol_fake },
-          { "write_faults", test_write_faults },   { "read_faults", test_read_faults },
-          { "late_effect", test_late_effect },     { "late_check", test_late_check } };
+      = { { "protocol_http", test_protocol_http },
+          { "protocol_fake", test_protocol_fake },
+          { "write_outcome_is_reported", test_write_outcome_is_reported },
+          { "failed_reads_are_unavailable", test_failed_reads_are_unavailable },
+          { "unknown_write_may_take_effect_late", test_unknown_write_may_take_effect_late },
+          { "late_transaction_is_checked", test_late_transaction_is_checked } };
   return suite_main (argc, argv, "platform", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -183,7 +183,7 @@
 
 /* Datagrams can arrive twice and out of order; each must be accepted exactly once. */
 static void
-test_replay_window (void)
+test_each_datagram_accepted_once (void)
 {
   RpcReplay *replay = rpc_replay_new ();
   uint64_t sender;
@@ -207,7 +207,7 @@
 }
 
 static void
-test_call_large_answer (void)
+test_large_answers_are_received (void)
 {
   RpcServer *server = start_server ();
   RpcClient *client = rpc_client_new (&key, 7, "127.0.0.1", rpc_server_port (server));
@@ -239,7 +239,7 @@
 
 /* After a steward was replaced, a client's connection is dead; calls must reach the new one. */
 static void
-test_reconnect (void)
+test_client_reconnects_after_restart (void)
 {
   RpcServer *server = start_server ();
   int port = rpc_server_port (server);
@@ -285,7 +285,7 @@
 
 /* A peer that accepts connections but never answers: the call times out as STATUS_UNKNOWN. */
 static void
-test_silent_peer (void)
+test_silent_peer_times_out (void)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
   socklen_t len = sizeof address;
@@ -307,7 +307,7 @@
 }
 
 static void
-test_one_way_messages (void)
+test_one_way_messages_are_handled (void)
 {
   RpcServer *server = start_server ();
   rpc_heartbeat heartbeat = { .nonce = 0, .incarnation = 9, .address = "" };
@@ -370,7 +370,7 @@
 }
 
 static void
-test_key_file (void)
+test_key_file_is_checked (void)
 {
   char path[] = "/tmp/test_rpc_key_XXXXXX";
   int fd = mkstemp (path);
@@ -399,15 +399,15 @@
   static const SuiteCase cases[] = {
     { "altered_message_refused", test_altered_message_refused },
     { "old_answer_refused", test_old_answer_refused },
-    { "replay_window", test_replay_window },
-    { "call_large_answer", test_call_large_answer },
+    { "each_datagram_accepted_once", test_each_datagram_accepted_once },
+    { "large_answers_are_received", test_large_answers_are_received },
     { "call_refused", test_call_refused },
-    { "reconnect", test_reconnect },
+    { "client_reconnects_after_restart", test_client_reconnects_after_restart },
     { "half_record_does_not_block", test_half_record_does_not_block },
-    { "silent_peer", test_silent_peer },
-    { "one_way_messages", test_one_way_messages },
+    { "silent_peer_times_out", test_silent_peer_times_out },
+    { "one_way_messages_are_handled", test_one_way_messages_are_handled },
     { "repeated_datagram_refused", test_repeated_datagram_refused },
-    { "key_file", test_key_file },
+    { "key_file_is_checked", test_key_file_is_checked },
   };
 
   (void)signal (SIGPIPE, SIG_IGN);
