--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -8,7 +8,7 @@
 #define ANSWER_MAX         ((size_t)16 << 20) /* bytes */
 #define READ_SIZE          16384              /* bytes */
 #define AUTHORIZATION_SIZE 512                /* bytes */
-#define HEADERS_MAX        3
+#define HEADERS_MAX        3                  /* headers of a request */
 
 typedef struct json_object Json;
 
@@ -117,7 +117,7 @@
       if (answer->http_status != 503)
         break;
       answer->outcome_unknown |= reports_unknown_outcome (answer);
-      add_failure (failures, steward, "can't do it now (503)");
+      add_failure (failures, steward, "temporarily unavailable (503)");
     }
   return answered;
 }
--- a/src/ctl_submit.c
+++ b/src/ctl_submit.c
@@ -2,7 +2,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ATTEMPTS_MAX 5
+#define ATTEMPTS_MAX 5   /* submissions of a patch that is rebuilt after each conflict */
 #define REASON_SIZE  160 /* bytes */
 
 typedef struct json_object Json;
--- a/src/ctl_table.c
+++ b/src/ctl_table.c
@@ -8,7 +8,7 @@
 #include <time.h>
 
 #define CELL_SIZE  256 /* bytes */
-#define COLUMN_GAP 2
+#define COLUMN_GAP 2   /* spaces */
 
 void
 ctl_table_cell (CtlTable *table, const char *format, ...)
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -25,8 +25,8 @@
 /* Idle connections are kept this much longer than callers may reuse them, so that no request
  * arrives while its connection is being closed. */
 #define IDLE_FACTOR 1.25
-/* Milliseconds after a stop request in which the load balancer may still send callers. Idle
- * connections are kept for their next request; the answer to it closes them. */
+/* Milliseconds after a stop request during which the load balancer may still direct callers here.
+ * Until then idle connections stay open for one more request; its answer closes them. */
 #define STOP_IDLE_MS 2500
 
 struct FrontConn
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -1,7 +1,7 @@
 /* Guards against request smuggling: if two parsers read one head differently, a caller can hide a
- * request within another. libmicrohttpd accepts ambiguous heads without a sign of it (a folded
- * line, a NUL) and answers others twice (a negative length, no host). It never gets the last line
- * of such a head. */
+ * request within another. libmicrohttpd accepts some ambiguous heads without an error (a
+ * folded line, a NUL) and answers others twice (a negative length, no host). The last line of an
+ * ambiguous head is therefore never forwarded to it. */
 #include "gate_framing.h"
 #include <stdint.h>
 #include <string.h>
@@ -57,7 +57,7 @@
 {
   HttpRequestParser *request_parser = &framing->request_parser;
   bool was_in_body = request_parser->in_body;
-  size_t head_had = request_parser->raw.len;
+  size_t earlier_len = request_parser->raw.len;
   size_t body_start = 0;
   HttpParseResult result = http_request_parser_feed (request_parser, data, len, used);
 
@@ -72,7 +72,7 @@
   if (!was_in_body)
     {
       forward_head (framing, forward);
-      body_start = request_parser->head.len - head_had;
+      body_start = request_parser->head.len - earlier_len;
     }
   buffer_add (forward, data + body_start, *used - body_start);
   if (result == HTTP_PARSE_MORE)
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -10,7 +10,8 @@
 #include <string.h>
 #include <strings.h>
 
-#define READ_BLOCK_SIZE  16384 /* bytes */
+#define READ_BLOCK_SIZE 16384 /* bytes */
+/* By how much the stall timeout of an upload exceeds neon's own timeouts. */
 #define UPLOAD_MARGIN_MS 1000
 
 static bool
@@ -39,7 +40,7 @@
   return true;
 }
 
-/* Asks may_finish whether the request may be completed. A refusal is final. */
+/* Calls may_finish to decide whether the request may be completed. A refusal is final. */
 static bool
 check_may_finish (HttpExchange *x)
 {
@@ -55,7 +56,7 @@
 /*
  * Body provider for neon. neon writes each block to the connection before it requests the next one,
  * so providing the last byte separately ensures that everything before it has been sent when
- * may_finish is asked.
+ * may_finish is called.
  */
 static ssize_t
 provide_body (void *userdata, char *buffer, size_t size)
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -26,7 +26,7 @@
   const HttpHeader *headers;
   size_t header_count;
   const void *body;
-  size_t body_len;
+  size_t body_len;        /**< bytes */
   int connect_timeout_ms; /**< rounded up to whole seconds, neon's resolution */
   int read_timeout_ms;    /**< without received data; rounded up likewise */
   int total_timeout_ms;   /**< of the complete exchange, checked between reads; 0: none */
--- a/src/http_exchange.h
+++ b/src/http_exchange.h
@@ -17,9 +17,9 @@
   ne_request *request;
   char peer[STATUS_PEER_MAX];
   const char *body;
-  char *body_copy; /**< copy for an upload, which may outlive the caller's body; NULL: none */
-  size_t body_len;
-  size_t body_sent;
+  char *body_copy;  /**< copy for an upload, which may outlive the caller's body; NULL: none */
+  size_t body_len;  /**< bytes */
+  size_t body_sent; /**< bytes given to neon */
   bool (*may_finish) (void *context);
   void *context;
   HttpUpload *upload; /**< the upload thread; NULL: the caller's thread sends the request */
@@ -30,7 +30,7 @@
   bool no_body;       /**< the answer to HEAD has none */
   size_t answer_max;  /**< bytes; 0: no limit */
   size_t answer_len;  /**< bytes read so far */
-  int64_t end_ms;     /**< deadline on the boot-time clock; 0: none */
+  int64_t end_ms;     /**< when the exchange must be complete, boot-time clock; 0: no limit */
 };
 
 #endif
--- a/src/http_head.h
+++ b/src/http_head.h
@@ -8,7 +8,7 @@
 
 #include "util_span.h"
 
-#define HTTP_FIELDS_MAX 64
+#define HTTP_FIELDS_MAX 64 /**< a head with more fields is refused */
 
 typedef struct
 {
@@ -19,7 +19,7 @@
 typedef struct
 {
   char *text; /**< owned; all spans point into it */
-  size_t len;
+  size_t len; /**< bytes, with the empty line */
   Span start_line;
   unsigned count;
   HttpField fields[HTTP_FIELDS_MAX];
--- a/src/http_upload.c
+++ b/src/http_upload.c
@@ -7,14 +7,14 @@
 #include <stdlib.h>
 
 #define STACK_SIZE ((size_t)128 * 1024) /* bytes */
-/* Limit of abandoned threads, blocked by frozen peers; each holds a connection and a copy of a
- * body. */
+/* Maximum number of abandoned threads, blocked by frozen peers; each holds a connection and a copy
+ * of a body. */
 #define ABANDONED_MAX 64
 
 typedef enum
 {
-  FINISH_NOT_ASKED,
-  FINISH_PENDING,
+  FINISH_NOT_ASKED, /* the upload thread has not reached the last byte */
+  FINISH_PENDING,   /* the upload thread waits for the decision */
   FINISH_ALLOWED,
   FINISH_REFUSED
 } FinishState;
--- a/src/http_upload.h
+++ b/src/http_upload.h
@@ -16,7 +16,7 @@
 /**
  * Runs ne_begin_request in a thread and stores its result in *result. may_finish is called in the
  * calling thread. False: the thread was abandoned after stall_timeout_ms without progress and will
- * free the exchange; *finished then tells whether the end of the request may have been sent.
+ * free the exchange; *finished is then true if the end of the request may have been sent.
  */
 bool http_upload_run (HttpExchange *x, int stall_timeout_ms, int *result, bool *finished);
 
--- a/src/platform_group_batch.c
+++ b/src/platform_group_batch.c
@@ -95,7 +95,6 @@
   return true;
 }
 
-/* Moves the oldest requests that fit into one transaction from the queue to batch. */
 size_t
 platform_group_batch_collect (PlatformGroup *group, struct cds_list_head *batch)
 {
--- a/src/rpc_client.c
+++ b/src/rpc_client.c
@@ -22,8 +22,8 @@
 
 /* Bytes of the IP and TCP headers plus the header of an RPC call or reply without credentials, for
  * the byte counters. */
-#define CALL_HEADERS_SIZE  (52 + 44)
-#define REPLY_HEADERS_SIZE (52 + 28)
+#define STREAM_CALL_HEADERS_SIZE  (52 + 44)
+#define STREAM_REPLY_HEADERS_SIZE (52 + 28)
 
 struct RpcClient
 {
@@ -96,7 +96,8 @@
   code = client_connect (client, timeout_ms, st);
   left_ms = end_ms - clock_boot_ms ();
   if (code == STATUS_OK && left_ms <= 0)
-    code = status_set (st, STATUS_UNAVAILABLE, "rpc.call", client->peer, "no time is left");
+    code = status_set (st, STATUS_UNAVAILABLE, "rpc.call", client->peer,
+                       "the timeout expired before the call was sent");
   if (code == STATUS_OK)
     code = rpc_seal (client->key, client->sender, procedure, arg_proc, arg, &ask, st);
   if (code == STATUS_OK)
@@ -126,11 +127,11 @@
   socket_set_send_timeout (client->fd, timeout_ms);
   stat = clnt_call (client->client, procedure, (xdrproc_t)xdr_rpc_sealed, ask,
                     (xdrproc_t)xdr_rpc_sealed, answer, timeout);
-  counter_add (COUNTER_RPC_SENT_BYTES, (int64_t)rpc_sealed_size (ask) + CALL_HEADERS_SIZE);
+  counter_add (COUNTER_RPC_SENT_BYTES, (int64_t)rpc_sealed_size (ask) + STREAM_CALL_HEADERS_SIZE);
   if (stat == RPC_SUCCESS)
     {
       counter_add (COUNTER_RPC_RECEIVED_BYTES,
-                   (int64_t)rpc_sealed_size (answer) + REPLY_HEADERS_SIZE);
+                   (int64_t)rpc_sealed_size (answer) + STREAM_REPLY_HEADERS_SIZE);
       return status_ok (st);
     }
   /* A late reply would be taken for the reply to the next call, so the connection is closed. */
--- a/src/rpc_replay.h
+++ b/src/rpc_replay.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Senders remembered; beyond this, the least recently heard sender of a bucket is evicted. */
+/** Senders remembered; beyond this, the least recently active sender of a bucket is evicted. */
 #define RPC_REPLAY_SENDERS_MAX 2048
 
 typedef struct RpcReplay RpcReplay;
--- a/src/rpc_server.c
+++ b/src/rpc_server.c
@@ -25,7 +25,7 @@
 #define STREAM_BUFFER_SIZE 8192
 #define RECORD_MAX         (LOVAGE_SEALED_MAX + 1024)
 
-#define POLL_FDS_MAX    1024
+#define POLL_FDS_MAX    1024 /* connections and own sockets that are polled */
 #define POLL_TIMEOUT_MS 1000
 
 /* Bytes of the IP, UDP or TCP and RPC headers without credentials, for the byte counters. */
--- a/src/util_buffer.c
+++ b/src/util_buffer.c
@@ -44,18 +44,18 @@
 buffer_printf (Buffer *buf, const char *format, ...)
 {
   va_list args;
-  va_list again;
+  va_list args_copy;
   int len;
 
   INVARIANT (format, "len=\"%zu\"", buf->len);
   va_start (args, format);
-  va_copy (again, args);
+  va_copy (args_copy, args);
   len = vsnprintf (NULL, 0, format, args);
   va_end (args);
   INVARIANT (len >= 0, "format=\"%s\"", format);
   buffer_reserve (buf, (size_t)len);
-  vsnprintf (buf->data + buf->len, (size_t)len + 1, format, again);
-  va_end (again);
+  vsnprintf (buf->data + buf->len, (size_t)len + 1, format, args_copy);
+  va_end (args_copy);
   buf->len += (size_t)len;
 }
 
--- a/src/util_field_parse.c
+++ b/src/util_field_parse.c
@@ -89,8 +89,8 @@
 }
 
 /**
- * Reports text after the value that is neither white space nor a comment. json-c makes the
- * decision: the remaining text with a 0 appended must parse as exactly that 0.
+ * Reports text after the value that is neither white space nor a comment. json-c checks this:
+ * with a 0 appended, the remaining text must parse as exactly that 0.
  */
 static void
 check_trailing_text (const Parse *parse, size_t offset)
--- a/src/util_log.c
+++ b/src/util_log.c
@@ -7,12 +7,12 @@
 #include <unistd.h>
 
 #define LINE_SIZE       4096 /* bytes */
-#define NAME_SIZE       64
-#define TIME_SIZE       32
+#define NAME_SIZE       64   /* bytes */
+#define TIME_SIZE       32   /* bytes */
 #define NS_PER_MS       1000000
 #define FIRST_PRINTABLE 0x20
 #define DELETE_CHAR     0x7f
-#define ESCAPE_MAX      5 /* \xHH and the NUL */
+#define ESCAPE_MAX      5 /* bytes: \xHH and the NUL */
 
 typedef struct
 {
