--- a/Makefile
+++ b/Makefile
@@ -9,7 +9,7 @@
 LDFLAGS += -pthread $(SANITIZE)
 LDLIBS = $(shell pkg-config --libs $(PKGS)) -lm
 
-# Modules every program may use; a program's own files carry its prefix.
+# Modules that every program may use; a program's own files have its prefix.
 BASE = $(wildcard src/util_*.c src/settings*.c src/config*.c src/platform*.c src/rpc_*.c \
   src/cluster*.c src/choose*.c src/bill*.c src/claim*.c src/http_*.c src/session*.c)
 RPC = rpc/lovage_xdr.c rpc/lovage_clnt.c
@@ -17,7 +17,7 @@
 # The callers' side of lovage-gate, before libmicrohttpd.
 GATE_PKGS = libevent libevent_pthreads libevent_openssl libssl libcrypto
 GATE_LIBS = $(shell pkg-config --libs $(GATE_PKGS)) -lhttp_parser
-# What lovage-front is made of beside src/front_*.c; small, as its memory has a price.
+# Libraries and modules of lovage-front besides src/front_*.c: few, because its memory has a cost.
 FRONT_PKGS = libevent json-c libsodium libxxhash libtirpc zlib
 FRONT_LIBS = $(shell pkg-config --libs $(FRONT_PKGS)) -lhttp_parser -lm
 FRONT_SHARED = $(wildcard src/util_*.c src/settings_arguments.c \
@@ -42,7 +42,7 @@
 
 $(BUILD)/obj/rpc/%.o: CFLAGS += -Wno-unused-variable -Wno-missing-prototypes \
   -Wno-cast-function-type
-# Libraries that the goals need: lovage-front alone is built where the others are not installed.
+# Libraries that the requested targets need: lovage-front can be built alone, without the others.
 NEEDED = liburcu $(FRONT_PKGS) $(if $(filter front,$(MAKECMDGOALS)),,$(PKGS) $(GATE_PKGS))
 .PHONY: libraries
 libraries:
@@ -73,7 +73,7 @@
 	$(CC) $(LDFLAGS) $^ $(LDLIBS) -o $@
 $(BUILD)/standin-service: $(call obj,$(wildcard standin/service_*.c standin/common_*.c)) $(LIB)
 	$(CC) $(LDFLAGS) $^ $(LDLIBS) -o $@
-# Tests of a program's own modules link all of them but its main.
+# Tests of a program's own modules link all of its modules except its main.
 $(BUILD)/test_gate_%: $(BUILD)/obj/tests/test_gate_%.o \
   $(call obj,$(filter-out src/gate_main.c,$(wildcard src/gate_*.c)) $(TEST_HELPERS)) $(LIB)
 	$(CC) $(LDFLAGS) $^ $(LDLIBS) $(GATE_LIBS) -lcunit -o $@
@@ -88,7 +88,7 @@
 	$(CC) $(LDFLAGS) $^ $(LDLIBS) $(FRONT_LIBS) -lcunit -o $@
 $(BUILD)/test_%: $(BUILD)/obj/tests/test_%.o $(call obj,$(TEST_HELPERS)) $(LIB)
 	$(CC) $(LDFLAGS) $^ $(LDLIBS) -lcunit -o $@
-# The model of a platform's site plays lovage-front's own modules.
+# The simulation of a platform's site runs lovage-front's own modules.
 $(BUILD)/bench_front: $(BUILD)/obj/bench/bench_front.o $(BUILD)/obj/bench/model_event.o \
   $(call obj,$(wildcard bench/front_*.c) $(FRONT_PARTS)) $(LIB)
 	$(CC) $(LDFLAGS) $^ $(LDLIBS) $(FRONT_LIBS) -o $@
@@ -99,7 +99,8 @@
 # "N passed, N failed".
 JOBS ?= $(shell nproc)
 , := ,
-# Sanitizers make gcc warn of what it only sees in the added code; the plain build holds -Werror.
+# With sanitizers gcc also warns of the code that it adds for them, so only the plain build uses
+# -Werror.
 SANITIZED = BUILD=build-$(1) SANITIZE="-fsanitize=$(2) -fno-omit-frame-pointer -fno-sanitize-recover=all -Wno-error"
 TIDY_SOURCES = $(wildcard src/*.c platform/*.c standin/*.c tests/*.c bench/*.c regress/*.c regress/*/*.c)
 FORMAT_SOURCES = $(TIDY_SOURCES) $(wildcard src/*.h platform/*.h standin/*.h tests/*.h bench/*.h regress/*/*.h)
@@ -119,8 +120,8 @@
 tsan:
 	$(MAKE) $(call SANITIZED,tsan,thread) tests
 	TSAN_OPTIONS="suppressions=$(CURDIR)/tools/tsan.supp" tools/check.sh build-tsan unit
-# The whole-path cases with sanitized programs; a finding or a leak ends a process with a status that
-# the cases notice when they stop the site.
+# The regression cases with sanitized programs. A process with a finding or a leak ends with a non-zero
+# status, which the cases detect when they stop the site.
 asan-regress:
 	$(MAKE) $(call SANITIZED,asan,address$(,)undefined) all
 	tools/check.sh build-asan regress
@@ -133,7 +134,8 @@
 tidy:
 	@mkdir -p $(BUILD)/logs
 	printf '%s\n' $(TIDY_SOURCES) | xargs -P$(JOBS) -n1 tools/tidy.sh $(BUILD)/logs $(LINT_FLAGS)
-# cppcheck does not read urcu/list.h; without these it takes the walking pointer for uninitialised.
+# cppcheck does not read urcu/list.h; without these definitions it reports the iteration pointer as
+# uninitialised.
 LIST_WALKS = \
   -D'cds_list_for_each_entry(p,h,m)=while((p=walk(h)))' \
   -D'cds_list_for_each_entry_reverse(p,h,m)=while((p=walk(h)))' \
--- a/mk/control.mk
+++ b/mk/control.mk
@@ -1,4 +1,4 @@
-# Cost of control per steward and time until a patch is in force, by number of stewards.
+# Cost of control traffic per steward, and time until a patch is in force, by number of stewards.
 CONTROL_COUNTS ?= 3 9 18 36 72 144
 CONTROL_WINDOW_S ?= 20
 CONTROL_PATCHES ?= 100
--- a/mk/decision.mk
+++ b/mk/decision.mk
@@ -1,4 +1,5 @@
-# Instructions a decision with the gate's copying of servers' states; see mk/policy.mk for the rest.
+# Instructions per decision, including the gate's copying of the servers' states; mk/policy.mk measures
+# decisions without it.
 .PHONY: check-gate-decision
 
 $(BUILD)/bench_decision: $(BUILD)/obj/bench/bench_decision.o $(call obj,$(BENCH_HELPERS)) \
--- a/mk/model.mk
+++ b/mk/model.mk
@@ -1,4 +1,4 @@
-# Models of acceptance and grant, checked by spin (apt-get install spin); about three minutes.
+# Checks the models of acceptance and grants with spin (apt-get install spin); takes about three minutes.
 model:
 	mk/model.sh $(BUILD)
 
--- a/mk/policy.mk
+++ b/mk/policy.mk
@@ -1,4 +1,5 @@
-# Measurements of the decisions: tables of policies against baselines, instructions per decision.
+# Measurements of routing decisions: tables that compare policies with baselines, and instructions per
+# decision.
 .PHONY: plot-policy bench-policy bench-decision check-policy check-decision
 .PHONY: bench-front plot-front check-front
 
@@ -14,7 +15,8 @@
 check-policy: $(BUILD)/bench_policy
 	$(BUILD)/bench_policy check
 
-# The same for lovage-front: a model of a platform's site, its own modules on a virtual clock.
+# The same for lovage-front: a simulated platform's site with lovage-front's own modules on a virtual
+# clock.
 bench-front: $(BUILD)/bench_front
 	$(BUILD)/bench_front
 
@@ -23,11 +25,13 @@
 	$(BUILD)/bench_front data > $(BUILD)/front.data
 	gnuplot -e "data='$(BUILD)/front.data'; out='docs/design/front.svg'" bench/plot_front.gp
 
-# The product earns as much more than simpler policies as each scenario asks; part of CI.
+# Checks that lovage-front earns more than simpler policies, by the margin that each scenario requires;
+# part of CI.
 check-front: $(BUILD)/bench_front
 	$(BUILD)/bench_front check
 
-# Instructions a decision, by callgrind: the same on any machine but for its C library's variants.
+# Instructions per decision, counted by callgrind: the same on every machine, except that the C library
+# selects variants of its functions by processor.
 DECISIONS = 500
 DECISION_BOUND = 20000
 DECISION_COLD_BOUND = 27000
--- a/mk/soak.mk
+++ b/mk/soak.mk
@@ -7,8 +7,8 @@
 	python3 regress/soak/soak.py --build $(BUILD) --seed $(SEED) --seconds $(SECONDS) --vms $(VMS)
 
 # Real fronts on the platform's protocol under randomised faults: make soak-front SEED=n SECONDS=s
-# FRONTS=n; make soak-front-many plays SEEDS seeds from SEED on, JOBS at a time. SOAK=--narrow: with a
-# large configuration over slow links to the store.
+# FRONTS=n; make soak-front-many runs SEEDS seeds, starting with SEED, JOBS at a time. SOAK=--narrow
+# uses a large configuration and slow links to the store.
 FRONTS ?= 4
 SEEDS ?= 50
 .PHONY: soak-front soak-front-many
--- a/mk/steps.mk
+++ b/mk/steps.mk
@@ -14,7 +14,7 @@
 
 .PHONY: steps
 
-# Each guard of mk/mutations.txt taken out in turn: the run named for it must fail.
+# Removes each guard that mk/mutations.txt lists, one at a time: the run named for it must then fail.
 mutations:
 	mk/mutations.sh
 
