--- a/src/ctl_command.c
+++ b/src/ctl_command.c
@@ -55,7 +55,7 @@
     ctl_rollout_status },
   { "rollout", "start", "MODEL", "Start a roll-out at its first stage", start_options, 1, 1, false,
     ctl_rollout_start },
-  { "rollout", "advance", "MODEL", "Go to the next stage, or end after the last", patch_options, 1,
+  { "rollout", "advance", "MODEL", "Go to the next stage, or end behind the last", patch_options, 1,
     1, false, ctl_rollout_advance },
   { "rollout", "pause", "MODEL", "Stay at the stage in force", patch_options, 1, 1, false,
     ctl_rollout_pause },
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -117,7 +117,7 @@
       if (answer->http_status != 503)
         break;
       answer->outcome_unknown |= reports_unknown_outcome (answer);
-      add_failure (failures, steward, "temporarily unavailable (503)");
+      add_failure (failures, steward, "not possible now (503)");
     }
   return answered;
 }
--- a/src/rpc_client.c
+++ b/src/rpc_client.c
@@ -96,8 +96,7 @@
   code = client_connect (client, timeout_ms, st);
   left_ms = end_ms - clock_boot_ms ();
   if (code == STATUS_OK && left_ms <= 0)
-    code = status_set (st, STATUS_UNAVAILABLE, "rpc.call", client->peer,
-                       "the timeout expired before the call was sent");
+    code = status_set (st, STATUS_UNAVAILABLE, "rpc.call", client->peer, "no time is left");
   if (code == STATUS_OK)
     code = rpc_seal (client->key, client->sender, procedure, arg_proc, arg, &ask, st);
   if (code == STATUS_OK)
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -154,7 +154,7 @@
 }
 
 static void
-test_refused_connection_is_unavailable (void)
+test_refused (void)
 {
   Status st;
   Buffer body = { 0 };
@@ -197,7 +197,7 @@
 }
 
 static void
-test_too_long_answer_is_an_error (void)
+test_too_long (void)
 {
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = CHUNKED_OK });
   HttpRequest request = request_to (fake_server_port (server));
@@ -273,9 +273,9 @@
           { "answer_without_framing_is_an_error", test_answer_without_framing_is_an_error },
           { "no_retry_after_close", test_no_retry_after_close },
           { "new_connection_per_request", test_new_connection_per_request },
-          { "refused_connection_is_unavailable", test_refused_connection_is_unavailable },
+          { "refused", test_refused },
           { "invalid_headers_and_paths_are_not_sent", test_invalid_headers_and_paths_are_not_sent },
-          { "too_long_answer_is_an_error", test_too_long_answer_is_an_error },
+          { "too_long", test_too_long },
           { "total_timeout_ends_slow_answers", test_total_timeout_ends_slow_answers },
           { "stream_is_read_and_cancelled", test_stream_is_read_and_cancelled } };
   return suite_main (argc, argv, "http_client", cases, SUITE_COUNT (cases));
--- a/tests/test_http_finish.c
+++ b/tests/test_http_finish.c
@@ -112,15 +112,15 @@
    * its buffers are full. The call must return, and since the last byte was not sent, the request
    * has certainly not been executed.
    */
-  struct sockaddr_in address
+  struct sockaddr_in listen_address
       = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-  socklen_t len = sizeof address;
+  socklen_t len = sizeof listen_address;
   int listener = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  CU_ASSERT_EQUAL_FATAL (bind (listener, (struct sockaddr *)&address, len), 0);
+  CU_ASSERT_EQUAL_FATAL (bind (listener, (struct sockaddr *)&listen_address, len), 0);
   CU_ASSERT_EQUAL_FATAL (listen (listener, 1), 0);
-  getsockname (listener, (struct sockaddr *)&address, &len);
+  getsockname (listener, (struct sockaddr *)&listen_address, &len);
   char *long_body = memory_alloc (FROZEN_SIZE);
-  HttpRequest request = request_to (ntohs (address.sin_port));
+  HttpRequest request = request_to (ntohs (listen_address.sin_port));
   Buffer body = { 0 };
   Status st;
   int http_status = 0;
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -42,18 +42,20 @@
 static void
 test_connection_is_reused (void)
 {
-  FakeHttpServer *server = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
+  FakeHttpServer *http_server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), 1);
 
   for (int i = 0; i < READS; i++)
     CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  CU_ASSERT_EQUAL (fake_http_server_requests (server), READS);
-  CU_ASSERT_EQUAL (fake_http_server_connections (server), 1);
-  CU_ASSERT_TRUE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (server)));
-  CU_ASSERT_FALSE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (server) + 1));
-  CU_ASSERT_FALSE (http_reader_has_address (reader, "127.0.0.2", fake_http_server_port (server)));
+  CU_ASSERT_EQUAL (fake_http_server_requests (http_server), READS);
+  CU_ASSERT_EQUAL (fake_http_server_connections (http_server), 1);
+  CU_ASSERT_TRUE (http_reader_has_address (reader, LOCALHOST, fake_http_server_port (http_server)));
+  CU_ASSERT_FALSE (
+      http_reader_has_address (reader, LOCALHOST, fake_http_server_port (http_server) + 1));
+  CU_ASSERT_FALSE (
+      http_reader_has_address (reader, "127.0.0.2", fake_http_server_port (http_server)));
   http_reader_free (reader);
-  fake_http_server_free (server);
+  fake_http_server_free (http_server);
 }
 
 static void
@@ -63,55 +65,55 @@
    * Guards against failed reads on a connection that the server closed while it was idle: a healthy
    * backend server would be excluded for a second because its load report is counted as missed.
    */
-  FakeHttpServer *server = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
+  FakeHttpServer *http_server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), 1);
 
   for (int i = 1; i <= 5; i++)
     {
       CU_ASSERT_EQUAL (get (reader), STATUS_OK);
       CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-      CU_ASSERT_EQUAL (fake_http_server_requests (server), 2 * i);
-      CU_ASSERT_EQUAL (fake_http_server_connections (server), i);
-      fake_http_server_stop (server);
-      CU_ASSERT_TRUE_FATAL (fake_http_server_start (server));
+      CU_ASSERT_EQUAL (fake_http_server_requests (http_server), 2 * i);
+      CU_ASSERT_EQUAL (fake_http_server_connections (http_server), i);
+      fake_http_server_stop (http_server);
+      CU_ASSERT_TRUE_FATAL (fake_http_server_start (http_server));
     }
   http_reader_free (reader);
-  fake_http_server_free (server);
+  fake_http_server_free (http_server);
 }
 
 static void
 test_server_down_is_unavailable (void)
 {
-  FakeHttpServer *server = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
+  FakeHttpServer *http_server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), 1);
 
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  fake_http_server_stop (server);
+  fake_http_server_stop (http_server);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNAVAILABLE);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNAVAILABLE);
-  CU_ASSERT_TRUE_FATAL (fake_http_server_start (server));
+  CU_ASSERT_TRUE_FATAL (fake_http_server_start (http_server));
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   http_reader_free (reader);
-  fake_http_server_free (server);
+  fake_http_server_free (http_server);
 }
 
 static void
 test_lost_answer_is_retried_once (void)
 {
   /* If a persistent connection fails, neon retries once on a new one, and never more often. */
-  FakeHttpServer *server = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
+  FakeHttpServer *http_server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), 1);
 
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
-  fake_http_server_drop (server, true);
+  fake_http_server_drop (http_server, true);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_http_server_requests (server), 3);
+  CU_ASSERT_EQUAL (fake_http_server_requests (http_server), 3);
   CU_ASSERT_EQUAL (get (reader), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_http_server_requests (server), 4);
-  fake_http_server_drop (server, false);
+  CU_ASSERT_EQUAL (fake_http_server_requests (http_server), 4);
+  fake_http_server_drop (http_server, false);
   CU_ASSERT_EQUAL (get (reader), STATUS_OK);
   http_reader_free (reader);
-  fake_http_server_free (server);
+  fake_http_server_free (http_server);
 }
 
 /* Reads this answer once, on a new connection. */
@@ -204,8 +206,8 @@
 static void
 test_threads_use_separate_connections (void)
 {
-  FakeHttpServer *server = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), THREADS);
+  FakeHttpServer *http_server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), THREADS);
   ReadThread reads[THREADS];
   pthread_t threads[THREADS];
 
@@ -219,10 +221,10 @@
       pthread_join (threads[i], NULL);
       CU_ASSERT_EQUAL (reads[i].failed, 0);
     }
-  CU_ASSERT_EQUAL (fake_http_server_requests (server), THREADS * READS);
-  CU_ASSERT_TRUE (fake_http_server_connections (server) <= THREADS);
+  CU_ASSERT_EQUAL (fake_http_server_requests (http_server), THREADS * READS);
+  CU_ASSERT_TRUE (fake_http_server_connections (http_server) <= THREADS);
   http_reader_free (reader);
-  fake_http_server_free (server);
+  fake_http_server_free (http_server);
 }
 
 static void
@@ -230,8 +232,8 @@
 {
   /* neon applies the timeouts when it connects, so a read with other timeouts needs a new
    * connection; otherwise it would wait as long as the first read may. */
-  FakeHttpServer *server = fake_http_server_new (TEXT);
-  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (server), 1);
+  FakeHttpServer *http_server = fake_http_server_new (TEXT);
+  HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), 1);
   const int timeouts_ms[] = { 5000, 4500, 1000, 1000, 5000 };
   const int connections[] = { 1, 1, 2, 2, 3 };
 
@@ -242,11 +244,11 @@
       int http_status;
       read.read_timeout_ms = timeouts_ms[i];
       CU_ASSERT_EQUAL (http_reader_get (reader, &read, &http_status, &answer, NULL), STATUS_OK);
-      CU_ASSERT_EQUAL (fake_http_server_connections (server), connections[i]);
+      CU_ASSERT_EQUAL (fake_http_server_connections (http_server), connections[i]);
       buffer_free (&answer);
     }
   http_reader_free (reader);
-  fake_http_server_free (server);
+  fake_http_server_free (http_server);
 }
 
 static void
@@ -257,8 +259,9 @@
    * that the table service has just closed, the library would re-send it. Only reads use persistent
    * connections.
    */
-  FakeHttpServer *server = fake_http_server_new ("{\"key\":\"a\",\"value\":\"1\",\"version\":3}");
-  Platform *p = platform_http_new (LOCALHOST, fake_http_server_port (server));
+  FakeHttpServer *http_server
+      = fake_http_server_new ("{\"key\":\"a\",\"value\":\"1\",\"version\":3}");
+  Platform *p = platform_http_new (LOCALHOST, fake_http_server_port (http_server));
   TxnOp op = { .kind = TXN_PUT, .table = "t", .key = "a", .value = "1" };
   PlatformRow row;
 
@@ -268,12 +271,12 @@
       CU_ASSERT_EQUAL (row.version, 3);
       platform_row_clear (&row);
     }
-  CU_ASSERT_EQUAL (fake_http_server_connections (server), 1);
+  CU_ASSERT_EQUAL (fake_http_server_connections (http_server), 1);
   CU_ASSERT_EQUAL (p->ops->txn (p, &op, 1, 5000, NULL), STATUS_UNKNOWN);
-  CU_ASSERT_EQUAL (fake_http_server_requests (server), READS + 1);
-  CU_ASSERT_EQUAL (fake_http_server_connections (server), 2);
+  CU_ASSERT_EQUAL (fake_http_server_requests (http_server), READS + 1);
+  CU_ASSERT_EQUAL (fake_http_server_connections (http_server), 2);
   platform_free (p);
-  fake_http_server_free (server);
+  fake_http_server_free (http_server);
 }
 
 int
