--- a/src/ctl_main.c
+++ b/src/ctl_main.c
@@ -183,8 +183,7 @@
       buffer_printf (doc, "  %-27s %s\n", usage, command->doc);
     }
   buffer_add_string (doc, "\n`lovagectl COMMAND --help' lists a command's options. Exit status: 0 "
-                          "done, 1 refused, 2 usage, 3 conflict: another patch was accepted first "
-                          "(its number is printed), "
+                          "done, 1 refused, 2 usage, 3 another patch won (its number is printed), "
                           "4 no steward answered, 5 durable but not yet accepted (it will be).");
 }
 
--- a/src/front_conn.c
+++ b/src/front_conn.c
@@ -60,8 +60,8 @@
   };
 }
 
-/* Takes the idle time-out that is in force now. One that is lowered later doesn't apply to a
- * connection that is already idle: callers rely on the one in force when they began to wait. */
+/* Starts an idle period with the time-out that is in force now. If the configuration lowers it
+ * later, this period is not shortened: callers rely on the time-out in force at its start. */
 static void
 idle_begin (FrontConn *conn)
 {
--- a/src/http_upload.c
+++ b/src/http_upload.c
@@ -24,8 +24,8 @@
   pthread_mutex_t lock;
   pthread_cond_t changed;
   HttpExchange *x;
-  int result;
-  bool ended;
+  int result;     /* of ne_begin_request; valid if ended */
+  bool ended;     /* ne_begin_request has returned */
   bool abandoned; /* the caller no longer waits */
   FinishState finish;
   unsigned progress; /* blocks of the body given to neon */
--- a/tests/fake_link.c
+++ b/tests/fake_link.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_KINDS 8
+#define CALL_KINDS 8 /* bits of FakeCall, and CALL_COPY */
 
 typedef struct
 {
@@ -14,10 +14,10 @@
   pthread_mutex_t lock;
   LinkState states[CALL_KINDS];
   size_t calls;
-  size_t kill_at; /* number of the call at which the VM is killed; 0: none */
-  bool kill_after;
+  size_t kill_at;  /* number of the call at which the VM is killed; 0: none */
+  bool kill_after; /* the call at which the VM is killed takes effect */
   bool dead;
-  const char *rejected_key;
+  const char *rejected_key; /* NULL: none */
 } FakeLink;
 
 static FakeLink *
@@ -26,6 +26,8 @@
   return (FakeLink *)p;
 }
 
+/* Counts a call and returns the state of the connection for it; kills the VM if this is the call at
+ * which it is to be killed. */
 static LinkState
 next_state (FakeLink *link, unsigned call)
 {
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -5,9 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_KINDS 7
+#define CALL_KINDS 7             /* bits of FakeCall */
 #define OBJECTS    "\001objects" /* table that holds the object store */
 
+/* A transaction that met FAULT_SLOW and is applied by fake_platform_late_effects. */
 typedef struct
 {
   TxnOp *ops;
@@ -31,8 +32,8 @@
   FakeScore *scores;
   size_t score_count;
   FakeFault fault;
-  unsigned fault_calls;
-  unsigned fault_left; /* calls until the fault ends; 0: unlimited */
+  unsigned fault_calls; /* kinds of calls that the fault applies to */
+  unsigned fault_left;  /* calls until the fault ends; 0: unlimited */
   size_t calls[CALL_KINDS];
   void (*hook) (void *context, FakeCall call);
   void *hook_context;
--- a/tests/test_ctl_commands.c
+++ b/tests/test_ctl_commands.c
@@ -215,7 +215,7 @@
 }
 
 static void
-test_unreachable_stewards (void)
+test_unreachable_steward_is_skipped (void)
 {
   const FakeReply replies[]
       = { { 200, "{\"vm\":\"vm-1\",\"members\":[],\"brakes\":[]}" }, { 0, NULL } };
@@ -232,7 +232,7 @@
 }
 
 static void
-test_version_create (void)
+test_version_create_submits_document (void)
 {
   char path[SUITE_PATH_SIZE];
   const FakeReply first[] = { { 200, "{\"head\":0}" }, { 200, FAKE_ACCEPTED }, { 0, NULL } };
@@ -260,7 +260,7 @@
 }
 
 static void
-test_audit_since (void)
+test_audit_since_is_checked (void)
 {
   const FakeReply replies[] = { { 200, "{\"entries\":[{\"key\":\"17-ab\"}]}" }, { 0, NULL } };
   static const char *const wrong[] = { "2x", "-1h", "2hh", "100001d", "a b", "KEY", "2026-12-02T" };
@@ -314,9 +314,9 @@
   { "lost_answer_and_other_patch", test_lost_answer_and_other_patch },
   { "503_tries_next_steward", test_503_tries_next_steward },
   { "503_unknown_is_resolved", test_503_unknown_is_resolved },
-  { "unreachable_stewards", test_unreachable_stewards },
-  { "version_create", test_version_create },
-  { "audit_since", test_audit_since },
+  { "unreachable_steward_is_skipped", test_unreachable_steward_is_skipped },
+  { "version_create_submits_document", test_version_create_submits_document },
+  { "audit_since_is_checked", test_audit_since_is_checked },
   { "settings_check_detects_kind", test_settings_check_detects_kind },
 };
 
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -32,16 +32,16 @@
 {
   HttpRequestParser request_parser;
   size_t consumed, used;
-  int slow, fast;
+  int by_byte, at_once;
 
   feed (&request_parser, text, len, &consumed);
-  slow = request_parser.refuse_status;
+  by_byte = request_parser.refuse_status;
   http_request_parser_reset (&request_parser);
   http_request_parser_feed (&request_parser, text, len, &used);
-  fast = request_parser.refuse_status;
+  at_once = request_parser.refuse_status;
   http_request_parser_reset (&request_parser);
-  CU_ASSERT_EQUAL (slow, fast);
-  return slow;
+  CU_ASSERT_EQUAL (by_byte, at_once);
+  return by_byte;
 }
 
 #define REFUSED(text) refused (text, sizeof (text) - 1)
@@ -197,8 +197,8 @@
   http_reply_clear (&reply);
 }
 
-/* An engine dies in the middle of its answer. Only the framing shows whether the answer is
- * complete; an incomplete one must not reach the caller as a success. */
+/* Guards against truncated answers that look complete: if an engine dies in the middle of its
+ * answer, only the framing shows that the answer is incomplete. */
 static void
 test_truncated_replies_are_not_complete (void)
 {
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -1,3 +1,4 @@
+/** Group commit of writes by many threads: src/platform_group*.c. */
 #include "fake_link.h"
 #include "platform_group.h"
 #include "suite.h"
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -1,3 +1,4 @@
+/** Single exchanges on new connections: src/http_client.c. */
 #include "fake_server.h"
 #include "http_client.h"
 #include "suite.h"
--- a/tests/test_http_finish.c
+++ b/tests/test_http_finish.c
@@ -1,3 +1,4 @@
+/** When may_finish is called, and uploads to a frozen peer: src/http_client.c, http_upload.c. */
 #include "fake_server.h"
 #include "http_client.h"
 #include "suite.h"
--- a/tests/test_http_tls.c
+++ b/tests/test_http_tls.c
@@ -1,3 +1,4 @@
+/** HTTPS with a trust file: src/http_client.c. */
 #include "http_client.h"
 #include "suite.h"
 #include <gnutls/gnutls.h>
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,3 +1,4 @@
+/** The platform's protocol: src/platform_http.c against the stand-in, and the fake platform. */
 #include "../standin/platform_calls.h"
 #include "../standin/platform_table.h"
 #include "fake_platform.h"
--- a/tests/test_platform_answers.c
+++ b/tests/test_platform_answers.c
@@ -1,3 +1,4 @@
+/** Invalid and unusual answers of the platform: src/platform_http.c, platform_wire.c. */
 #include "fake_server.h"
 #include "platform.h"
 #include "suite.h"
@@ -45,7 +46,7 @@
 }
 
 static void
-test_bad_answers (void)
+test_bad_answers_are_failures (void)
 {
   /* After an answer that violates the protocol, a write may have been committed and a read has
    * failed. */
@@ -74,7 +75,7 @@
 }
 
 static void
-test_http_statuses (void)
+test_http_statuses_are_mapped (void)
 {
   const struct
   {
@@ -100,7 +101,7 @@
 main (int argc, char **argv)
 {
   const SuiteCase cases[] = { { "refused", test_refused },
-                              { "bad_answers", test_bad_answers },
-                              { "http_statuses", test_http_statuses } };
+                              { "bad_answers_are_failures", test_bad_answers_are_failures },
+                              { "http_statuses_are_mapped", test_http_statuses_are_mapped } };
   return suite_main (argc, argv, "platform_answers", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_util.c
+++ b/tests/test_util.c
@@ -15,8 +15,8 @@
 
 #define THREADS      8
 #define ADDS         1000
-#define LONG_TEXT    10000
-#define CAPTURE_SIZE 8192
+#define LONG_TEXT    10000 /* bytes, more than any limit of a text */
+#define CAPTURE_SIZE 8192  /* bytes, more than a log line */
 
 typedef struct
 {
@@ -158,7 +158,7 @@
 }
 
 static void
-test_log_quote (void)
+test_log_quote_escapes (void)
 {
   char out[16];
 
@@ -189,7 +189,7 @@
 }
 
 static void
-test_log_line (void)
+test_log_line_is_never_split (void)
 {
   char out[CAPTURE_SIZE];
   char expected[64];
@@ -298,7 +298,7 @@
 }
 
 static void
-test_field_long_path (void)
+test_field_long_path_is_truncated (void)
 {
   CheckList list = { 0 };
   Sample sample = { 0 };
@@ -318,7 +318,7 @@
  * file, json-c keeps the last one, and a withdrawn version could be allowed again.
  */
 static void
-test_field_duplicates (void)
+test_field_duplicates_are_reported (void)
 {
   expect_errors ("{\"name\":\"a\",\n \"name\":\"b\"}",
                  "f.json: name: line 2, column 8: duplicate member name\n");
@@ -331,7 +331,7 @@
 }
 
 static void
-test_field_syntax (void)
+test_field_syntax_errors_have_position (void)
 {
   expect_errors ("{\"name\":\n  ]}",
                  "f.json: line 2, column 3: syntax error: unexpected character\n");
@@ -346,7 +346,7 @@
 }
 
 static void
-test_field_file (void)
+test_field_file_is_parsed (void)
 {
   char path[SUITE_PATH_SIZE];
   CheckList list = { 0 };
@@ -370,15 +370,15 @@
   { "memory", test_memory },
   { "id", test_id },
   { "counter_outlives_threads", test_counter_outlives_threads },
-  { "log_quote", test_log_quote },
-  { "log_line", test_log_line },
+  { "log_quote_escapes", test_log_quote_escapes },
+  { "log_line_is_never_split", test_log_line_is_never_split },
   { "field_values", test_field_values },
   { "field_errors", test_field_errors },
   { "field_names_are_quoted", test_field_names_are_quoted },
-  { "field_long_path", test_field_long_path },
-  { "field_duplicates", test_field_duplicates },
-  { "field_syntax", test_field_syntax },
-  { "field_file", test_field_file },
+  { "field_long_path_is_truncated", test_field_long_path_is_truncated },
+  { "field_duplicates_are_reported", test_field_duplicates_are_reported },
+  { "field_syntax_errors_have_position", test_field_syntax_errors_have_position },
+  { "field_file_is_parsed", test_field_file_is_parsed },
 };
 
 int
