--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -32,16 +32,16 @@
 {
   HttpRequestParser request_parser;
   size_t consumed, used;
-  int by_byte, at_once;
+  int slow, fast;
 
   feed (&request_parser, text, len, &consumed);
-  by_byte = request_parser.refuse_status;
+  slow = request_parser.refuse_status;
   http_request_parser_reset (&request_parser);
   http_request_parser_feed (&request_parser, text, len, &used);
-  at_once = request_parser.refuse_status;
+  fast = request_parser.refuse_status;
   http_request_parser_reset (&request_parser);
-  CU_ASSERT_EQUAL (by_byte, at_once);
-  return by_byte;
+  CU_ASSERT_EQUAL (slow, fast);
+  return slow;
 }
 
 #define REFUSED(text) refused (text, sizeof (text) - 1)
--- a/tests/test_gate_framing.c
+++ b/tests/test_gate_framing.c
@@ -8,7 +8,7 @@
 /* What gate_framing did with the bytes of one connection. */
 typedef struct
 {
-  Buffer forwarded;  /* bytes that may be forwarded */
+  Buffer passed;     /* bytes that may be passed */
   unsigned requests; /* complete ones */
   bool fault;
   int reason; /* of the fault */
@@ -27,7 +27,7 @@
     {
       size_t used, left = len - at;
       FramingResult result = gate_framing_feed (
-          &framing, data + at, left < block_size ? left : block_size, &used, &out.forwarded);
+          &framing, data + at, left < block_size ? left : block_size, &used, &out.passed);
 
       at += used;
       out.requests += result == FRAMING_DONE;
@@ -51,9 +51,9 @@
 
       CU_ASSERT (!out.fault);
       CU_ASSERT_EQUAL (out.requests, requests);
-      CU_ASSERT_EQUAL (out.forwarded.len, len);
-      CU_ASSERT (out.forwarded.len == len && memcmp (out.forwarded.data, text, len) == 0);
-      buffer_free (&out.forwarded);
+      CU_ASSERT_EQUAL (out.passed.len, len);
+      CU_ASSERT (out.passed.len == len && memcmp (out.passed.data, text, len) == 0);
+      buffer_free (&out.passed);
     }
 }
 
@@ -69,11 +69,10 @@
       CU_ASSERT (out.fault);
       CU_ASSERT_EQUAL (out.reason, REFUSAL_MALFORMED);
       CU_ASSERT_EQUAL (out.requests, requests);
-      CU_ASSERT (out.forwarded.len >= good);
-      CU_ASSERT (out.forwarded.len == good
-                 || memmem (out.forwarded.data + good, out.forwarded.len - good, "\r\n\r\n", 4)
-                        == NULL);
-      buffer_free (&out.forwarded);
+      CU_ASSERT (out.passed.len >= good);
+      CU_ASSERT (out.passed.len == good
+                 || memmem (out.passed.data + good, out.passed.len - good, "\r\n\r\n", 4) == NULL);
+      buffer_free (&out.passed);
     }
 }
 
@@ -134,8 +133,8 @@
   buffer_free (&text);
   CU_ASSERT (out.fault);
   CU_ASSERT_EQUAL (out.reason, REFUSAL_HEAD_TOO_LARGE);
-  CU_ASSERT_EQUAL (out.forwarded.len, 0);
-  buffer_free (&out.forwarded);
+  CU_ASSERT_EQUAL (out.passed.len, 0);
+  buffer_free (&out.passed);
 }
 
 static const SuiteCase cases[] = {
