--- a/src/ctl.h
+++ b/src/ctl.h
@@ -13,8 +13,8 @@
 #include <stdint.h>
 
 #define CTL_STEWARDS_MAX 32
-#define CTL_ADDRESS_SIZE 48
-#define CTL_OPERANDS_MAX 3 /**< maximum number of operands of a command */
+#define CTL_ADDRESS_SIZE 48 /**< bytes; room for "[IPv6 address]:PORT" */
+#define CTL_OPERANDS_MAX 3  /**< maximum number of operands of a command */
 
 /** Exit statuses, part of the interface for scripts. */
 typedef enum
@@ -52,11 +52,11 @@
   int64_t limit;      /**< maximum number of entries */
   const char *wait;   /**< what to wait for: "none", "accepted" or "in_force" */
   const char *reason; /**< never NULL */
-  const char *since;
-  const char *team;
-  const char *from;
-  const char *to;
-  const char *stages;
+  const char *since;  /**< age or key of an audit entry; NULL: a default age */
+  const char *team;   /**< NULL: all teams */
+  const char *from;   /**< old version of a roll-out; NULL: not given */
+  const char *to;     /**< new version of a roll-out; NULL: not given */
+  const char *stages; /**< shares of callers, separated by commas; NULL: a default */
 } CtlArgs;
 
 typedef struct
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -76,7 +76,7 @@
                  message);
 }
 
-/** True if the steward reports that it does not know whether the platform applied the change. */
+/** True if the steward reports that the outcome of the change at the platform is unknown. */
 static bool
 reports_unknown_outcome (const CtlAnswer *answer)
 {
--- a/src/front.h
+++ b/src/front.h
@@ -43,13 +43,13 @@
   FrontPeers *peers;
   FrontControl *control;           /**< NULL until it listens */
   struct evconnlistener *listener; /**< for callers; disabled until front_open */
-  int64_t started_ms;
-  bool is_open;                  /**< callers' connections are accepted */
-  struct cds_list_head conns;    /**< FrontConn by node */
-  struct cds_list_head requests; /**< FrontRequest by node */
+  int64_t started_ms;              /**< start of the process, boot-time clock */
+  bool is_open;                    /**< callers' connections are accepted */
+  struct cds_list_head conns;      /**< FrontConn by node */
+  struct cds_list_head requests;   /**< FrontRequest by node */
   unsigned conn_count;
   unsigned request_count;
-  int64_t stop_requested_ms; /**< when a graceful stop was requested; 0: it was not */
+  int64_t stop_requested_ms; /**< of a graceful stop, boot-time clock; 0: none */
 } Front;
 
 /** True once everything that is needed to serve callers is known, and until a stop is requested. */
--- a/src/front_conn.h
+++ b/src/front_conn.h
@@ -9,7 +9,7 @@
 
 typedef struct FrontConn FrontConn;
 
-/** Takes over an accepted connection. */
+/** Serves an accepted connection, and closes it in the end. */
 void front_conn_new (Front *front, evutil_socket_t fd);
 /** The request being answered; valid until its answer is written. */
 HttpRequestParser *front_conn_request_parser (FrontConn *conn);
--- a/tests/test_gate_framing.c
+++ b/tests/test_gate_framing.c
@@ -8,7 +8,7 @@
 /* What gate_framing did with the bytes of one connection. */
 typedef struct
 {
-  Buffer passed;     /* bytes that may be passed */
+  Buffer passed;     /* bytes that may be forwarded to libmicrohttpd */
   unsigned requests; /* complete ones */
   bool fault;
   int reason; /* of the fault */
