--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -204,7 +204,7 @@
 }
 
 static void
-test_threads_use_separate_connections (void)
+test_threads_share_a_reader (void)
 {
   FakeHttpServer *http_server = fake_http_server_new (TEXT);
   HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), THREADS);
@@ -289,7 +289,7 @@
           { "lost_answer_is_retried_once", test_lost_answer_is_retried_once },
           { "bad_answers_are_unknown", test_bad_answers_are_unknown },
           { "bad_paths_are_not_sent", test_bad_paths_are_not_sent },
-          { "threads_use_separate_connections", test_threads_use_separate_connections },
+          { "threads_share_a_reader", test_threads_share_a_reader },
           { "timeouts_need_own_connection", test_timeouts_need_own_connection },
           { "platform_writes_use_new_connection", test_platform_writes_use_new_connection } };
   return suite_main (argc, argv, "http_reader", cases, SUITE_COUNT (cases));
