--- a/src/ctl_http.h
+++ b/src/ctl_http.h
@@ -17,7 +17,7 @@
 /**
  * Calls one steward after another until one answers; after a 503 the next one is tried. body may be
  * NULL. Returns CTL_NO_STEWARD, with each steward's error on standard error, if none answered;
- * otherwise CTL_DONE, even if the answer is a refusal. wait_ms is added to the read timeout.
+ * otherwise CTL_DONE, even if the answer is a refusal. wait_ms is added to the read time-out.
  */
 CtlExit ctl_http_call (const Ctl *ctl,
                        const char *method,
--- a/src/http_client.c
+++ b/src/http_client.c
@@ -11,7 +11,7 @@
 #include <strings.h>
 
 #define READ_BLOCK_SIZE 16384 /* bytes */
-/* By how much the stall timeout of an upload exceeds neon's own timeouts. */
+/* By how much the stall time-out of an upload exceeds neon's own time-outs. */
 #define UPLOAD_MARGIN_MS 1000
 
 static bool
@@ -186,7 +186,7 @@
   x->body = x->body_copy;
 }
 
-/* Longer than neon's own timeouts for connecting and for the answer's head, so that those expire
+/* Longer than neon's own time-outs for connecting and for the answer's head, so that those expire
  * first. */
 static int
 upload_stall_timeout_ms (const HttpRequest *request)
--- a/src/http_neon.h
+++ b/src/http_neon.h
@@ -7,8 +7,8 @@
 /** Initialises the library; repeated calls have no effect. Thread-safe. */
 void http_neon_start (void);
 
-/** Converts a timeout to whole seconds, neon's resolution: rounded up, and at least 1, because neon
- *  does not accept 0. */
+/** Converts a time-out to whole seconds, neon's resolution: rounded up, and at least 1, because
+ * neon does not accept 0. */
 int http_neon_seconds (int ms);
 
 #endif
--- a/src/http_reader.c
+++ b/src/http_reader.c
@@ -13,14 +13,14 @@
 
 #define READ_BLOCK_SIZE 16384 /* bytes */
 /* A stateful device on the path may silently drop the state of a connection that is idle for
- * longer, and a read on it would fail only after the timeout. */
+ * longer, and a read on it would fail only after the time-out. */
 #define IDLE_MAX_MS 60000
 
 /* A neon session with one connection; used by one thread at a time. */
 typedef struct
 {
   ne_session *session;
-  /* neon applies the timeouts when it connects, so they are fixed for the connection. */
+  /* neon applies the time-outs when it connects, so they are fixed for the connection. */
   int connect_s;
   int read_s;
   int64_t idle_since_ms; /* boot-time clock */
--- a/src/http_upload.h
+++ b/src/http_upload.h
@@ -1,5 +1,5 @@
 /**
- * Sends a long request in its own thread. neon has no send timeout: a frozen peer whose kernel
+ * Sends a long request in its own thread. neon has no send time-out: a frozen peer whose kernel
  * still acknowledges would block the sender forever once the socket buffers are full. Here the
  * caller stops waiting after a bounded time without progress, and the abandoned thread ends when
  * its connection does.
@@ -20,7 +20,7 @@
  */
 bool http_upload_run (HttpExchange *x, int stall_timeout_ms, int *result, bool *finished);
 
-/** Called by the body provider in the upload thread for each block: resets the stall timeout. */
+/** Called by the body provider in the upload thread for each block: resets the stall time-out. */
 void http_upload_progress (HttpUpload *upload);
 /** Called by the body provider: whether the last byte may be sent. False if the upload is abandoned
  *  before the decision. */
--- a/src/platform_breaker.h
+++ b/src/platform_breaker.h
@@ -1,6 +1,6 @@
 /**
  * Circuit breaker: remembers that a service is down, so that callers need not each wait for a
- * timeout, and schedules retries with exponential back-off. The caller passes the time (ms) and
+ * time-out, and schedules retries with exponential back-off. The caller passes the time (ms) and
  * does the locking.
  */
 #ifndef PLATFORM_BREAKER_H
--- a/src/platform_group.c
+++ b/src/platform_group.c
@@ -77,7 +77,7 @@
   if (group->failure_threshold == 0 || group->failures < group->failure_threshold)
     return;
   /* The attempt has completed, so the next one is due after the retry interval, not after the
-   * timeout that admit reserved for it. */
+   * time-out that admit reserved for it. */
   if (group->breaker.open)
     group->breaker.next_try_at_ms = now;
   platform_breaker_failed (&group->breaker, now);
--- a/src/rpc_client.c
+++ b/src/rpc_client.c
@@ -240,7 +240,7 @@
   return error == 0;
 }
 
-/** A peer that does not read must not block the caller, so sends have a timeout too. */
+/** A peer that does not read must not block the caller, so sends have a time-out too. */
 static void
 socket_set_send_timeout (int fd, int timeout_ms)
 {
--- a/src/rpc_server.c
+++ b/src/rpc_server.c
@@ -193,8 +193,8 @@
 
 /**
  * Encodes a call message in the format of the library's datagram client. That client cannot be
- * used: with a timeout of zero it returns before it sends, and otherwise it would read replies from
- * the server's socket and so consume other peers' calls.
+ * used: with a time-out of zero it returns before it sends, and otherwise it would read replies
+ * from the server's socket and so consume other peers' calls.
  */
 static size_t
 encode_call (unsigned procedure, rpc_sealed *sealed, char *data)
--- a/src/util_wait.h
+++ b/src/util_wait.h
@@ -11,7 +11,7 @@
 /** Initialises a condition variable for wait_ms. */
 void wait_init (pthread_cond_t *cond);
 /** Waits at most ms milliseconds until the condition is signalled; may wake spuriously. Returns
- * false on timeout, and at once if ms <= 0. */
+ * false on time-out, and at once if ms <= 0. */
 bool wait_ms (pthread_cond_t *cond, pthread_mutex_t *lock, int64_t ms);
 
 #endif
--- a/tests/fake_platform.h
+++ b/tests/fake_platform.h
@@ -13,7 +13,7 @@
   FAULT_DOWN,       /**< calls are not executed: STATUS_UNAVAILABLE, no effect */
   FAULT_LOSE_REPLY, /**< the call takes effect, its reply is lost: STATUS_UNKNOWN */
   FAULT_LOSE_CALL,  /**< the request is lost, no effect: STATUS_UNKNOWN */
-  FAULT_SLOW,       /**< the call takes effect after its timeout: STATUS_UNKNOWN; see
+  FAULT_SLOW,       /**< the call takes effect after its time-out: STATUS_UNKNOWN; see
                          fake_platform_late_effects. Reads fail */
   FAULT_COUNT
 } FakeFault;
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -283,7 +283,7 @@
   return insert_one (context, "after") == STATUS_OK;
 }
 
-/* Guards against callers that each wait for a timeout while the table service is down: after three
+/* Guards against callers that each wait for a time-out while the table service is down: after three
  * consecutive failures callers are refused immediately without a call, until the service has
  * recovered. */
 static void
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -215,8 +215,8 @@
 static void
 test_total_timeout_ends_slow_answers (void)
 {
-  /* A server that never answers, and one that sends single bytes so slowly that the read timeout
-   * never expires: the total timeout must end the call. */
+  /* A server that never answers, and one that sends single bytes so slowly that the read time-out
+   * never expires: the total time-out must end the call. */
   const FakeAnswer answers[] = { { .text = CHUNKED_OK, .pause_at = 1 },
                                  { .text = CHUNKED_OK, .byte_delay_ms = 50 },
                                  { .text = CHUNKED_OK, .pause_at = sizeof CHUNKED_HEAD } };
--- a/tests/test_http_reader.c
+++ b/tests/test_http_reader.c
@@ -145,7 +145,7 @@
     size_t max;
     StatusCode code;
   } cases[] = {
-    /* no answer on an open connection: the read timeout ends the read */
+    /* no answer on an open connection: the read time-out ends the read */
     { { .keep_open = true }, 0, 0, STATUS_UNKNOWN },
     { { 0 }, 0, 0, STATUS_UNKNOWN },
     { { .text = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello" }, 0, 0, STATUS_UNKNOWN },
@@ -230,7 +230,7 @@
 static void
 test_timeouts_need_own_connection (void)
 {
-  /* neon applies the timeouts when it connects, so a read with other timeouts needs a new
+  /* neon applies the time-outs when it connects, so a read with other time-outs needs a new
    * connection; otherwise it would wait as long as the first read may. */
   FakeHttpServer *http_server = fake_http_server_new (TEXT);
   HttpReader *reader = http_reader_new (LOCALHOST, fake_http_server_port (http_server), 1);
