--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -8,7 +8,7 @@
 #define ANSWER_MAX         ((size_t)16 << 20) /* bytes */
 #define READ_SIZE          16384              /* bytes */
 #define AUTHORIZATION_SIZE 512                /* bytes */
-#define HEADERS_MAX        3
+#define HEADERS_MAX        3                  /* headers of a request */
 
 typedef struct json_object Json;
 
@@ -76,7 +76,7 @@
                  message);
 }
 
-/** True if the steward reports that it does not know whether the platform applied the change. */
+/** True if the steward reports that the outcome of the change at the platform is unknown. */
 static bool
 reports_unknown_outcome (const CtlAnswer *answer)
 {
@@ -117,7 +117,7 @@
       if (answer->http_status != 503)
         break;
       answer->outcome_unknown |= reports_unknown_outcome (answer);
-      add_failure (failures, steward, "can't do it now (503)");
+      add_failure (failures, steward, "not possible now (503)");
     }
   return answered;
 }
--- a/src/rpc_server.c
+++ b/src/rpc_server.c
@@ -25,7 +25,7 @@
 #define STREAM_BUFFER_SIZE 8192
 #define RECORD_MAX         (LOVAGE_SEALED_MAX + 1024)
 
-#define POLL_FDS_MAX    1024
+#define POLL_FDS_MAX    1024 /* connections and own sockets that are polled */
 #define POLL_TIMEOUT_MS 1000
 
 /* Bytes of the IP, UDP or TCP and RPC headers without credentials, for the byte counters. */
@@ -193,8 +193,8 @@
 
 /**
  * Encodes a call message in the format of the library's datagram client. That client cannot be
- * used: with a timeout of zero it returns before it sends, and otherwise it would read replies from
- * the server's socket and so consume other peers' calls.
+ * used: with a time-out of zero it returns before it sends, and otherwise it would read replies
+ * from the server's socket and so consume other peers' calls.
  */
 static size_t
 encode_call (unsigned procedure, rpc_sealed *sealed, char *data)
--- a/tests/test_gate_framing.c
+++ b/tests/test_gate_framing.c
@@ -5,10 +5,11 @@
 
 #define HEAD_MAX 1000 /* bytes */
 
+/* What gate_framing did with the bytes of one connection. */
 typedef struct
 {
-  Buffer passed;
-  unsigned requests;
+  Buffer passed;     /* bytes that may be forwarded to libmicrohttpd */
+  unsigned requests; /* complete ones */
   bool fault;
   int reason; /* of the fault */
 } Outcome;
@@ -122,7 +123,7 @@
 }
 
 static void
-test_long_head_is_a_fault (void)
+test_too_long_head_is_a_fault (void)
 {
   Buffer text = { 0 };
   Outcome out;
@@ -140,7 +141,7 @@
   { "good_requests_are_forwarded", test_good_requests_are_forwarded },
   { "ambiguous_heads_are_stopped", test_ambiguous_heads_are_stopped },
   { "fault_after_good_request", test_fault_after_good_request },
-  { "long_head_is_a_fault", test_long_head_is_a_fault },
+  { "too_long_head_is_a_fault", test_too_long_head_is_a_fault },
 };
 
 int
