--- a/src/platform_http.c
+++ b/src/platform_http.c
@@ -145,7 +145,7 @@
 {
   log_msg (MSG_PLATFORM_BAD_ANSWER, "step=\"%s\" bytes=\"%zu\"", call->step, call->answer.len);
   count_code (code);
-  return status_set (st, code, call->step, NULL, "the answer violates the protocol");
+  return status_set (st, code, call->step, NULL, "the answer breaks the protocol");
 }
 
 static void
--- a/src/rpc_seal.c
+++ b/src/rpc_seal.c
@@ -137,8 +137,8 @@
 
   mac_compute (key, procedure, ask, sealed, mac);
   if (sodium_memcmp (mac, sealed->mac, sizeof mac) != 0)
-    return status_set (st, STATUS_DENIED, "rpc.unseal", NULL,
-                       "the MAC does not match: procedure %u", procedure);
+    return status_set (st, STATUS_DENIED, "rpc.unseal", NULL, "the MAC does not fit: procedure %u",
+                       procedure);
   xdrmem_create (&xdrs, sealed->body.body_val, sealed->body.body_len, XDR_DECODE);
   decoded = proc (&xdrs, value);
   xdr_destroy (&xdrs);
