--- a/regress/case_front.sh
+++ b/regress/case_front.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# lovage-front on the platform's protocol: each case of regress/front/cases.py on a site of its own,
-# with stand-ins of the store and of the engines.
+# Runs the cases of regress/front/cases.py: lovage-front with stand-ins of the platform's store and of the
+# engines, on a new site for each case.
 build=${1:-build}
 exec python3 "$(dirname "$0")/front/cases.py" "$build/lovage-front"
--- a/regress/case_front_links.sh
+++ b/regress/case_front_links.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# lovage-front with large tables over slow links: each case of regress/front/cases_links.py on a site of
-# its own.
+# Runs the cases of regress/front/cases_links.py: lovage-front with large tables over slow links, on a new site
+# for each case.
 build=${1:-build}
 exec python3 "$(dirname "$0")/front/cases_links.py" "$build/lovage-front"
--- a/regress/front/cases.py
+++ b/regress/front/cases.py
@@ -1,7 +1,7 @@
 """Whole-path cases of lovage-front against the stand-ins: cases.py PROGRAM [CASE...].
 
-Each case has a site of its own. Bounds of time are those that users are promised, widened for a busy
-machine where a case would otherwise fail for the machine's sake.
+Each case runs on a site of its own. Its time limits are those guaranteed to users; some are longer, so that
+the case does not fail on a loaded machine.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 import time
 import traceback
 
-from check import attempt_faults, cold_faults, site_faults
-from engines import digest, whole_stream
-from site_front import CALLERS, CONTROL, KEY, MODELS, Site, exchange
+from check import attempt_violations, cold_violations, site_violations
+from engines import complete_stream, digest
+from site_front import CALLERS_PORT, CONTROL_PORT, KEY, MODELS, Site, exchange
 
-BUSY_S = 10  # for what takes a moment on an idle machine
+BUSY_TIMEOUT_S = 10  # limit for what takes a moment on an idle machine
 
 
 def equal(found, expected, what):
@@ -25,9 +25,10 @@
 
 
 def check(site, *answers):
-    faults = [fault for answer in answers for fault in attempt_faults(site, answer)]
-    if faults:
-        raise AssertionError("; ".join(faults))
+    """Raises AssertionError if an attempt violates a guarantee (see check.py)."""
+    violations = [violation for answer in answers for violation in attempt_violations(site, answer)]
+    if violations:
+        raise AssertionError("; ".join(violations))
 
 
 def log_events(site, name):
@@ -35,20 +36,21 @@
 
 
 async def calm(site):
-    """Streams, orders and look-ups are answered whole, on kept connections too, at each front."""
+    """Without violations each front answers streams, orders and look-ups completely, on persistent connections."""
     for front in site.fronts:
-        keep = await asyncio.open_connection(front.ip, CALLERS)
+        connection = await asyncio.open_connection(front.ip, CALLERS_PORT)
         for number in range(5):
             for path in ("/text/a", "/once/b", "/again/c"):
-                answer = await site.call(front, f"{path}{number}", b"body%d" % number, keep=keep)
-                equal((answer.status, answer.whole), (200, True), path)
+                answer = await site.call(front, f"{path}{number}", b"body%d" % number, connection=connection)
+                equal((answer.status, answer.complete), (200, True), path)
                 check(site, answer)
-        keep[1].close()
+        connection[1].close()
     equal(len(site.runs), len(site.fronts) * 15, "arrivals at engines")
 
 
 async def refusals(site):
-    """A caller learns at once what is wrong: no such route, an unknown key, an unreadable request."""
+    """A request with no route, an unknown key, a too large body or a malformed head is refused with its own
+    status and reaches no engine."""
     front = site.fronts[0]
     equal((await site.call(front, "/none/")).status, 404, "no route")
     equal((await site.call(front, "/once/a", key="other")).status, 401, "unknown key")
@@ -59,41 +61,41 @@
         b"\x16\x03\x01 nonsense\r\n\r\n",
     ]
     for data in bad:
-        answer = await exchange((front.ip, CALLERS), data, timeout=BUSY_S)
+        answer = await exchange((front.ip, CALLERS_PORT), data, timeout=BUSY_TIMEOUT_S)
         equal((answer.status, answer.fields.get("connection")), (400, "close"), repr(data[:30]))
     equal(len(site.runs), 0, "arrivals at engines")
 
 
 async def cascade(site):
-    """The smallest model answers; what it doesn't trust is asked of the largest, and the caller gets
-    one whole answer of one model."""
+    """The smallest model answers. If it states too low a confidence, the request goes to the largest model, and
+    the caller gets one complete answer of one model."""
     texts = [engine for engine in site.engines if engine.service == "texts"]
     first = await site.call(site.fronts[0], "/text/a", b"easy")
-    equal(first.body, whole_stream(MODELS[0], b"easy"), "the smallest model's answer")
+    equal(first.body, complete_stream(MODELS[0], b"easy"), "the smallest model's answer")
     for engine in texts:
         engine.confidence = 20
     second = await site.call(site.fronts[0], "/text/a", b"hard")
-    equal(second.body, whole_stream(MODELS[1], b"hard"), "the largest model's answer")
+    equal(second.body, complete_stream(MODELS[1], b"hard"), "the largest model's answer")
     check(site, first, second)
 
 
 async def resume(site):
-    """An engine stops within an event or resets. The caller's stream goes on at another engine, with
-    no event missing or twice."""
+    """An engine closes or resets its connection within an event. The stream is resumed at another engine, and the
+    caller gets each event exactly once."""
     for mode in ("half", "cut"):
         for engine in site.engines:
             engine.mode = mode if engine.service == "texts" and engine is site.engines[0] else "ok"
         for number in range(6):
             answer = await site.call(site.fronts[number % 2], "/text/a", b"%s%d" % (mode.encode(), number))
-            equal((answer.status, answer.whole), (200, True), mode)
+            equal((answer.status, answer.complete), (200, True), mode)
             check(site, answer)
     if not any(line["verdict"] == "now" for line in log_events(site, "request_resume")):
         raise AssertionError("no stream was resumed")
 
 
 async def run_once(site):
-    """An order's engine runs it and its answer is lost. Nothing runs it again, and the caller isn't
-    told that it did not run."""
+    """An engine runs an order and its answer is lost, truncated, invalid or an error. The order is not sent again,
+    and the caller is not told that it did not run."""
     for mode in ("lost", "half", "foreign", "unsigned", "error"):
         for engine in site.engines:
             engine.mode = mode
@@ -106,23 +108,21 @@
 
 
 async def not_run(site):
-    """All engines are full. An order is refused at once with a time to come back, and the promise
-    that it did not run is kept."""
+    """All engines are full. An order is refused within a second with Retry-After, and no engine has run it."""
     for engine in site.engines:
         engine.mode = "full"
     answer = await site.call(site.fronts[0], "/once/a", b"order")
     equal(answer.status, 503, "refusal")
     if float(answer.fields["retry-after"]) <= 0:
-        raise AssertionError("no time to come back")
+        raise AssertionError("refusal without Retry-After")
     equal([run.executed for run in site.runs_of(answer)].count(True), 0, "runs")
     if answer.ended_at - answer.sent_at > 1:
-        raise AssertionError("the refusal was held back")
+        raise AssertionError("the refusal took more than 1 s")
 
 
 async def crashed_engines(site):
-    """Five of six engines of a service crash at one moment; their entries stay until the store misses
-    them. Each request finds the sixth, though its route allows three attempts: nothing arrives at an
-    engine that can't be reached."""
+    """Five of six engines of a service crash at once, and their entries stay in the store. Each request reaches
+    the sixth although its route allows three attempts: a connection that cannot be opened is no attempt."""
     for _ in range(4):
         await site.make_engine("orders")
     orders = [engine for engine in site.engines if engine.service == "orders"]
@@ -136,29 +136,29 @@
 
 
 async def caller_leaves(site):
-    """A caller gives up in the middle of a stream; the engine's work ends with it."""
+    """A caller closes its connection before its stream ends; the front cancels the request at the engine."""
     for engine in site.engines:
         engine.delay = 3.0
     answer = await site.call(site.fronts[0], "/text/a", b"long", timeout=0.5)
     await asyncio.sleep(0.5)
     runs = site.runs_of(answer)
     if not runs or any(run.ended == 0 for run in runs):
-        raise AssertionError("an engine still works for a caller that left")
+        raise AssertionError("an engine still runs a request whose caller left")
 
 
 async def timeouts(site):
-    """An engine takes a request and is silent. At the route's time-out the caller has an answer."""
+    """An engine accepts a request and does not answer. The caller gets 504 at the route's time-out."""
     for engine in site.engines:
         engine.mode = "mute"
     answer = await site.call(site.fronts[0], "/once/a", b"order")
     equal(answer.status, 504, "answer")
-    if not 2.4 < answer.ended_at - answer.sent_at < 2.5 + BUSY_S:
-        raise AssertionError("not at the route's time-out")
+    if not 2.4 < answer.ended_at - answer.sent_at < 2.5 + BUSY_TIMEOUT_S:
+        raise AssertionError("the answer did not come at the route's time-out")
 
 
 async def planned_stop(site):
-    """A front is stopped while it streams. The stream is finished, the balancer is told, idle
-    connections are closed, and the process ends well before it would be killed."""
+    """A front gets SIGTERM while it streams. It reports itself as not ready to the balancer, closes idle connections,
+    completes the stream, and exits with status 0 well before it would be killed."""
     front = site.fronts[0]
     for engine in site.engines:
         engine.delay = 1.0
@@ -169,16 +169,16 @@
     await asyncio.sleep(0.3)
     equal(await front.is_ready(), False, "ready while stopping")
     answer = await stream
-    equal((answer.status, answer.whole), (200, True), "the stream")
+    equal((answer.status, answer.complete), (200, True), "the stream")
     equal(await front.stop(), 0, "exit status")
     if time.monotonic() - began > 8:
         raise AssertionError("the stop took too long")
 
 
 async def stopping_serves_what_ends_in_time(site):
-    """All fronts of a failure domain stop at once, so callers come on to one that stops. Three
-    seconds after the signal it still streams: it serves an order, which ends before the process
-    must, and refuses a new stream at once."""
+    """All fronts of a failure domain stop at once, so callers still connect to one that is stopping. While it
+    completes a stream it serves an order, which ends before the process has to exit, and refuses a new stream
+    without sending it."""
     front = site.fronts[0]
     for engine in site.engines:
         engine.delay = 4.0 if engine.streams else 0.0
@@ -189,7 +189,7 @@
     order = await site.call(front, "/once/a", b"order")
     refused = await site.call(front, "/text/b", b"late")
     answer = await stream
-    equal((answer.status, answer.whole), (200, True), "the stream")
+    equal((answer.status, answer.complete), (200, True), "the stream")
     equal(order.status, 200, "the order")
     equal((refused.status, len(site.runs_of(refused))), (503, 0), "the late stream")
     check(site, answer, order, refused)
@@ -197,8 +197,8 @@
 
 
 async def new_configuration(site):
-    """A version removes a key and a route and adds others; each front goes by it within two seconds,
-    and never back."""
+    """A new configuration version replaces a key and a route. Each front applies it within two seconds, and a
+    later version that cannot be read does not change it."""
     site.keys = ["key-two"]
     site.routes[1] = {**site.routes[1], "Prefix": "/moved/"}
     await site.configure()
@@ -209,25 +209,25 @@
         equal((await site.call(front, "/moved/a", key="key-two")).status, 200, "the new route")
     await site.store.put("op", "config", json.dumps({"Version": 9999, "Routes": [{"Kind": "odd"}]}))
     await asyncio.sleep(0.5)
-    equal((await site.call(site.fronts[0], "/moved/a", key="key-two")).status, 200, "after an unreadable one")
+    equal((await site.call(site.fronts[0], "/moved/a", key="key-two")).status, 200, "after an unreadable version")
 
 
 async def turned_away(site):
-    """The store turns one front away while a key is revoked and an engine leaves. It learns both
-    from the others."""
+    """One front cannot read the store while a key is revoked and an engine leaves. It learns both from the other
+    fronts."""
     front = site.fronts[0]
     for mode in ("busy", "reset", "silent"):
-        front.door.set(mode)
+        front.store_endpoint.set(mode)
         site.keys = [f"key-{mode}"]
         await site.configure()
 
         async def knows(key=site.keys[0]):
             return (await site.call(front, "/again/a", key=key)).status == 200
 
-        await site.wait(knows, f"the new key while the store is {mode}", BUSY_S)
+        await site.wait(knows, f"the new key while the store is {mode}", BUSY_TIMEOUT_S)
         equal((await site.call(front, "/again/a", key=KEY)).status, 401, "the revoked key")
-        front.door.set("ok")
-    front.door.set("busy")
+        front.store_endpoint.set("ok")
+    front.store_endpoint.set("busy")
     leaving = site.engines[-1]
     await leaving.drain()
     await asyncio.sleep(2.0)
@@ -235,15 +235,15 @@
     for number in range(20):
         await site.call(front, f"/again/{number}", key=site.keys[0])
     if any(run.engine is leaving for run in site.runs):
-        raise AssertionError("a leaving engine got new work")
+        raise AssertionError("an engine that leaves got new work")
 
 
 async def late_news(site):
-    """The store turns one front away while engines leave one by one. Were each change fetched as the
-    whole list of servers from any other front, 300 fronts with 3,000 servers would fill their links
-    with these lists: only what changed is asked for, of a neighbour."""
+    """One front cannot read the store while engines leave one by one. It fetches only the changed rows, and from a
+    front of its own failure domain. If each change were fetched as the complete list of servers from any
+    other front, 300 fronts with 3,000 servers would saturate their links."""
     front = site.fronts[0]
-    front.door.set("busy")
+    front.store_endpoint.set("busy")
     before = len(front.events("news_fetched"))
     for leaving in site.engines[1:3]:
         await leaving.drain()
@@ -253,34 +253,34 @@
         raise AssertionError("nothing was fetched from the other fronts")
     for event in fetched:
         if event["since"] == 0 or event["same_domain"] != 1:
-            raise AssertionError(f"more than the changes was fetched, or from afar: {event}")
+            raise AssertionError(f"all rows were fetched, or from another failure domain: {event}")
 
 
 async def long_table_at_start(site):
-    """A front restarts beside 1,400 servers, while the store takes a second for each page of 500. It
-    has them all from a neighbour, without a page of the store's: three hundred fronts that read all
-    pages fill the store's link for many seconds. One that is registered, so that others count on it
-    to ask the store, asks the store only if it hears of no neighbour that has them."""
+    """A front restarts on a site with 1,400 servers, while the store takes a second for each page of 500. It gets
+    all rows from a neighbour and reads no page from the store: 300 fronts that read all pages would fill the
+    store's link for many seconds. The same holds for a registered front, which reads the store for the
+    others; it does so only if no neighbour is known to have the rows."""
     entry = site.store.rows["servers", site.engines[0].name][0]
     for number in range(1400):
         await site.store.put("servers", f"j-{number}", entry.replace('"texts"', '"spare"'))
     front = site.fronts[0]
 
     async def knows_all(which):
-        text = (await which.get(CONTROL, "/metrics")).body.decode()
+        text = (await which.get(CONTROL_PORT, "/metrics")).body.decode()
         return any(line.startswith("lovage_front_servers 14") for line in text.splitlines())
 
     await site.wait(lambda: knows_all(site.fronts[2]), "all servers at the neighbour")
 
     async def pages_of_start():
         await front.kill()
-        front.door.set("slow")
-        front.door.pages.clear()
+        front.store_endpoint.set("slow")
+        front.store_endpoint.pages.clear()
         await front.start()
         await site.wait(lambda: knows_all(front), "all servers after the start")
         await asyncio.sleep(2)
-        front.door.set("ok")
-        return len([page for page in front.door.pages if "Table=servers" in page])
+        front.store_endpoint.set("ok")
+        return len([page for page in front.store_endpoint.pages if "Table=servers" in page])
 
     async def registered():
         return ("lovagehub_fronts", front.ip) in site.store.rows
@@ -292,14 +292,14 @@
 
 
 async def held_questions(site):
-    """The store falls silent for two seconds without any connection ending. What was asked before or
-    meanwhile is never answered, and no front knows that a key was revoked since. All must know soon
-    after the store is back, not when their long questions are over."""
+    """The store does not answer for two seconds and all connections stay open. Requests from before or within that
+    time are never answered. A key is replaced directly afterwards: all fronts must apply that soon after the
+    store answers again, and not only when their long polls time out."""
     for front in site.fronts:
-        front.door.set("hold")
+        front.store_endpoint.set("hold")
     await asyncio.sleep(2)
     for front in site.fronts:
-        front.door.set("ok")
+        front.store_endpoint.set("ok")
     site.keys = ["key-new"]
     await site.configure()
     for front in site.fronts:
@@ -307,27 +307,27 @@
         async def knows(front=front):
             return (await site.call(front, "/again/a", key="key-new")).status == 200
 
-        await site.wait(knows, f"the new key at front {front.number}", BUSY_S)
+        await site.wait(knows, f"the new key at front {front.number}", BUSY_TIMEOUT_S)
 
 
 async def start_without_store(site):
-    """All that a restarted front can ask are the other fronts: the store is away for it."""
+    """A front that restarts and cannot read the store becomes ready with the tables of the other fronts."""
     front = site.fronts[1]
-    front.door.set("busy")
+    front.store_endpoint.set("busy")
     await front.kill()
     await front.start()
-    await site.wait(front.is_ready, "ready with what the others know")
+    await site.wait(front.is_ready, "ready with the tables of the other fronts")
     answer = await site.call(front, "/once/a", b"x")
     equal(answer.status, 200, "an order")
 
 
 async def all_start_again(site):
-    """All fronts lose power at one moment and start again, while nobody else knows anything. Each is
-    ready soon, and the store is asked for its tables by the registered ones only."""
+    """All fronts are killed at once and restart, so that none can get the tables from another. Each becomes ready
+    soon, and only the ten registered ones read the tables from the store."""
     for _ in range(9):
         site.fronts.append(type(site.fronts[0])(site, len(site.fronts)))
     for front in site.fronts[3:]:
-        await front.door.start()
+        await front.store_endpoint.start()
         await front.start()
 
     def registered():
@@ -339,34 +339,34 @@
     await site.wait(ten_registered, "five of six fronts of each failure domain are registered")
     await asyncio.gather(*(front.kill() for front in site.fronts))
     for front in site.fronts:
-        front.door.pages.clear()
+        front.store_endpoint.pages.clear()
     for front in site.fronts:
         await front.start()
     for front in site.fronts:
-        await site.wait(front.is_ready, f"front {front.number} ready", BUSY_S)
+        await site.wait(front.is_ready, f"front {front.number} ready", BUSY_TIMEOUT_S)
     for front in site.fronts:
         equal((await site.call(front, "/once/a", b"order")).status, 200, f"an order at front {front.number}")
-    tables = [page for front in site.fronts for page in front.door.pages if "lovagehub_fronts" not in page]
-    lists = sum(len(front.door.pages) for front in site.fronts) - len(tables)
-    equal(lists, len(site.fronts), "readings of the list of fronts")
+    tables = [page for front in site.fronts for page in front.store_endpoint.pages if "lovagehub_fronts" not in page]
+    lists = sum(len(front.store_endpoint.pages) for front in site.fronts) - len(tables)
+    equal(lists, len(site.fronts), "reads of the list of fronts")
     if len(tables) > 10 * 3:
-        raise AssertionError(f"{len(tables)} readings of three tables by ten registered fronts")
+        raise AssertionError(f"{len(tables)} reads of three tables by ten registered fronts")
     equal(registered(), 10, "registered fronts")
 
 
 async def wrong_seeds(site):
-    """All fronts start anew in an empty store, and the addresses that their settings name belong to
-    nobody. Each reads the store and registers; alone, it reads the list again, and so all find each
-    other. Left alone, a front would never hear what the others know of a bad version."""
+    """All fronts restart while no front is registered, and no front listens on the seed addresses of their settings.
+    Each reads the store and registers, and reads the list of fronts again while it knows no other front, so
+    that all find each other. A front without peers would not learn of their evidence against a bad version."""
     for front in site.fronts:
         await front.kill()
         site.store.rows.pop(("lovagehub_fronts", front.ip), None)
     for front in site.fronts:
-        front.seeds = [f"{site.subnet}.250:{CONTROL}"]
+        front.seeds = [f"{site.subnet}.250:{CONTROL_PORT}"]
         await front.start()
 
     async def knows_all(front):
-        text = (await front.get(CONTROL, "/metrics")).body.decode()
+        text = (await front.get(CONTROL_PORT, "/metrics")).body.decode()
         return "lovage_front_peers_alive 3" in text
 
     for front in site.fronts:
@@ -375,11 +375,10 @@
 
 
 async def callers_at_start(site):
-    """A front is killed and starts again while its callers are already back. It needs a moment until
-    a neighbour has told it the configuration; who comes in that moment waits and is served. Refused,
-    a caller comes again half a second later, for the last time that it tries."""
+    """A front restarts and gets requests before a neighbour has sent it the configuration. These requests wait and
+    are served. If they were refused, the callers would retry half a second later and then give up."""
     front = site.fronts[0]
-    front.door.set("slow")
+    front.store_endpoint.set("slow")
     for round_number in range(3):
         await front.kill()
         await front.start()
@@ -392,58 +391,59 @@
 
 
 async def refused_without_configuration(site):
-    """A front starts and can ask nobody. Its callers are refused within a second, with a time to come
-    back; they are not kept until their deadlines."""
+    """A front starts and can reach neither the store nor another front. Its callers are refused within a second,
+    with Retry-After, and do not wait until their deadlines."""
     front = site.fronts[0]
     for other in site.fronts:
         await other.kill()
-    front.door.set("busy")
+    front.store_endpoint.set("busy")
     await front.start()
     answer = await site.call(front, "/again/a", b"early")
     while not answer.status:
         answer = await site.call(front, "/again/a", b"early")
     equal((answer.status, len(site.runs_of(answer))), (503, 0), "the refusal")
-    if answer.ended_at - answer.sent_at > BUSY_S:
-        raise AssertionError("the refusal was held back")
+    if answer.ended_at - answer.sent_at > BUSY_TIMEOUT_S:
+        raise AssertionError("the refusal came too late")
     if float(answer.fields["retry-after"]) <= 0:
-        raise AssertionError("no time to come back")
+        raise AssertionError("refusal without Retry-After")
 
 
 async def forgotten_history(site):
-    """The store drops its history while an engine leaves and a version is written."""
-    site.store.forget()
+    """The store drops its history while an engine leaves and a configuration is written, so that feeds are answered
+    410. A front reads the tables completely and applies both."""
+    site.store.drop_history()
     await site.engines[-1].leave()
-    site.store.forget()
+    site.store.drop_history()
     site.keys = ["key-new"]
     await site.configure()
-    site.store.forget()
+    site.store.drop_history()
 
     async def known():
         return (await site.call(site.fronts[0], "/again/a", key="key-new")).status == 200
 
-    await site.wait(known, "the new key", BUSY_S)
+    await site.wait(known, "the new key", BUSY_TIMEOUT_S)
 
 
 async def lost_write(site):
-    """A roll-out's status is written and the answer lost. It is written once, not twice, and the
-    roll-out goes on."""
+    """A front writes a roll-out's status, and the store's answer is lost. The status is written once, not twice, and
+    the roll-out goes on when the store answers again."""
     for front in site.fronts:
-        front.door.set("lost")
+        front.store_endpoint.set("lost")
     for _ in range(2):
         await site.add_engine("texts", "v2").start()
     await site.store.put("op", "rollout/texts", json.dumps({"Service": "texts", "Target": "v2", "RampS": 60}))
     await asyncio.sleep(1)
     for front in site.fronts:
-        front.door.set("ok")
+        front.store_endpoint.set("ok")
 
     async def running():
         return (site.store.get("status", "rollout/texts") or {}).get("State") == "running"
 
-    await site.wait(running, "the status", BUSY_S)
+    await site.wait(running, "the status", BUSY_TIMEOUT_S)
 
 
 async def traffic(site, until, prefix="/text/", keep_failed=None):
-    """Calls in turn at all fronts until a moment; returns the answers."""
+    """Calls all fronts at once, round after round, until the time until; returns the answers."""
     answers = []
     number = 0
     while time.monotonic() < until:
@@ -456,8 +456,8 @@
 
 
 async def good_rollout(site):
-    """A good version: sessions begin on it by and by, it is reported completed within its time, and
-    from then on nothing runs on the old one."""
+    """A roll-out of a good version: its share of the work rises gradually, it is reported as completed in time, and
+    from then on the old version gets no work."""
     for _ in range(2):
         await site.add_engine("texts", "v2").start()
     await site.store.put("op", "rollout/texts", json.dumps({"Service": "texts", "Target": "v2", "RampS": 10}))
@@ -469,15 +469,15 @@
     early = [run for run in site.runs if run.at < began + 4 and run.engine.service == "texts"]
     moved = sum(run.engine.version == "v2" for run in early) / len(early)
     if moved > 0.15:
-        raise AssertionError(f"{moved:.2f} of the work went to the new version early on")
+        raise AssertionError(f"{moved:.2f} of the work went to the new version in the first 4 s")
     site.runs.clear()
     check(site, *await traffic(site, time.monotonic() + 1))
     if any(run.engine.version == "v1" for run in site.runs if run.engine.service == "texts"):
-        raise AssertionError("the old version still gets work")
+        raise AssertionError("the old version got work after the roll-out")
 
 
 async def bad_rollout(site):
-    """A version that fails all requests is stopped everywhere after few of them."""
+    """A roll-out of a version that fails all requests is rolled back after at most 50 of them."""
     for _ in range(2):
         engine = site.add_engine("texts", "v2")
         engine.mode = "error"
@@ -492,8 +492,8 @@
 
 
 async def slow_rollout(site):
-    """A version that begins its answers a second late, so that each is asked for elsewhere, never
-    fails a request. It is stopped all the same."""
+    """A roll-out of a version whose answers begin a second late. No request fails, because each is sent to another
+    engine too; the roll-out is rolled back all the same."""
     for _ in range(2):
         engine = site.add_engine("texts", "v2")
         engine.delay = 1.0
@@ -505,26 +505,26 @@
 
 
 async def crash_request(site):
-    """One request kills each engine that runs it, and its caller sends it again and again. After
-    three engines it is refused everywhere."""
+    """A request crashes each engine that runs it, and its caller sends it again and again. After three engines all
+    fronts refuse it, and serve other requests."""
     for _ in range(4):
         await site.add_engine("orders").start()
-    killer = digest(b"killer").encode()
+    crash_request_body = digest(b"killer").encode()
     for engine in site.engines:
-        engine.poison = killer
+        engine.crash_body = crash_request_body
     refused = 0
     for number in range(8):
-        answer = await site.call(site.fronts[number % len(site.fronts)], "/again/kill", killer)
+        answer = await site.call(site.fronts[number % len(site.fronts)], "/again/kill", crash_request_body)
         refused += answer.status == 503 and not site.runs_of(answer)
         await asyncio.sleep(1.2)
     if refused < 4:
         raise AssertionError(f"refused only {refused} of 8 times")
-    equal((await site.call(site.fronts[0], "/again/other", b"innocent")).status, 200, "another request")
+    equal((await site.call(site.fronts[0], "/again/other", b"innocent")).status, 200, "another request's status")
 
 
 async def lost_answers(site):
-    """Engines lose the answers of a request four times over but live. It is no killer, and is served
-    once they are well."""
+    """Engines lose the answers to a request four times but do not crash. The request is not quarantined, and is
+    served when the engines answer again."""
     for _ in range(4):
         await site.add_engine("orders").start()
     for number in range(4):
@@ -538,41 +538,41 @@
 
 
 async def leaving_engine(site):
-    """Engines drain or vanish from the list while requests come; none gets new work after two
+    """An engine drains and another is removed from the store while requests come; neither gets new work after two
     seconds."""
     await site.engines[0].drain()
     await site.engines[-1].leave()
     await traffic(site, time.monotonic() + 4, "/again/")
-    faults = site_faults(site, lambda at: 0)
-    equal(faults, [], "faults")
+    violations = site_violations(site, lambda at: 0)
+    equal(violations, [], "violations")
 
 
 async def engine_starts_again(site):
-    """An engine falls silent within an answer and starts again under its id at another address; its
-    old connections hang. What ran there goes on elsewhere as soon as the new start is known, new
-    work reaches the new address, and a late report of the first start changes nothing."""
+    """An engine stops answering and restarts with the same id at another address; the connections to the old
+    process hang. A request that ran there is sent again as soon as the restart is known, new work goes to the
+    new address, and a late report of the old process changes nothing."""
     orders = [engine for engine in site.engines if engine.service == "orders"]
     await orders[1].leave()
     await asyncio.sleep(1)
-    reborn, first = orders[0], orders[0].entry()
-    reborn.mode = "mute"
+    restarted, first = orders[0], orders[0].entry()
+    restarted.mode = "mute"
     call = asyncio.ensure_future(site.call(site.fronts[0], "/again/a", b"held"))
     await asyncio.sleep(0.1)
-    await reborn.start_again((reborn.address[0], reborn.address[1] + 500))
+    await restarted.restart((restarted.address[0], restarted.address[1] + 500))
     answer = await call
-    equal(answer.status, 200, "the look-up that the first start held")
-    equal([run.engine.name for run in site.runs_of(answer)], [reborn.name, reborn.name], "where it ran")
+    equal(answer.status, 200, "the look-up that hung at the old process")
+    equal([run.engine.name for run in site.runs_of(answer)], [restarted.name, restarted.name], "where it ran")
     reasons = [event["reason"] for event in log_events(site, "request_retry") if event["request"] == answer.request]
     equal(reasons, ["answer_cut"], "why it was sent again")
-    await site.store.put("servers", reborn.name, json.dumps({**first, "State": "draining"}))
+    await site.store.put("servers", restarted.name, json.dumps({**first, "State": "draining"}))
     await asyncio.sleep(1)
     for front in site.fronts:
-        equal((await site.call(front, "/once/b", b"new")).status, 200, "an order at the later start")
+        equal((await site.call(front, "/once/b", b"new")).status, 200, "an order after the late report")
 
 
 async def foreign_entries(site):
-    """Somebody else writes into the list of engines: rows that can't be read, and rows that name a
-    place where nobody listens. They get no request, and the engines go on."""
+    """The list of servers has rows that cannot be read and one with an address where nothing listens. They get no
+    requests, the unreadable ones are logged, and the engines are used as before."""
     good = site.engines[0].entry()
     rows = [
         "\x00\xff", "[]", json.dumps({**good, "State": "resting"}), json.dumps({**good, "Slots": -1}),
@@ -588,8 +588,8 @@
     equal([events.get(f"odd-{number}") for number in range(len(rows))], ["unreadable"] * 6 + ["ready"], "log")
 
 
-async def domain_gets_nothing(site, domain, fronts=None):
-    """No request reaches the failure domain's engines, whichever front it comes to."""
+async def expect_no_work_in_domain(site, domain, fronts=None):
+    """Sends requests to the fronts (default: all) and checks that none reaches an engine of the failure domain."""
     site.runs.clear()
     for front in fronts or site.fronts:
         for number in range(8):
@@ -597,10 +597,10 @@
                 answer = await site.call(front, f"{path}e{number}", b"e%d" % number)
                 equal(answer.status, 200, path)
                 check(site, answer)
-    equal([run.engine.name for run in site.runs if run.engine.domain == domain], [], "arrivals there")
+    equal([run.engine.name for run in site.runs if run.engine.domain == domain], [], "arrivals in the failure domain")
 
 
-async def domain_gets_work(site, domain):
+async def wait_for_work_in_domain(site, domain):
     async def works():
         site.runs.clear()
         for front in site.fronts:
@@ -608,69 +608,69 @@
                 await site.call(front, f"/again/w{number}", b"w%d" % number)
         return any(run.engine.domain == domain for run in site.runs)
 
-    await site.wait(works, f"work for domain {domain}", BUSY_S)
+    await site.wait(works, f"work for domain {domain}", BUSY_TIMEOUT_S)
 
 
 async def evacuated_domain(site):
-    """A failure domain's engines go on as if nothing were, but the operator wants them to get nothing.
-    Fronts that were turned away by the store or have just started obey, too, until it is taken back."""
-    site.fronts[1].door.set("busy")
+    """The operator evacuates a failure domain whose engines are healthy. Its engines get no work until the order is
+    removed, neither from a front that cannot read the store nor from one that has just started."""
+    site.fronts[1].store_endpoint.set("busy")
     await site.store.put("op", "evacuate/a", "{}")
     await asyncio.sleep(2)
-    await domain_gets_nothing(site, "a")
-    site.fronts[1].door.set("ok")
+    await expect_no_work_in_domain(site, "a")
+    site.fronts[1].store_endpoint.set("ok")
     await site.fronts[2].kill()
     await site.fronts[2].start()
     await site.wait(site.fronts[2].is_ready, "ready again")
-    await domain_gets_nothing(site, "a", [site.fronts[2]])
+    await expect_no_work_in_domain(site, "a", [site.fronts[2]])
     await site.store.put("op", "evacuate/a", None)
-    await domain_gets_work(site, "a")
+    await wait_for_work_in_domain(site, "a")
 
 
 async def evacuation_forgotten(site):
-    """The store drops its history while an evacuation is ordered, and again while it is taken back: the
-    removal is in no feed."""
-    site.store.forget()
+    """The store drops its history around the order of an evacuation and around its removal, so that no feed has
+    the removal. Fronts learn both all the same."""
+    site.store.drop_history()
     await site.store.put("op", "evacuate/b", "{}")
-    site.store.forget()
+    site.store.drop_history()
     await asyncio.sleep(2)
-    await domain_gets_nothing(site, "b")
+    await expect_no_work_in_domain(site, "b")
     await site.store.put("op", "evacuate/b", None)
-    site.store.forget()
-    await domain_gets_work(site, "b")
+    site.store.drop_history()
+    await wait_for_work_in_domain(site, "b")
 
 
 async def evacuated_everywhere(site):
-    """Both failure domains are evacuated. Callers learn at once that nothing ran and when to come back."""
+    """Both failure domains are evacuated. Callers are refused within a second, as not run and with Retry-After."""
     for domain in "ab":
         await site.store.put("op", f"evacuate/{domain}", "{}")
     await asyncio.sleep(2)
     answer = await site.call(site.fronts[0], "/once/a", b"order")
     equal((answer.status, len(site.runs_of(answer))), (503, 0), "the refusal")
     if float(answer.fields["retry-after"]) <= 0 or answer.ended_at - answer.sent_at > 1:
-        raise AssertionError("no time to come back, or held back")
+        raise AssertionError("refusal without Retry-After, or after more than 1 s")
     reasons = [e["reason"] for e in log_events(site, "request_refused") if e["request"] == answer.request]
     equal(reasons, ["evacuated"], "the reason")
 
 
 async def odd_evacuations(site):
-    """Rows that are broken, name no failure domain or one that nobody has, and the same one twice. What
-    can't be obeyed is logged; the others are obeyed, and the requests go on."""
+    """Evacuation orders that are malformed, name no failure domain, or name one without engines, and one that is
+    written and removed twice. Invalid orders are logged as refused, the others are obeyed, and requests are served."""
     for key, value in (("evacuate/a", "\x00\xff"), ("evacuate/a", "{}"), ("evacuate/nowhere", "[]"),
                        ("evacuate/", "{}"), ("evacuate/" + "x" * 100, "{}")):  # fmt: skip
         await site.store.put("op", key, value)
     await asyncio.sleep(2)
-    await domain_gets_nothing(site, "a")
+    await expect_no_work_in_domain(site, "a")
     events = log_events(site, "evacuation")
     equal(sorted({e["domain"] for e in events if e["state"] == "ordered"}), ["a", "nowhere"], "orders in the log")
     equal(len([e for e in events if e["state"] == "refused"]), 2 * len(site.fronts), "refused orders")
     await site.store.put("op", "evacuate/a", None)
     await site.store.put("op", "evacuate/a", None)
-    await domain_gets_work(site, "a")
+    await wait_for_work_in_domain(site, "a")
 
 
-async def crowd(site, callers, seconds):
-    """Many callers at once at all fronts; returns the answers."""
+async def call_concurrently(site, callers, seconds):
+    """Runs so many concurrent callers over all fronts for so many seconds; returns the answers."""
     until = time.monotonic() + seconds
 
     async def caller(number):
@@ -684,49 +684,49 @@
 
 
 async def cold_engines(site):
-    """All engines have just started and crash above a small rate, as a crowd comes. No engine gets more;
-    who finds no place is refused at once, truly not run, with a time to come back."""
+    """All engines are cold when thirty callers come at once. No engine gets more requests than the limit for cold
+    engines; the other requests are refused without running, with Retry-After."""
     site.cold_per_s = 4
     await site.configure()
     for engine in site.engines:
-        engine.chill(6)
+        engine.set_cold(6)
         await engine.report()
     await asyncio.sleep(0.5)
     site.runs.clear()
-    answers = await crowd(site, 30, 3)
-    equal(cold_faults(site), [], "the bound of cold engines")
+    answers = await call_concurrently(site, 30, 3)
+    equal(cold_violations(site), [], "violations of the limit for cold engines")
     check(site, *answers)
     refused = [answer for answer in answers if answer.status == 503]
     if not refused or len(refused) == len(answers):
         raise AssertionError(f"{len(refused)} of {len(answers)} refused")
     if any(float(answer.fields["retry-after"]) <= 0 or site.runs_of(answer) for answer in refused):
-        raise AssertionError("a refusal without a time to come back, or that ran")
+        raise AssertionError("a refusal without Retry-After, or of a request that ran")
     reasons = {event["reason"] for event in log_events(site, "request_refused")}
     equal(reasons, {"servers_cold"}, "reasons")
 
 
 async def back_from_evacuation(site):
-    """An evacuated failure domain is taken back in a crowd. Its engines are cold, and their entries tell
-    only with the next heartbeat."""
+    """An evacuation ends while thirty callers send requests. The engines are cold, but their entries show it only
+    with the next heartbeat; the limit for cold engines must hold from the start."""
     site.cold_per_s = 4
     await site.configure()
     await site.evacuate("a")
     await asyncio.sleep(2)
     taken = asyncio.ensure_future(site.take_back("a"))
-    check(site, *await crowd(site, 30, 3))
+    check(site, *await call_concurrently(site, 30, 3))
     await taken
-    equal(cold_faults(site), [], "the bound of cold engines")
+    equal(cold_violations(site), [], "violations of the limit for cold engines")
     if not any(run.cold for run in site.runs):
-        raise AssertionError("the failure domain that was taken back got no work")
+        raise AssertionError("the failure domain got no work after its evacuation ended")
 
 
 async def odd_cold_rates(site):
-    """The configuration's figures of cold engines make no sense. They bound nothing, and requests go on."""
+    """Invalid limits for cold engines in the configuration are ignored, and requests are served."""
     for rate in (0, -1, 1e300, "many", None):
         site.cold_per_s = rate
         await site.configure()
         for engine in site.engines:
-            engine.chill(2)
+            engine.set_cold(2)
             await engine.report()
         await asyncio.sleep(0.3)
         for front in site.fronts:
@@ -734,16 +734,15 @@
 
 
 async def metrics_and_logs(site):
-    """On-call engineers see each decision on a request by its id, and counters on the control
-    address."""
+    """The log has each decision on a request with the request's id, and the control address serves the counters."""
     answer = await site.call(site.fronts[0], "/once/a", b"x")
     refused = await site.call(site.fronts[0], "/none/")
-    text = (await site.fronts[0].get(CONTROL, "/metrics")).body.decode()
+    text = (await site.fronts[0].get(CONTROL_PORT, "/metrics")).body.decode()
     for line in ("lovage_front_requests_total 2", "lovage_front_answered_total 1", "lovage_front_refused_total 1"):
         if line not in text:
             raise AssertionError(f"no \"{line}\" among the metrics")
-    story = [e["event"] for name in ("request_sent", "request_answered") for e in log_events(site, name) if e["request"] == answer.request]
-    equal(story, ["request_sent", "request_answered"], "the request's lines")
+    logged = [e["event"] for name in ("request_sent", "request_answered") for e in log_events(site, name) if e["request"] == answer.request]
+    equal(logged, ["request_sent", "request_answered"], "the request's lines")
     reasons = [e["reason"] for e in log_events(site, "request_refused") if e["request"] == refused.request]
     equal(reasons, ["no_route"], "the refusal's reason")
 
@@ -756,7 +755,8 @@
 ]  # fmt: skip
 
 
-async def play(program, case):
+async def run_case(program, case):
+    """Runs a case on a new site; keeps the site's logs if it fails."""
     site = Site(program)
     passed = False
     try:
@@ -766,7 +766,7 @@
             if front.process.returncode not in (None, 0) and front.process.returncode > 0:
                 raise AssertionError(f"front {front.number} ended with {front.process.returncode}")
         passed = True
-    except Exception:  # any failure of a case is reported and the next one played
+    except Exception:  # a failed case is reported, and the next one runs
         traceback.print_exc()
     finally:
         await site.stop()
@@ -779,7 +779,7 @@
 def main(cases):
     program, names = sys.argv[1], sys.argv[2:]
     chosen = [case for case in cases if not names or case.__name__ in names]
-    results = [asyncio.run(play(program, case)) for case in chosen]
+    results = [asyncio.run(run_case(program, case)) for case in chosen]
     print(f"{results.count(True)} of {len(results)} cases passed")
     return 0 if all(results) and results else 1
 
--- a/regress/front/engines.py
+++ b/regress/front/engines.py
@@ -1,7 +1,7 @@
-"""Stand-in of the users' model engines and plain services.
+"""Stand-in for the users' model engines and plain services.
 
-What an engine answers follows from the request alone, so that a caller can tell its own whole
-answer from any other. Every arrival is recorded, for the checks.
+An engine's answer depends on the request alone, so that a check can tell a caller's own complete
+answer from any other. Every request that arrives is recorded for the checks.
 """
 
 import asyncio
@@ -12,8 +12,8 @@
 
 from wire import abort, answer, read_request
 
-EVENTS = 12
-EVENT_S = 0.004
+EVENTS = 12  # events of a streamed answer
+EVENT_INTERVAL_S = 0.004
 NOT_RUN = {"Lovagehub_Not_Executed": 1}
 
 
@@ -25,7 +25,7 @@
     return f"id: {number}\ndata: {digest(model, body, str(number))}\n\n".encode()
 
 
-def whole_stream(model, body, after=-1):
+def complete_stream(model, body, after=-1):
     return b"".join(event(model, body, number) for number in range(after + 1, EVENTS))
 
 
@@ -35,34 +35,38 @@
 
 @dataclass
 class Run:
-    """One arrival of a request at an engine."""
+    """One arrival of a request at an engine. Times are of time.monotonic()."""
 
     request: str
     engine: "Engine"
     fields: dict
     at: float
     executed: bool = False
-    cold: bool = False
+    cold: bool = False  # the engine was cold when the request arrived
     ended: float = 0.0
 
 
 class Engine:
-    """modes: ok; mute (takes the request and answers nothing), half (stops within an event), cut
-    (resets within the answer), full (runs nothing), error (fails what it runs), unsigned, foreign
-    (answers another request), unframed (no length), lost (runs it and resets). An engine dies for a
-    second of a request whose body is its poison."""
-
-    def __init__(self, world, name, service, address, version="v1", domain="a", models=()):
-        self.world, self.name, self.service = world, name, service
-        self.public = None  # where others reach it, if not at its address
+    """An engine or plain service, and the fault injected there.
+
+    mode: ok; mute (accepts the request and does not answer), half (closes the connection within the answer),
+    cut (resets it within the answer), full (refuses without running the request), error (runs it and answers
+    500), unsigned (no signature), foreign (answers with another request's id), unframed (no Content-Length),
+    lost (runs it and resets the connection). A request whose body equals crash_body crashes the engine, which
+    listens again after a second.
+    """
+
+    def __init__(self, site, name, service, address, version="v1", domain="a", models=()):
+        self.site, self.name, self.service = site, name, service
+        self.public = None  # address in its entry in the store, if not the one that it listens on
         self.address, self.version, self.domain, self.models = address, version, domain, models
         self.mode, self.state, self.delay = "ok", "ready", 0.0
-        self.confidence = 90
-        self.poison = None
+        self.confidence = 90  # stated in the answers of the smallest model
+        self.crash_body = None
         self.writers = set()
         self.born_ms = time.time_ns() // 1_000_000
         self.cold_until = 0.0
-        self.left_at = None  # when the store acknowledged that it leaves
+        self.left_at = None  # when the store acknowledged that it drains or that its entry is removed
 
     @property
     def streams(self):
@@ -73,6 +77,7 @@
         await self.report()
 
     def entry(self):
+        """Its row in the store's table of servers."""
         public = self.public or self.address
         return {
             "Service": self.service, "Address": f"{public[0]}:{public[1]}", "Zone": self.domain,
@@ -81,13 +86,13 @@
         }  # fmt: skip
 
     async def report(self):
-        await self.world.store.put("servers", self.name, json.dumps(self.entry()))
+        await self.site.store.put("servers", self.name, json.dumps(self.entry()))
 
     def cold_left_ms(self):
         return max(0, round((self.cold_until - time.monotonic()) * 1000))
 
-    def chill(self, seconds):
-        """It is as one that has just started, though nobody is told."""
+    def set_cold(self, seconds):
+        """Makes the engine cold for so long, as if it had just started; its entry does not change until report."""
         self.cold_until = time.monotonic() + seconds
 
     async def drain(self):
@@ -96,22 +101,23 @@
         self.left_at = time.monotonic()
 
     async def leave(self):
-        await self.world.store.put("servers", self.name, None)
+        """Removes the entry from the store."""
+        await self.site.store.put("servers", self.name, None)
         self.left_at = self.left_at or time.monotonic()
 
     async def crash(self):
-        """Ends all connections and takes no new ones; the entry stays until leave."""
+        """Resets all connections and stops listening; the entry stays until leave."""
         self.server.close()
         for writer in list(self.writers):
             abort(writer)
 
-    async def die(self):
+    async def crash_and_restart(self):
         await self.crash()
         await asyncio.sleep(1)
         self.server = await asyncio.start_server(self.serve, *self.address)
 
-    async def start_again(self, address):
-        """A new process under the same id at another address; the connections of the one before hang."""
+    async def restart(self, address):
+        """Acts as a new process with the same id at another address; the old process's connections hang."""
         self.server.close()
         self.writers = set()
         self.address, self.born_ms, self.mode, self.state = address, self.born_ms + 1, "ok", "ready"
@@ -130,7 +136,7 @@
 
     async def handle(self, request, reader, writer):
         run = Run(request.fields.get("lovagehub-request-id", ""), self, request.fields, time.monotonic())
-        self.world.runs.append(run)
+        self.site.runs.append(run)
         if request.fields.get("lovagehub-target-instance") != self.name:
             writer.write(answer(421, Lovagehub_Instance_Id=self.name))
             return
@@ -141,14 +147,15 @@
         run.cold = self.cold_left_ms() > 0
         run.body = request.body
         run.line = (request.method, request.target)
-        gone = asyncio.ensure_future(reader.read(1))  # ends when the caller's side closes
+        caller_closed = asyncio.ensure_future(reader.read(1))  # completes when the caller closes its connection
         work = asyncio.ensure_future(self.work(request, writer))
-        await asyncio.wait([gone, work], return_when=asyncio.FIRST_COMPLETED)
-        for task in (gone, work):
+        await asyncio.wait([caller_closed, work], return_when=asyncio.FIRST_COMPLETED)
+        for task in (caller_closed, work):
             task.cancel()
         run.ended = time.monotonic()
 
     def head(self, request, **more):
+        """Header fields of an answer."""
         asked = request.fields.get("lovagehub-request-id", "")
         fields = {"Lovagehub_Request_Id": "other" if self.mode == "foreign" else asked, **more}
         if self.mode != "unsigned":
@@ -157,8 +164,8 @@
 
     async def work(self, request, writer):
         await asyncio.sleep(self.delay)
-        if self.poison is not None and request.body == self.poison:
-            asyncio.ensure_future(self.die())
+        if self.crash_body is not None and request.body == self.crash_body:
+            asyncio.ensure_future(self.crash_and_restart())
             await asyncio.sleep(3600)
         if self.mode == "mute":
             await asyncio.sleep(3600)
@@ -203,5 +210,5 @@
                 return
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
             await writer.drain()
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
         writer.write(b"0\r\n\r\n")
--- a/regress/front/relay_tcp.py
+++ b/regress/front/relay_tcp.py
@@ -1,20 +1,24 @@
-"""A loopback proxy for connections: delays, resets, cuts one way, silences."""
+"""A TCP proxy on loopback that injects delays, resets, a limited rate, and loss in one or both directions."""
 
 import asyncio
 
-from wire import abort, write_slowly
+from wire import abort, write_at_rate
 
 
 class Relay:
-    """modes: ok; slow (each piece half a second late), reset (all connections, old and new), deaf
-    (what the caller sends is lost), mute (what the server sends is lost), dark (both).
-    rate: bytes a second of all that servers send together; None: no bound."""
+    """Forwards connections from one address to another.
+
+    mode: ok; slow (delays each read by half a second), reset (resets all connections, open and new ones),
+    drop_from_client (what the client sends is lost), drop_from_server (what the server sends is lost),
+    drop_both.
+    rate: bytes per second that the server sends over all connections together; None: unlimited.
+    """
 
     def __init__(self, listen, target):
         self.address, self.target = listen, target
         self.mode = "ok"
         self.rate = None
-        self.link = asyncio.Lock()  # held while a piece is on the link
+        self.link_lock = asyncio.Lock()  # held while data is sent at the limited rate
         self.writers = set()
 
     async def start(self):
@@ -36,32 +40,32 @@
             abort(writer)
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            server_reader, server_writer = await asyncio.open_connection(*self.target)
         except OSError:
             abort(writer)
             return
-        pair = (writer, far_writer)
+        pair = (writer, server_writer)
         self.writers.update(pair)
         await asyncio.gather(
-            self.pump(reader, far_writer, ("deaf", "dark")),
-            self.pump(far_reader, writer, ("mute", "dark")),
+            self.pump(reader, server_writer, ("drop_from_client", "drop_both")),
+            self.pump(server_reader, writer, ("drop_from_server", "drop_both")),
             return_exceptions=True,
         )
         self.writers.difference_update(pair)
         for end in pair:
             end.close()
 
-    async def pump(self, reader, writer, losing):
-        """An end or a reset of one side is passed on as it is."""
+    async def pump(self, reader, writer, drop_modes):
+        """Forwards one direction, including a close or reset of the connection; sends nothing in the drop_modes."""
         try:
             while data := await reader.read(65536):
                 if self.mode == "slow":
                     await asyncio.sleep(0.5)
-                if self.mode in losing:
+                if self.mode in drop_modes:
                     await asyncio.sleep(3600)
-                if "mute" in losing and self.rate:
-                    async with self.link:
-                        await write_slowly(writer, data, self.rate)
+                if "drop_from_server" in drop_modes and self.rate:
+                    async with self.link_lock:
+                        await write_at_rate(writer, data, self.rate)
                 else:
                     writer.write(data)
                     await writer.drain()
--- a/regress/front/site_front.py
+++ b/regress/front/site_front.py
@@ -1,4 +1,4 @@
-"""A site on loopback: the store, engines, real lovage-front processes, the operator and callers."""
+"""A site on loopback: stand-ins of the store and the engines, real lovage-front processes, and calls to them."""
 
 import asyncio
 import itertools
@@ -9,15 +9,17 @@
 import tempfile
 import time
 
-from engines import Engine, digest, plain_answer, whole_stream
-from store import Door, Store
-from wire import Cut, Message, read_body, read_head
+from engines import Engine, complete_stream, digest, plain_answer
+from store import Store, StoreEndpoint
+from wire import Message, Truncated, read_body, read_head
 
-CALLERS, READY, CONTROL, PEERS = 8001, 8002, 8003, 8004
-DOOR, ENGINE = 8100, 9000
+CALLERS_PORT, READY_PORT, CONTROL_PORT, PEERS_PORT = 8001, 8002, 8003, 8004
+STORE_PORT, ENGINE_PORT = 8100, 9000  # of a front's store endpoint; of the first engine, the others follow
 MODELS = ["small", "large"]
 KEY = "key-one"
-WAIT_S = 30
+WAIT_S = 30  # time-out of a call and of Site.wait
+# How long an engine is cold after its start; a cold engine may get its rate times COLD_OVERAGE plus COLD_SLACK
+# requests within a second.
 COLD_START_S, COLD_OVERAGE, COLD_SLACK = 3, 1.5, 5
 
 ROUTES = [
@@ -31,40 +33,40 @@
 
 
 class Answer:
-    """What a caller saw of one attempt."""
+    """What a caller saw of one attempt. Times are of time.monotonic()."""
 
     def __init__(self, request):
         self.request = request  # the attempt's id
-        self.status = 0  # 0: no head came
+        self.status = 0  # 0: no status line was received
         self.fields = {}
         self.body = b""
-        self.whole = False
+        self.complete = False
         self.sent_at = self.ended_at = 0.0
         self.read_by_front = False
 
     def __repr__(self):
-        return f"{self.request}: {self.status} whole={self.whole} {len(self.body)} B"
+        return f"{self.request}: {self.status} complete={self.complete} {len(self.body)} B"
 
 
 class Front:
-    """One process, and the way it is treated."""
+    """One lovage-front process with its settings, its log and its store endpoint."""
 
     def __init__(self, site, number):
         self.site, self.number = site, number
         self.ip = f"{site.subnet}.{number + 1}"
         self.domain = "ab"[number % 2]
         self.process = None
-        self.door = Door(site.store, (self.ip, DOOR))
+        self.store_endpoint = StoreEndpoint(site.store, (self.ip, STORE_PORT))
         self.log = os.path.join(site.folder, f"front-{number}.log")
-        self.control = CONTROL
-        self.seeds = None  # addresses in its settings; None: those of the first three fronts
+        self.control = CONTROL_PORT
+        self.seeds = None  # seed addresses in its settings; None: those of the first three fronts
 
     def settings(self):
         return {
             "vm": f"front-{self.number}", "failure_domain": self.domain, "ip": self.ip,
-            "callers": f"{self.ip}:{CALLERS}", "ready": f"{self.ip}:{READY}", "control": f"{self.ip}:{self.control}",
-            "store": f"{self.ip}:{DOOR}", "peer_port": PEERS, "stop_s": 8, "retry_share": 0.9,
-            "retry_extra": 50, "session_s": 3, "cold_overage": COLD_OVERAGE, "cold_slack": COLD_SLACK, "seeds": self.seeds or [f"{front.ip}:{CONTROL}" for front in self.site.fronts[:3]],
+            "callers": f"{self.ip}:{CALLERS_PORT}", "ready": f"{self.ip}:{READY_PORT}", "control": f"{self.ip}:{self.control}",
+            "store": f"{self.ip}:{STORE_PORT}", "peer_port": PEERS_PORT, "stop_s": 8, "retry_share": 0.9,
+            "retry_extra": 50, "session_s": 3, "cold_overage": COLD_OVERAGE, "cold_slack": COLD_SLACK, "seeds": self.seeds or [f"{front.ip}:{CONTROL_PORT}" for front in self.site.fronts[:3]],
         }  # fmt: skip
 
     async def start(self):
@@ -84,7 +86,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def stop(self):
-        """Planned stop; returns the exit status."""
+        """Stops the process by SIGTERM; returns the exit status."""
         self.signal(signal.SIGTERM)
         return await asyncio.wait_for(self.process.wait(), WAIT_S)
 
@@ -97,21 +99,22 @@
         return answer
 
     def events(self, name):
-        """Its log lines of that name so far."""
+        """Returns its log lines so far with this event name."""
         with open(self.log, encoding="utf-8") as lines:
             return [line for line in map(json.loads, lines) if line["event"] == name]
 
     async def is_ready(self):
-        return (await self.get(READY, "/ready")).status == 200
+        return (await self.get(READY_PORT, "/ready")).status == 200
 
 
-async def exchange(address, data, answer=None, keep=None, timeout=WAIT_S):
-    """Sends the bytes and reads one answer. keep: (reader, writer) of an open connection."""
+async def exchange(address, data, answer=None, connection=None, timeout=WAIT_S):
+    """Sends data and reads one answer. connection is the (reader, writer) of an open connection, which stays open;
+    without it a new one is used. status and complete of the Answer tell whether it is missing or truncated."""
     answer = answer or Answer("")
     answer.sent_at = time.monotonic()
     writer = None
     try:
-        reader, writer = keep or await asyncio.open_connection(*address)
+        reader, writer = connection or await asyncio.open_connection(*address)
         writer.write(data)
         await writer.drain()
 
@@ -120,22 +123,22 @@
             if head:
                 answer.status, answer.fields = head.status, head.fields
                 await read_body(reader, head)
-                answer.body, answer.whole = head.body, True
+                answer.body, answer.complete = head.body, True
 
         await asyncio.wait_for(read(), timeout)
-    except Cut as cut:
-        answer.body = cut.so_far
+    except Truncated as truncated:
+        answer.body = truncated.received
     except (OSError, asyncio.TimeoutError):
         pass
     finally:
         answer.ended_at = time.monotonic()
-        if writer and not keep:
+        if writer and not connection:
             writer.close()
     return answer
 
 
 def add_routes(site, number):
-    """Routes that nobody calls, as a site's configuration has them by the thousand."""
+    """Adds so many routes that are never called, to get a configuration as large as a real site's."""
     names = random.Random(site.version)
     template = site.routes[-1]
     for _ in range(number):
@@ -151,14 +154,14 @@
         self.subnet = f"127.{os.getpid() // 250 % 200 + 20}.{os.getpid() % 250}"
         self.store = Store()
         self.runs = []  # every arrival at every engine
-        self.version = 0
-        self.config_acked = {}  # version -> when
+        self.version = 0  # of the newest configuration
+        self.config_acked = {}  # version -> when the store acknowledged it
         self.routes = [dict(route) for route in ROUTES]
         self.keys = [KEY]
-        self.front_of = {}  # request -> number of the front that it was sent to
-        self.evacuations = {}  # failure domain -> when its evacuation was acknowledged; it is in force
-        self.cold_per_s = None  # that an engine bears when it has just started; None: the configuration says nothing
-        self.ids = itertools.count(1)
+        self.front_of = {}  # request id -> number of the front that it was sent to
+        self.evacuations = {}  # failure domain evacuated now -> when the store acknowledged the order
+        self.cold_per_s = None  # ColdPerS of the services: requests per second to a cold engine; None: not set
+        self.request_ids = itertools.count(1)
         self.fronts = []
         for number in range(fronts):
             self.fronts.append(Front(self, number))
@@ -169,7 +172,7 @@
     def add_engine(self, service, version="v1"):
         number = next(self.engine_numbers)
         engine = Engine(
-            self, f"i-{number}", service, (f"{self.subnet}.{200 + number % 50}", ENGINE + number), version,
+            self, f"i-{number}", service, (f"{self.subnet}.{200 + number % 50}", ENGINE_PORT + number), version,
             "ab"[number % 2], MODELS if service == "texts" else (),
         )  # fmt: skip
         self.engines.append(engine)
@@ -184,12 +187,13 @@
                 await self.make_engine(service)
         await self.configure()
         for front in self.fronts:
-            await front.door.start()
+            await front.store_endpoint.start()
             await front.start()
         for front in self.fronts:
             await self.wait(front.is_ready, f"front {front.number} ready")
 
     async def wait(self, condition, what, limit=WAIT_S):
+        """Waits until await condition() is true; raises AssertionError after limit seconds."""
         until = time.monotonic() + limit
         while not await condition():
             if time.monotonic() > until:
@@ -201,11 +205,12 @@
         self.evacuations[domain] = time.monotonic()
 
     async def take_back(self, domain):
-        """Its engines were cold a moment before; their entries say so a heartbeat later."""
+        """Ends an evacuation. The engines are cold from before it ends; their entries show it 0.8 s later, as with
+        their next heartbeat."""
         self.evacuations.pop(domain, None)
         engines = [engine for engine in self.engines if engine.domain == domain and not engine.left_at]
         for engine in engines:
-            engine.chill(COLD_START_S)
+            engine.set_cold(COLD_START_S)
         await self.store.put("op", f"evacuate/{domain}", None)
         await asyncio.sleep(0.8)
         for engine in engines:
@@ -213,6 +218,7 @@
                 await engine.report()
 
     async def configure(self):
+        """Writes the configuration to the store with a new version, which it returns."""
         self.version += self.random.randint(1, 4)
         cold = {"ColdStartS": COLD_START_S, "ColdPerS": self.cold_per_s} if self.cold_per_s is not None else {}
         services = [{"Name": "texts", **cold, "Engine": {"Slots": 8, "KvCapacity": 100000, "Models": [{"Name": m, "Cost": 1} for m in MODELS]}}, {"Name": "orders", **cold}]
@@ -226,8 +232,8 @@
         return self.version
 
     def request(self, path, body=b"", deadline=None, key=KEY, method="POST", after=None):
-        """The bytes of a new attempt, and the answer to fill in."""
-        answer = Answer(f"q{next(self.ids)}")
+        """Returns the bytes of a new attempt and the Answer to fill in. after: id of the last event received."""
+        answer = Answer(f"q{next(self.request_ids)}")
         answer.method, answer.path, answer.sent_body, answer.after = method, path, body, after
         head = f"{method} {path} HTTP/1.1\r\nHost: a.example\r\nLovagehub-Request-Id: {answer.request}\r\n"
         head += f"Authorization: Token {key}\r\nLovagehub-Model: *\r\nLovagehub-Token-Counts: 400,50\r\n"
@@ -239,19 +245,20 @@
             head += f"Last-Event-Id: {after}\r\n"
         return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body, answer
 
-    async def call(self, front, path, body=b"", keep=None, timeout=WAIT_S, **more):
+    async def call(self, front, path, body=b"", connection=None, timeout=WAIT_S, **more):
+        """Sends one request to a front and returns the Answer. more: arguments of request."""
         data, answer = self.request(path, body, **more)
         self.front_of[answer.request] = front.number
-        return await exchange((front.ip, CALLERS), data, answer, keep, timeout)
+        return await exchange((front.ip, CALLERS_PORT), data, answer, connection, timeout)
 
     def runs_of(self, answer):
         return [run for run in self.runs if run.request == answer.request]
 
     def expected(self, answer):
-        """Bodies that are the whole and right answer."""
+        """Returns the bodies that are a correct and complete answer, one per model for a stream."""
         if answer.path.startswith("/text/"):
             after = -1 if answer.after is None else answer.after
-            return [whole_stream(model, answer.sent_body, after) for model in MODELS]
+            return [complete_stream(model, answer.sent_body, after) for model in MODELS]
         return [plain_answer(answer.method, answer.path, answer.sent_body)]
 
     async def stop(self):
@@ -259,6 +266,6 @@
             if front.alive:
                 front.signal(signal.SIGCONT)
                 await front.kill()
-            front.door.close()
+            front.store_endpoint.close()
         for engine in self.engines:
             await engine.crash()
--- a/regress/front/store.py
+++ b/regress/front/store.py
@@ -1,6 +1,6 @@
-"""Stand-in of the platform's store: rows with versions, transactions under conditions, feeds.
+"""Stand-in for the platform's store: versioned rows, conditional transactions, and feeds of changes.
 
-Each front reaches it by a door of its own, so that faults can be given to one front alone.
+Each front connects to an endpoint of its own, so that a fault can be injected for one front alone.
 """
 
 import asyncio
@@ -9,35 +9,35 @@
 import time
 import urllib.parse
 
-from wire import abort, answer, read_request, write_slowly
+from wire import abort, answer, read_request, write_at_rate
 
-HISTORY = 2000  # changes kept
+HISTORY_MAX = 2000  # changes kept for feeds
 
 
-class Door:
-    """One listening address of the store, and how it treats who comes there.
+class StoreEndpoint:
+    """One listening address of the store, and the fault injected there.
 
-    modes: ok; busy (503), many (429), reset, silent (no answer), slow (answers after a second),
-    lost (does what is asked and drops the answer), hold (connections stay, but what is open then or
-    asked meanwhile is never answered).
-    rate: bytes a second of its link to the store; None: no bound.
+    mode: ok; busy (answers 503), many (answers 429), reset (resets connections), silent (no answer), slow
+    (answers after a second), lost (carries the request out and closes without an answer), hold (connections
+    stay open, but requests that are in progress or come meanwhile are never answered).
+    rate: bytes per second of the link to the store; None: unlimited.
     """
 
     def __init__(self, store, address):
         self.store, self.address = store, address
         self.mode = "ok"
         self.rate = None
-        self.holds = 0  # times that it has held
+        self.hold_count = 0  # times that mode "hold" was set
         self.writers = set()
-        self.pages = []  # what was asked for page by page
-        self.feeds = []  # what changes were asked for
+        self.pages = []  # targets of the rows-get requests
+        self.feeds = []  # targets of the rows-feed requests
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, *self.address)
 
     def set(self, mode):
         self.mode = mode
-        self.holds += mode == "hold"
+        self.hold_count += mode == "hold"
         if mode in ("reset", "silent"):
             for writer in list(self.writers):
                 abort(writer)
@@ -73,13 +73,13 @@
             return True
         if self.mode == "slow":
             await asyncio.sleep(1)
-        holds, held = self.holds, self.mode == "hold"
+        hold_count, held = self.hold_count, self.mode == "hold"
         status, body = await self.store.call(request)
-        if held or self.holds != holds:
+        if held or self.hold_count != hold_count:
             await asyncio.sleep(3600)
         if self.mode in ("lost", "reset"):
             return False
-        await write_slowly(writer, answer(status, body), self.rate)
+        await write_at_rate(writer, answer(status, body), self.rate)
         return True
 
 
@@ -88,12 +88,12 @@
         self.rows = {}  # (table, key) -> (value, version)
         self.changes = []  # (version, table, key, value or None)
         self.version = 1
-        self.forgotten = 0
+        self.history_start = 0  # feeds from before this version are answered 410
         self.changed = asyncio.Condition()
         self.calls = 0
 
     async def put(self, table, key, value):
-        """Value None removes the row. Returns the version; the change is acknowledged."""
+        """Writes a row, or removes it if value is None. Returns the version of the change."""
         async with self.changed:
             self.version += 1
             if value is None:
@@ -101,16 +101,17 @@
             else:
                 self.rows[table, key] = (value, self.version)
             self.changes.append((self.version, table, key, value))
-            del self.changes[:-HISTORY]
+            del self.changes[:-HISTORY_MAX]
             self.changed.notify_all()
             return self.version
 
-    def forget(self):
-        """Drops the history: feeds from before get 410."""
+    def drop_history(self):
+        """Drops all changes kept; feeds from an earlier version are answered 410."""
         self.changes.clear()
-        self.forgotten = self.version
+        self.history_start = self.version
 
     def get(self, table, key):
+        """Returns a row's value parsed as JSON, or None if there is no row."""
         found = self.rows.get((table, key))
         return json.loads(found[0]) if found else None
 
@@ -157,7 +158,7 @@
         table, since = args["Table"], int(args["SinceRev"])
         until = time.monotonic() + int(args.get("WaitMs", 0)) / 1000
         async with self.changed:
-            while since >= self.forgotten and not self.rows_since(table, since):
+            while since >= self.history_start and not self.rows_since(table, since):
                 left = until - time.monotonic()
                 if left <= 0:
                     break
@@ -165,7 +166,7 @@
                     await asyncio.wait_for(self.changed.wait(), left)
                 except asyncio.TimeoutError:
                     break
-            if since < self.forgotten:
+            if since < self.history_start:
                 return 410, {}
             found = self.rows_since(table, since)
             return self.reply([self.row(table, key, value, version) for version, key, value in found])
--- a/regress/front/wire.py
+++ b/regress/front/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the stand-ins, the callers and the operator need it, on asyncio streams."""
+"""Minimal HTTP/1.1 on asyncio streams, for the stand-ins, the callers and the operator."""
 
 import asyncio
 import json
@@ -26,21 +26,21 @@
         return int(self.start.split(" ")[1])
 
 
-class Cut(Exception):
-    """The connection ended before the message was whole. So far holds what had come."""
+class Truncated(Exception):
+    """The connection ended before the message was complete; received holds the bytes of the body so far."""
 
-    def __init__(self, so_far=b""):
+    def __init__(self, received=b""):
         super().__init__("cut")
-        self.so_far = so_far
+        self.received = received
 
 
 async def read_head(reader):
-    """None if the connection ended before the first byte."""
+    """Reads a start line and header fields; returns None if the connection ended before the first byte."""
     try:
         text = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
         if error.partial:
-            raise Cut() from error
+            raise Truncated() from error
         return None
     except OSError:
         return None
@@ -53,7 +53,7 @@
 
 
 async def read_body(reader, message, on_data=None):
-    """Reads a body by its length or in chunks; Cut holds the bytes of one that was broken off."""
+    """Reads a body by its Content-Length or in chunks; raises Truncated if the connection ends before its end."""
     body = b""
     try:
         if message.fields.get("transfer-encoding") == "chunked":
@@ -68,17 +68,19 @@
         else:
             body = await reader.readexactly(int(message.fields.get("content-length", 0)))
     except (asyncio.IncompleteReadError, OSError, ValueError) as error:
-        raise Cut(body) from error
+        raise Truncated(body) from error
     message.body = body
     return message
 
 
 async def read_request(reader):
+    """Returns the next request, or None if the connection ended before its first byte."""
     message = await read_head(reader)
     return await read_body(reader, message) if message else None
 
 
 def answer(status, body=b"", **fields):
+    """Encodes an answer. A body that is not bytes becomes JSON; "_" in the name of a field becomes "-"."""
     if not isinstance(body, bytes):
         body = json.dumps(body).encode()
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n"
@@ -87,19 +89,19 @@
     return head.encode() + b"\r\n" + body
 
 
-PIECES_A_SECOND = 20
+CHUNKS_PER_S = 20
 
 
-async def write_slowly(writer, data, rate):
-    """Sends at so many bytes a second; rate None: at once."""
-    size = rate // PIECES_A_SECOND if rate else len(data)
+async def write_at_rate(writer, data, rate):
+    """Sends data at rate bytes per second; without a limit if rate is None."""
+    size = rate // CHUNKS_PER_S if rate else len(data)
     for begin in range(0, len(data), size or 1):
         writer.write(data[begin : begin + size])
         await writer.drain()
         if rate:
-            await asyncio.sleep(1 / PIECES_A_SECOND)
+            await asyncio.sleep(1 / CHUNKS_PER_S)
 
 
 def abort(writer):
-    """Ends the connection by a reset."""
+    """Resets the connection."""
     writer.transport.abort()
