--- a/regress/soak/brakes.py
+++ b/regress/soak/brakes.py
@@ -1,4 +1,4 @@
-"""An operator who stops a version by a brake, often while VMs are cut off, and releases it by a patch."""
+"""An operator who stops a version by a brake, often during a partition, and releases it by a patch."""
 
 import dataclasses
 import random
@@ -8,15 +8,17 @@
 from site_vms import MODELS
 
 BRAKED_VERSION = "v3"
-SPARED_SECONDS = 8
+PROTECTED_S = 8  # time without new faults of the VM that raised a brake
 
 
 @dataclasses.dataclass
 class Brake:
-    target: str
-    vm: str  # whose steward took it
-    raised: float  # when the operator was told
-    released: float = float("inf")  # when its release was first asked for
+    """A brake that a steward accepted. Times are of boot_ms."""
+
+    target: str  # MODEL@VERSION
+    vm: str  # of the steward
+    raised: float  # when the operator got the answer
+    released: float = float("inf")  # when its release was first requested
 
 
 class Brakes:
@@ -25,7 +27,7 @@
         self.rng = random.Random(seed * 31)
         self.stopping = threading.Event()
         self.log = []
-        self.turn = 0
+        self.attempts = 0
         self.thread = threading.Thread(target=self._loop)
 
     def start(self):
@@ -40,14 +42,14 @@
             brake = self._raise()
             if not brake:
                 continue
-            self._spare(brake)
+            self._protect(brake)
             self.stopping.wait(self.rng.uniform(8, 16))
             brake.released = boot_ms()
             self._release(brake.target)
 
     def _partition(self):
-        """Begins to cut the VMs into halves, once the links are whole."""
-        if not self.faults.claim_soon("links"):
+        """Starts a partition as soon as the links have no other fault; returns the thread that ends it."""
+        if not self.faults.wait_and_claim("links"):
             return None
         thread = threading.Thread(target=self._cut, args=(random.Random(self.rng.random()),))
         thread.start()
@@ -57,29 +59,29 @@
     def _cut(self, rng):
         begin = boot_ms()
         what = self.faults.cut_halves("links", rng, rng.uniform(1, 7))
-        self.faults.note("cut_halves", what, begin)
+        self.faults.record("cut_halves", what, begin)
         self.faults.release("links")
 
-    def _spare(self, brake):
-        """Keeps new faults from the VM that raised it for a while, in most cases.
+    def _protect(self, brake):
+        """Keeps new faults away from the VM that raised the brake for some seconds, in seven of ten cases.
 
-        Were it killed each time before it has told the others, there would be nothing to check.
+        If the VM were always killed before it has told the others, no case would be left to check.
         """
         position = next((i for i, vm in enumerate(self.site.vms) if vm.name == brake.vm), None)
         if not self.faults or position is None or self.rng.random() < 0.3 or not self.faults.claim(position):
             return
-        self.stopping.wait(SPARED_SECONDS)
+        self.stopping.wait(PROTECTED_S)
         self.faults.release(position)
 
     def _raise(self):
         target = f"{self.rng.choice(list(MODELS))}@{BRAKED_VERSION}"
-        self.turn += 1
-        partition = self._partition() if self.faults and self.turn % 2 else None
+        self.attempts += 1
+        partition = self._partition() if self.faults and self.attempts % 2 else None
         vm = self.rng.choice(self.site.vms)
         brake = None
         try:
             body = {"version": target, "why": "soak"}
-            status, _ = self.site.operate(vm, "POST", "/v1/brakes", body)
+            status, _ = self.site.call_operators(vm, "POST", "/v1/brakes", body)
             if status == 200:
                 brake = Brake(target, vm.name, boot_ms())
                 self.log.append(brake)
@@ -90,7 +92,7 @@
         return brake
 
     def _release(self, target):
-        """Until a patch that releases all brakes on the version up to now is in force."""
+        """Submits a patch that releases all brakes on the version, again until one is in force."""
         model, version = target.split("@")
         while True:
             vm = self.rng.choice(self.site.vms)
--- a/regress/soak/callers.py
+++ b/regress/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: closed loops of requests of several kinds, and a log of what each one saw."""
+"""Callers that send requests of several kinds in closed loops, and a log of the outcome of each request."""
 
 import dataclasses
 import http.client
@@ -9,26 +9,27 @@
 
 from site_vms import MODELS, VERSIONS
 
-# At 5 ms a token such a stream lasts five seconds.
-VANISH_TOKENS = 1000
+# Length of a stream that its caller leaves early: at 5 ms per token it lasts five seconds.
+LEFT_STREAM_TOKENS = 1000
 
 
 def boot_ms():
+    """The time in ms of CLOCK_BOOTTIME, which the engines' records use too."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 @dataclasses.dataclass
 class Sent:
-    """One sending of a request to one VM, and how it ended."""
+    """One request sent to one VM, and its outcome. Times are of boot_ms."""
 
-    tag: str  # names the request in the engines' records
+    tag: str  # identifies the request in the engines' records; the same when it is sent again
     team: str
     vm: str
     at: float
     idempotent: bool
-    asked: str
+    asked: str  # model, MODEL@VERSION or class in the request; "ledger": the plain service
     session: str = ""
-    outcome: str = ""  # answered, cut, left (by the caller itself), not_run, unknown, no_connection
+    outcome: str = ""  # answered, cut (truncated), left (the caller closed it), not_run, unknown, no_connection
     reason: str = ""
     request: str = ""
     version: str = ""
@@ -36,7 +37,7 @@
     text: str = ""
     end: float = 0
     status: int = 0
-    named: bool = False  # the session is a name of the caller's own
+    named: bool = False  # the session's name was chosen by the caller
 
 
 class Callers:
@@ -59,8 +60,8 @@
     def _loop(self, seed, index):
         rng = random.Random(seed)
         kinds = [
-            self._plain, self._plain, self._cascade, self._once, self._service, self._session,
-            self._labelled, self._named, self._vanish, self._forbidden,
+            self._plain, self._plain, self._cascade, self._non_idempotent, self._service, self._session,
+            self._version_by_name, self._named_session, self._leave_stream, self._not_allowed,
         ]  # fmt: skip
         n = 0
         while not self.stopping.is_set():
@@ -77,11 +78,11 @@
         self.send(rng, tag, "bank", "answer", True)
 
     def _service(self, rng, tag):
-        """A call of a plain service that may not be repeated."""
-        self._once(rng, tag, "ledger")
+        """Calls a plain service that is not idempotent."""
+        self._non_idempotent(rng, tag, "ledger")
 
-    def _once(self, rng, tag, asked="draft-large"):
-        """A non-idempotent request, sent again elsewhere until its end is known."""
+    def _non_idempotent(self, rng, tag, asked="draft-large"):
+        """Sends a non-idempotent request, up to four times with the same idempotency key, until it is answered."""
         for _ in range(4):
             sent = self.send(rng, tag, "bank", asked, False)
             if sent.outcome == "answered":
@@ -96,34 +97,36 @@
                 return
             session = sent.session
 
-    def _labelled(self, rng, tag):
-        """Asks for a version by name: the one that operators stop by brakes more often than not."""
+    def _version_by_name(self, rng, tag):
+        """Requests a version by name, in most cases v3, which operators stop by brakes."""
         version = "v3" if rng.random() < 0.7 else rng.choice(VERSIONS)
         self.send(rng, tag, "bank", f"{rng.choice(list(MODELS))}@{version}", True)
 
-    def _forbidden(self, rng, tag):
-        """Asks for what the team may not use."""
+    def _not_allowed(self, rng, tag):
+        """Requests a model, version or class that the team may not use."""
         self.send(rng, tag, "tender", rng.choice(["draft-large", "draft-large@v1", "answer"]), True)
 
-    def _named(self, rng, tag):
-        """A session by a name of the caller's own, whose first requests race at several VMs."""
+    def _named_session(self, rng, tag):
+        """Uses a session whose name the caller chose; its first two requests are sent concurrently to random VMs."""
         name = f"named-{tag}"
 
-        def one(step, seed):
+        def send_one(step, seed):
             self.send(random.Random(seed), f"{tag}-n{step}", "tender", "draft-small", True, name, named=True)
 
-        racing = [threading.Thread(target=one, args=(step, rng.random())) for step in range(2)]
-        for thread in racing:
+        threads = [threading.Thread(target=send_one, args=(step, rng.random())) for step in range(2)]
+        for thread in threads:
             thread.start()
-        for thread in racing:
+        for thread in threads:
             thread.join()
-        one(2, rng.random())
+        send_one(2, rng.random())
 
-    def _vanish(self, rng, tag):
-        """Closes its connection amid a stream that would go on for seconds."""
+    def _leave_stream(self, rng, tag):
+        """Closes its connection in the middle of a stream that would last five seconds."""
         self.send(rng, tag, "tender", "draft-small", True, leave_after=rng.randint(1, 30))
 
     def send(self, rng, tag, team, asked, idempotent, session="", vm=None, named=False, leave_after=0):
+        """Sends one request to a VM (default: a random one) and logs its outcome. leave_after: number of chunks of
+        a stream after which the caller closes the connection; 0: never."""
         vm = vm or rng.choice(self.site.vms)
         stream = rng.random() < 0.7 or leave_after > 0
         sent = Sent(tag, team, vm.name, boot_ms(), idempotent, asked, session, named=named)
@@ -142,12 +145,12 @@
         body = {
             "model": sent.asked,
             "stream": stream,
-            "max_tokens": VANISH_TOKENS if leave_after else rng.randint(5, 60),
+            "max_tokens": LEFT_STREAM_TOKENS if leave_after else rng.randint(5, 60),
             "user": sent.tag,
             "messages": [{"role": "user", "content": f"{sent.tag} draft a guarantee"}],
         }
         if not sent.idempotent:
-            # A re-send must be the same request, byte for byte.
+            # Each repetition must have the same body byte for byte.
             body["max_tokens"], body["stream"], stream = 40, False, False
         headers = {"Authorization": f"Bearer {self.site.team_keys[sent.team]}", "Content-Type": "application/json"}
         if sent.session:
@@ -155,42 +158,42 @@
         if not sent.idempotent:
             headers |= {"Idempotency-Key": sent.tag, "X-Lovage-Idempotent": "no"}
         path = "/v1/services/ledger/issue" if sent.asked == "ledger" else "/v1/chat/completions"
-        link = http.client.HTTPConnection(vm.ip, vm.ports["callers"], timeout=60)
+        connection = http.client.HTTPConnection(vm.ip, vm.ports["callers"], timeout=60)
         try:
-            link.request("POST", path, json.dumps(body), headers)
-            answer = link.getresponse()
+            connection.request("POST", path, json.dumps(body), headers)
+            answer = connection.getresponse()
             sent.status = answer.status
             sent.request = answer.getheader("X-Lovage-Request", "")
             sent.version = answer.getheader("X-Lovage-Version", "")
             sent.config = int(answer.getheader("X-Lovage-Config", "0"))
             if answer.status != 200:
-                self._refused(sent, answer.read())
+                self._read_refusal(sent, answer.read())
                 return
             if not sent.named:
                 sent.session = answer.getheader("X-Lovage-Session", "")
             if stream:
-                self._streamed(sent, answer, leave_after)
+                self._read_stream(sent, answer, leave_after)
             else:
-                self._whole(sent, answer)
+                self._read_answer(sent, answer)
         finally:
-            link.close()
+            connection.close()
 
     @staticmethod
-    def _refused(sent, body):
+    def _read_refusal(sent, body):
         error = json.loads(body).get("error", {})
         sent.outcome, sent.reason = error.get("state", "cut"), error.get("reason", "")
 
     @staticmethod
-    def _whole(sent, answer):
+    def _read_answer(sent, answer):
         body = json.loads(answer.read())
         if sent.asked != "ledger":
             sent.text = body["choices"][0]["message"]["content"]
         sent.outcome = "answered"
 
     @staticmethod
-    def _streamed(sent, answer, leave_after):
+    def _read_stream(sent, answer, leave_after):
         sent.outcome = "cut"
-        pieces = 0
+        chunks = 0
         for line in answer:
             data = line.decode().strip()
             if not data.startswith("data:"):
@@ -199,13 +202,13 @@
             if data == "[DONE]":
                 sent.outcome = "answered"
                 continue
-            piece = json.loads(data)
-            if "error" in piece:
-                sent.outcome, sent.reason = "unknown", piece["error"].get("reason", "")
+            chunk = json.loads(data)
+            if "error" in chunk:
+                sent.outcome, sent.reason = "unknown", chunk["error"].get("reason", "")
                 return
-            for choice in piece.get("choices", []):
+            for choice in chunk.get("choices", []):
                 sent.text += choice.get("delta", {}).get("content") or ""
-            pieces += 1
-            if pieces == leave_after:
+            chunks += 1
+            if chunks == leave_after:
                 sent.outcome = "left"
                 return
--- a/regress/soak/episodes.py
+++ b/regress/soak/episodes.py
@@ -1,4 +1,7 @@
-"""One larger event of each run: an outage, a replacement of VMs, frozen VMs under a patch, and so on."""
+"""One larger event per run: an outage, the replacement of VMs, a patch while a VM is frozen, and so on.
+
+The docstrings of the methods named in Episodes.NAMES describe the events.
+"""
 
 import random
 import signal
@@ -7,11 +10,11 @@
 from callers import boot_ms
 from site_vms import http
 
-OUTAGE_SECONDS = 60
-READY_BOUND_S = 90
-CONTACT_SECONDS = 5
-QUEUED = 6
-POISON = "POISON"
+OUTAGE_S = 60
+READY_TIMEOUT_S = 90
+CONTACT_S = 5
+QUEUED_REQUESTS = 6  # requests sent to a frozen VM
+POISON = "POISON"  # text that crashes an engine which has it in a prompt
 CRASH_PROMPTS = 20
 
 
@@ -24,9 +27,9 @@
         self.rng = random.Random(seed * 13)
         self.seconds = seconds
         self.stopping = threading.Event()
-        self.problems = []
+        self.violations = []
         self.engines_lost = 0
-        self.poison_ended = False
+        self.crash_prompts_ended = False
         self.thread = threading.Thread(target=self._run)
 
     def start(self):
@@ -42,34 +45,34 @@
         try:
             getattr(self, "_" + self.name)()
         except RuntimeError as error:
-            self.problems.append(f"episode {self.name}: {error}")
+            self.violations.append(f"episode {self.name}: {error}")
 
     def _claim_vm(self):
         position = self.rng.randrange(len(self.site.vms))
-        return position if self.faults.claim_soon(position) else None
+        return position if self.faults.wait_and_claim(position) else None
 
     def _outage(self):
-        """The platform is away for a minute while two VMs are killed and started again.
+        """The platform is unavailable for a minute, while two VMs are killed and restarted.
 
-        A record is then in the memory of its gate and of two other VMs, so that two losses in one
-        outage are what the design withstands; the other faults of this time lose no memory.
+        Meanwhile a usage record is in the memory of its gate and of two other VMs, so that the design tolerates the
+        loss of two VMs per outage. Of the other faults only those occur that lose no memory.
         """
         url = f"http://{self.site.platform[0]}:{self.site.platform[1]}/v1/fault"
-        self.faults.calm.set()
-        if not self.faults.claim_soon("platform"):
+        self.faults.lossless_only.set()
+        if not self.faults.wait_and_claim("platform"):
             return
         begin = boot_ms()
-        length = min(OUTAGE_SECONDS, self.seconds * 0.6)
+        length = min(OUTAGE_S, self.seconds * 0.6)
         http("POST", url, {"kind": "down", "count": 0})
         for position in self.rng.sample(range(len(self.site.vms)), 2):
             self.stopping.wait(length * self.rng.uniform(0.2, 0.3))
-            if self.faults.claim_soon(position):
+            if self.faults.wait_and_claim(position):
                 self._kill_and_start(position)
         self.stopping.wait(max(0, length - (boot_ms() - begin) / 1000))
         http("DELETE", url)
-        self.faults.note("long_outage", "platform", begin)
+        self.faults.record("long_outage", "platform", begin)
         self.faults.release("platform")
-        self.faults.calm.clear()
+        self.faults.lossless_only.clear()
 
     def _kill_and_start(self, position):
         vm, begin = self.site.vms[position], boot_ms()
@@ -78,10 +81,10 @@
         self.stopping.wait(self.rng.uniform(0.5, 3))
         for process in vm.processes():
             process.start()
-        self.faults.note("kill_vm_in_outage", vm.name, begin)
+        self.faults.record("kill_vm_in_outage", vm.name, begin)
         self.faults.release(position)
 
-    def _end(self, vm, planned):
+    def _stop_vm(self, vm, planned):
         if not planned:
             for process in vm.processes():
                 process.stop(signal.SIGKILL, 10)
@@ -92,43 +95,44 @@
         vm.steward.stop(signal.SIGTERM, 30)
 
     def _replace_each(self):
-        """VMs with new addresses take the place of all, one after another; some of them as planned."""
+        """Replaces all VMs, one after another, by VMs with new addresses; half of them are stopped by SIGTERM, the
+        others are killed."""
         for position in range(len(self.site.vms)):
-            if not self.faults.claim_soon(position):
+            if not self.faults.wait_and_claim(position):
                 return
             old, begin = self.site.vms[position], boot_ms()
-            self._end(old, self.rng.random() < 0.5)
-            self.faults.note("replace_vm", old.name, begin)
+            self._stop_vm(old, self.rng.random() < 0.5)
+            self.faults.record("replace_vm", old.name, begin)
             new = self.site.replace(position)
             self.site.put_vm_list()
-            self.site.wait(new.ready, f"{new.name} in the place of {old.name} ready", READY_BOUND_S)
+            self.site.wait(new.ready, f"{new.name} in the place of {old.name} ready", READY_TIMEOUT_S)
             self.faults.release(position)
             self.stopping.wait(self.rng.uniform(0, 3))
 
     def _replace_all(self):
-        """All VMs at once: killed, and the same number of new ones with other addresses.
+        """Kills all VMs at once and starts as many with new addresses.
 
-        Before that the platform is in reach for a few seconds: what was in memory only would be lost.
+        The platform is reachable for some seconds before: what is in memory only would be lost.
         """
         self.stopping.wait(self.rng.uniform(0, 15))
         positions = range(len(self.site.vms))
-        if not all([self.faults.claim_soon(target) for target in ["links", "platform", *positions]]):
+        if not all([self.faults.wait_and_claim(target) for target in ["links", "platform", *positions]]):
             return
-        self.stopping.wait(CONTACT_SECONDS)
+        self.stopping.wait(CONTACT_S)
         old, begin = self.site.vms[:], boot_ms()
         for vm in old:
-            self._end(vm, False)
+            self._stop_vm(vm, False)
         for position in positions:
             self.site.replace(position)
         self.site.put_vm_list()
         for vm in old:
-            self.faults.note("replace_vm", vm.name, begin)
-        self.site.wait(lambda: all(vm.ready() for vm in self.site.vms), "all new VMs ready", READY_BOUND_S)
+            self.faults.record("replace_vm", vm.name, begin)
+        self.site.wait(lambda: all(vm.ready() for vm in self.site.vms), "all new VMs ready", READY_TIMEOUT_S)
         for target in ["links", "platform", *positions]:
             self.faults.release(target)
 
     def _delisted(self):
-        """The platform's list first calls a VM leaving, then loses it; the VM itself goes on."""
+        """The platform's list shows a VM as leaving, then no longer has it, while the VM runs on."""
         while not self.stopping.wait(self.rng.uniform(1, 4)):
             vm = self.rng.choice(self.site.vms)
             begin = boot_ms()
@@ -137,10 +141,10 @@
             self.site.put_vm_list(without=[vm])
             self.stopping.wait(self.rng.uniform(5, 15))
             self.site.put_vm_list()
-            self.faults.note("delisted", vm.name, begin)
+            self.faults.record("delisted", vm.name, begin)
 
     def _freeze_in_patch(self):
-        """A frozen VM has requests in its queue for a version that is withdrawn before it wakes."""
+        """Requests for a version are queued at a frozen VM, and the version is withdrawn before the VM continues."""
         while not self.stopping.is_set():
             position = self._claim_vm()
             if position is None:
@@ -156,8 +160,8 @@
         for process in vm.processes():
             process.send(signal.SIGSTOP)
         queued = [
-            threading.Thread(target=self._queue, args=(vm, f"frozen-{begin:.0f}-{i}", f"{model}@{version}"))
-            for i in range(QUEUED)
+            threading.Thread(target=self._send_queued, args=(vm, f"frozen-{begin:.0f}-{i}", f"{model}@{version}"))
+            for i in range(QUEUED_REQUESTS)
         ]
         for thread in queued:
             thread.start()
@@ -169,10 +173,10 @@
             self.stopping.wait(self.rng.choice([0, 0.001, 0.1, 0.5]))
         for thread in queued:
             thread.join()
-        self.faults.note("freeze_in_patch" if result == "in_force" else "freeze_vm", vm.name, begin)
+        self.faults.record("freeze_in_patch" if result == "in_force" else "freeze_vm", vm.name, begin)
         self._set_state(self.rng.choice(others), model, version, "active")
 
-    def _queue(self, vm, tag, label):
+    def _send_queued(self, vm, tag, label):
         self.callers.send(random.Random(tag), tag, "bank", label, True, vm=vm)
 
     def _set_state(self, vm, model, version, state):
@@ -188,41 +192,41 @@
         return result
 
     def _crash_prompt(self):
-        """Callers send a prompt again and again that ends each engine which runs it."""
+        """Callers send a prompt again and again that crashes each engine which runs it."""
         names = [name for name in self.site.engines if name.startswith("draft-small")]
-        if not all([self.faults.claim_soon(name) for name in names]):
+        if not all([self.faults.wait_and_claim(name) for name in names]):
             return
         begin = boot_ms()
-        reviver = threading.Thread(target=self._revive, args=(names,))
-        reviver.start()
+        restarter = threading.Thread(target=self._restart_engines, args=(names,))
+        restarter.start()
         tag = f"{POISON}-{begin:.0f}"
         for _ in range(CRASH_PROMPTS):
-            # The same body each time.
+            # The fixed seed gives the same body each time.
             self.callers.send(random.Random(0), tag, "tender", "draft-small", True, vm=self.rng.choice(self.site.vms))
             if self.stopping.wait(self.rng.uniform(0.2, 1)):
                 break
-        self.poison_ended = True
-        reviver.join()
+        self.crash_prompts_ended = True
+        restarter.join()
         for name in names:
             http("DELETE", "http://%s:%d/v1/fault" % self.site.engines[name][0])
             self.faults.release(name)
-        self.faults.note("crash_prompt", names[0], begin)
+        self.faults.record("crash_prompt", names[0], begin)
 
-    def _revive(self, names):
-        """Starts engines again a second after their end, with the same weakness."""
-        weak = set()
-        while not self.poison_ended or len(weak) < len(names):
+    def _restart_engines(self, names):
+        """Restarts engines a second after they crashed, with the same fault."""
+        with_fault = set()
+        while not self.crash_prompts_ended or len(with_fault) < len(names):
             for name in names:
-                place, process = self.site.engines[name]
+                endpoint, process = self.site.engines[name]
                 if not process.alive():
                     self.engines_lost += 1
-                    weak.discard(name)
+                    with_fault.discard(name)
                     threading.Event().wait(1)
                     process.start()
-                if name not in weak and self.site.answers(place):
+                if name not in with_fault and self.site.answers(endpoint):
                     try:
-                        http("POST", "http://%s:%d/v1/fault" % place, {"kind": "crash_on", "value": POISON, "count": 0})
-                        weak.add(name)
+                        http("POST", "http://%s:%d/v1/fault" % endpoint, {"kind": "crash_on", "value": POISON, "count": 0})
+                        with_fault.add(name)
                     except OSError:
                         pass
             threading.Event().wait(0.1)
--- a/regress/soak/faults.py
+++ b/regress/soak/faults.py
@@ -1,4 +1,7 @@
-"""A schedule of faults drawn from a seed: the same seed gives the same faults in the same order."""
+"""Injects faults on a schedule drawn from a seed: the same seed gives the same faults in the same order.
+
+The methods that inject a fault give the fault its name in the log.
+"""
 
 import random
 import signal
@@ -13,7 +16,7 @@
         self.site = site
         self.rng = random.Random(seed)
         self.stopping = threading.Event()
-        self.log = []  # (name, target, begin, end)
+        self.log = []  # (name, target, begin, end), times of boot_ms
         self.planned = []  # (vm, begin, end, exit status) of graceful stops
         self.thread = threading.Thread(target=self._loop)
         self.kinds = [
@@ -22,14 +25,14 @@
             self.platform_slow, self.platform_loses_replies, self.platform_loses_calls, self.kill_engine,
             self.freeze_engine, self.engine_fault, self.engine_fault, self.planned_stop, self.planned_stop,
         ]  # fmt: skip
-        # Kinds that no record, brake or vote kept in memory is lost by.
+        # Kinds by which no record, brake or vote in a process's memory is lost.
         self.lossless = [
             self.freeze_vm, self.freeze_steward, self.freeze_gate, self.cut_peers, self.kill_engine,
             self.freeze_engine, self.engine_fault,
         ]  # fmt: skip
-        self.calm = threading.Event()  # only those
-        # A process has one fault at a time; others may come meanwhile.
-        self.busy = set()
+        self.lossless_only = threading.Event()  # while set, only lossless faults are injected
+        # Targets that have a fault now. Each has one at a time; faults of different targets overlap.
+        self.claimed = set()
         self.lock = threading.Lock()
 
     def start(self):
@@ -42,7 +45,7 @@
     def _loop(self):
         threads = []
         while not self.stopping.wait(self.rng.uniform(0.3, 3)):
-            kinds = self.lossless if self.calm.is_set() else self.kinds
+            kinds = self.lossless if self.lossless_only.is_set() else self.kinds
             draw = (self.rng.choice(kinds), random.Random(self.rng.random()))
             threads.append(threading.Thread(target=self.run, args=draw))
             threads[-1].start()
@@ -58,18 +61,19 @@
             what = kind(target, rng, rng.uniform(0.5, 7))
         except OSError as error:
             what = str(error)
-        self.note(kind.__name__, what, begin)
+        self.record(kind.__name__, what, begin)
         self.release(target)
 
     def claim(self, target):
+        """Reserves a target for one fault; False if it has one already."""
         with self.lock:
-            if target in self.busy:
+            if target in self.claimed:
                 return False
-            self.busy.add(target)
+            self.claimed.add(target)
             return True
 
-    def claim_soon(self, target):
-        """Waits for the target's fault to end; False at the end of the run."""
+    def wait_and_claim(self, target):
+        """Waits for the target's fault to end and reserves it; False if the run ends before."""
         while not self.claim(target):
             if self.stopping.wait(0.05):
                 return False
@@ -77,9 +81,9 @@
 
     def release(self, target):
         with self.lock:
-            self.busy.discard(target)
+            self.claimed.discard(target)
 
-    def note(self, kind, what, begin):
+    def record(self, kind, what, begin):
         self.log.append((kind, what, begin, boot_ms()))
 
     def _targets(self, kind):
@@ -148,9 +152,9 @@
         return vm.name
 
     def cut_halves(self, target, rng, seconds):
-        """Two groups that hear nothing of each other; often one of them loses the platform too.
+        """Partitions the VMs into two groups; in half of the cases one of them loses the platform too.
 
-        Returns both, and those without the platform.
+        Returns "group|group|VMs without the platform", each a list of names separated by commas.
         """
         vms = self.site.vms[:]
         rng.shuffle(vms)
@@ -218,7 +222,7 @@
         return f"{target} {fault['kind']}"
 
     def planned_stop(self, target, rng, seconds):
-        """A graceful stop of one VM: its gate first, then its steward, then new processes."""
+        """Stops a VM by SIGTERM, its gate before its steward, and starts both again."""
         vm = self.site.vms[target]
         begin = boot_ms()
         status = vm.gate.stop(signal.SIGTERM, 90)
--- a/regress/soak/operators.py
+++ b/regress/soak/operators.py
@@ -1,4 +1,4 @@
-"""Operators that race each other with patches which withdraw versions and bring them back."""
+"""Operators that concurrently submit patches: they withdraw versions or mark servers as leaving, and revert that."""
 
 import dataclasses
 import random
@@ -12,7 +12,7 @@
 class Patch:
     label: str
     target: str  # MODEL@VERSION, or a backend server's name
-    stops: bool  # withdraws it, or brings it back
+    stops: bool  # true: withdraws the version or marks the server as leaving; false: reverts that
     submitted: float
     answered: float = 0
     number: int = 0
@@ -49,20 +49,24 @@
         chosen = {}
 
         def patch(text, head):
-            kind = self._server if rng.random() < 0.3 else self._version
+            kind = self._server_patch if rng.random() < 0.3 else self._version_patch
             chosen["target"], chosen["stops"], change = kind(rng, text)
             return change
 
         self.submit(vm, label, None, None, patch, chosen)
 
     def submit(self, vm, label, target, stops, patch, chosen=None):
-        """Submits patch (text of the head, its number) at the VM; the result, "" if there was none."""
+        """Submits patch(text, number), a function of the newest configuration, at the VM; returns the result.
+
+        The result is "" if the newest configuration could not be read. chosen: a dictionary that patch fills with
+        target and stops, if they are not known before.
+        """
         try:
-            status, versions = self.site.operate(vm, "GET", "/v1/versions")
+            status, versions = self.site.call_operators(vm, "GET", "/v1/versions")
             if status != 200:
                 return ""
             head = versions["head"]
-            status, current = self.site.operate(vm, "GET", f"/v1/versions/{head}")
+            status, current = self.site.call_operators(vm, "GET", f"/v1/versions/{head}")
             if status != 200:
                 return ""
         except (OSError, ValueError, KeyError):
@@ -74,7 +78,7 @@
         with self.lock:
             self.log.append(entry)
         try:
-            _, answer = self.site.operate(vm, "POST", "/v1/patches?wait=in_force&wait_ms=10000", body, 30)
+            _, answer = self.site.call_operators(vm, "POST", "/v1/patches?wait=in_force&wait_ms=10000", body, 30)
         except (OSError, ValueError):
             entry.result, entry.answered = "lost", boot_ms()
             return entry.result
@@ -83,22 +87,22 @@
         entry.result = answer.get("state") or answer.get("error", {}).get("reason", "refused")
         return entry.result
 
-    def _version(self, rng, text):
+    def _version_patch(self, rng, text):
         model = rng.choice(list(MODELS))
         states = {v: text["models"][model]["versions"][v]["state"] == "withdrawn" for v in VERSIONS}
-        version, stops = self._pick(rng, states)
+        version, stops = self._choose(rng, states)
         state = "withdrawn" if stops else "active"
         return f"{model}@{version}", stops, {"models": {model: {"versions": {version: {"state": state}}}}}
 
-    def _server(self, rng, text):
+    def _server_patch(self, rng, text):
         model = rng.choice(list(MODELS))
         servers = {n: s.get("leaving", False) for n, s in text["backend_servers"].items() if n.startswith(model)}
-        server, stops = self._pick(rng, servers)
+        server, stops = self._choose(rng, servers)
         return server, stops, {"backend_servers": {server: {"leaving": stops}}}
 
     @staticmethod
-    def _pick(rng, stopped):
-        """Stops one when none is stopped, and else brings the stopped one back."""
+    def _choose(rng, stopped):
+        """Chooses what is stopped now, to bring it back; a random one to stop if none is. Returns (name, stops)."""
         for name, is_stopped in stopped.items():
             if is_stopped:
                 return name, False
--- a/regress/soak/oracle.py
+++ b/regress/soak/oracle.py
@@ -1,15 +1,15 @@
-"""Reads the engines' own records, the tables and what callers saw, and checks the promises."""
+"""Checks the site's guarantees against the engines' records, the tables and what callers and operators saw."""
 
 import collections
 
-from oracle_faults import REACH_MS, FaultChecks
+from oracle_faults import BRAKE_REACH_MS, FaultChecks
 from records import Records
 from site_vms import MODELS
 
 ALLOWED = {"bank": set(MODELS) | {"ledger"}, "tender": {"draft-small"}}
 
-# The check of the grant stands directly before the last byte of a request. What remains is one
-# write and the way to the engine.
+# Time between the check of the grant, which is made directly before a request's last byte is sent, and the
+# arrival of that byte at the engine: one write and the network.
 SEND_MS = 100
 ENGINE_FAULTS = {"kill_engine", "freeze_engine", "engine_fault", "crash_prompt"}
 
@@ -19,10 +19,10 @@
         super().__init__(site, faults)
         self.operators, self.brakes = operators.log, brakes.log
         self.sent = callers.log
-        self.send_ms, self.reach_ms = SEND_MS * slack, REACH_MS * slack
+        self.send_ms, self.reach_ms = SEND_MS * slack, BRAKE_REACH_MS * slack
         self.violations = []
-        self.lost = []  # answers whose bill is lost in the stated window
-        self.checked = collections.Counter()
+        self.lost = []  # answers without a bill that are within the loss window that the design states
+        self.checked = collections.Counter()  # number of cases that each check had
         records = Records(site)
         self.runs, self.bills, self.by_tag = records.runs, records.bills, records.by_tag
 
@@ -50,13 +50,13 @@
                 self.fail("allowed version", f"{run['user']} of {team} ran on {run['model']}")
 
     def stopped_spans(self):
-        """(version or server, from, to, number): certainly stopped, by what operators were told."""
+        """(version or server, begin, end, number) of the times in which operators were told that it is stopped."""
         spans = []
         for patch in self.operators:
             if not patch.stops or patch.result != "in_force":
                 continue
-            # Any later patch that may have brought it back ends the span, also one whose answer was lost.
-            back = [
+            # A later patch that may have reverted it ends the span, even if the patch's answer was lost.
+            reverts = [
                 p.submitted
                 for p in self.operators
                 if p.target == patch.target
@@ -64,21 +64,22 @@
                 and (p.number > patch.number or (p.number == 0 and p.result in ("lost", "unknown", "unavailable")))
                 and p.answered > patch.submitted
             ]
-            spans.append((patch.target, patch.answered, min(back, default=float("inf")), patch.number))
+            spans.append((patch.target, patch.answered, min(reverts, default=float("inf")), patch.number))
         return spans
 
     def no_work_on_stopped(self):
         for target, begin, end, number in self.stopped_spans():
             self.checked["withdrawals in force" if "@" in target else "leaving servers"] += 1
             for run in self.runs:
-                if target not in (run["model"], run["server"]) or self.arrived_frozen(run, begin):
+                if target not in (run["model"], run["server"]) or self.arrived_while_frozen(run, begin):
                     continue
                 if begin + self.send_ms < run["started_ms"] < end:
-                    late = run["started_ms"] - begin
-                    self.fail("stopped target", f"{target}, number {number}: {run['user']} began {late:.0f} ms after")
+                    delay_ms = run["started_ms"] - begin
+                    self.fail("stopped target", f"{target}, number {number}: {run['user']} began {delay_ms:.0f} ms after")
 
-    def arrived_frozen(self, run, begin):
-        """A frozen engine dates what came before at its waking."""
+    def arrived_while_frozen(self, run, begin):
+        """Whether a request was sent before begin to an engine that was frozen: the engine records it when it
+        continues."""
         for name, server, frozen, woken in self.faults.log:
             if name == "freeze_engine" and server == run["server"] and frozen < begin and run["started_ms"] >= woken - 100:
                 if any(s.at < begin for s in self.sent if s.tag == run["user"]):
@@ -86,7 +87,7 @@
         return False
 
     def billed_tokens(self):
-        """The last attempt of an answer's bill counts what its engine generated."""
+        """The last attempt in an answer's bill has the number of tokens that its engine generated."""
         bills = {bill["request"]: bill for bill in self.bills.values()}
         for sent in self.sent:
             bill = bills.get(sent.request)
@@ -165,7 +166,7 @@
             self.checked["planned stops"] += 1
             if status != 0:
                 self.fail("planned stop", f"the gate of {vm} ended with status {status}")
-            # No other fault is brought to this VM meanwhile; those of the engines cut answers too.
+            # The VM has no other fault meanwhile, but faults of the engines truncate answers too.
             if any(f[0] in ENGINE_FAULTS and f[2] < end and f[3] > begin - 1000 for f in self.faults.log):
                 continue
             self.checked["planned stops without an engine's fault"] += 1
@@ -174,7 +175,7 @@
                     self.fail("planned stop", f"{sent.tag} was cut while the gate of {vm} stopped")
 
     def configuration_never_reverts(self):
-        """Within one session of callers, a VM's answers carry numbers that only rise."""
+        """The configuration numbers in a VM's answers do not fall."""
         for vm in {s.vm for s in self.sent}:
             answers = sorted((s for s in self.sent if s.vm == vm and s.config), key=lambda s: s.at)
             newest, newest_end = 0, 0
--- a/regress/soak/oracle_faults.py
+++ b/regress/soak/oracle_faults.py
@@ -1,31 +1,32 @@
-"""Checks that look at when faults came: brakes, callers that leave, frozen queues, outages."""
+"""Checks that depend on the times of faults: brakes, callers that leave, requests queued at frozen VMs, outages."""
 
 import collections
 
-from callers import VANISH_TOKENS
-
-# "Within seconds": the bound in which a brake reaches a gate that can hear of it.
-REACH_MS = 6000
-# Faults after which a steward has forgotten what it held.
-LOSSY = {"kill_vm", "kill_steward", "planned_stop", "replace_vm", "kill_vm_in_outage"}
-# Faults in which a steward hears and tells nothing.
-STEWARD_AWAY = LOSSY | {"freeze_vm", "freeze_steward", "freeze_in_patch"}
-# Faults of the links between VMs.
-LINKS = {"cut_peers", "cut_halves"}
+from callers import LEFT_STREAM_TOKENS
+
+# Limit within which a brake takes effect at a gate that can learn of it: the design says "within seconds".
+BRAKE_REACH_MS = 6000
+# Faults by which a steward loses the brakes, votes and records in its memory.
+STATE_LOSS = {"kill_vm", "kill_steward", "planned_stop", "replace_vm", "kill_vm_in_outage"}
+# Faults during which a steward neither receives nor sends.
+STEWARD_SILENT = STATE_LOSS | {"freeze_vm", "freeze_steward", "freeze_in_patch"}
+# Faults that cut links between VMs.
+LINK_CUT = {"cut_peers", "cut_halves"}
+# Faults by which a gate loses its memory.
 GATE_LOSS = {"kill_vm", "kill_gate", "planned_stop", "replace_vm", "kill_vm_in_outage"}
-FROZEN = {"freeze_vm", "freeze_gate", "freeze_in_patch"}
-# Faults in which a gate can't count on the platform.
+GATE_FROZEN = {"freeze_vm", "freeze_gate", "freeze_in_patch"}
+# Faults during which a gate may not reach the platform.
 PLATFORM_AWAY = {"platform_down", "platform_slow", "platform_loses_calls", "platform_loses_replies", "long_outage"}
-# A gate that is in contact for so long has tried the table, and the VMs that hold copies, again.
+# A gate that could reach the table or the VMs with copies for so long has retried its writes there.
 CONTACT_MS = 5000
-# The longest that a record waits for its places before the answer's end is given.
-COMMIT_MS = 2500
-# Until the copies of a gate that is gone are in the table.
-HOLD_MS = 150000
+# The longest time for which the end of an answer waits until its record is in the table or copied.
+COMMIT_MAX_MS = 2500
+# Time until the copies of a lost gate's records are in the table.
+COPIES_HELD_MS = 150000
 
 
-def without(begin, end, spans):
-    """The time between begin and end that is in none of the spans."""
+def time_outside(begin, end, spans):
+    """The time in ms between begin and end that is in none of the spans."""
     left, at = 0, begin
     for b, e in sorted(spans):
         if b > end:
@@ -35,14 +36,14 @@
     return left + max(0, end - at)
 
 
-def in_contact(begin, end, spans):
-    """Whether a record that was made at begin has left its gate by end."""
-    near = any(b < end and e > begin - COMMIT_MS for b, e in spans)
-    return not near or without(begin, end, spans) >= CONTACT_MS
+def stored_elsewhere(begin, end, spans):
+    """Whether a record that its gate made at begin was stored elsewhere by end. spans: times without contact."""
+    was_cut = any(b < end and e > begin - COMMIT_MAX_MS for b, e in spans)
+    return not was_cut or time_outside(begin, end, spans) >= CONTACT_MS
 
 
-def cuts(kind, what, one, other):
-    """Whether a fault of the links keeps one from hearing the other."""
+def cut_between(kind, what, one, other):
+    """Whether a fault cuts the link between two VMs."""
     if kind == "cut_peers":
         return what in (one, other)
     if kind != "cut_halves":
@@ -52,39 +53,42 @@
 
 
 class FaultChecks:
+    """The log of faults by VM and link, and the checks that need it."""
+
     def __init__(self, site, faults):
         self.site, self.faults = site, faults
 
     def faults_of(self, vm, kinds):
-        """(begin, end) of the faults of a VM."""
+        """(begin, end) of a VM's faults of these kinds."""
         return sorted((begin, end) for kind, what, begin, end in self.faults.log if what == vm and kind in kinds)
 
-    def apart(self, one, other):
-        """(begin, end) of the times in which one can't be sure to hear of the other."""
-        links = [(b, e) for kind, what, b, e in self.faults.log if cuts(kind, what, one, other)]
-        return sorted(self.faults_of(one, STEWARD_AWAY) + self.faults_of(other, STEWARD_AWAY | GATE_LOSS | FROZEN) + links)
+    def separated(self, one, other):
+        """(begin, end) of the times in which one VM may not learn from the other."""
+        links = [(b, e) for kind, what, b, e in self.faults.log if cut_between(kind, what, one, other)]
+        return sorted(self.faults_of(one, STEWARD_SILENT) + self.faults_of(other, STEWARD_SILENT | GATE_LOSS | GATE_FROZEN) + links)
 
-    def reach(self, brake, vm):
-        """When vm has certainly heard of the brake, or infinity.
+    def reached_by(self, brake, vm):
+        """The time by which vm must have learned of the brake, or infinity.
 
-        Both VMs and their links were then whole for self.reach_ms on end, before the raising VM forgot.
+        By then both VMs and their link had no fault for self.reach_ms without interruption, before the VM that
+        raised the brake lost its memory.
         """
-        lost = min((b for b, _ in self.faults_of(brake.vm, LOSSY) if b > brake.raised), default=float("inf"))
-        at = max(brake.raised, vm.begun)
-        for begin, end in self.apart(brake.vm, vm.name):
+        lost = min((b for b, _ in self.faults_of(brake.vm, STATE_LOSS) if b > brake.raised), default=float("inf"))
+        at = max(brake.raised, vm.started_at)
+        for begin, end in self.separated(brake.vm, vm.name):
             if begin > at + self.reach_ms:
                 break
             at = max(at, end)
         return at + self.reach_ms if at + self.reach_ms < lost else float("inf")
 
-    def alone(self, vm):
-        """(begin, end) of the times in which a VM's gate may reach neither the platform nor a peer.
+    def isolated(self, vm):
+        """Two lists of (begin, end): times in which a VM's gate may not reach the platform, and its peers.
 
-        The relay refuses connections between all VMs while any of them is cut off from another.
+        Any cut between VMs counts for all of them: a relay resets connections while its VM is cut off from any other.
         """
         away, links = [], []
         for kind, what, begin, end in self.faults.log:
-            if kind in LINKS:
+            if kind in LINK_CUT:
                 links.append((begin, end))
             if (
                 kind in PLATFORM_AWAY
@@ -97,45 +101,45 @@
     def lost_in_window(self, sent):
         """Whether a missing bill is within the loss window that docs/design/billing.md states.
 
-        The record was in its gate's memory only, or with two other VMs, and all these died.
+        The record was only in its gate's memory, or also copied to two other VMs, and all of these were lost.
         """
         killed = min((b for b, _ in self.faults_of(sent.vm, GATE_LOSS - {"planned_stop"}) if b > sent.end - 50), default=None)
         if killed is None:
             return False
-        away, links = self.alone(sent.vm)
-        if in_contact(sent.end, killed, away):
+        away, links = self.isolated(sent.vm)
+        if stored_elsewhere(sent.end, killed, away):
             return False
-        if not in_contact(sent.end, killed, links):
+        if not stored_elsewhere(sent.end, killed, links):
             return True
-        gone = {
+        lost_vms = {
             what
             for kind, what, begin, end in self.faults.log
-            if kind in LOSSY and sent.end < begin < killed + HOLD_MS
-            or kind in STEWARD_AWAY and begin < sent.end and end > sent.end - COMMIT_MS
+            if kind in STATE_LOSS and sent.end < begin < killed + COPIES_HELD_MS
+            or kind in STEWARD_SILENT and begin < sent.end and end > sent.end - COMMIT_MAX_MS
         }
-        return len(gone - {sent.vm}) >= 2
+        return len(lost_vms - {sent.vm}) >= 2
 
-    def forgot(self, vm, begin, end):
-        return any(b < end and e > begin for b, e in self.faults_of(vm, LOSSY))
+    def lost_state(self, vm, begin, end):
+        return any(b < end and e > begin for b, e in self.faults_of(vm, STATE_LOSS))
 
     def brakes_reach_gates(self):
         by_tag = {s.tag: s for s in self.sent}
         refused = collections.Counter(s.asked for s in self.sent if s.reason == "version_braked")
         for brake in self.brakes:
             self.checked["brakes raised"] += 1
-            partition = any(k in LINKS and b < brake.raised < e for k, _, b, e in self.faults.log)
+            partition = any(k in LINK_CUT and b < brake.raised < e for k, _, b, e in self.faults.log)
             self.checked["brakes raised in a partition"] += partition
             self.checked["requests refused by a brake"] += refused.pop(brake.target, 0)
-            reach = {vm.name: self.reach(brake, vm) for vm in self.site.all_vms}
-            self.checked["brakes by gates that must have heard"] += sum(at < brake.released for at in reach.values())
+            reached_by = {vm.name: self.reached_by(brake, vm) for vm in self.site.all_vms}
+            self.checked["brakes by gates that must have heard"] += sum(at < brake.released for at in reached_by.values())
             for run in self.runs:
                 sent = by_tag.get(run["user"])
                 if not sent or run["model"] != brake.target or not sent.vm:
                     continue
-                at = reach[sent.vm]
-                if at < run["started_ms"] < brake.released and not self.forgot(sent.vm, at - self.reach_ms, run["started_ms"]):
-                    late = run["started_ms"] - brake.raised
-                    self.fail("brake", f"{brake.target} raised at {brake.vm}: {sent.vm} began {sent.tag} {late:.0f} ms after")
+                at = reached_by[sent.vm]
+                if at < run["started_ms"] < brake.released and not self.lost_state(sent.vm, at - self.reach_ms, run["started_ms"]):
+                    delay_ms = run["started_ms"] - brake.raised
+                    self.fail("brake", f"{brake.target} raised at {brake.vm}: {sent.vm} began {sent.tag} {delay_ms:.0f} ms after")
 
     def named_session_keeps_version(self):
         versions = collections.defaultdict(set)
@@ -148,7 +152,8 @@
                 self.fail("named session", f"{name} was answered by {sorted(used)}")
 
     def caller_that_left(self):
-        """Its stream is cancelled long before its end, and billed once for what was generated."""
+        """The stream of a caller that left is cancelled before its end, and billed once for at most what was
+        generated."""
         bills = collections.defaultdict(list)
         for bill in self.bills.values():
             bills[bill["request"]].append(bill)
@@ -157,19 +162,19 @@
                 continue
             self.checked["callers that left"] += 1
             span = (sent.at, sent.end + 3000)
-            spoilt = [f for f in self.faults_of(sent.vm, GATE_LOSS | FROZEN) if f[0] < span[1] and f[1] > span[0]]
+            disturbed = [f for f in self.faults_of(sent.vm, GATE_LOSS | GATE_FROZEN) if f[0] < span[1] and f[1] > span[0]]
             runs = self.by_tag[sent.tag]
-            if not spoilt and not self.lost_in_window(sent):
+            if not disturbed and not self.lost_in_window(sent):
                 self._left_cancelled(sent, runs)
                 self._left_billed(sent, runs, bills[sent.request])
 
     def _left_cancelled(self, sent, runs):
         for run in runs:
-            # A frozen engine makes up for the time at its waking, in one go.
+            # An engine that continues after a freeze generates the tokens of that time at once.
             if any(b < sent.end + 3000 and e > sent.at for b, e in self.faults_of(run["server"], {"freeze_engine"})):
                 continue
             self.checked["streams whose caller left, cancelled"] += 1
-            if run.get("tokens", 0) >= VANISH_TOKENS:
+            if run.get("tokens", 0) >= LEFT_STREAM_TOKENS:
                 self.fail("caller left", f"{sent.tag}: {run['server']} generated all {run['tokens']} tokens")
 
     def _left_billed(self, sent, runs, bills):
@@ -178,12 +183,12 @@
             return
         self.checked["bills of callers that left"] += 1
         billed = bills[0]["attempts"][-1]["completion_tokens"] if bills[0]["attempts"] else 0
-        most = max((run.get("tokens", VANISH_TOKENS) for run in runs), default=0)
-        if billed > most:
-            self.fail("caller left", f"{sent.tag}: {billed} tokens billed, {most} generated")
+        generated_max = max((run.get("tokens", LEFT_STREAM_TOKENS) for run in runs), default=0)
+        if billed > generated_max:
+            self.fail("caller left", f"{sent.tag}: {billed} tokens billed, {generated_max} generated")
 
     def frozen_queues(self):
-        """What was queued in a frozen VM is part of no_work_on_stopped; here only that it came."""
+        """Counts the requests queued at frozen VMs; no_work_on_stopped checks what became of them."""
         for kind, _, begin, end in self.faults.log:
             if kind != "freeze_in_patch":
                 continue
--- a/regress/soak/records.py
+++ b/regress/soak/records.py
@@ -1,4 +1,4 @@
-"""What the run left behind: the engines' own records of what ran, and the bill table."""
+"""Reads what a run recorded: the engines' records of the requests that they ran, and the bill table."""
 
 import collections
 import json
@@ -8,6 +8,7 @@
 
 
 def scan(site, table):
+    """All rows of a table, read page by page."""
     rows, start = [], ""
     while True:
         url = f"http://{site.platform[0]}:{site.platform[1]}/v1/scan?table={table}&from={start}&limit=500"
@@ -24,6 +25,8 @@
 
 
 class Records:
+    """The runs at all engines and the service, the same by tag, and the bills."""
+
     def __init__(self, site):
         self.site = site
         self.runs = self._read_records()
@@ -43,8 +46,9 @@
                     try:
                         entry = json.loads(line)
                     except ValueError:
-                        continue  # the last line of a killed engine
-                    # An engine that was killed counts its runs from the beginning again.
+                        continue  # a line that a killed engine did not complete
+                    # A line with a user begins a run; later lines of the same run add to it. The numbers of runs
+                    # start again after an engine was killed, so that a number refers to its latest beginning.
                     if "user" in entry:
                         latest[name, entry["run"]] = entry
                         runs.append(entry)
--- a/regress/soak/relay.py
+++ b/regress/soak/relay.py
@@ -1,8 +1,9 @@
-"""A relay before each VM's RPC address and before each VM's way to the platform.
+"""Relays that can cut a VM off from its peers or from the platform.
 
-Datagrams are told apart by their sender, so that one direction of one pair can be cut alone.
-Connections carry no VM's name: a relay refuses and freezes them while its VM is cut off from
-anybody.
+Each VM has one relay before its RPC address, and one that it reaches the platform through. Datagrams are
+identified by their sender, so that one direction between two VMs can be cut alone. Connections do not show
+which VM they come from: a relay resets new ones and holds the data of open ones while its VM is cut off
+from any other.
 """
 
 import asyncio
@@ -10,15 +11,15 @@
 
 
 class Link:
-    """One listening address that forwards to another."""
+    """One listening address, for TCP and UDP, that forwards to a target address."""
 
     def __init__(self, listen, target):
         self.listen, self.target = listen, target
-        self.cut_from = set()  # senders whose datagrams are dropped
-        self.cut_to = set()  # senders whose answers are dropped
+        self.cut_from = set()  # IP addresses whose datagrams are dropped
+        self.cut_to = set()  # IP addresses to which answers are dropped
         self.cut_all = False
-        self.open = None
-        self.tasks = set()  # the loop itself keeps only weak references
+        self.open = None  # event that is set while nothing is cut
+        self.tasks = set()  # references to running tasks; the event loop keeps only weak ones
 
     async def start(self):
         self.open = asyncio.Event()
@@ -39,13 +40,13 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        pumps = [self._pump(reader, far_writer), self._pump(far_reader, writer)]
+        pumps = [self._pump(reader, target_writer), self._pump(target_reader, writer)]
         await asyncio.gather(*pumps, return_exceptions=True)
-        far_writer.transport.abort()
+        target_writer.transport.abort()
         writer.transport.abort()
 
     async def _pump(self, reader, writer):
@@ -58,11 +59,11 @@
 
 
 class _Inbound(asyncio.DatagramProtocol):
-    """Datagrams to the relayed VM; one further socket per sender takes its answers back."""
+    """Forwards datagrams to the target; a socket per sender receives the target's answers to it."""
 
     def __init__(self, link):
         self.link = link
-        self.ways = {}
+        self.outbound = {}
 
     def connection_made(self, transport):
         self.transport = transport
@@ -70,24 +71,26 @@
     def datagram_received(self, data, addr):
         if self.link.cut_all or addr[0] in self.link.cut_from:
             return
-        if addr not in self.ways:
-            self.ways[addr] = None
+        if addr not in self.outbound:
+            self.outbound[addr] = None
             task = asyncio.get_running_loop().create_task(self._open(addr, data))
             self.link.tasks.add(task)
             task.add_done_callback(self.link.tasks.discard)
-        elif self.ways[addr]:
-            self.ways[addr].sendto(data)
+        elif self.outbound[addr]:
+            self.outbound[addr].sendto(data)
 
     async def _open(self, addr, data):
         loop = asyncio.get_running_loop()
-        way, _ = await loop.create_datagram_endpoint(
+        target_transport, _ = await loop.create_datagram_endpoint(
             lambda: _Outbound(self, addr), remote_addr=self.link.target
         )
-        self.ways[addr] = way
-        way.sendto(data)
+        self.outbound[addr] = target_transport
+        target_transport.sendto(data)
 
 
 class _Outbound(asyncio.DatagramProtocol):
+    """Forwards the target's answers to one sender."""
+
     def __init__(self, inbound, addr):
         self.inbound, self.addr = inbound, addr
 
@@ -98,7 +101,7 @@
 
 
 class Relay:
-    """All links, served by one thread."""
+    """All links by name; one thread runs their event loop."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -111,6 +114,7 @@
         self.links[name] = link
 
     def change(self, name, **values):
+        """Sets attributes of a link: cut_from, cut_to, cut_all."""
         def apply():
             for key, value in values.items():
                 setattr(self.links[name], key, value)
@@ -118,6 +122,6 @@
 
         self.loop.call_soon_threadsafe(apply)
 
-    def mend_all(self):
+    def restore_all(self):
         for name in self.links:
             self.change(name, cut_all=False, cut_from=set(), cut_to=set())
--- a/regress/soak/soak.py
+++ b/regress/soak/soak.py
@@ -1,7 +1,7 @@
-"""Long randomised run of a real site on loopback: make soak SEED=n SECONDS=s.
+"""Randomised soak test of a real site on loopback: make soak SEED=n SECONDS=s.
 
-The seed gives the schedule of faults, of callers and of operators. At the end all faults are
-mended, the site settles, is stopped gracefully, and the oracle checks the promises.
+The seed determines the schedules of the faults, the callers and the operators. At the end all faults are
+cleared, the site settles and is stopped gracefully, and the oracle checks the site's guarantees.
 """
 
 import argparse
@@ -22,8 +22,8 @@
 from records import read_bills
 from site_vms import MODELS, Site
 
-# Checks that each run of a minute and more has cases of, and those of the larger events.
-CASES = [
+# Checks that must have had cases in a run of REQUIRED_FROM_S or more; EPISODE_CHECKS: those of an episode.
+REQUIRED_CHECKS = [
     "runs on an allowed model", "requests for a model that is not allowed", "withdrawals in force", "leaving servers", "bills with the engine's tokens",
     "session answers", "answers with a bill", "whole answers", "refusals as not run",
     "non-idempotent requests", "planned stops", "configuration numbers", "patches in force",
@@ -31,7 +31,7 @@
     "requests refused by a brake", "answers in sessions named by callers", "callers that left",
     "streams whose caller left, cancelled", "bills of callers that left",
 ]  # fmt: skip
-EPISODE_CASES = {
+EPISODE_CHECKS = {
     "outage": ["answers in the long outage"],
     "replace_each": ["VMs replaced"],
     "replace_all": ["VMs replaced"],
@@ -39,15 +39,15 @@
     "freeze_in_patch": ["VMs frozen while a patch came into force", "requests queued in them"],
     "crash_prompt": ["crash prompts sent"],
 }
-NOT_BEGUN = 2  # exit status
-CASES_FROM_SECONDS = 60
-LAST_BRAKE_BOUND_S = 30
-# A gate counts as gone after a minute, and one look at the records of gates that are gone is a minute
-# after the other.
-BILLS_BOUND_S = 150
+NOT_STARTED = 2  # exit status
+REQUIRED_FROM_S = 60
+LAST_BRAKE_TIMEOUT_S = 30
+# A gate counts as lost after a minute, and the records of lost gates are looked for once a minute.
+BILLS_TIMEOUT_S = 150
 
 
 def invariant_lines(site):
+    """Lines of the VMs' logs about violated invariants."""
     found = []
     for vm in site.all_vms:
         for program in ("gate", "steward"):
@@ -57,8 +57,8 @@
 
 
 def settle(site, callers, faults, bills_bound):
-    """All faults are over: every gate must become ready, and every bill must reach the table."""
-    site.relay.mend_all()
+    """Clears what links are still cut and waits: all gates must become ready, and all bills must reach the table."""
+    site.relay.restore_all()
     site.wait(lambda: all(vm.ready() for vm in site.vms), "all gates ready after the faults", 90)
     checks = FaultChecks(site, faults)
     answered = [s for s in callers.log if s.outcome == "answered" and s.idempotent]
@@ -74,22 +74,22 @@
 
 
 def last_brake(site, callers):
-    """Raised at one VM of a whole site, a brake stops its version at every gate; ms until each did."""
+    """Raises a brake on a site without faults; returns the times in ms until each gate refused the version."""
     target = f"{list(MODELS)[0]}@{BRAKED_VERSION}"
     rng = random.Random(0)
     begin = boot_ms()
 
-    def told():
-        return site.operate(site.vms[0], "POST", "/v1/brakes", {"version": target, "why": "last"})[0] == 200
+    def brake_accepted():
+        return site.call_operators(site.vms[0], "POST", "/v1/brakes", {"version": target, "why": "last"})[0] == 200
 
     def stopped(vm):
         sent = callers.send(rng, f"last-{vm.name}-{boot_ms():.0f}", "bank", target, True, vm=vm)
         return sent.reason in ("version_braked", "version_withdrawn")
 
-    site.wait(told, "the last brake is taken", LAST_BRAKE_BOUND_S)
+    site.wait(brake_accepted, "the last brake is accepted", LAST_BRAKE_TIMEOUT_S)
     times = []
     for vm in site.vms:
-        site.wait(lambda: stopped(vm), f"the last brake reaches {vm.name}", LAST_BRAKE_BOUND_S)
+        site.wait(lambda: stopped(vm), f"the last brake reaches {vm.name}", LAST_BRAKE_TIMEOUT_S)
         times.append(boot_ms() - begin)
     return times
 
@@ -121,11 +121,11 @@
             out.write(f"{sent.at:.0f} {sent.end:.0f} {sent.vm} {sent.tag} {sent.request} {sent.version} {sent.outcome} {sent.reason}\n")
 
 
-def missing_cases(args, oracle, episodes):
-    if args.seconds < CASES_FROM_SECONDS or args.no_faults:
+def checks_without_cases(args, oracle, episodes):
+    if args.seconds < REQUIRED_FROM_S or args.no_faults:
         return []
-    wanted = CASES + EPISODE_CASES.get(episodes.name, [])
-    return [f"no case: {what}" for what in wanted if not oracle.checked[what]]
+    wanted = REQUIRED_CHECKS + EPISODE_CHECKS.get(episodes.name, [])
+    return [f"check without a case: {what}" for what in wanted if not oracle.checked[what]]
 
 
 def parse():
@@ -137,8 +137,8 @@
     parser.add_argument("--callers", type=int, default=12)
     parser.add_argument("--episode", choices=["auto", "none", *Episodes.NAMES], default="auto")
     parser.add_argument("--keep", help="folder for settings, logs and records; kept")
-    parser.add_argument("--slack", type=int, default=1, help="factor on the bounds of time, for a busy machine")
-    parser.add_argument("--bills-bound", type=int, default=BILLS_BOUND_S, help="seconds until all bills are in the table")
+    parser.add_argument("--slack", type=int, default=1, help="factor on the time limits of the checks, for a loaded machine")
+    parser.add_argument("--bills-bound", type=int, default=BILLS_TIMEOUT_S, help="seconds until all bills are in the table")
     parser.add_argument("--no-faults", action="store_true")
     return parser.parse_args()
 
@@ -157,7 +157,7 @@
     time.sleep(args.seconds)
     for part in reversed(parts):
         part.stop()
-    violations = episodes.problems
+    violations = episodes.violations
     try:
         settle(site, callers, faults, args.bills_bound)
         print("last brake at each gate, ms:", percentiles(last_brake(site, callers)))
@@ -173,15 +173,15 @@
     try:
         site = Site(args.build, folder, args.vms)
     except RuntimeError as error:
-        print(f"soak: not begun: {error}")
-        return NOT_BEGUN
+        print(f"soak: site did not start: {error}")
+        return NOT_STARTED
     callers, operators, faults, brakes, episodes, violations = run(args, site)
     statuses = [p.stop(15, 60) for vm in site.vms for p in (vm.gate, vm.steward)]
     if any(statuses):
         violations.append(f"exit statuses after the last planned stop: {statuses}")
     keep_logs(site, faults, callers)
     oracle = Oracle(site, callers, operators, faults, brakes, args.slack)
-    violations += oracle.check() + invariant_lines(site) + missing_cases(args, oracle, episodes)
+    violations += oracle.check() + invariant_lines(site) + checks_without_cases(args, oracle, episodes)
     with open(site.file("lost.txt"), "w", encoding="utf-8") as out:
         out.writelines(f"{sent.end:.0f} {sent.vm} {sent.tag} {sent.request}\n" for sent in oracle.lost)
     site.stop()
