--- a/regress/case_at_most_once.sh
+++ b/regress/case_at_most_once.sh
@@ -1,11 +1,12 @@
 #!/bin/bash
-# An officer's client sends an issuance again, because the network was slow, while the first is still
-# running; the balancer takes it to another VM. Running it twice would leave the bank with two
-# guarantees. The key is claimed in the table before the first byte is sent, so the second is told that
-# the first is in progress, and later receives its stored answer; one run, one bill.
+# A client repeats a non-idempotent request with the same Idempotency-Key, also while the first is still
+# running and at another VM. If both ran, the bank would have issued two guarantees. The gate claims the key in
+# the table before it sends the first byte: a concurrent repetition is refused with claim_in_progress, a
+# later one gets the stored answer, and the request runs once.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
+# service_runs KEY: prints the service's records of requests with this idempotency key, one per line.
 service_runs() {
   curl -sf --max-time 10 "$(service_url)/v1/record" \
     | jq -c --arg key "$1" '.. | objects | select(.idempotency? == $key)'
@@ -19,7 +20,7 @@
     -d "$text" "$@"
 }
 
-check_again() {
+check_repeated() {
   local first
   issue 1 again-1 '{"guarantee":"G-1"}'
   expect_equal "status" 200 "$code"
@@ -32,12 +33,12 @@
   expect_equal "runs" 1 "$(service_runs again-1 | wc -l)"
 }
 
-# The service is slow; the second try comes in between, at another VM.
-check_meanwhile() {
+# The service takes 3 s; the repetition comes meanwhile, at another VM.
+check_repeated_while_running() {
   local claims
   claims=$(table_rows claim | wc -l)
   curl -sf -X POST -d '{"kind":"slow","value":3000,"count":1,"path":"/issue"}' \
-    "$(service_url)/v1/fault" || fail "the service did not take the fault"
+    "$(service_url)/v1/fault" || fail "the service did not accept the fault"
   curl -s --max-time $HTTP_MAX_S -o "$site/out/first" -w '%{http_code}' \
     -H "Authorization: Bearer ${key[tender-desk]}" -H 'Idempotency-Key: again-2' \
     -d '{"guarantee":"G-3"}' "$(gate_url 1)/v1/services/issuance-ledger/issue" >"$site/out/first-code" &
@@ -46,7 +47,7 @@
   issue 2 again-2 '{"guarantee":"G-3"}'
   expect_equal "status meanwhile" 409 "$code"
   expect_equal "reason meanwhile" claim_in_progress "$(body .error.reason)"
-  [ -n "$(header Retry-After)" ] || fail "the refusal does not say when to come back"
+  [ -n "$(header Retry-After)" ] || fail "the refusal has no Retry-After"
   wait "${pid[first]}"
   unset 'pid[first]'
   expect_equal "status of the first" 200 "$(cat "$site/out/first-code")"
@@ -56,37 +57,37 @@
   expect_equal "runs" 1 "$(service_runs again-2 | wc -l)"
 }
 
-# Without a durable claim it must not run, and the caller must be told so at once.
-check_no_table() {
+# While the table service is unavailable no claim can be made: the request must not run, and is refused at once.
+check_no_claim_without_table() {
   local began=$SECONDS
   curl -sf -X POST -d '{"kind":"down","path":"/v1/txn"}' "$(platform_url)/v1/fault" \
-    || fail "the platform did not take the fault"
+    || fail "the platform did not accept the fault"
   issue 1 again-3 '{"guarantee":"G-4"}'
   curl -sf -X DELETE "$(platform_url)/v1/fault"
   expect_refusal 503 not_run claim_unavailable
-  [ -n "$(header Retry-After)" ] || fail "the refusal does not say when to come back"
-  [ $((SECONDS - began)) -lt 20 ] || fail "the refusal was held back"
+  [ -n "$(header Retry-After)" ] || fail "the refusal has no Retry-After"
+  [ $((SECONDS - began)) -lt 20 ] || fail "the refusal took 20 s or more"
   expect_equal "runs" 0 "$(service_runs again-3 | wc -l)"
   issue 2 again-3 '{"guarantee":"G-4"}'
-  expect_equal "status when the table is back" 200 "$code"
+  expect_equal "status when the table is available again" 200 "$code"
   expect_equal "runs" 1 "$(service_runs again-3 | wc -l)"
 }
 
-# The service's answer is lost after it ran: unknown, and never run again.
+# The service runs the request and its answer is lost: the state is "unknown", and a repetition does not run it.
 check_lost_reply() {
   curl -sf -X POST -d '{"kind":"lose_reply","count":1,"path":"/issue"}' \
-    "$(service_url)/v1/fault" || fail "the service did not take the fault"
+    "$(service_url)/v1/fault" || fail "the service did not accept the fault"
   issue 1 again-4 '{"guarantee":"G-5"}'
   expect_equal "state" unknown "$(body .error.state)"
   issue 2 again-4 '{"guarantee":"G-5"}'
-  expect_equal "state of the second try" unknown "$(body .error.state)"
+  expect_equal "state of the repetition" unknown "$(body .error.state)"
   expect_equal "runs" 1 "$(service_runs again-4 | wc -l)"
 }
 
 site_start 3
-check_again
-check_meanwhile
-check_no_table
+check_repeated
+check_repeated_while_running
+check_no_claim_without_table
 check_lost_reply
 site_stop
 echo "at most once: passed"
--- a/regress/case_bad_input.sh
+++ b/regress/case_bad_input.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Input that is wrong, too large, too slow, or not the caller's to send: each gets its exact refusal,
-# nothing runs, and nothing is billed. A caller that vanishes cancels the engine's stream and is billed
-# for what was generated until then.
+# Requests that are malformed, too large, too slow, ambiguous or not permitted: each is refused with its own status
+# and reason, nothing runs, and nothing is billed. When a caller closes its connection in the middle of a stream,
+# the stream is cancelled at the engine, and what was generated until then is billed.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -13,6 +13,7 @@
     "$site/gate-$1.json"
 }
 
+# expect_no_run MARK: no engine ran a prompt with this mark.
 expect_no_run() {
   expect_equal "runs of $1" 0 "$(run_count "$1")"
 }
@@ -29,9 +30,9 @@
   expect_no_run bad-1
 }
 
-# Of two members of one name the last counts, for the check and for the engine alike, so that a model
-# that the team may not use can't be smuggled past the check.
-check_doubled_member() {
+# If a JSON object has two members of one name, the last one counts, for the gate's check and for the engine alike.
+# Otherwise a caller could pass the check with one model and run another that its team may not use.
+check_duplicate_member() {
   local messages='"messages":[{"role":"user","content":"[id=bad-8] doubled"}]'
   ask 1 workshop "{\"model\":\"draft-small\",\"model\":\"draft-large\",$messages}"
   expect_refusal 403 not_run not_allowed
@@ -52,10 +53,10 @@
   ask 1 tender-desk "@$file"
   expect_refusal 413 not_run too_large
   ask 1 tender-desk "@$file" -H 'Expect:'
-  [ "$code" = 413 ] || [ "$code" = 000 ] || fail "a body of 50 MB sent without a pause: status $code"
+  [ "$code" = 413 ] || [ "$code" = 000 ] || fail "a body of 50 MB sent without Expect: status $code"
   ask 1 tender-desk "@$file" -H 'Expect:' -H 'Transfer-Encoding: chunked'
   [ "$code" = 413 ] || [ "$code" = 000 ] || fail "a body of 50 MB in chunks: status $code"
-  # Just above the bound, in chunks: the refusal itself must arrive.
+  # A chunked body slightly above the limit: the caller must receive the refusal, not a reset.
   head -c $((BODY_MAX + 1000)) "$file" >"$file.chunked"
   ask 1 tender-desk "@$file.chunked" -H 'Transfer-Encoding: chunked'
   expect_refusal 413 not_run too_large
@@ -63,7 +64,8 @@
   expect_no_run bad-2
 }
 
-check_header_bomb() {
+# A head with 2000 fields.
+check_too_many_headers() {
   local n status
   {
     printf 'POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n'
@@ -76,7 +78,7 @@
   expect_equal "status of a header bomb" 431 "$status"
 }
 
-# send_raw GATE FILE: sends bytes as they are; prints the status of the answer.
+# send_raw GATE FILE: sends a file's bytes unchanged; prints the status of the answer.
 send_raw() {
   local line
   exec 9<>"/dev/tcp/127.0.0.1/${port[$((18100 + 10 * $1))]}" || fail "gate $1 does not listen"
@@ -96,7 +98,7 @@
   ask 1 stranger "$(chat draft-small "[id=bad-3] two keys")" -H 'Authorization:'
   expect_refusal 401 not_run unauthenticated
   expect_no_run bad-3
-  # A session of another team.
+  # A team may not use another team's session.
   ask 1 tender-desk "$(chat draft-small "a session")"
   expect_whole
   token=$(header X-Lovage-Session)
@@ -115,7 +117,7 @@
   expect_no_run bad-5
 }
 
-# One byte a second: the gate must not wait for the end.
+# A caller sends one byte per second: the gate refuses it at the read time-out and does not wait for the end.
 check_slow_sender() {
   local body line text began=$SECONDS
   body=$(chat draft-small "[id=bad-6] slowly")
@@ -140,57 +142,57 @@
   expect_no_run bad-6
 }
 
-vanished_run_ended() {
+cancelled_run_ended() {
   [ "$(runs_of bad-7 | jq -r 'select(.cancelled) | .ended')" = true ]
 }
 
-vanished_bill() {
+cancelled_bill() {
   table_rows bill | jq -c 'select(.value.outcome == "cancelled") | .value'
 }
 
-check_vanished() {
+check_caller_left() {
   local tokens billed
   MAX_TOKENS=500 ask 2 tender-desk "$(MAX_TOKENS=500 chat draft-large "[id=bad-7] vanish" true)" \
     --max-time 1
-  expect_equal "curl's status after vanishing" 28 "$curl_status"
-  wait_for "the engine's stream to be cancelled" vanished_run_ended
-  expect_equal "runs of the vanished caller" 1 "$(run_count bad-7)"
-  wait_for "the bill of the vanished caller" eval '[ -n "$(vanished_bill)" ]'
-  expect_equal "bills of the vanished caller" 1 "$(vanished_bill | wc -l)"
+  expect_equal "curl's status after its time-out" 28 "$curl_status"
+  wait_for "the engine's stream to be cancelled" cancelled_run_ended
+  expect_equal "runs of the cancelled stream" 1 "$(run_count bad-7)"
+  wait_for "the bill of the cancelled stream" eval '[ -n "$(cancelled_bill)" ]'
+  expect_equal "bills of the cancelled stream" 1 "$(cancelled_bill | wc -l)"
   tokens=$(runs_of bad-7 | jq .tokens)
-  billed=$(vanished_bill | jq '.attempts[-1].completion_tokens')
-  [ "$tokens" -lt 500 ] || fail "the engine went on to its end: $tokens tokens"
+  billed=$(cancelled_bill | jq '.attempts[-1].completion_tokens')
+  [ "$tokens" -lt 500 ] || fail "the engine generated the complete answer: $tokens tokens"
   [ "$billed" -gt 0 ] && [ "$billed" -le "$tokens" ] \
     || fail "billed $billed tokens, of $tokens that were generated"
 }
 
-# Heads that two parsers could read differently. Each gets exactly one answer, 400, and a close, at once;
-# with two readings a caller could hide a request within another.
+# Ambiguous heads, which two parsers could read differently, so that a caller could hide one request within another
+# (request smuggling). Each gets exactly one answer, 400, and the connection is closed.
 check_framing() {
   local body='{"model":"draft-small","messages":[{"role":"user","content":"[id=bad-9]"}]}'
   python3 "$(dirname "$0")/doubtful_heads.py" "$(gate_url 1 | sed s,.*://,,)" "${key[tender-desk]}" "$body" \
     "length and chunks" "two lengths" "two hosts" "unknown coding" "two codings" \
-    || fail "a doubtful head was not refused once"
+    || fail "an ambiguous head was not refused exactly once"
   expect_no_run bad-9
 }
 
 check_bills() {
   local bills
-  # One whole answer of check_doubled_member, two of check_keys and the vanished stream; nothing else ran.
+  # One complete answer of check_duplicate_member, two of check_keys, and the cancelled stream; nothing else ran.
   bills=$(table_rows bill | wc -l)
   expect_equal "bills in all" 4 "$bills"
 }
 
 site_start 3
 check_malformed
-check_doubled_member
+check_duplicate_member
 check_large_body
-check_header_bomb
+check_too_many_headers
 check_keys
 check_withdrawn
 check_framing
 check_slow_sender
-check_vanished
+check_caller_left
 check_bills
 site_stop
 echo "bad input: passed"
--- a/regress/case_cascade.sh
+++ b/regress/case_cascade.sh
@@ -1,9 +1,8 @@
 #!/bin/bash
-# A team asks for a quality class with a target instead of a model. Cheap answers that the rating
-# service finds good enough are passed on; others must never reach the caller: the next stage answers,
-# and the usage record shows both attempts under one key, or the bank pays for what it can't explain.
-# When the rating service goes down, nobody can tell a good cheap answer from a bad one: all callers
-# still get an answer, and none of them an unrated cheap one.
+# A team requests a quality class with a target instead of a model. An answer of the small model that is rated
+# at or above the target is forwarded; any other must not reach the caller: the large model answers, and one
+# usage record has both attempts, so that the cost can be traced. While the rating service is down, answers
+# of the small model cannot be rated: all callers are answered by the large model.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -21,7 +20,7 @@
 
 rating_fault() {
   curl -sf -X POST -d "{\"kind\":\"$1\",\"path\":\"/v1/rate\"}" "$(platform_url)/v1/fault" \
-    || fail "the platform did not take the fault"
+    || fail "the platform did not accept the fault"
 }
 
 ask_wording() {
@@ -32,13 +31,14 @@
   bills_of "$1" | jq -r '"\(.outcome) \([.attempts[].version] | join(" "))"'
 }
 
-# quality_good TEXT: the stand-in's answers begin with [q=QUALITY].
+# quality_good TEXT: true if the answer's quality reaches the target; the stand-in's answers begin with
+# [q=QUALITY].
 quality_good() {
   awk -v t=$TARGET -v text="$1" 'BEGIN { split (text, part, /[=\]]/); exit !(part[2] >= t) }'
 }
 
-# check_answer STREAMED: the last answer, its version and its record; counts it in $passed, $escalated
-# or $direct.
+# check_answer STREAMED: checks the last answer and its bill; counts it in $passed (by the small model), $escalated
+# (by the large model after the small one) or $direct (by the large model alone).
 check_answer() {
   local text version request
   if [ "$1" = true ]; then
@@ -60,7 +60,7 @@
   esac
 }
 
-# check_answers FIRST LAST: every third one streamed
+# check_answers FIRST LAST: sends the requests of these numbers, every third one streamed, and checks the answers.
 check_answers() {
   local i streamed
   passed=0 escalated=0 direct=0
@@ -72,33 +72,33 @@
   echo "requests $1 to $2: $passed by the cheap stage, $escalated escalated, $direct by the large model"
 }
 
-cheap_again() {
+small_model_answers() {
   again=$((again + 1))
   ask_wording $again
   [ "$code" = 200 ] && [ "$(header X-Lovage-Version)" = $SMALL ]
 }
 
 site_start 3
-# The small model alone is expected so far below the target that no plan mixes it in unrated (a class's
-# target is a mean over its answers; see docs/design).
+# A class's target is a mean over its answers (see docs/design). With a prior quality this far below the target, no
+# plan has unrated answers of the small model.
 submit_patch 1 '{"models":{"draft-small":{"versions":{"v1":{"prior_quality":0.6}}}},
   "classes":{"wording":{"stages":["draft-small","draft-large"],
   "quality_target":'$TARGET',"deadline_ms":30000,"idempotent":true}}}' || fail "patch"
 wait_for_number 2
 
 check_answers 1 18
-[ $passed -ge 1 ] || fail "no cheap answer was passed on"
+[ $passed -ge 1 ] || fail "no answer of the small model was forwarded"
 [ $escalated -ge 1 ] || fail "no request was escalated"
 
-# Two failures in a row at a gate tell it that the service is down; until then a cheap answer without
-# a rating is not passed on either.
+# After two failed ratings in a row a gate takes the rating service for unavailable and uses the large model
+# directly; before that it escalates, as the small model's answer has no rating.
 rating_fault down
 check_answers 19 30
-expect_equal "cheap answers while nothing is rated" 0 $passed
+expect_equal "answers of the small model while nothing is rated" 0 $passed
 [ $direct -ge 3 ] || fail "$escalated of 12 requests waited for a rating service that was down"
 
 curl -sf -X DELETE "$(platform_url)/v1/fault"
 again=1000
-wait_for "the cheap stage to be used again" cheap_again
+wait_for "an answer of the small model after the outage" small_model_answers
 site_stop
 echo "cascade: passed"
--- a/regress/case_crash_at_once.sh
+++ b/regress/case_crash_at_once.sh
@@ -1,20 +1,20 @@
 #!/bin/bash
-# A prompt that crashes every engine which runs it, from a client that does not wait: refused at one
-# VM it sends the prompt to the next at once, six times in all. The first VM tells the others which
-# servers died before its own second try, so what is lost is bounded although nobody waits.
+# A prompt crashes every engine that runs it, and its client does not wait: when one VM refuses the prompt, it
+# sends it to the next VM at once, six times in all. The first VM reports the crashes to the others before
+# its own retry, so that the number of engines lost is bounded even without any wait between the requests.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
-LOST_MAX=4 # two at the first VM, one at each of the others
-SENDS="1 2 3 1 2 3"
-POOL="1 2 5 6 7 8"
+LOST_MAX=4 # engines: two by the first VM, one by each of the others
+SENDS="1 2 3 1 2 3" # gates that get the prompt, in order
+POOL="1 2 5 6 7 8" # engines that serve draft-small
 
 start_pool_engine() {
   start_process "engine-$1" standin-engine --address 127.0.0.1 --port "${port[$((18010 + $1))]}" \
     --serves draft-small@v1,draft-small@v2 --slots 8
 }
 
-# Engines 5 to 8 beside the site's two of this pool.
+# Adds engines 5 to 8 to the two of the site that serve draft-small.
 add_engines() {
   local n patch=
   for n in 5 6 7 8; do
@@ -33,7 +33,7 @@
 
 set_crash() {
   curl -sf -X POST -d '{"kind":"crash_on","value":"the fatal clause"}' "$(engine_url "$1")/v1/fault" \
-    || fail "engine $1 did not take the fault"
+    || fail "engine $1 did not accept the fault"
 }
 
 engines_lost() {
@@ -44,7 +44,7 @@
   echo $lost
 }
 
-# Each refusal of the prompt as "status reason retry_after_ms".
+# Sends the prompt to the gates in $SENDS without waiting; appends "status reason retry_after_ms" of each to $answers.
 send_at_once() {
   local gate
   for gate in $SENDS; do
--- a/regress/case_ctl.sh
+++ b/regress/case_ctl.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# lovagectl over a real site, as an operator uses it: each command's output, its exit status as
-# lovagectl(1) has it, and what the command changed. A second operator may read only.
+# Runs lovagectl against a real site as an operator does, and checks each command's output, its exit status as
+# documented in lovagectl(1), and what it changed. A second operator has the read role only.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -12,14 +12,14 @@
   printf '%s\n' "${key[auditor]}" >"$site/auditor.key"
   entry="{ \"name\": \"auditor\", \"key_hash\": \"$(key_hash "${key[auditor]}")\", \"roles\": [ \"read\" ] },"
   sed -i "s/\"operator_list\": \[/& $entry/" "$site/steward-$1.json"
-  grep -q auditor "$site/steward-$1.json" || fail "steward-$1.json has no place for a second operator"
+  grep -q auditor "$site/steward-$1.json" || fail "no second operator was added to steward-$1.json"
 }
 
 operators_port() {
   echo "${port[$((18103 + 10 * $1))]}"
 }
 
-# at N COMMAND...: lovagectl asking steward N only.
+# at N COMMAND...: runs lovagectl with the endpoint of steward N only.
 at() {
   local n=$1
   shift
@@ -30,7 +30,7 @@
   "$build/lovagectl" --steward "127.0.0.1:$(operators_port 1)" --key-file "$site/auditor.key" "$@"
 }
 
-# run COMMAND...: sets $status, $out and $err.
+# run COMMAND...: runs a command; sets $status, $out (standard output) and $err (standard error).
 run() {
   "$@" >"$site/out/stdout" 2>"$site/out/stderr"
   status=$?
@@ -38,14 +38,14 @@
   err=$(cat "$site/out/stderr")
 }
 
-# expect STATUS STDOUT STDERR: of the last run, exactly.
+# expect STATUS STDOUT STDERR: the last run must have had exactly these.
 expect() {
   expect_equal "exit status ($out $err)" "$1" "$status"
   expect_equal "standard output" "$2" "$out"
   expect_equal "standard error" "$3" "$err"
 }
 
-# expect_json FILTER EXPECTED COMMAND...: the command's output with --json.
+# expect_json FILTER EXPECTED COMMAND...: runs the command with --json; FILTER of its output must be EXPECTED.
 expect_json() {
   local filter=$1 expected=$2
   shift 2
@@ -54,12 +54,12 @@
   expect_equal "$filter of --json $*" "$expected" "$(jq -rc "$filter" <<<"$out" 2>&1)"
 }
 
-# Lines of a table with columns parted by one "|".
+# Prints the lines of a table in $out with "|" between columns.
 columns() {
   sed -E 's/ +$//; s/ {2,}/|/g' <<<"$out"
 }
 
-view_is_whole() {
+view_is_complete() {
   [ "$(at 1 --json status | jq -r '[.view_established, (.members | length), all(.members[]; .state == "alive" or .state == "self")] | @csv')" = true,3,true ]
 }
 
@@ -71,7 +71,7 @@
   echo "number $1 is accepted; in force on ${2:-3} of 3 VMs"
 }
 
-# --- the cases, in this order; $number is the newest number
+# --- checks, run in this order; $number is the newest configuration number
 
 check_versions() {
   run ctl version create "$site/routing.json"
@@ -99,7 +99,7 @@
   expect 1 "" "$site/bad.json: teams.workshop.weight: expected a number from 0.001 to 1000, found -1"
 }
 
-# Three operators submit against the same number at once, each at another steward.
+# Three operators submit patches against the same number concurrently, each to another steward: one wins.
 check_race() {
   local n losers=0 status
   local -A racer=()
@@ -194,13 +194,13 @@
   done
 }
 
-# members_are LINES: as steward 1 knows them by the heartbeats; one that is suspect or dead is silent.
+# members_are LINES: true if steward 1 shows these members; "silent" stands for the states suspect and dead.
 members_are() {
   run at 1 status
   [ "$(columns | awk -F'|' '/^vm-/ { sub(/suspect|dead/, "silent", $4); print $1, $2, $4, $5, $6 }' | sort)" = "$1" ]
 }
 
-# A steward that is stopped is behind after the next patch, which waits until its grant has run out.
+# A frozen steward is shown as behind after the next patch, which waits until that steward's grant has expired.
 check_status() {
   wait_for "the members" members_are "vm-1 fukuoka self $number -
 vm-2 kumamoto alive $number -
@@ -211,13 +211,13 @@
   run ctl patch submit --base $number - <<<'{"teams":{"workshop":{"concurrent":60}}}'
   expect 0 "$(accepted_text $((number + 1)) 2)" ""
   number=$((number + 1))
-  wait_for "the member behind" members_are "vm-1 fukuoka self $number -
+  wait_for "the lagging member in the status" members_are "vm-1 fukuoka self $number -
 vm-2 kumamoto alive $number -
 vm-3 kagoshima silent $((number - 1)) 1 behind"
 }
 
-# With two of three stewards stopped no majority can accept: the patch is durable, and is accepted once
-# they go on.
+# With two of three stewards frozen no majority can accept a patch: it is durable, and is accepted when they
+# continue.
 check_durable() {
   local n
   kill -STOP "${pid[steward-2]}"
@@ -230,7 +230,7 @@
   for n in 1 2 3; do
     wait_for "number $number accepted at steward $n" accepted_at $n $number
   done
-  wait_for "a whole view" view_is_whole
+  wait_for "a complete view" view_is_complete
   run ctl version list
   expect_equal "state of the newest" accepted "$(columns | awk -F'|' -v n=$number '$1 == n { print $3 }')"
 }
@@ -253,12 +253,13 @@
   expect_json length 0 brake list
 }
 
-# Entries of one action as "WHO FROM TO DETAIL", from the audit trail in $out.
+# entries ACTION: prints the action's entries of the audit trail in $out as "WHO FROM TO DETAIL".
 entries() {
   jq -r --arg action "$1" '.entries[] | select(.action == $action) | "\(.who) \(.from) \(.to) \(.detail)"' <<<"$out"
 }
 
-# Who, when, from which number to which, and why, of every change above; nothing of those refused.
+# The audit trail has who made each change above, when, from which number to which, and why; it has no entry of a
+# refused change.
 check_audit() {
   local cut
   run ctl --json audit --since 1h
@@ -291,7 +292,7 @@
   [ "$(jq -c '[.teams[] | {team, requests, prompt_tokens, completion_tokens}] | sort_by(.team)' <<<"$out")" = "$1" ]
 }
 
-# What the callers were told that their answers took must be what the teams are charged.
+# The usage charged to a team must be the sum of the usage in the answers to its callers.
 check_usage() {
   local i expected
   for i in 1 2 3; do
@@ -327,7 +328,7 @@
     "$(columns)"
 }
 
-# Statuses 0, 1, 3 and 5 are above.
+# Exit statuses 2 and 4; statuses 0, 1, 3 and 5 are checked above.
 check_exit_statuses() {
   local wrong
   for wrong in "" "frobnicate" "version" "version diff 1" "version show one" "patch submit --base 0 -" \
@@ -350,7 +351,7 @@
 
 began_ms=$(date +%s%3N)
 site_start 3
-wait_for "a whole view" view_is_whole
+wait_for "a complete view" view_is_complete
 check_versions
 check_race
 check_errors
--- a/regress/case_graceful_stop.sh
+++ b/regress/case_graceful_stop.sh
@@ -1,15 +1,15 @@
 #!/bin/bash
-# A VM is stopped for replacement while it streams. A caller would see its draft end in mid-sentence,
-# or be billed for an answer that it did not get. SIGTERM comes when all streams are under way: each
-# must still come to its end mark and be billed once; new work is turned away at once, and the gate
-# ends by itself with status 0. The steward of the VM goes after it.
+# A VM is stopped for replacement while its gate streams answers. Guards against truncated answers and against
+# bills for answers that the caller did not get. The gate gets SIGTERM when all streams have begun: each
+# stream must be completed and billed once, new requests are refused at once, and the gate exits with status 0.
+# Then the VM's steward is stopped.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
 STREAMS=16
 TOKENS=200
 
-# A stream of its own folder of answers, so that many may run at once.
+# begin_stream N: starts a stream in the background; its answer is in $site/stream-N, so that many can run at once.
 begin_stream() {
   local n=$1 dir=$site/stream-$1
   mkdir "$dir"
@@ -20,11 +20,12 @@
   pid[stream-$n]=$!
 }
 
-# True once the stream has its first event.
+# has_begun N: true when the stream has received its first event.
 has_begun() {
   grep -q '^data:' "$site/stream-$1/body"
 }
 
+# end_stream N: waits for the stream's end and checks its answer and its bill.
 end_stream() {
   local n=$1 request
   wait "${pid[stream-$n]}"
@@ -44,12 +45,12 @@
   expect_equal "runs of stream $n" 1 "$(run_count "stop-$n")"
 }
 
-# A gate that stops refuses new work, or no longer listens.
-expect_turned_away() {
+# A stopping gate refuses a new request, or no longer listens.
+expect_new_work_refused() {
   ask 1 tender-desk "$(chat draft-small "[id=stop-new] new work")"
   if [ "$code" != 000 ]; then
     expect_refusal 503 not_run stopping
-    [ -n "$(header Retry-After)" ] || fail "the refusal does not say when to come back"
+    [ -n "$(header Retry-After)" ] || fail "the refusal has no Retry-After"
   fi
   expect_equal "runs of new work" 0 "$(run_count stop-new)"
 }
@@ -62,8 +63,8 @@
   wait_for "stream $n to begin" has_begun $n
 done
 kill -TERM "${pid[gate-1]}"
-wait_for "gate 1 to say that it is not ready" eval '! url_ready "$(gate_local_url 1)"'
-expect_turned_away
+wait_for "gate 1 to report that it is not ready" eval '! url_ready "$(gate_local_url 1)"'
+expect_new_work_refused
 for ((n = 1; n <= STREAMS; n++)); do
   end_stream $n
 done
@@ -71,9 +72,9 @@
 expect_equal "status of the gate" 0 "$status"
 stop_process steward-1
 expect_equal "status of the steward" 0 "$status"
-# The other VMs go on, and take patches.
+# The other VMs still serve requests and accept patches.
 ask 2 tender-desk "$(chat draft-small "at another VM")"
 expect_whole
-WAIT_MAX_S=60 wait_for "a patch without the VM that has gone" ctl withdraw --wait accepted draft-large@v2
+WAIT_MAX_S=60 wait_for "a patch without the stopped VM" ctl withdraw --wait accepted draft-large@v2
 site_stop
 echo "graceful stop: passed"
--- a/regress/case_lease.sh
+++ b/regress/case_lease.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# The steward that holds the duty of roll-outs is frozen past its lease, as a VM that its host pauses.
-# A second one takes the duty over, with the next fencing number, and backs a bad version out. Then
-# the first wakes and still believes that the duty is its own: it must change nothing and order
-# nothing. At last the holder is stopped as planned and gives the duty back.
+# The steward that holds the duty of roll-outs is frozen until its lease has expired, as when its host pauses the
+# VM. A second steward takes the duty over with the next fencing number and backs a bad version out. Then
+# the first continues in the belief that it holds the duty: it must change no configuration, and no engine may
+# obey its orders. At the end the holder is stopped by SIGTERM and releases the duty.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/rollout_lib.sh"
@@ -20,11 +20,12 @@
   engine_orders "$1" | jq -e --arg v "$2" 'select(.unload | index($v))' >/dev/null
 }
 
+# log_has STEWARD PATTERN
 log_has() {
   grep -q "$2" "$site/log/steward-$1.err"
 }
 
-# Fencing numbers in the order in which an engine's orders came must not fall.
+# The fencing numbers of an engine's orders must not fall, and the engine must not have refused any order.
 check_order_fences() {
   local n falls refused
   for n in 1 2 3 4; do
@@ -35,7 +36,7 @@
   done
 }
 
-# Each fencing number is taken up once, in order.
+# check_audit LAST: the audit trail has each fencing number from 1 to LAST once, in order.
 check_audit() {
   expect_equal "fencing numbers in the audit trail" "$(seq -s' ' 1 "$1")" \
     "$(audit_of duty | jq -r 'select(.to != "") | .to' | paste -sd' ')"
@@ -65,19 +66,19 @@
 for n in 1 2 3 4; do
   wait_for "an order of the successor at engine $n" engine_has_fence $n $((fence + 1))
 done
-# A change that calls for new orders, so that the first has something to say when it wakes. It learns
-# of the change from its peers, and can't learn from the table that it holds the duty no more.
+# A change that requires new orders, so that the first holder has orders to send when it continues. It learns of
+# the change from its peers, but the faults keep it from reading in the table that it lost the duty.
 ctl withdraw --wait accepted draft-large@v2 || fail "withdraw"
 number=$(head_number)
 platform_fault '{"kind":"down","path":"/v1/txn"}'
 platform_fault '{"kind":"lose_call","path":"/v1/row"}'
 kill -CONT "${pid[steward-$first]}"
-wait_for "the first holder to have the change" log_has "$first" "steward_document .*config=\"$number\""
+wait_for "the change at the first holder" log_has "$first" "steward_document .*config=\"$number\""
 sleep 2
-platform_mend
-wait_for "the first holder to see that it is none" log_has "$first" 'steward_duty_lost'
+platform_clear_faults
+wait_for "the first holder to notice that it lost the duty" log_has "$first" 'steward_duty_lost'
 for n in 3 4; do
-  wait_for "the withdrawn version's unloading at engine $n" engine_unloaded $n draft-large@v2
+  wait_for "the order to unload the withdrawn version at engine $n" engine_unloaded $n draft-large@v2
 done
 sleep 4
 traffic_stop draft-small
@@ -91,7 +92,7 @@
 expect_equal "exit status of the holder" 0 "$status"
 wait_for "a successor of the holder that stopped" fence_is $((fence + 2))
 echo "steward $second stopped: steward $(duty_holder) holds the duty $((SECONDS - stopped)) s later"
-expect_equal "entries of giving back" 1 "$(audit_of duty | jq -c 'select(.to == "")' | wc -l)"
+expect_equal "audit entries of the duty's release" 1 "$(audit_of duty | jq -c 'select(.to == "")' | wc -l)"
 check_audit $((fence + 2))
 for n in 1 2 3 4; do
   wait_for "an order of the third holder at engine $n" engine_has_fence $n $((fence + 2))
--- a/regress/case_limits.sh
+++ b/regress/case_limits.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# One team's batch job sends everything at once. Its limits are the site's, enforced by three gates that
-# share no state: what is above must be refused at once with a time to come back, not queued before
-# the engines, never more than the limit may run at a time, and another team's requests all pass.
+# A team's batch job sends all its requests at once. The team's limits are for the whole site and are enforced by
+# three gates without shared state: requests above the limit must be refused at once with Retry-After and not
+# be queued, no more than the limit may run at a time, and all requests of another team must be served.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -9,7 +9,8 @@
 FLOOD=60
 OTHERS=24
 
-# curl_entry TEAM NUMBER TOKENS PROMPT: writes "TEAM CODE RETRY-AFTER" when the answer is there
+# curl_entry TEAM NUMBER TOKENS PROMPT: prints the curl configuration of one request, for which curl prints "TEAM
+# CODE RETRY-AFTER" after the answer.
 curl_entry() {
   printf 'url = "%s/v1/chat/completions"\n' "$(gate_url $(($2 % 3 + 1)))"
   printf 'header = "Authorization: Bearer %s"\n' "${key[$1]}"
@@ -19,7 +20,7 @@
   printf 'write-out = "%s %%{http_code} %%header{retry-after}\\n"\nnext\n' "$1"
 }
 
-# Most runs of the flood that were in progress at one time, over both engines.
+# Prints the largest number of the flood's requests that ran at the same time, over both engines.
 most_at_once() {
   runs_of flood | jq -r '"\(.started_ms) 1\n\(.ended_ms) -1"' | sort -k1,1n -k2,2n \
     | awk '{ now += $2 } now > most { most = now } END { print most + 0 }'
@@ -47,10 +48,11 @@
   expect_equal "answers to the flood" $FLOOD "$(grep -cE '^workshop (200|429)' "$site/out/flood")"
   admitted=$(grep -c '^workshop 200' "$site/out/flood")
   [ "$admitted" -ge $CONCURRENT ] || fail "$admitted of the flood were admitted"
-  expect_equal "refusals without a time to come back" 0 "$(grep -c '^workshop 429 *$' "$site/out/flood")"
-  # Refused at once: while the first of the admitted ones, of two seconds, still run.
+  expect_equal "refusals without Retry-After" 0 "$(grep -c '^workshop 429 *$' "$site/out/flood")"
+  # The refusals come at once: half of the requests are refused before the first admitted one, which takes two
+  # seconds, is answered.
   early=$(awk '$2 == 200 { exit } { n++ } END { print n + 0 }' "$site/out/flood")
-  [ "$early" -ge $((FLOOD / 2)) ] || fail "$early refusals came before the first whole answer"
+  [ "$early" -ge $((FLOOD / 2)) ] || fail "only $early refusals came before the first complete answer"
   for i in $(grep -l '"error"' "$site"/out/workshop-*); do
     expect_equal "refusal in $i" "not_run team_limit" "$(jq -r '"\(.error.state) \(.error.reason)"' "$i")"
   done
@@ -58,8 +60,8 @@
   echo "concurrency: $admitted of $FLOOD admitted, at most $(most_at_once) at once, limit $CONCURRENT"
 }
 
-# 30 tokens a second for the site are 10 at each gate: a request of 64 overdraws them, and the next one
-# has to wait until they are made up for.
+# A limit of 30 tokens per second for the site is 10 at each gate. A request of 64 tokens overdraws it, and the next
+# one is refused until the overdraft is paid off.
 check_tokens() {
   local gate
   submit_patch 2 '{"teams":{"workshop":{"concurrent":100,"tokens_per_s":30}}}' || fail "patch"
@@ -69,7 +71,7 @@
     expect_whole
     ask $gate workshop "$(MAX_TOKENS=64 chat draft-small "more tokens")"
     expect_refusal 429 not_run team_limit
-    [ "$(header Retry-After)" -ge 2 ] || fail "told to come back after $(header Retry-After) s"
+    [ "$(header Retry-After)" -ge 2 ] || fail "Retry-After is $(header Retry-After) s, expected 2 s or more"
     ask $gate tender-desk "$(chat draft-small "another team")"
     expect_whole
   done
--- a/regress/case_retries.sh
+++ b/regress/case_retries.sh
@@ -1,16 +1,16 @@
 #!/bin/bash
-# Engines die under requests. One that may run again is answered by another engine. One that may run
-# only once and was in progress there is told "unknown" at once and never sent again by the router,
-# or a guarantee could be issued twice; one that was never sent is told "not_run". When a whole
-# pool refuses, retries stay within their budget, or they would hold it down.
+# Engines crash while they run requests. An idempotent request is answered by another engine. A non-idempotent
+# one that was in progress ends with state "unknown" and is never sent again, as a guarantee could be issued
+# twice; one that was never sent ends with "not_run". When all engines of a pool refuse requests, the retries
+# stay within their budget, as they would otherwise keep the pool overloaded.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
-REFUSED=30
-BUDGET=13 # 10 saved up and a tenth of the 30
+REFUSED=30 # requests sent while all engines refuse
+BUDGET=13 # retries: 10 accumulated, and a tenth of the 30 requests
 
-# begin MARK MODEL IDEMPOTENT: a long request at gate 1 in the background
-begin() {
+# begin_request MARK MODEL IDEMPOTENT: sends a long request to gate 1 in the background.
+begin_request() {
   curl -s --max-time $HTTP_MAX_S -o "$site/out/$1" -D "$site/out/$1-headers" -w '%{http_code}' \
     -H "Authorization: Bearer ${key[tender-desk]}" -H "X-Lovage-Idempotent: $3" \
     -d "$(MAX_TOKENS=200 chat "$2" "Long one [id=$1]")" "$(gate_url 1)/v1/chat/completions" \
@@ -18,7 +18,8 @@
   pid[$1]=$!
 }
 
-end() {
+# end_request MARK: waits for the request's answer; sets $code, and the files that header and body read.
+end_request() {
   wait "${pid[$1]}"
   unset "pid[$1]"
   code=$(cat "$site/out/$1-code")
@@ -26,7 +27,7 @@
   cp "$site/out/$1-headers" "$site/out/headers"
 }
 
-# Sets $engine to the one of these that runs the request with this mark.
+# engine_runs MARK ENGINE...: sets $engine to the one of these that runs the request with this mark.
 engine_runs() {
   local mark=$1 n
   shift
@@ -39,16 +40,17 @@
   return 1
 }
 
+# runs_at ENGINE MARK: prints the number of runs of the request at the engine.
 runs_at() {
   curl -sf --max-time 10 "$(engine_url "$1")/v1/record" | jq --arg m "$2" '[.[] | select(.mark == $m)] | length'
 }
 
 check_idempotent() {
   local n
-  begin again draft-small yes
+  begin_request again draft-small yes
   wait_for "an engine to run it" engine_runs again 1 2
   kill_process "engine-$engine"
-  end again
+  end_request again
   expect_whole
   expect_equal "runs at the other engine" 1 "$(runs_at $((3 - engine)) again)"
   expect_one_bill "$(header X-Lovage-Request)"
@@ -60,17 +62,18 @@
   done
 }
 
-check_once() {
+check_non_idempotent() {
   local n other
-  begin once draft-large no
+  begin_request once draft-large no
   wait_for "an engine to run it" engine_runs once 3 4
   other=$((7 - engine))
   kill_process "engine-$engine"
-  end once
+  end_request once
   expect_equal "status" 502 "$code"
   expect_equal "state" unknown "$(body .error.state)"
-  [ -n "$(header Retry-After)" ] || fail "the caller is not told when to come back"
-  # At the gates that do not know yet that the engine is dead it is certain that nothing was sent.
+  [ -n "$(header Retry-After)" ] || fail "the answer has no Retry-After"
+  # A gate that does not know yet that the engine crashed cannot connect to it, so that nothing was sent and the
+  # request may go to the other engine.
   for n in 1 2 3; do
     ask $n tender-desk "$(chat draft-large "Never sent there [id=sent-$n]")" -H 'X-Lovage-Idempotent: no'
     expect_whole
@@ -83,22 +86,23 @@
     ask $n tender-desk "$(chat draft-large "nobody runs this")" -H 'X-Lovage-Idempotent: no'
     expect_equal "status" 503 "$code"
     expect_equal "state" not_run "$(body .error.state)"
-    [ -n "$(header Retry-After)" ] || fail "the caller is not told when to come back"
+    [ -n "$(header Retry-After)" ] || fail "the refusal has no Retry-After"
   done
 }
 
+# metric NAME: prints a metric's sum at gate 1.
 metric() {
   curl -sf "$(gate_local_url 1)/metrics" | awk -v name="$1" '$1 ~ "(^|_)" name "$" { n += $2 } END { print n + 0 }'
 }
 
-answers() {
+gate_answers() {
   ask 1 tender-desk "$(chat draft-small "is the pool back")"
   [ "$code" = 200 ]
 }
 
-# Three rounds of load reports from the two engines that live: one of them began after the restart, and a
-# server that reports again is used again.
-polled_twice() {
+# True after six more load reports, three rounds of the two running engines: at least one round began after the
+# restart, and a gate uses a server again after it has reported.
+load_reported() {
   [ "$(metric gate_load_reports)" -ge $((reports + 6)) ]
 }
 
@@ -109,31 +113,31 @@
     wait_for "engine $n" url_answers "$(engine_url $n)/v1/load"
   done
   reports=$(metric gate_load_reports)
-  wait_for "load reports" polled_twice
+  wait_for "load reports" load_reported
   for n in 1 2; do
-    curl -sf -X POST -d '{"kind":"not_run"}' "$(engine_url $n)/v1/fault" || fail "engine $n took no fault"
+    curl -sf -X POST -d '{"kind":"not_run"}' "$(engine_url $n)/v1/fault" || fail "engine $n did not accept the fault"
   done
   before=$(metric gate_retries)
   for ((n = 0; n < REFUSED; n++)); do
     ask 1 tender-desk "$(chat draft-small "refused $n")"
     expect_equal "status" 503 "$code"
     expect_equal "state" not_run "$(body .error.state)"
-    [ -n "$(header Retry-After)" ] || fail "the caller is not told when to come back"
-    sleep 0.12 # an engine that is busy is left alone for 100 ms
+    [ -n "$(header Retry-After)" ] || fail "the refusal has no Retry-After"
+    sleep 0.12 # a gate does not use an engine that refused for 100 ms
   done
   after=$(metric gate_retries)
   [ $((after - before)) -le $BUDGET ] || fail "$((after - before)) retries of $REFUSED requests"
-  [ $((after - before)) -ge 1 ] || fail "nothing was tried again"
-  echo "pool refuses: $((after - before)) retries of $REFUSED requests, bound $BUDGET"
+  [ $((after - before)) -ge 1 ] || fail "no request was retried"
+  echo "pool refuses: $((after - before)) retries of $REFUSED requests, limit $BUDGET"
   for n in 1 2; do
     curl -sf -X DELETE "$(engine_url $n)/v1/fault"
   done
-  wait_for "an answer" answers
+  wait_for "an answer" gate_answers
 }
 
 site_start 3
 check_idempotent
-check_once
+check_non_idempotent
 check_budget
 site_stop
 echo "retries: passed"
--- a/regress/case_rollout.sh
+++ b/regress/case_rollout.sh
@@ -1,14 +1,14 @@
 #!/bin/bash
-# Two roll-outs that nobody advances, side by side: a good version goes to its end by itself and
-# becomes the default; a bad one is braked and backed out, and few callers ever met it.
+# Two roll-outs at the same time, without any action by an operator: a good version completes all stages and
+# becomes the default; a bad one is braked and backed out after few callers were answered by it.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/rollout_lib.sh"
 WAIT_MAX_S=200
 
 CALLERS=400
-BAD_SHARE=0.05 # of the callers, in the bad version's first stage
-# Of 400 callers 20 are in the first stage by the mean of their hashes; 40 is 4.6 deviations more.
+BAD_SHARE=0.05 # share of the callers in the first stage of the bad version
+# By their hashes 20 of 400 callers are in the first stage on average; 40 is 4.6 standard deviations above.
 BAD_CALLERS_MAX=40
 
 brake_origin() {
@@ -34,15 +34,15 @@
 echo "bad version: backed out $((SECONDS - begun)) s after its start"
 expect_equal "steps of the bad version" 1 "$(rollout_steps draft-large | wc -l)"
 expect_equal "the step" backed_out "$(rollout_steps draft-large | jq -r '.patch.rollouts["draft-large"].state')"
-# The brake binds before the table has it: a steward writes it there with its next poll.
+# The brake takes effect before the table has it: a steward writes it there with its next poll.
 wait_for "the brake in the table" brake_in_table
 expect_equal "the brake's origin" duty:rollout "$(brake_origin)"
 wait_for_number "$(head_number)"
 answers=$(answers_of draft-large draft-large@v2)
 exposed=$(exposed_callers draft-large draft-large@v2)
 echo "bad version: $exposed of $CALLERS callers, $answers answers"
-[ "$exposed" -ge 1 ] || fail "nobody met the bad version: it was not tried"
-[ "$exposed" -le $BAD_CALLERS_MAX ] || fail "$exposed callers met the bad version"
+[ "$exposed" -ge 1 ] || fail "no caller was answered by the bad version"
+[ "$exposed" -le $BAD_CALLERS_MAX ] || fail "$exposed callers were answered by the bad version"
 sleep 3
 expect_equal "answers of the bad version after its end" "$answers" "$(answers_of draft-large draft-large@v2)"
 
--- a/regress/case_servers.sh
+++ b/regress/case_servers.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# An operator's host is going down for repair: its engine drains, or is marked leaving in the
-# configuration. New requests that still went there would be refused or cut; they must all go to the
-# other engine, whichever gate they come to. While both engines take work, both get some.
+# A host is taken down for repair: its engine drains, or is marked as leaving in the configuration. A new request
+# sent there would be refused or truncated, so that all gates must send new requests to the other engine. While
+# both engines accept work, both get some.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -9,7 +9,7 @@
   curl -sf --max-time 10 "$(engine_url "$1")/v1/record" | jq length
 }
 
-# send COUNT: so many requests over all gates, eight at a time; all must be answered.
+# send COUNT: sends that many requests, in turn to all gates and eight at a time; all must be answered.
 send() {
   local i file=$site/out/curl
   for ((i = 0; i < $1; i++)); do
@@ -31,7 +31,7 @@
   [ "$a" -ge 8 ] && [ "$b" -ge 8 ] || fail "48 requests went $a to engine 1 and $b to engine 2"
 }
 
-# metric NAME GATE...: its sum over these gates
+# metric NAME GATE...: prints the metric's sum over these gates.
 metric() {
   local name=$1 gate
   shift
@@ -40,11 +40,12 @@
   done | awk -v name="$name" '$1 ~ "(^|_)" name "$" { n += $2 } END { print n + 0 }'
 }
 
-polled_twice() {
+load_reported() {
   [ "$(metric gate_load_reports "$1")" -ge $((${reports[$1]} + 8)) ]
 }
 
-# Until each gate has had two rounds of reports from the four engines: one began after this call.
+# Waits until each gate has had two rounds of load reports from the four engines: at least one began after this
+# call.
 wait_for_reports() {
   local gate
   local -a reports
@@ -52,19 +53,19 @@
     reports[gate]=$(metric gate_load_reports $gate)
   done
   for gate in 1 2 3; do
-    wait_for "load reports at gate $gate" polled_twice $gate
+    wait_for "load reports at gate $gate" load_reported $gate
   done
 }
 
-# A report of load each second tells the gates; from then on none goes there.
+# The gates learn from the load reports, one per second, that the engine drains; after that it gets no request.
 check_draining() {
   local before
-  curl -sf -X POST -d '{"kind":"drain"}' "$(engine_url 1)/v1/fault" || fail "engine 1 did not take the fault"
+  curl -sf -X POST -d '{"kind":"drain"}' "$(engine_url 1)/v1/fault" || fail "engine 1 did not accept the fault"
   wait_for_reports
   before=$(metric gate_retries 1 2 3)
   send 24
-  # A request that a draining engine is sent is refused there and tried again at the other.
-  expect_equal "requests that the draining engine met" "$before" "$(metric gate_retries 1 2 3)"
+  # A draining engine refuses a new request, and the gate retries it at the other engine.
+  expect_equal "retries, which requests to the draining engine would add" "$before" "$(metric gate_retries 1 2 3)"
   curl -sf -X DELETE "$(engine_url 1)/v1/fault"
 }
 
@@ -80,7 +81,7 @@
   wait_for "number 3 at all gates" in_force_everywhere
   ask 1 tender-desk "$(chat draft-small "no engine is left")"
   expect_refusal 503 not_run no_server
-  [ -n "$(header Retry-After)" ] || fail "the refusal does not say when to come back"
+  [ -n "$(header Retry-After)" ] || fail "the refusal has no Retry-After"
   submit_patch 3 '{"backend_servers":{"engine-2":{"leaving":false}}}' || fail "patch"
   wait_for_number 4
   before=$(runs_at 1)
--- a/regress/case_settings.sh
+++ b/regress/case_settings.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Settings with mistakes: each program names them all at once, with file and path, and starts nothing;
-# the examples are without errors.
+# Invalid settings: each program reports all errors at once, with file and path, and does not start. The example
+# files are valid.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -9,7 +9,7 @@
 mkdir "$site/log" "$site/out"
 make_keys
 
-# expect_lines FILE LINE...: the file holds just these lines, and after them at most a log line.
+# expect_lines FILE LINE...: the file must have exactly these lines, apart from log lines, which begin with "<".
 expect_lines() {
   local file=$1
   shift
@@ -31,7 +31,7 @@
     || fail "routing.json: $(cat "$site/out/check")"
 }
 
-check_mistakes() {
+check_errors() {
   local role file=$site/bad.json
   for role in gate steward; do
     sed -e 's/"vm": "vm-1"/"vm": 1/' -e 's/"failure_domain"/"failure_domian"/' \
@@ -61,15 +61,15 @@
   expect_lines "$site/out/check" "$site/none.json: can't be opened: No such file or directory"
 }
 
-# Story: a site got port 18000 for the callers of a gate. In its settings that number was then taken for the
-# example's table service and replaced once more: the gate had one port for both, and did not start. Of the
-# ports chosen, one in twenty was such a number; 200 choices show it.
+# Guards against choosing a port in the range of the port numbers of examples/site. A site that chose 18000 for a
+# gate's callers had that number replaced a second time, as that of the example's table service: the gate had
+# one port for both and did not start. One in twenty chosen ports was in the range, so 200 choices suffice.
 check_ports() {
   local n number examples
   examples=$(grep -rhoE '\b1[0-9]{4}\b' "$LIB_ROOT/examples/site" | sort -u)
   for n in {1..200}; do
     find_port
-    [ $free -lt 18000 ] || [ $free -ge 19000 ] || fail "a port among those of the examples was chosen: $free"
+    [ $free -lt 18000 ] || [ $free -ge 19000 ] || fail "port $free was chosen, which is in the range of the examples"
   done
   release_ports
   for number in $examples; do
@@ -78,7 +78,7 @@
 }
 
 check_examples
-check_mistakes
+check_errors
 check_syntax
 check_ports
 echo "settings: passed"
--- a/regress/case_steward.sh
+++ b/regress/case_steward.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# Stewards under faults: a patch whose reply the table service loses; an outage of the service, in
-# which work and brakes go on; a frozen VM; a VM that is killed and replaced; a majority that is lost;
-# a VM that leaves.
+# Stewards under faults: a patch whose reply from the table service is lost; an outage of the table service, during
+# which requests are served and brakes take effect; a frozen VM; a VM that is killed and replaced; the loss of
+# the majority; and a VM that leaves.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -9,32 +9,33 @@
   echo "http://127.0.0.1:${port[$((18103 + 10 * $1))]}"
 }
 
-# status N FILTER: of the status as steward N sees it.
+# status N FILTER: prints what a jq filter selects from the status that steward N reports.
 status() {
   curl -s --max-time 5 -H "Authorization: Bearer ${key[operator]}" "$(operators_url "$1")/v1/status" \
     | jq -r "$2"
 }
 
-# fault KIND [PATH [COUNT]]: of the table service.
+# fault KIND [PATH [COUNT]]: injects a fault into the table service.
 fault() {
   curl -sf --max-time 5 -X POST -d "{\"kind\":\"$1\",\"path\":\"${2:-/v1/}\",\"count\":${3:-0}}" \
     "$(platform_url)/v1/fault" || fail "fault $1"
 }
 
-no_faults() {
-  curl -sf --max-time 5 -X DELETE "$(platform_url)/v1/fault" || fail "end of the faults"
+clear_faults() {
+  curl -sf --max-time 5 -X DELETE "$(platform_url)/v1/fault" || fail "the platform did not clear its faults"
 }
 
 status_is() {
   [ "$(status "$1" "$2")" = "$3" ]
 }
 
-# newest: number of the newest version, from the table.
+# newest: prints the newest configuration number.
 newest() {
   ctl --json version list | jq .head
 }
 
-# patch LABEL: withdraws or restores a version against the newest number; the answer in $answer.
+# patch LABEL [STEWARD]: submits a patch against the newest number that withdraws draft-small@v2 if that number is
+# odd and else restores it; sets $answer.
 patch() {
   local base state=withdrawn
   base=$(newest)
@@ -44,28 +45,29 @@
     "$(operators_url "${2:-1}")/v1/patches?wait=in_force&wait_ms=20000")
 }
 
-# The reply of the patch's transaction is lost after the commit: the operator must be told of success,
-# and there must be one new number.
+# The table service's reply to the patch's transaction is lost after the commit: the operator must get a success,
+# and there must be exactly one new number.
 check_lost_reply() {
   local before
   before=$(newest)
   fault lose_reply /v1/txn 1
   patch "lost reply"
-  no_faults
+  clear_faults
   expect_equal "state ($answer)" in_force "$(jq -r .state <<<"$answer")"
   expect_equal "number" $((before + 1)) "$(jq -r .number <<<"$answer")"
   expect_equal "newest number" $((before + 1)) "$(newest)"
 }
 
-# The table service goes away for longer than a grant: the stewards prove to each other that nothing
-# was accepted, gates go on, and a brake reaches all; a patch is refused, with a time to come back.
+# The table service is unavailable for longer than a grant lasts: the stewards renew grants by proving to each other
+# that nothing was accepted, the gates serve requests, and a brake reaches all VMs; a patch is refused with
+# Retry-After.
 check_outage() {
   local n
   fault down
   for n in 1 2 3; do
     wait_for "the outage at steward $n" status_is $n .platform down
   done
-  # Longer than a proof of the table service lasts.
+  # Longer than a grant lasts that was renewed by the table.
   sleep 4
   for n in 1 2 3; do
     expect_equal "proof at steward $n" peers "$(status $n .grant_proof)"
@@ -77,14 +79,14 @@
     -H "Authorization: Bearer ${key[operator]}" -d '{"base":1,"patch":{},"reason":"x"}' \
     "$(operators_url 1)/v1/patches"
   grep -q '^HTTP/1.1 503' "$site/out/refusal-head" || fail "patch in the outage: $(cat "$site/out/refusal-head")"
-  grep -qi '^Retry-After:' "$site/out/refusal-head" || fail "no time to come back"
+  grep -qi '^Retry-After:' "$site/out/refusal-head" || fail "the refusal of the patch has no Retry-After"
   ctl brake draft-small@v1 --why "in the outage" || fail "brake in the outage"
   for n in 1 2 3; do
     wait_for "the brake at steward $n" status_is $n '.brakes[0].version' draft-small@v1
     wait_for "the brake at gate $n" braked_at $n
   done
-  no_faults
-  wait_for "the service again" status_is 1 .platform ok
+  clear_faults
+  wait_for "the end of the outage at steward 1" status_is 1 .platform ok
   wait_for "the brake in the table" brake_in_table
   wait_for "the audit entry" audited brake draft-small@v1
   ctl brake release draft-small@v1 || fail "release"
@@ -106,8 +108,8 @@
   ctl --json audit | jq -e --arg a "$1" --arg t "$2" '.entries[] | select(.action == $a and .to == $t)'
 }
 
-# A VM is frozen: a patch is accepted by the others, and in force once the frozen one's grants must
-# have ended. Woken, it takes no work before it has the new number.
+# A VM is frozen: a patch is accepted by the others, and is in force when the frozen VM's grants must have expired.
+# When the VM continues, it must not serve a request before it has the new number.
 check_frozen() {
   local number
   kill -STOP "${pid[steward-3]}" "${pid[gate-3]}"
@@ -117,16 +119,16 @@
   number=$(jq -r .number <<<"$answer")
   kill -CONT "${pid[steward-3]}" "${pid[gate-3]}"
   ask 3 tender-desk "$(chat draft-large "woken")"
-  [ "$code" != 200 ] || expect_equal "number of an answer by the woken gate" "$number" "$(header X-Lovage-Config)"
-  wait_for "the number at the woken steward" status_is 3 .number "$number"
+  [ "$code" != 200 ] || expect_equal "number of an answer by the gate after the freeze" "$number" "$(header X-Lovage-Config)"
+  wait_for "the number at the steward after the freeze" status_is 3 .number "$number"
   wait_for "gate 3" url_ready "$(gate_local_url 3)"
 }
 
-view_is_whole() {
+view_is_complete() {
   [ "$(status 1 '.view_established and (.members | length) == 3 and all(.members[]; .state == "alive" or .state == "self")')" = true ]
 }
 
-# A VM is lost and replaced at the same address: the new incarnation takes the slot over.
+# A VM is killed and started again at the same address: its new incarnation replaces the old one in the view.
 check_replaced() {
   local before
   before=$(status 1 '.members[] | select(.vm == "vm-3") | .incarnation')
@@ -136,15 +138,15 @@
   start_gate 3
   wait_for "the new incarnation" status_is 1 \
     "[.members[] | select(.vm == \"vm-3\" and .incarnation != \"$before\")] | length" 1
-  wait_for "a whole view" view_is_whole
+  wait_for "a complete view" view_is_complete
   wait_for "gate 3" url_ready "$(gate_local_url 3)"
   patch "after the replacement"
   expect_equal "members in force ($answer)" 3 "$(jq -r .members_in_force <<<"$answer")"
 }
 
-# The steward alone is killed and started again while its gate is frozen with a valid grant. The new
-# steward knows nothing of that gate. If it said at once that it applies the next patch, the operator
-# would be told "in force", and the gate, woken, would still send work to the withdrawn version.
+# Only the steward is killed and restarted, while its gate is frozen with a valid grant. The new steward does not
+# know of that gate. If it reported the next patch as applied at once, the operator would be told "in force",
+# and the gate would still send requests to the withdrawn version when it continues.
 check_gate_of_killed_steward() {
   local number
   [ $(($(newest) % 2)) -eq 1 ] || patch "so that v2 is active"
@@ -157,13 +159,14 @@
   number=$(jq -r .number <<<"$answer")
   kill -CONT "${pid[gate-3]}"
   ask 3 tender-desk "$(chat draft-small@v2 "withdrawn meanwhile")"
-  [ "$code" != 200 ] || fail "the woken gate sent work to a version withdrawn by number $number"
-  wait_for "a whole view" view_is_whole
+  [ "$code" != 200 ] || fail "the gate sent a request after the freeze to a version withdrawn by number $number"
+  wait_for "a complete view" view_is_complete
   wait_for "gate 3 again" url_ready "$(gate_local_url 3)"
 }
 
-# A steward is restarted while the table service is away: it learns the configuration and the view from
-# the others, whose asks come to its address, and its gate goes on by their proof. It has no vote.
+# A steward is restarted while the table service is unavailable. It learns the configuration and the view from the
+# other stewards, whose heartbeat requests reach its address, and its gate serves requests under grants proven
+# by them. It has no vote.
 check_restart_in_outage() {
   fault down
   wait_for "the outage at steward 3" status_is 3 .platform down
@@ -172,23 +175,23 @@
   wait_for "a grant by peers at the restarted steward" status_is 3 .grant_proof peers
   wait_for "gate 3 in the outage" url_ready "$(gate_local_url 3)"
   expect_equal "platform" down "$(status 3 .platform)"
-  no_faults
-  wait_for "a whole view" view_is_whole
+  clear_faults
+  wait_for "a complete view" view_is_complete
 }
 
-# Without the service and without a majority nobody can tell whether a patch was accepted: the one
-# that is left takes no new work, and suspects itself. With the service back it goes on.
+# Without the table service and without a majority the remaining VM cannot know whether a patch was accepted: it
+# refuses new requests and suspects itself. When the table service is available again, it serves requests.
 check_majority_lost() {
   kill -STOP "${pid[steward-1]}" "${pid[steward-2]}"
   fault down
   wait_for "the end of the grant" status_is 3 .grant_proof none
   wait_for "gate 3 refusing" gate_refuses 3
   wait_for "self-suspicion" status_is 3 .suspicion.kind self
-  no_faults
-  wait_for "gate 3 by the service alone" url_ready "$(gate_local_url 3)"
+  clear_faults
+  wait_for "gate 3 with a grant by the table service alone" url_ready "$(gate_local_url 3)"
   expect_equal "proof" table "$(status 3 .grant_proof)"
   kill -CONT "${pid[steward-1]}" "${pid[steward-2]}"
-  wait_for "a whole view" view_is_whole
+  wait_for "a complete view" view_is_complete
 }
 
 gate_refuses() {
@@ -196,7 +199,7 @@
   [ "$code" = 503 ] && [ "$(body .error.reason)" = no_grant ] && [ "$(body .error.state)" = not_run ]
 }
 
-# A planned stop takes the VM out of the view at once; the others go on as a view of two.
+# A VM stopped by SIGTERM leaves the view at once; the others continue with a view of two.
 check_leave() {
   stop_process gate-3
   expect_equal "exit status of the gate" 0 "$status"
@@ -219,7 +222,7 @@
 }
 
 site_start 3
-wait_for "a whole view" view_is_whole
+wait_for "a complete view" view_is_complete
 check_denied
 check_lost_reply
 check_outage
--- a/regress/case_tls.sh
+++ b/regress/case_tls.sh
@@ -1,18 +1,18 @@
 #!/bin/bash
-# Callers and operators over TLS. A client that trusts the right certificate is served. One that trusts
-# another certificate must send nothing: were its request run all the same, a host that took over an
-# address would get a team's key and drafts. Plain HTTP gets no answer, and nothing of it is run.
+# Callers and operators over TLS. A client that trusts the site's certificate is served. One that trusts another
+# certificate must send nothing: otherwise a host that took over an address would get a team's key and prompts.
+# Plain HTTP gets no answer, and no such request is run.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
-# make_certificate NAME SUBJECT: $site/NAME.pem for 127.0.0.1, and its key in $site/NAME.key.
+# make_certificate NAME SUBJECT: creates a certificate for 127.0.0.1, $site/NAME.pem, and its key, $site/NAME.key.
 make_certificate() {
   openssl req -x509 -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 -nodes -days 1 -subj "/CN=$2" \
     -addext subjectAltName=IP:127.0.0.1 -keyout "$site/$1.key" -out "$site/$1.pem" 2>"$site/out/openssl" \
     || fail "openssl: $(cat "$site/out/openssl")"
 }
 
-# The certificate of the gates and stewards, one of somebody else, and one of somebody who took the name.
+# The certificate of the gates and stewards, one with another subject, and one with the same subject but another key.
 make_certificates() {
   make_certificate right lovage-site
   make_certificate stranger stranger
@@ -26,7 +26,7 @@
   tls="\"tls_certificate_file\": \"$site/right.pem\", \"tls_key_file\": \"$site/right.key\","
   for role in gate steward; do
     sed -i "0,/^{/s#^{#{ $tls#" "$site/$role-$1.json"
-    grep -q "^{ .tls_certificate_file" "$site/$role-$1.json" || fail "$role-$1.json has no place for TLS"
+    grep -q "^{ .tls_certificate_file" "$site/$role-$1.json" || fail "the TLS settings were not added to $role-$1.json"
   done
 }
 
@@ -34,7 +34,7 @@
   echo "${scheme:-https}://127.0.0.1:${port[$((18100 + 10 * $1))]}"
 }
 
-# run COMMAND...: sets $status, $out and $err.
+# run COMMAND...: runs a command; sets $status, $out (standard output) and $err (standard error).
 run() {
   "$@" >"$site/out/stdout" 2>"$site/out/stderr"
   status=$?
@@ -42,25 +42,25 @@
   err=$(cat "$site/out/stderr")
 }
 
-# Everything that the engines have run, and the newest number.
-ran() {
+# Prints the number of runs at each engine.
+run_counts() {
   local n
   for n in 1 2 3 4; do
     curl -sf --max-time 10 "$(engine_url $n)/v1/record" | jq length
   done | paste -sd ' '
 }
 
-# not_served WHAT CURL_STATUSES [CURL OPTION...]: neither of two gates may answer.
-not_served() {
+# expect_not_served WHAT CURL_STATUSES [CURL OPTION...]: neither of the two gates may answer, and no engine may run anything.
+expect_not_served() {
   local what=$1 statuses=$2 n before
   shift 2
-  before=$(ran)
+  before=$(run_counts)
   for n in 1 2; do
     ask $n tender-desk "$(chat draft-small "[id=tls] $what")" "$@"
     expect_equal "code with $what" 000 "$code"
     [[ " $statuses " = *" $curl_status "* ]] || fail "curl's status with $what: $curl_status, expected one of $statuses"
   done
-  expect_equal "runs at the engines after $what" "$before" "$(ran)"
+  expect_equal "runs at the engines after $what" "$before" "$(run_counts)"
 }
 
 check_callers() {
@@ -72,21 +72,21 @@
     ask $n tender-desk "$(chat draft-large "over TLS" true)" --cacert "$site/right.pem"
     expect_whole_stream
   done
-  expect_equal "requests that ran" "4" "$(($(ran | tr ' ' '+')))"
+  expect_equal "requests that ran" "4" "$(($(run_counts | tr ' ' '+')))"
   # 60: the peer's certificate is not trusted
-  not_served "a stranger's certificate trusted" 60 --cacert "$site/stranger.pem"
-  not_served "an impostor's certificate trusted" 60 --cacert "$site/impostor.pem"
+  expect_not_served "a stranger's certificate trusted" 60 --cacert "$site/stranger.pem"
+  expect_not_served "an impostor's certificate trusted" 60 --cacert "$site/impostor.pem"
   # 52: empty reply, 56: connection reset
-  scheme=http not_served "plain HTTP" "52 56"
+  scheme=http expect_not_served "plain HTTP" "52 56"
   expect_equal "runs of what was not served" 0 "$(run_count tls)"
 }
 
-# A connection that ends without TLS's own word of it looks cut: a client that is strict must not take it
-# for an attack on the end of its answer.
-check_end() {
+# The gate must end a connection with TLS's close notification. Without it a strict client cannot tell the end of the
+# answer from a truncation attack.
+check_close_notification() {
   local body
   body=$(chat draft-small "the end over TLS")
-  python3 - "${port[18110]}" "$site/right.pem" "${key[tender-desk]}" "$body" <<'END' || fail "no orderly end over TLS"
+  python3 - "${port[18110]}" "$site/right.pem" "${key[tender-desk]}" "$body" <<'END' || fail "the connection ended without TLS's close notification"
 import socket, ssl, sys
 port, trust, key, body = sys.argv[1:]
 context = ssl.create_default_context(cafile=trust)
@@ -102,9 +102,9 @@
 END
 }
 
-# refused_operator WHAT COMMAND...: a change by this lovagectl must reach no steward, and must not be
-# said to have been done perhaps.
-refused_operator() {
+# expect_operator_refused WHAT COMMAND...: with this lovagectl command no change may reach a steward, and the error message
+# must not say that it may have been made.
+expect_operator_refused() {
   local what=$1
   shift
   run "$@" patch submit --base 1 "$site/patch.json"
@@ -119,15 +119,16 @@
   expect_equal "brakes after $what" 0 "$(ctl --json brake list | jq length)"
 }
 
-# Without a trust file lovagectl speaks plain HTTP, and the steward resets the connection. Where the whole
-# patch was sent by then, lovagectl can't tell that nothing was done; where the reset came before, it can.
+# Prints the error message to expect. Without a trust file lovagectl uses plain HTTP, and the steward resets the
+# connection. If the complete patch was sent before the reset, lovagectl cannot know that nothing was changed;
+# if not, it can.
 expected_after_reset() {
   case $err in
     *": Could not read status line: "*)
       echo 'lovagectl: no steward answered; one may have done it: see `lovagectl version list`' ;;
     *": Could not send request"* | *": Could not connect to server: "*)
       echo 'lovagectl: no steward answered' ;;
-    *) echo "nothing that fits: $err" ;;
+    *) echo "unexpected: $err" ;;
   esac
 }
 
@@ -143,8 +144,8 @@
   [[ $curl_status = 52 || $curl_status = 56 ]] || fail "curl's status with plain HTTP: $curl_status"
 }
 
-# A peer reads the whole patch and resets the connection: that it did nothing can't be known.
-check_reset_after_patch() {
+# A peer reads the complete patch and resets the connection: lovagectl cannot know that nothing was changed.
+check_reset_after_complete_patch() {
   local peer
   rm -f "$site/out/peer"
   python3 - "$site/out/peer" <<'END' &
@@ -166,7 +167,7 @@
   wait_for "the peer that resets" test -s "$site/out/peer"
   run env -u LOVAGE_TRUST_FILE "$build/lovagectl" --steward "127.0.0.1:$(cat "$site/out/peer")" \
     --key-file "$site/operator.key" patch submit --base 1 "$site/patch.json"
-  wait "$peer" || fail "the peer that resets did not get the whole patch"
+  wait "$peer" || fail "the peer that resets did not get the complete patch"
   expect_equal "exit status after a reset" 4 "$status"
   expect_equal "told after a reset" \
     'lovagectl: no steward answered; one may have done it: see `lovagectl version list`' "$(tail -n 1 <<<"$err")"
@@ -174,11 +175,11 @@
 
 check_operators() {
   echo '{"teams":{"workshop":{"concurrent":5}}}' >"$site/patch.json"
-  refused_operator "a stranger's certificate trusted" ctl --trust-file "$site/stranger.pem"
-  refused_operator "an impostor's certificate trusted" ctl --trust-file "$site/impostor.pem"
-  refused_operator "no such trust file" ctl --trust-file "$site/none.pem"
+  expect_operator_refused "a stranger's certificate trusted" ctl --trust-file "$site/stranger.pem"
+  expect_operator_refused "an impostor's certificate trusted" ctl --trust-file "$site/impostor.pem"
+  expect_operator_refused "no such trust file" ctl --trust-file "$site/none.pem"
   check_plain_operator
-  check_reset_after_patch
+  check_reset_after_complete_patch
   run ctl patch submit --base 1 "$site/patch.json"
   expect_equal "exit status with the right certificate ($err)" 0 "$status"
   expect_equal "told with the right certificate" "number 2 is accepted; in force on 2 of 2 VMs" "$out"
@@ -194,7 +195,7 @@
 site_start 2
 wait_for "a view of both VMs" two_members
 check_callers
-check_end
+check_close_notification
 check_operators
 site_stop
 echo "TLS: passed"
--- a/regress/case_whole_path.sh
+++ b/regress/case_whole_path.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# The whole path: a team's requests, whole and streamed, through each of three gates, each answered by
-# an allowed version and billed once; a roll-out reached by name; a withdrawal in effect on all gates;
-# a graceful stop.
+# The whole path without faults: a team's requests, with and without streaming, through each of three gates, each
+# answered by an allowed version and billed once; a version that becomes reachable by name; a withdrawal that
+# takes effect at all gates; a graceful stop.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
@@ -29,7 +29,7 @@
   expect_refusal 404 not_run unknown_model
 }
 
-# A candidate is only reached through a roll-out's share of callers, not by name, until it is active.
+# A candidate version is used only for the share of callers of a roll-out; by name it is refused until it is active.
 check_candidate() {
   local gate
   ask 1 tender-desk "$(chat draft-small@v2 "a candidate by name")"
@@ -42,10 +42,10 @@
     expect_equal "version" draft-small@v2 "$(header X-Lovage-Version)"
     expect_equal "number in force" 2 "$(header X-Lovage-Config)"
   done
-  # The loser of a race is told the winner's number.
+  # A patch against an older number is refused, and the error names the newest number.
   submit_patch 1 '{"teams":{"workshop":{"weight":3}}}' >"$site/out/race" 2>&1 \
-    && fail "a second patch against 1 was taken"
-  grep -q '\b2\b' "$site/out/race" || fail "the loser was not told the winner's number: $(cat "$site/out/race")"
+    && fail "a second patch against 1 was accepted"
+  grep -q '\b2\b' "$site/out/race" || fail "the error does not name the newest number: $(cat "$site/out/race")"
 }
 
 check_withdrawal() {
@@ -53,7 +53,7 @@
   ctl withdraw draft-small@v2 || fail "withdraw"
   for ((gate = 1; gate <= site_vms; gate++)); do
     wait_for "the withdrawal at gate $gate" withdrawn_at $gate
-    # From now on it must stay withdrawn.
+    # After its first refusal the version must stay withdrawn.
     ask $gate tender-desk "$(chat draft-small@v2 "again")"
     expect_refusal 409 not_run version_withdrawn
     ask $gate tender-desk "$(chat draft-small "the other version goes on")"
--- a/regress/lib.sh
+++ b/regress/lib.sh
@@ -1,11 +1,11 @@
-# A small site on loopback for whole-path cases, the demo and trials by hand; sourced by bash scripts.
+# Runs a small site on loopback for the whole-path cases, the demo and manual tests; sourced by bash scripts.
 #
 # usage: build=$1; . regress/lib.sh; site_start [VMS]; ...; site_stop
 #
-# site_start makes a temporary folder $site with fresh keys, starts the stand-ins, stewards and gates
+# site_start creates a temporary folder $site with new keys, starts the stand-ins, stewards and gates
 # on free ports with the settings of examples/site, waits until they are ready and submits
-# configuration 1. Whatever the script does, all processes it started are ended by their ids on exit.
-# SITE_PORTS=fixed keeps the ports of examples/site. SITE_KEEP=yes keeps the folder.
+# configuration 1. An exit trap kills every process that the script started, by its process id.
+# SITE_PORTS=fixed uses the ports of examples/site. SITE_KEEP=yes keeps the folder.
 
 set -uo pipefail
 
@@ -15,12 +15,12 @@
 HTTP_MAX_S=60
 
 site=
-declare -A pid=()   # by process name
-declare -A port=()  # by the port's number in examples/site
+declare -A pid=()   # process name -> process id
+declare -A port=()  # port number in examples/site -> port in use here
 declare -a started=()
-declare -a ports_taken=()
+declare -a port_lock_fds=()
 
-# The keys of examples/site, which each site replaces by fresh ones.
+# The keys of examples/site; each site replaces them by new ones.
 declare -A example_key=(
   [operator]=example-operator-key
   [tender-desk]=example-tender-desk-key
@@ -43,8 +43,8 @@
   exit 1
 }
 
-# While a site starts, a process that ends by itself fails the script at once; without this check
-# another site's answer on the same port could stand in for a process that never listened.
+# While a site starts, a process that exits fails the script at once. Without this check, a process of
+# another site that listens on the same port could answer in place of one that never started.
 starting=no
 
 check_started() {
@@ -55,7 +55,7 @@
   done
 }
 
-# wait_for DESCRIPTION COMMAND...: repeats the command until it succeeds.
+# wait_for DESCRIPTION COMMAND...: repeats the command until it succeeds; fails after WAIT_MAX_S seconds.
 wait_for() {
   local what=$1 until=$((SECONDS + WAIT_MAX_S))
   shift
@@ -74,7 +74,7 @@
 
 # --- ports
 
-# Sites that start at the same time agree on ports by locked files here.
+# Folder of one lock file per port; it keeps sites that start at the same time from choosing the same port.
 PORT_LOCKS=${TMPDIR:-/tmp}/lovage-port-locks
 
 # True if the port is bound: UDP, or TCP in the state LISTEN (0A). The local address is column 2.
@@ -85,14 +85,14 @@
     END { exit !found }' /proc/net/tcp /proc/net/tcp6 /proc/net/udp /proc/net/udp6 2>/dev/null
 }
 
-# The lock is on an open file, so that it ends with its last owner: this script or a process that it
-# started. Two sites that found the same port's lock left behind by a dead run both took it when the
-# lock was a folder.
+# Locks a port. The lock belongs to an open file, so that the kernel releases it when the last process that
+# holds it (this script or a process that it started) exits. With lock folders, two sites that both found
+# the stale lock of a run that had crashed could both take over the same port.
 reserve_port() {
   local fd
   exec {fd}>"$PORT_LOCKS/$1"
   if flock -n "$fd"; then
-    ports_taken+=("$fd")
+    port_lock_fds+=("$fd")
     return 0
   fi
   exec {fd}>&-
@@ -101,18 +101,19 @@
 
 release_ports() {
   local taken
-  for taken in "${ports_taken[@]}"; do
+  for taken in "${port_lock_fds[@]}"; do
     exec {taken}>&-
   done
-  ports_taken=()
+  port_lock_fds=()
 }
 
-# copy_example puts ports in place of the numbers of examples/site one after the other. A port that is
-# itself such a number was replaced once more, and a gate had the platform's port for its callers.
+# No port is chosen from the range of the port numbers of examples/site. copy_example replaces these numbers
+# one after the other, so a chosen port that equals one of them would be replaced a second time: a gate
+# then got the platform's port as its callers' port.
 EXAMPLE_PORTS=18000
 EXAMPLE_PORTS_END=19000
 
-# Gives a port below the range of ephemeral ports, free for TCP and UDP, in $free.
+# Sets $free to a port below the ephemeral range that is free for TCP and UDP.
 find_port() {
   local try
   mkdir -p "$PORT_LOCKS"
@@ -152,7 +153,7 @@
   chmod 600 "$site"/*.key
 }
 
-# Copies a file of examples/site with this site's ports, key files and key hashes.
+# copy_example FROM TO: copies a file of examples/site with this site's ports, key files and key hashes.
 copy_example() {
   local from=$LIB_ROOT/examples/site/$1 to=$site/$2 name number
   local -a edits=(-e "s#\"site.key\"#\"$site/site.key\"#")
@@ -165,16 +166,17 @@
   sed "${edits[@]}" "$from" >"$to"
 }
 
-# Settings of VM n; beyond the three of examples/site those of VM 1 with another name and ports.
+# copy_settings N: writes the settings of VM N. From the fourth VM on they are those of VM 1 with another
+# name, failure domain and ports, as examples/site has three VMs.
 copy_settings() {
-  local n=$1 like=$1 role p
+  local n=$1 example=$1 role p
   local -a domains=(fukuoka kumamoto kagoshima oita)
   for p in 0 1 2 3 4; do
     map_port "$((18100 + 10 * n + p))"
   done
-  [ "$n" -le 3 ] || like=1
+  [ "$n" -le 3 ] || example=1
   for role in gate steward; do
-    copy_example "$role-$like.json" "$role-$n.json"
+    copy_example "$role-$example.json" "$role-$n.json"
     [ "$n" -le 3 ] && continue
     sed -i -e "s/\"vm-1\"/\"vm-$n\"/" -e "s/\"fukuoka\"/\"${domains[$(((n - 1) % 4))]}\"/" \
       "$site/$role-$n.json"
@@ -187,26 +189,26 @@
 
 # --- processes
 
-# start_process NAME PROGRAM ARGUMENT...
+# start_process NAME PROGRAM ARGUMENT...: starts a program of $build in the background and stores $pid[NAME].
 start_process() {
   local name=$1 program=$2
   shift 2
-  [ -x "$build/$program" ] || fail "there is no $build/$program"
+  [ -x "$build/$program" ] || fail "$build/$program is not an executable file"
   "$build/$program" "$@" >>"$site/log/$name.out" 2>>"$site/log/$name.err" </dev/null &
   pid[$name]=$!
   started+=("$name")
 }
 
-# True if the number still is a process that this shell started and that has not ended. The shell reaps
-# a process that died by itself, and its number may soon belong to a process of somebody else: a signal
-# to it once killed an engine of another run.
-is_own() {
+# is_running_child PID: true if the process is a child of this shell and has not exited. The shell reaps a
+# child that exited, and its process id may be reused: a signal to such an id killed an engine of another
+# run.
+is_running_child() {
   awk -v parent=$$ '$1 == "State:" && $2 == "Z" { exit 1 } $1 == "PPid:" { exit $2 != parent }' \
     "/proc/$1/status" 2>/dev/null
 }
 
 alive() {
-  [ -n "${pid[$1]:-}" ] && is_own "${pid[$1]}"
+  [ -n "${pid[$1]:-}" ] && is_running_child "${pid[$1]}"
 }
 
 # signal_process NAME SIGNAL
@@ -214,7 +216,8 @@
   alive "$1" && kill "-$2" "${pid[$1]}" 2>/dev/null
 }
 
-# What a process that does not end is doing: its state and the system call of each thread.
+# describe_process PID: prints the process's state and signals, the system call of each thread, and the
+# stacks if gdb is installed.
 describe_process() {
   local task
   grep -E '^(State|SigPnd|ShdPnd|SigBlk)' "/proc/$1/status"
@@ -224,7 +227,8 @@
   command -v gdb >/dev/null && gdb -p "$1" -batch -ex 'thread apply all bt 12' 2>/dev/null
 }
 
-# stop_process NAME: SIGTERM; sets $status to its exit status; a process that does not end is killed.
+# stop_process NAME: sends SIGTERM and sets $status to the exit status. A process that does not exit within
+# STOP_MAX_S seconds is described on standard error and killed.
 stop_process() {
   local name=$1 until=$((SECONDS + STOP_MAX_S))
   status=0
@@ -243,7 +247,7 @@
   unset "pid[$name]"
 }
 
-# kill_process NAME: as a VM that is lost.
+# kill_process NAME: kills a process with SIGKILL, as when its VM is lost.
 kill_process() {
   signal_process "$1" KILL
   wait "${pid[$1]}" 2>/dev/null
@@ -264,7 +268,7 @@
   fi
 }
 
-# --- the parts of a site
+# --- components of a site
 
 platform_url() {
   echo "http://127.0.0.1:${port[18000]}"
@@ -294,7 +298,8 @@
   start_process platform standin-platform --address 127.0.0.1 --port "${port[18000]}"
 }
 
-# start_engine N [OPTION...]
+# start_engine N [OPTION...]: engines 1 and 2 serve draft-small, 3 and 4 draft-large; those with an odd
+# number check fencing numbers.
 start_engine() {
   local n=$1 serves=draft-small@v1,draft-small@v2
   shift
@@ -324,7 +329,7 @@
   [ "$(curl -s --max-time 2 -o /dev/null -w '%{http_code}' "$1/readyz")" = 200 ]
 }
 
-# The platform's lagging list of VMs, as it is when all are there.
+# Writes the platform's list of VMs with all VMs of the site in it.
 put_vm_list() {
   local n vms=
   local -a domains=(fukuoka kumamoto kagoshima oita)
@@ -335,7 +340,7 @@
   curl -sf --max-time 5 -X PUT -d "{\"vms\":[$vms]}" "$(platform_url)/v1/vms"
 }
 
-# lovagectl with the operator's key, any steward.
+# ctl COMMAND...: runs lovagectl with the operator's key and the endpoints of all stewards.
 ctl() {
   local n stewards=
   for ((n = 1; n <= site_vms; n++)); do
@@ -344,18 +349,19 @@
   "$build/lovagectl" --steward "$stewards" --key-file "$site/operator.key" "$@"
 }
 
-# Submits configuration 1 once: a second try would make it number 2.
+# Submits configuration 1 unless the table has one already: a repeated submission would become number 2.
 create_first() {
   [ -n "$(head_number)" ] || ctl version create --wait none "$site/routing.json"
   [ -n "$(head_number)" ]
 }
 
-# Called by site_start between writing the settings of VM n and starting it; a script may redefine it.
+# adjust_settings N: called by site_start after the settings of VM N are written and before the VM is
+# started; a script may redefine it.
 adjust_settings() {
   :
 }
 
-# site_start [VMS]
+# site_start [VMS]: starts a site of that many VMs (default 3) and waits until all gates are ready.
 site_start() {
   local n
   site_vms=${1:-3}
@@ -377,7 +383,7 @@
   for n in 1 2 3 4; do
     wait_for "engine $n" url_answers "$(engine_url $n)/v1/load"
   done
-  put_vm_list || fail "the platform did not take the list of VMs"
+  put_vm_list || fail "the platform did not accept the list of VMs"
   for ((n = 1; n <= site_vms; n++)); do
     copy_settings $n
     adjust_settings $n
@@ -395,7 +401,7 @@
   starting=no
 }
 
-# Stops all in order; every process must end by itself with status 0.
+# Stops all gates, then all stewards, then the stand-ins; each process must exit with status 0.
 site_stop() {
   local name
   for name in $(printf '%s\n' "${started[@]}" | sort -u | grep '^gate-') \
@@ -408,8 +414,8 @@
 
 # --- requests
 
-# ask GATE TEAM BODY [CURL OPTION...]: sets $code; headers in $site/out/headers, body in
-# $site/out/body.
+# ask GATE TEAM BODY [CURL OPTION...]: sends a chat completion request; sets $code to the HTTP status and
+# $curl_status, and writes the headers to $site/out/headers and the body to $site/out/body.
 ask() {
   local gate=$1 team=$2 body=$3
   shift 3
@@ -417,7 +423,7 @@
     --data-binary "$body" "$@"
 }
 
-# ask_path GATE TEAM PATH [CURL OPTION...]
+# ask_path GATE TEAM PATH [CURL OPTION...]: as ask, for any path.
 ask_path() {
   local gate=$1 team=$2 path=$3
   shift 3
@@ -426,30 +432,31 @@
   curl_status=$?
 }
 
-# chat MODEL PROMPT [STREAM]: a request's body
+# chat MODEL PROMPT [STREAM]: prints the body of a chat completion request of MAX_TOKENS tokens (default 32).
 chat() {
   jq -cn --argjson t "${MAX_TOKENS:-32}" --arg m "$1" --arg p "$2" --argjson s "${3:-false}" \
     '{model: $m, stream: $s, max_tokens: $t, messages: [{role: "user", content: $p}]}'
 }
 
-# Value of a header of the last answer.
+# header NAME: prints a header's value of the last answer.
 header() {
   tr -d '\r' <"$site/out/headers" | awk -v name="$1:" \
     'tolower($1) == tolower(name) { sub(/^[^:]*: */, ""); print; exit }'
 }
 
+# body FILTER: prints what a jq filter selects from the JSON body of the last answer.
 body() {
   jq -r "$1" "$site/out/body"
 }
 
-# The last answer must be a refusal of this status, state and reason.
+# expect_refusal STATUS STATE REASON: the last answer must be a refusal with these values.
 expect_refusal() {
   expect_equal "status of the refusal ($(head -c 300 "$site/out/body"))" "$1" "$code"
   expect_equal "state" "$2" "$(body .error.state)"
   expect_equal "reason" "$3" "$(body .error.reason)"
 }
 
-# The last answer must be whole, checked to its end mark.
+# The last answer, not streamed, must be complete: answered, with finish_reason "stop" and some content.
 expect_whole() {
   expect_equal "status of the answer ($(head -c 300 "$site/out/body"))" 200 "$code"
   expect_equal "state" answered "$(header X-Lovage-State)"
@@ -457,12 +464,14 @@
   [ -n "$(body '.choices[0].message.content')" ] || fail "the answer is empty"
 }
 
-# Text of the last streamed answer.
+# Prints the text of the last streamed answer.
 stream_text() {
   sed -n 's/^data: //p' "$site/out/body" | grep -v '^\[DONE\]' \
     | jq -rj '.choices[0].delta.content // empty'
 }
 
+# The last streamed answer must be complete: events in sequence without a gap, finish_reason "stop", and the
+# end mark [DONE].
 expect_whole_stream() {
   expect_equal "status of the stream ($(head -c 300 "$site/out/body"))" 200 "$code"
   expect_equal "curl's status" 0 "$curl_status"
@@ -476,13 +485,13 @@
 
 # --- the table service
 
-# Rows of a table as JSON objects, one a line, with the value parsed.
+# table_rows TABLE: prints the rows as JSON objects, one per line, with the value parsed.
 table_rows() {
   curl -sf --max-time 10 "$(platform_url)/v1/scan?table=$1&limit=100000" \
     | jq -c '.rows[] | {key, version, value: (.value | fromjson)}'
 }
 
-# Bills of a request: one JSON text a line.
+# bills_of REQUEST: prints the bills of a request as JSON, one per line.
 bills_of() {
   table_rows bill | jq -c --arg r "$1" 'select(.value.request == $r) | .value'
 }
@@ -497,17 +506,18 @@
 
 # --- configurations
 
-# submit_patch BASE PATCH
+# submit_patch BASE PATCH: submits a JSON patch against configuration number BASE.
 submit_patch() {
   printf %s "$2" | ctl patch submit --base "$1" -
 }
 
-# Newest number in the table; empty before the first.
+# Prints the newest configuration number in the table; nothing before the first configuration.
 head_number() {
   table_rows config_head | jq -r '.value.number'
 }
 
-# Runs that all engines have recorded of prompts with this [id=MARK]: one JSON object a line.
+# runs_of MARK: prints the runs that the engines have recorded of prompts with [id=MARK], one JSON object per
+# line.
 runs_of() {
   local n
   for n in 1 2 3 4; do
@@ -519,7 +529,8 @@
   runs_of "$1" | wc -l
 }
 
-# True if the gate answers under this number or a later one; asks with a request.
+# gate_has_number GATE NUMBER: sends a request; true if the gate answers it under this configuration number
+# or a later one.
 gate_has_number() {
   local found
   ask "$1" tender-desk "$(chat draft-small "which number")"
@@ -527,6 +538,7 @@
   [ -n "$found" ] && [ "$found" -ge "$2" ]
 }
 
+# wait_for_number NUMBER: waits until all gates use this configuration number or a later one.
 wait_for_number() {
   local n
   for ((n = 1; n <= site_vms; n++)); do
--- a/regress/rollout_lib.sh
+++ b/regress/rollout_lib.sh
@@ -1,13 +1,14 @@
-# What the cases of roll-outs share: traffic of many callers, and questions about roll-outs, duties,
-# orders and the audit trail. Sourced after lib.sh.
+# Helpers of the roll-out cases: traffic of many callers, and queries about roll-outs, duties, orders and
+# the audit trail. Sourced after lib.sh.
 
-# Ratings come faster than with the default share, so that a case takes minutes.
+# Samples more answers for rating than by default, so that a roll-out gets its verdict within minutes.
 adjust_settings() {
   sed -i 's/"sample_share": [0-9.]*/"sample_share": 0.5/' "$site/gate-$1.json"
 }
 
-# traffic_round MODEL CALLERS REQUESTS: requests of random ones of that many callers over all live
-# gates, 16 at a time; adds a line "CALLER CODE VERSION" for each to $site/out/traffic-MODEL.
+# traffic_round MODEL CALLERS REQUESTS: sends REQUESTS requests, each by a random one of CALLERS callers, in
+# turn to the gates of $traffic_gates, 16 at a time; appends a line "CALLER CODE VERSION" for each to
+# $site/out/traffic-MODEL.
 traffic_round() {
   local model=$1 callers=$2 requests=$3 i caller gate file=$site/out/curl-$1
   for ((i = 0; i < requests; i++)); do
@@ -24,7 +25,7 @@
   curl -s -Z --parallel-max 16 -K "$file" >>"$site/out/traffic-$model" 2>/dev/null
 }
 
-# traffic_start MODEL CALLERS: rounds without end in the background.
+# traffic_start MODEL CALLERS: repeats rounds of 48 requests in the background until traffic_stop MODEL.
 traffic_start() {
   local name=traffic-$1
   [ -n "${traffic_gates:-}" ] || traffic_gates=($(seq 1 "$site_vms"))
@@ -38,21 +39,23 @@
   kill_process "traffic-$1"
 }
 
-# Callers that were answered by a version, each once.
+# exposed_callers MODEL VERSION: prints the number of callers that were answered by the version.
 exposed_callers() {
   awk -v version="$2" '$3 == version { print $1 }' "$site/out/traffic-$1" | sort -u | wc -l
 }
 
+# answers_of MODEL VERSION: prints the number of answers by the version.
 answers_of() {
   awk -v version="$2" '$3 == version' "$site/out/traffic-$1" | wc -l
 }
 
-# rollout_start MODEL STAGES: from v1 to v2
+# rollout_start MODEL STAGES: starts a roll-out from v1 to v2.
 rollout_start() {
   ctl rollout start "$1" --from v1 --to v2 --stages "$2" || fail "rollout start $1"
 }
 
-# State and stage of a model's roll-out in the newest document, e.g. "running 0".
+# rollout_now MODEL: prints the state and stage of the roll-out in the newest configuration document, e.g.
+# "running 0".
 rollout_now() {
   curl -sf --max-time 10 "$(platform_url)/v1/row?table=config_text&key=$(printf %012d "$(head_number)")" \
     | jq -r --arg m "$1" '.value | fromjson | .rollouts[$m] | "\(.state) \(.stage // 0)"'
@@ -66,12 +69,14 @@
   [[ "$(rollout_now "$1")" == "$2 "* ]]
 }
 
-# Versions that the duty has submitted for a model: one JSON object a line, in order.
+# rollout_steps MODEL: prints the configuration versions that the holder of the duty has submitted for a
+# roll-out, one JSON object per line, in order.
 rollout_steps() {
   table_rows config_version | jq -c --arg m "$1" \
     'select(.value.operator == "duty:rollout" and .value.patch.rollouts[$m] != null) | .value'
 }
 
+# Prints the incarnation of the duty's holder and the fencing number.
 duty_row() {
   table_rows duty | jq -r 'select(.key == "rollout") | "\(.value.holder) \(.value.fence)"'
 }
@@ -80,7 +85,8 @@
   duty_row | cut -d' ' -f2
 }
 
-# The steward that holds the duty, by its log: its incarnation is in the row.
+# Prints the number of the steward that holds the duty. The duty's row names the holder by its incarnation,
+# which that steward's log has.
 duty_holder() {
   local n holder
   holder=$(duty_row | cut -d' ' -f1)
@@ -94,21 +100,21 @@
   [ -n "$(duty_holder)" ]
 }
 
-# audit_of ACTION: one JSON object a line, in order.
+# audit_of ACTION: prints the audit entries of an action, one JSON object per line, in order.
 audit_of() {
   table_rows audit | jq -c --arg a "$1" 'select(.value.action == $a) | .value'
 }
 
 platform_fault() {
-  curl -sf --max-time 5 -d "$1" "$(platform_url)/v1/fault" || fail "the platform took no fault"
+  curl -sf --max-time 5 -d "$1" "$(platform_url)/v1/fault" || fail "the platform did not accept the fault"
 }
 
-platform_mend() {
-  curl -sf --max-time 5 -X DELETE "$(platform_url)/v1/fault" || fail "the platform was not mended"
+platform_clear_faults() {
+  curl -sf --max-time 5 -X DELETE "$(platform_url)/v1/fault" || fail "the platform did not clear its faults"
 }
 
 engine_fault() {
-  curl -sf --max-time 5 -d "$2" "$(engine_url "$1")/v1/fault" || fail "engine $1 took no fault"
+  curl -sf --max-time 5 -d "$2" "$(engine_url "$1")/v1/fault" || fail "engine $1 did not accept the fault"
 }
 
 engine_orders() {
