--- a/regress/case_bad_input.sh
+++ b/regress/case_bad_input.sh
@@ -170,7 +170,7 @@
 # (request smuggling). Each gets exactly one answer, 400, and the connection is closed.
 check_framing() {
   local body='{"model":"draft-small","messages":[{"role":"user","content":"[id=bad-9]"}]}'
-  python3 "$(dirname "$0")/doubtful_heads.py" "$(gate_url 1 | sed s,.*://,,)" "${key[tender-desk]}" "$body" \
+  python3 "$(dirname "$0")/ambiguous_heads.py" "$(gate_url 1 | sed s,.*://,,)" "${key[tender-desk]}" "$body" \
     "length and chunks" "two lengths" "two hosts" "unknown coding" "two codings" \
     || fail "an ambiguous head was not refused exactly once"
   expect_no_run bad-9
--- a/regress/case_limits.sh
+++ b/regress/case_limits.sh
@@ -21,7 +21,7 @@
 }
 
 # Prints the largest number of the flood's requests that ran at the same time, over both engines.
-most_at_once() {
+max_concurrent() {
   runs_of flood | jq -r '"\(.started_ms) 1\n\(.ended_ms) -1"' | sort -k1,1n -k2,2n \
     | awk '{ now += $2 } now > most { most = now } END { print most + 0 }'
 }
@@ -56,8 +56,8 @@
   for i in $(grep -l '"error"' "$site"/out/workshop-*); do
     expect_equal "refusal in $i" "not_run team_limit" "$(jq -r '"\(.error.state) \(.error.reason)"' "$i")"
   done
-  [ "$(most_at_once)" -le $CONCURRENT ] || fail "$(most_at_once) of the flood ran at once"
-  echo "concurrency: $admitted of $FLOOD admitted, at most $(most_at_once) at once, limit $CONCURRENT"
+  [ "$(max_concurrent)" -le $CONCURRENT ] || fail "$(max_concurrent) of the flood ran at once"
+  echo "concurrency: $admitted of $FLOOD admitted, at most $(max_concurrent) at once, limit $CONCURRENT"
 }
 
 # A limit of 30 tokens per second for the site is 10 at each gate. A request of 64 tokens overdraws it, and the next
--- a/regress/front/cases.py
+++ b/regress/front/cases.py
@@ -176,9 +176,9 @@
 
 
 async def stopping_serves_what_ends_in_time(site):
-    """All fronts of a failure domain stop at once, so callers still connect to one that is stopping. While it
-    completes a stream it serves an order, which ends before the process has to exit, and refuses a new stream
-    without sending it."""
+    """All fronts of a failure domain stop at once, so callers still connect to one that is stopping. Three seconds
+    after the signal it still streams an answer. It serves an order, which ends before the process has to exit, and
+    refuses a new stream at once."""
     front = site.fronts[0]
     for engine in site.engines:
         engine.delay = 4.0 if engine.streams else 0.0
@@ -684,8 +684,8 @@
 
 
 async def cold_engines(site):
-    """All engines are cold when thirty callers come at once. No engine gets more requests than the limit for cold
-    engines; the other requests are refused without running, with Retry-After."""
+    """All engines have just started, and would crash above a small rate, when thirty callers come at once. No engine
+    gets more requests than the limit for cold engines; the others are refused without running, with Retry-After."""
     site.cold_per_s = 4
     await site.configure()
     for engine in site.engines:
--- a/regress/front/cases_links.py
+++ b/regress/front/cases_links.py
@@ -25,8 +25,9 @@
 async def news_over_slow_link(site):
     """A front whose connections to the store are reset fetches a large configuration from a neighbour, over
     a link on which the transfer takes three seconds. Guards against a time-out of 0.8 s on the whole
-    answer instead of on its first byte: the front then aborted each request while the answer arrived and
-    repeated it without end, and its callers were served by the old routes."""
+    answer instead of on its first byte: the front aborted each request while the answer arrived and repeated
+    it without end, so that its log had fetch after fetch of the same rows, each cut with bytes received, and
+    its callers were served by the old routes."""
     neighbour, lagging = site.fronts[0], site.fronts[2]
     await neighbour.kill()
     neighbour.control = NEIGHBOUR_CONTROL_PORT  # the relay listens on the usual port
