--- a/regress/case_ctl.sh
+++ b/regress/case_ctl.sh
@@ -118,10 +118,10 @@
     if [ $status -eq 0 ]; then
       [ -z "$winner" ] || fail "racers $winner and $n both won"
       winner=$n
-      expect_equal "the winner is told" "$(accepted_text $((number + 1)))" "$(cat "$site/out/race-$n")"
+      expect_equal "standard output of the winner" "$(accepted_text $((number + 1)))" "$(cat "$site/out/race-$n")"
     else
       expect_equal "exit status of racer $n ($(cat "$site/out/race-$n.err"))" 3 $status
-      expect_equal "racer $n is told" "lovagectl: lost the race: the newest number is $((number + 1)) now" \
+      expect_equal "standard error of racer $n" "lovagectl: lost the race: the newest number is $((number + 1)) now" \
         "$(cat "$site/out/race-$n.err")"
       losers=$((losers + 1))
     fi
@@ -342,7 +342,7 @@
   find_port
   run "$build/lovagectl" --steward "127.0.0.1:$free" --key-file "$site/operator.key" status
   expect_equal "exit status without a steward" 4 "$status"
-  expect_equal "told without a steward" "lovagectl: no steward answered" "$(tail -n 1 <<<"$err")"
+  expect_equal "last error line without a steward" "lovagectl: no steward answered" "$(tail -n 1 <<<"$err")"
   run "$build/lovagectl" --steward "127.0.0.1:$free,127.0.0.1:$(operators_port 2)" --key-file "$site/operator.key" \
     --json status
   expect_equal "exit status with one steward of two" 0 "$status"
--- a/regress/case_tls.sh
+++ b/regress/case_tls.sh
@@ -110,7 +110,7 @@
   run "$@" patch submit --base 1 "$site/patch.json"
   expect_equal "exit status of a patch with $what" 4 "$status"
   expect_equal "standard output with $what" "" "$out"
-  expect_equal "told with $what" "lovagectl: no steward answered" "$(tail -n 1 <<<"$err")"
+  expect_equal "last error line with $what" "lovagectl: no steward answered" "$(tail -n 1 <<<"$err")"
   expect_equal "stewards tried with $what" "${port[18113]} ${port[18123]}" \
     "$(sed -nE 's/^lovagectl: steward 127\.0\.0\.1 port ([0-9]+): .*/\1/p' <<<"$err" | paste -sd ' ')"
   run "$@" brake draft-small@v2 --why "$what"
@@ -136,7 +136,7 @@
   run env -u LOVAGE_TRUST_FILE "$build/lovagectl" --steward "127.0.0.1:${port[18113]}" \
     --key-file "$site/operator.key" patch submit --base 1 "$site/patch.json"
   expect_equal "exit status with plain HTTP" 4 "$status"
-  expect_equal "told with plain HTTP" "$(expected_after_reset)" "$(tail -n 1 <<<"$err")"
+  expect_equal "last error line with plain HTTP" "$(expected_after_reset)" "$(tail -n 1 <<<"$err")"
   expect_equal "newest number after plain HTTP" 1 "$(head_number)"
   curl -s --max-time 10 -o "$site/out/body" -H "Authorization: Bearer ${key[operator]}" \
     "http://127.0.0.1:${port[18113]}/v1/status"
@@ -169,7 +169,7 @@
     --key-file "$site/operator.key" patch submit --base 1 "$site/patch.json"
   wait "$peer" || fail "the peer that resets did not get the complete patch"
   expect_equal "exit status after a reset" 4 "$status"
-  expect_equal "told after a reset" \
+  expect_equal "last error line after a reset" \
     'lovagectl: no steward answered; one may have done it: see `lovagectl version list`' "$(tail -n 1 <<<"$err")"
 }
 
@@ -182,7 +182,7 @@
   check_reset_after_complete_patch
   run ctl patch submit --base 1 "$site/patch.json"
   expect_equal "exit status with the right certificate ($err)" 0 "$status"
-  expect_equal "told with the right certificate" "number 2 is accepted; in force on 2 of 2 VMs" "$out"
+  expect_equal "standard output with the right certificate" "number 2 is accepted; in force on 2 of 2 VMs" "$out"
   expect_equal "newest number" 2 "$(head_number)"
 }
 
--- a/regress/front/cases_links.py
+++ b/regress/front/cases_links.py
@@ -24,7 +24,7 @@
 
 async def news_over_slow_link(site):
     """A front whose connections to the store are reset fetches a large configuration from a neighbour, over
-    a link on which the transfer takes three seconds. Guards against a time-out of 0.8 s on the whole
+    a link on which the transfer takes three seconds. Guards against a time-out of 0.8 s on the complete
     answer instead of on its first byte: the front aborted each request while the answer arrived and repeated
     it without end, so that its log had fetch after fetch of the same rows, each cut with bytes received, and
     its callers were served by the old routes."""
@@ -48,7 +48,7 @@
 
 async def configuration_over_slow_link(site):
     """The same configuration comes from the store, whose answer takes three seconds over each front's link.
-    Guards against a time-out of 1.5 s on the whole answer of a short poll: the request was aborted while
+    Guards against a time-out of 1.5 s on the complete answer of a short poll: the request was aborted while
     its answer arrived, and the store was taken for lost although it always answered."""
 
     def has_short_poll(front):
@@ -69,7 +69,7 @@
 
 async def start_over_slow_link(site):
     """All fronts restart and read the large configuration over such links. Guards against a time-out of
-    1.5 s on the whole answer: a starting front aborted its request with most of the bytes received and
+    1.5 s on the complete answer: a starting front aborted its request with most of the bytes received and
     began again, and no front became ready."""
     add_routes(site, EXTRA_ROUTES)
     await site.configure()
--- a/regress/soak/oracle.py
+++ b/regress/soak/oracle.py
@@ -26,14 +26,14 @@
         records = Records(site)
         self.runs, self.bills, self.by_tag = records.runs, records.bills, records.by_tag
 
-    def fail(self, promise, detail):
-        self.violations.append(f"{promise}: {detail}")
+    def fail(self, guarantee, detail):
+        self.violations.append(f"{guarantee}: {detail}")
 
     def check(self):
         for check in (
             self.allowed_version, self.no_work_on_stopped, self.session_keeps_version, self.billed_once,
             self.billed_tokens,
-            self.whole_answer, self.not_run_did_not_run, self.at_most_once, self.planned_stop_cuts_nothing,
+            self.complete_answer, self.not_run_did_not_run, self.at_most_once, self.planned_stop_cuts_nothing,
             self.configuration_never_reverts, self.in_force_is_kept, self.named_session_keeps_version,
             self.caller_that_left, self.brakes_reach_gates, self.frozen_queues, self.work_in_outage,
         ):  # fmt: skip
@@ -80,8 +80,8 @@
     def arrived_while_frozen(self, run, begin):
         """Whether a request was sent before begin to an engine that was frozen: the engine records it when it
         continues."""
-        for name, server, frozen, woken in self.faults.log:
-            if name == "freeze_engine" and server == run["server"] and frozen < begin and run["started_ms"] >= woken - 100:
+        for name, server, frozen, unfrozen in self.faults.log:
+            if name == "freeze_engine" and server == run["server"] and frozen < begin and run["started_ms"] >= unfrozen - 100:
                 if any(s.at < begin for s in self.sent if s.tag == run["user"]):
                     return True
         return False
@@ -134,14 +134,14 @@
                 self.fail("billed once", f"{tag}: {bills} bills for {requests}")
         self.checked["bills lost in the stated window"] += len(self.lost)
 
-    def whole_answer(self):
+    def complete_answer(self):
         for sent in self.sent:
             if sent.outcome != "answered":
                 continue
-            self.checked["whole answers"] += 1
+            self.checked["complete answers"] += 1
             texts = {run.get("text") for run in self.by_tag[sent.tag] if run.get("ended") == "whole"}
             if sent.text not in texts:
-                self.fail("whole answer", f"{sent.tag} got {len(sent.text)} bytes that no engine's whole answer has")
+                self.fail("complete answer", f"{sent.tag} got {len(sent.text)} bytes that are no engine's complete answer")
 
     def not_run_did_not_run(self):
         for sent in self.sent:
@@ -153,7 +153,7 @@
                 if not same or sent.at <= run["started_ms"] <= sent.end and all(
                     not s.at <= run["started_ms"] <= s.end for s in same
                 ):
-                    self.fail("not run", f"{sent.tag} was told not run ({sent.reason}), but {run['model']} ran it")
+                    self.fail("not run", f"{sent.tag} was refused as not run ({sent.reason}), but {run['model']} ran it")
 
     def at_most_once(self):
         for tag in {s.tag for s in self.sent if not s.idempotent}:
