--- a/regress/case_graceful_stop.sh
+++ b/regress/case_graceful_stop.sh
@@ -7,7 +7,7 @@
 . "$(dirname "$0")/lib.sh"
 
 STREAMS=16
-TOKENS=200
+TOKENS=200 # per stream
 
 # begin_stream N: starts a stream in the background; its answer is in $site/stream-N, so that many can run at once.
 begin_stream() {
--- a/regress/case_lease.sh
+++ b/regress/case_lease.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
 # The steward that holds the duty of roll-outs is frozen until its lease has expired, as when its host pauses the
 # VM. A second steward takes the duty over with the next fencing number and backs a bad version out. Then
-# the first continues in the belief that it holds the duty: it must change no configuration, and no engine may
-# obey its orders. At the end the holder is stopped by SIGTERM and releases the duty.
+# the first continues in the belief that it holds the duty: it must change no configuration and send no orders. At
+# the end the holder is stopped by SIGTERM and releases the duty.
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/rollout_lib.sh"
@@ -20,7 +20,7 @@
   engine_orders "$1" | jq -e --arg v "$2" 'select(.unload | index($v))' >/dev/null
 }
 
-# log_has STEWARD PATTERN
+# log_has STEWARD PATTERN: true if the steward's log has a line that matches.
 log_has() {
   grep -q "$2" "$site/log/steward-$1.err"
 }
--- a/regress/case_limits.sh
+++ b/regress/case_limits.sh
@@ -5,9 +5,9 @@
 build=${1:-build}
 . "$(dirname "$0")/lib.sh"
 
-CONCURRENT=6
-FLOOD=60
-OTHERS=24
+CONCURRENT=6 # limit of the flooding team
+FLOOD=60     # its requests
+OTHERS=24    # requests of the other team
 
 # curl_entry TEAM NUMBER TOKENS PROMPT: prints the curl configuration of one request, for which curl prints "TEAM
 # CODE RETRY-AFTER" after the answer.
--- a/regress/case_quarantine.sh
+++ b/regress/case_quarantine.sh
@@ -11,7 +11,7 @@
 
 LOST_MAX=2     # engines that one request may crash in the whole site
 SENT_AGAIN_S=3 # longer than death reports take to reach all VMs: a load report, two grants, a heartbeat
-POOL="1 2 5 6 7 8"
+POOL="1 2 5 6 7 8" # engines that serve draft-small
 LONG_REQUEST_COUNT=24
 
 start_pool_engine() {
