--- a/regress/soak/relay.py
+++ b/regress/soak/relay.py
@@ -63,7 +63,7 @@
 
     def __init__(self, link):
         self.link = link
-        self.outbound = {}
+        self.outbound = {}  # sender -> transport to the target; None while it is opened
 
     def connection_made(self, transport):
         self.transport = transport
