--- a/regress/soak/oracle.py
+++ b/regress/soak/oracle.py
@@ -1,15 +1,15 @@
-"""Reads the engines' own records, the tables and what callers saw, and checks the promises."""
+"""Checks the site's guarantees against the engines' records, the tables and what callers and operators saw."""
 
 import collections
 
-from oracle_faults import REACH_MS, FaultChecks
+from oracle_faults import BRAKE_REACH_MS, FaultChecks
 from records import Records
 from site_vms import MODELS
 
 ALLOWED = {"bank": set(MODELS) | {"ledger"}, "tender": {"draft-small"}}
 
-# The check of the grant stands directly before the last byte of a request. What remains is one
-# write and the way to the engine.
+# Time between the check of the grant, which is made directly before a request's last byte is sent, and the
+# arrival of that byte at the engine: one write and the network.
 SEND_MS = 100
 ENGINE_FAULTS = {"kill_engine", "freeze_engine", "engine_fault", "crash_prompt"}
 
@@ -19,21 +19,21 @@
         super().__init__(site, faults)
         self.operators, self.brakes = operators.log, brakes.log
         self.sent = callers.log
-        self.send_ms, self.reach_ms = SEND_MS * slack, REACH_MS * slack
+        self.send_ms, self.reach_ms = SEND_MS * slack, BRAKE_REACH_MS * slack
         self.violations = []
-        self.lost = []  # answers whose bill is lost in the stated window
-        self.checked = collections.Counter()
+        self.lost = []  # answers without a bill that are within the loss window that the design states
+        self.checked = collections.Counter()  # number of cases that each check had
         records = Records(site)
         self.runs, self.bills, self.by_tag = records.runs, records.bills, records.by_tag
 
-    def fail(self, promise, detail):
-        self.violations.append(f"{promise}: {detail}")
+    def fail(self, guarantee, detail):
+        self.violations.append(f"{guarantee}: {detail}")
 
     def check(self):
         for check in (
             self.allowed_version, self.no_work_on_stopped, self.session_keeps_version, self.billed_once,
             self.billed_tokens,
-            self.whole_answer, self.not_run_did_not_run, self.at_most_once, self.graceful_stop_cuts_nothing,
+            self.complete_answer, self.not_run_did_not_run, self.at_most_once, self.planned_stop_cuts_nothing,
             self.configuration_never_reverts, self.in_force_is_kept, self.named_session_keeps_version,
             self.caller_that_left, self.brakes_reach_gates, self.frozen_queues, self.work_in_outage,
         ):  # fmt: skip
@@ -50,13 +50,13 @@
                 self.fail("allowed version", f"{run['user']} of {team} ran on {run['model']}")
 
     def stopped_spans(self):
-        """(version or server, from, to, number): certainly stopped, by what operators were told."""
+        """(version or server, begin, end, number) of the times in which operators were told that it is stopped."""
         spans = []
         for patch in self.operators:
             if not patch.stops or patch.result != "in_force":
                 continue
-            # Any later patch that may have brought it back ends the span, also one whose answer was lost.
-            back = [
+            # A later patch that may have reverted it ends the span, even if the patch's answer was lost.
+            reverts = [
                 p.submitted
                 for p in self.operators
                 if p.target == patch.target
@@ -64,29 +64,30 @@
                 and (p.number > patch.number or (p.number == 0 and p.result in ("lost", "unknown", "unavailable")))
                 and p.answered > patch.submitted
             ]
-            spans.append((patch.target, patch.answered, min(back, default=float("inf")), patch.number))
+            spans.append((patch.target, patch.answered, min(reverts, default=float("inf")), patch.number))
         return spans
 
     def no_work_on_stopped(self):
         for target, begin, end, number in self.stopped_spans():
             self.checked["withdrawals in force" if "@" in target else "leaving servers"] += 1
             for run in self.runs:
-                if target not in (run["model"], run["server"]) or self.arrived_frozen(run, begin):
+                if target not in (run["model"], run["server"]) or self.arrived_while_frozen(run, begin):
                     continue
                 if begin + self.send_ms < run["started_ms"] < end:
-                    late = run["started_ms"] - begin
-                    self.fail("stopped target", f"{target}, number {number}: {run['user']} began {late:.0f} ms after")
-
-    def arrived_frozen(self, run, begin):
-        """A frozen engine dates what came before at its waking."""
-        for name, server, frozen, woken in self.faults.log:
-            if name == "freeze_engine" and server == run["server"] and frozen < begin and run["started_ms"] >= woken - 100:
+                    delay_ms = run["started_ms"] - begin
+                    self.fail("stopped target", f"{target}, number {number}: {run['user']} began {delay_ms:.0f} ms after")
+
+    def arrived_while_frozen(self, run, begin):
+        """Whether a request was sent before begin to an engine that was frozen: the engine records it when it
+        continues."""
+        for name, server, frozen, unfrozen in self.faults.log:
+            if name == "freeze_engine" and server == run["server"] and frozen < begin and run["started_ms"] >= unfrozen - 100:
                 if any(s.at < begin for s in self.sent if s.tag == run["user"]):
                     return True
         return False
 
     def billed_tokens(self):
-        """The last attempt of an answer's bill counts what its engine generated."""
+        """The last attempt in an answer's bill has the number of tokens that its engine generated."""
         bills = {bill["request"]: bill for bill in self.bills.values()}
         for sent in self.sent:
             bill = bills.get(sent.request)
@@ -133,14 +134,14 @@
                 self.fail("billed once", f"{tag}: {bills} bills for {requests}")
         self.checked["bills lost in the stated window"] += len(self.lost)
 
-    def whole_answer(self):
+    def complete_answer(self):
         for sent in self.sent:
             if sent.outcome != "answered":
                 continue
-            self.checked["whole answers"] += 1
+            self.checked["complete answers"] += 1
             texts = {run.get("text") for run in self.by_tag[sent.tag] if run.get("ended") == "whole"}
             if sent.text not in texts:
-                self.fail("whole answer", f"{sent.tag} got {len(sent.text)} bytes that no engine's whole answer has")
+                self.fail("complete answer", f"{sent.tag} got {len(sent.text)} bytes that are no engine's complete answer")
 
     def not_run_did_not_run(self):
         for sent in self.sent:
@@ -152,7 +153,7 @@
                 if not same or sent.at <= run["started_ms"] <= sent.end and all(
                     not s.at <= run["started_ms"] <= s.end for s in same
                 ):
-                    self.fail("not run", f"{sent.tag} was told not run ({sent.reason}), but {run['model']} ran it")
+                    self.fail("not run", f"{sent.tag} was refused as not run ({sent.reason}), but {run['model']} ran it")
 
     def at_most_once(self):
         for tag in {s.tag for s in self.sent if not s.idempotent}:
@@ -164,8 +165,8 @@
         for vm, begin, end, status in self.faults.planned:
             self.checked["graceful stops"] += 1
             if status != 0:
-                self.fail("graceful stop", f"the gate of {vm} ended with status {status}")
-            # No other fault is brought to this VM meanwhile; those of the engines cut answers too.
+                self.fail("planned stop", f"the gate of {vm} ended with status {status}")
+            # The VM has no other fault meanwhile, but faults of the engines truncate answers too.
             if any(f[0] in ENGINE_FAULTS and f[2] < end and f[3] > begin - 1000 for f in self.faults.log):
                 continue
             self.checked["graceful stops without an engine's fault"] += 1
@@ -174,7 +175,7 @@
                     self.fail("graceful stop", f"{sent.tag} was cut while the gate of {vm} stopped")
 
     def configuration_never_reverts(self):
-        """Within one session of callers, a VM's answers carry numbers that only rise."""
+        """The configuration numbers in a VM's answers do not fall."""
         for vm in {s.vm for s in self.sent}:
             answers = sorted((s for s in self.sent if s.vm == vm and s.config), key=lambda s: s.at)
             newest, newest_end = 0, 0
