--- a/regress/front/soak.py
+++ b/regress/front/soak.py
@@ -265,7 +265,7 @@
         during_stop = answer.sent_at - 1 < self.planned_stops.get(name, 0) < answer.ended_at
         undisturbed = answer.sent_at > self.undisturbed_since(name, "engines") + UNDISTURBED_S
         if during_stop and not answer.complete and self.site.runs_of(answer) and undisturbed:
-            self.violations.append(f"{answer!r}: truncated by a planned stop of front {name}")
+            self.violations.append(f"{answer!r}: truncated by a graceful stop of front {name}")
 
     # -- the run
 
--- a/regress/soak/oracle.py
+++ b/regress/soak/oracle.py
@@ -33,7 +33,7 @@
         for check in (
             self.allowed_version, self.no_work_on_stopped, self.session_keeps_version, self.billed_once,
             self.billed_tokens,
-            self.complete_answer, self.not_run_did_not_run, self.at_most_once, self.planned_stop_cuts_nothing,
+            self.complete_answer, self.not_run_did_not_run, self.at_most_once, self.graceful_stop_cuts_nothing,
             self.configuration_never_reverts, self.in_force_is_kept, self.named_session_keeps_version,
             self.caller_that_left, self.brakes_reach_gates, self.frozen_queues, self.work_in_outage,
         ):  # fmt: skip
@@ -165,7 +165,7 @@
         for vm, begin, end, status in self.faults.planned:
             self.checked["graceful stops"] += 1
             if status != 0:
-                self.fail("planned stop", f"the gate of {vm} ended with status {status}")
+                self.fail("graceful stop", f"the gate of {vm} ended with status {status}")
             # The VM has no other fault meanwhile, but faults of the engines truncate answers too.
             if any(f[0] in ENGINE_FAULTS and f[2] < end and f[3] > begin - 1000 for f in self.faults.log):
                 continue
--- a/regress/soak/soak.py
+++ b/regress/soak/soak.py
@@ -26,7 +26,7 @@
 REQUIRED_CHECKS = [
     "runs on an allowed model", "requests for a model that is not allowed", "withdrawals in force", "leaving servers", "bills with the engine's tokens",
     "session answers", "answers with a bill", "complete answers", "refusals as not run",
-    "non-idempotent requests", "planned stops", "configuration numbers", "patches in force",
+    "non-idempotent requests", "graceful stops", "configuration numbers", "patches in force",
     "brakes raised", "brakes raised in a partition", "brakes by gates that must have heard",
     "requests refused by a brake", "answers in sessions named by callers", "callers that left",
     "streams whose caller left, cancelled", "bills of callers that left",
