--- a/tools/check.sh
+++ b/tools/check.sh
@@ -5,7 +5,8 @@
 # usage: tools/check.sh BUILD-FOLDER unit|regress...
 #
 # KNOWN-RED.txt lists at most three tests that are known to fail, one per line as "TEST, cause, issue", where TEST is
-# PROGRAM:CASE or regress/case_X.sh. Their failures are printed but not counted.
+# PROGRAM:CASE, regress/case_X.sh or, where a script plays several cases, regress/case_X.sh:CASE. Their failures are
+# printed but not counted.
 # EARLIER_FAILED is the number of steps that failed before (see .ci/run).
 set -uo pipefail
 cd "$(dirname "$0")/.."
@@ -40,9 +41,11 @@
   fi
 }
 
-# failed_cases LOG: prints the names of the cases that failed in a log written by tests/suite.c, one per line.
+# failed_cases LOG: prints the names of the cases that failed in a log of tests/suite.c or of a script that prints
+# "CASE: FAILED, ...", one per line.
 failed_cases() {
-  awk '/^  Test: / { name = $2 } /FAILED$/ { print name }' "$1" | sort -u
+  awk '/^  Test: / { name = $2 } /FAILED$/ { print name }
+    /^[a-z_]+: FAILED, / { sub (/:.*/, ""); print }' "$1" | sort -u
 }
 
 show_log() {
@@ -106,6 +109,8 @@
     passed=$((passed + 1))
   elif [ -n "${known_red[$script]:-}" ]; then
     echo "known red: ${known_red[$script]}"
+  elif [ $status -eq 1 ] && all_known_red "$script" "$log"; then
+    print_known_red "$script" "$log"
   else
     echo "$script: failed with status $status"
     show_log "$log"
