--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -8,9 +8,9 @@
 #include "steward_http.h"
 #include "steward_leave.h"
 #include "steward_meter.h"
+#include "steward_recover.h"
 #include "steward_rollout.h"
 #include "steward_rpc.h"
-#include "steward_settle.h"
 #include "steward_table.h"
 #include "util_assert.h"
 #include "util_clock.h"
@@ -168,7 +168,7 @@
   steward_table_stop (s->table);
   wait_for_grants_end (s);
   steward_leave (s);
-  bills_left = steward_settle_leave (s, LEAVE_BILLS_TIMEOUT_MS);
+  bills_left = steward_recover_leave (s, LEAVE_BILLS_TIMEOUT_MS);
   if (bills_left > 0)
     log_msg (MSG_STEWARD_BILLS_LEFT, "vm=\"%s\" records=\"%zu\"", s->self.vm, bills_left);
   rpc_server_free (s->rpc);
--- a/src/steward_settle.c
+++ b/src/steward_recover.c
@@ -1,4 +1,4 @@
-#include "steward_settle.h"
+#include "steward_recover.h"
 #include "bill_recover.h"
 #include "cluster_view.h"
 #include "steward_cluster.h"
@@ -45,7 +45,7 @@
 }
 
 bool
-steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now)
+steward_recover_gate_alive (Steward *s, uint64_t gate, int64_t now)
 {
   const StewardRemoteGate *entry;
   uint64_t own[STEWARD_GATES_MAX];
@@ -68,11 +68,11 @@
 static bool
 gate_alive (void *context, uint64_t gate)
 {
-  return steward_settle_gate_alive (context, gate, clock_boot_ms ());
+  return steward_recover_gate_alive (context, gate, clock_boot_ms ());
 }
 
 void
-steward_settle (Steward *s, int64_t now)
+steward_recover (Steward *s, int64_t now)
 {
   BillRecovery recovery = { 0 };
   size_t written = 0;
@@ -101,7 +101,7 @@
    never be billed. A record that its gate writes as well is stored once, since it is inserted only
    if absent. */
 size_t
-steward_settle_leave (Steward *s, int64_t timeout_ms)
+steward_recover_leave (Steward *s, int64_t timeout_ms)
 {
   int64_t end = clock_boot_ms () + timeout_ms;
   BillReplicaSize size;
--- a/src/steward_settle.h
+++ b/src/steward_recover.h
@@ -2,8 +2,8 @@
  * Writes usage records of gates that no longer run to the table: the copies held here and those in
  * the object store.
  */
-#ifndef STEWARD_SETTLE_H
-#define STEWARD_SETTLE_H
+#ifndef STEWARD_RECOVER_H
+#define STEWARD_RECOVER_H
 
 #include "steward.h"
 
@@ -13,14 +13,14 @@
 #define STEWARD_GATE_TERMINATED_MS INT64_C (60000)
 
 /** True if a gate may still write its records itself, or if that is not certain. */
-bool steward_settle_gate_alive (Steward *s, uint64_t gate, int64_t now);
+bool steward_recover_gate_alive (Steward *s, uint64_t gate, int64_t now);
 /** Makes one pass. Only the first member of the view recovers records from the object store. */
-void steward_settle (Steward *s, int64_t now);
+void steward_recover (Steward *s, int64_t now);
 /**
  * To be called at a graceful stop, when no further copies arrive: writes all copies held here to
  * the table, for about timeout_ms at most. Returns the number of records left, which are lost with
  * this process.
  */
-size_t steward_settle_leave (Steward *s, int64_t timeout_ms);
+size_t steward_recover_leave (Steward *s, int64_t timeout_ms);
 
 #endif
--- a/src/steward_table.c
+++ b/src/steward_table.c
@@ -1,8 +1,8 @@
 #include "steward_table.h"
 #include "steward_cluster.h"
 #include "steward_publish.h"
+#include "steward_recover.h"
 #include "steward_rows.h"
-#include "steward_settle.h"
 #include "util_assert.h"
 #include "util_clock.h"
 #include "util_log.h"
@@ -145,7 +145,7 @@
           = now + BRAKES_SYNC_INTERVAL_MS * (int64_t)(1 + steward_cluster_members (s) / 16);
       t->brakes_read = steward_brakes_sync (&s->brakes, s->platform, TIMEOUT_MS, NULL) == STATUS_OK;
     }
-  steward_settle (s, now);
+  steward_recover (s, now);
 }
 
 /* Reads the rows, then makes the writes that are due. */
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -10,7 +10,7 @@
 #include "steward_gates.h"
 #include "steward_heartbeat.h"
 #include "steward_message.h"
-#include "steward_settle.h"
+#include "steward_recover.h"
 #include "steward_table.h"
 #include "steward_usage.h"
 #include "suite.h"
@@ -337,18 +337,18 @@
   s->started_at = 0;
   steward_cluster_init (&s->cluster, 1, 3000);
   steward_gates_init (&s->gates, 0);
-  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 1000));
-  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
+  CU_ASSERT_TRUE (steward_recover_gate_alive (s, gate, 1000));
+  CU_ASSERT_TRUE (steward_recover_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
   ClusterView *view = memory_alloc (sizeof *view);
   *view = (ClusterView){ .number = 1, .established = true, .count = 1 };
   view->members[0].incarnation = 1;
   CU_ASSERT_TRUE (cluster_state_adopt_view (s->cluster.state, view));
-  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
+  CU_ASSERT_FALSE (steward_recover_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
   steward_remote_gates_update (&s->remote_gates, 2, &gate, 1, STEWARD_GATE_TERMINATED_MS);
-  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
-  CU_ASSERT_FALSE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_TERMINATED_MS + 1));
+  CU_ASSERT_TRUE (steward_recover_gate_alive (s, gate, STEWARD_GATE_TERMINATED_MS + 1));
+  CU_ASSERT_FALSE (steward_recover_gate_alive (s, gate, 2 * STEWARD_GATE_TERMINATED_MS + 1));
   CU_ASSERT_TRUE (steward_gates_record_ask (&s->gates, gate, 1, 0, 2 * STEWARD_GATE_TERMINATED_MS));
-  CU_ASSERT_TRUE (steward_settle_gate_alive (s, gate, 2 * STEWARD_GATE_TERMINATED_MS + 1));
+  CU_ASSERT_TRUE (steward_recover_gate_alive (s, gate, 2 * STEWARD_GATE_TERMINATED_MS + 1));
   free (view);
   steward_gates_clear (&s->gates);
   steward_cluster_clear (&s->cluster);
--- a/tests/test_steward_settle.c
+++ b/tests/test_steward_recover.c
@@ -2,7 +2,7 @@
  * Usage records that a steward holds for other VMs, at its graceful stop.
  */
 #include "fake_gate.h"
-#include "steward_settle.h"
+#include "steward_recover.h"
 #include "suite.h"
 #include "util_clock.h"
 #include <stdlib.h>
@@ -42,7 +42,7 @@
 
   add_copies (&site);
   CU_ASSERT_EQUAL (fake_platform_rows (site.platform, "bill"), 0);
-  CU_ASSERT_EQUAL (steward_settle_leave (&s, LEAVE_TIMEOUT_MS), 0);
+  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), 0);
   for (int n = 0; n < RECORDS; n++)
     CU_ASSERT_TRUE (fake_site_is_billed (&site, n));
   CU_ASSERT_EQUAL (fake_platform_rows (site.platform, "bill"), RECORDS);
@@ -59,7 +59,7 @@
   FakeGate *gate = fake_gate_new (&site, GATE, SPOOL_MAX);
 
   add_copies (&site);
-  CU_ASSERT_EQUAL (steward_settle_leave (&s, LEAVE_TIMEOUT_MS), 0);
+  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), 0);
   for (int n = 0; n < RECORDS; n++)
     CU_ASSERT_EQUAL (fake_gate_commit (gate, n), BILL_AT_TABLE);
   CU_ASSERT_EQUAL (fake_gate_free (gate, LEAVE_TIMEOUT_MS), 0);
@@ -78,9 +78,9 @@
 
   add_copies (&site);
   fake_link_set (link, CALL_TXN | CALL_GET | CALL_SCAN, LINK_REFUSED);
-  CU_ASSERT_EQUAL (steward_settle_leave (&s, LEAVE_TIMEOUT_MS), RECORDS);
+  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), RECORDS);
   fake_link_set (link, CALL_TXN | CALL_GET | CALL_SCAN, LINK_UP);
-  CU_ASSERT_EQUAL (steward_settle_leave (&s, LEAVE_TIMEOUT_MS), 0);
+  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), 0);
   CU_ASSERT_EQUAL (fake_platform_rows (site.platform, "bill"), RECORDS);
   platform_free (link);
   fake_site_free (&site);
@@ -95,5 +95,5 @@
     { "unavailable_table_bounds_the_stop", test_unavailable_table_bounds_the_stop },
   };
 
-  return suite_main (argc, argv, "steward_settle", cases, SUITE_COUNT (cases));
+  return suite_main (argc, argv, "steward_recover", cases, SUITE_COUNT (cases));
 }
