--- a/src/claim.h
+++ b/src/claim.h
@@ -13,8 +13,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define CLAIM_KEY_MAX    192   /**< bytes of a row key, including the NUL */
-#define CLAIM_ANSWER_MAX 65536 /**< bytes; longer ones are not stored, a retry gets "unknown" */
+#define CLAIM_KEY_MAX 192 /**< bytes of a row key, including the NUL */
+/** Bytes of a stored answer. A longer one is not stored: the caller's retry gets "unknown". */
+#define CLAIM_ANSWER_MAX 65536
 
 typedef enum
 {
@@ -48,8 +49,8 @@
   ClaimResult result;
   Claim claim;
   /** With CLAIM_UNAVAILABLE: the write's reply was lost, so the row may exist although the request
-   *  does not run. The caller is told "not run"; the claim has to go to claim_releaser_add, so that
-   *  a retry can run. */
+   *  does not run. The caller gets "not run"; the claim has to go to claim_releaser_add, so that
+   *  the caller's retry can run. */
   bool outcome_unknown;
   int http_status; /**< with CLAIM_ANSWERED */
   char content_type[64];
@@ -66,8 +67,9 @@
                  ClaimOutcome *out,
                  Status *st);
 
-/** Releases a claim after proof that the request did not run, so that a retry may run. On failure
- *  the claim stays in progress, which is safe; claim_releaser_add retries the release. */
+/** Releases a claim after proof that the request did not run, so that the caller's retry may run.
+ *  On failure the claim stays in progress, which is safe; claim_releaser_add retries the release.
+ */
 StatusCode claim_release (Platform *platform, const Claim *claim, Status *st);
 
 /** Row text of a settled claim; freed with free. */
--- a/src/claim_release.c
+++ b/src/claim_release.c
@@ -15,7 +15,7 @@
 #define TRIES_MAX         3    /* of one release: another attempt may change the row meanwhile */
 #define TIMEOUT_MS        500  /* of one call of the table service */
 #define RETRY_INTERVAL_MS 500  /* after a failed release */
-#define RELEASES_MAX      4096 /* queued */
+#define RELEASES_MAX      4096 /* in the queue */
 
 typedef struct
 {
--- a/src/claim_row.h
+++ b/src/claim_row.h
@@ -20,7 +20,7 @@
   ClaimState state;
   char nonce[ID_SIZE];
   uint64_t body_hash;
-  int http_status; /**< this and the next two with CLAIM_SETTLED only */
+  int http_status; /**< this field and the next two with CLAIM_SETTLED only */
   char content_type[64];
   Buffer answer;
 } ClaimRow;
--- a/src/cluster_accept.h
+++ b/src/cluster_accept.h
@@ -1,7 +1,7 @@
 /**
  * Acceptance of a configuration number. A number is accepted once a majority of the members has
- * applied it. From grant_ms after the acceptance on no new work starts on earlier numbers, and the
- * operator is told so. See docs/design/configuration.md.
+ * applied it. From grant_ms after the acceptance on no new work starts on earlier numbers, and
+ * operators' calls report the number as in force. See docs/design/configuration.md.
  */
 #ifndef CLUSTER_ACCEPT_H
 #define CLUSTER_ACCEPT_H
--- a/src/cluster_pack.c
+++ b/src/cluster_pack.c
@@ -9,7 +9,7 @@
 }
 
 /* Returns the news of that member or NULL. News is in the order of the view's members, so the
-   search continues after the previous match. */
+   search starts at *from, after the previous match. */
 static ClusterNews *
 find_news (ClusterHeartbeat *h, uint64_t incarnation, size_t *from)
 {
--- a/src/cluster_state.h
+++ b/src/cluster_state.h
@@ -2,8 +2,7 @@
  * The state of one steward in the cluster protocol: the number that it applies, its view, and the
  * progress of the other members, merged from heartbeats. A heartbeat is an ask (request) or the
  * answer to one; an answer also relays news, which is the progress of third members as its sender
- * has it.
- * docs/design/configuration.md shows why the merge is correct.
+ * has it. docs/design/configuration.md shows why the merge is correct.
  *
  * What is known of an incarnation is (number, view, as_of) and states two bounds:
  * - a lower bound from now on: it has applied `number` and has seen `view`;
--- a/src/steward_api_version.c
+++ b/src/steward_api_version.c
@@ -23,7 +23,7 @@
 
 static const char *const listed[] = { "number", "base", "operator", "reason", "at_ms" };
 
-/* The entry of a list for a row of config_version: only the members in listed. */
+/* The entry of a list for a row of config_version, with only the JSON members named in listed. */
 static Json *
 list_entry (const PlatformRow *row)
 {
@@ -123,7 +123,7 @@
 }
 
 static bool
-read_wait (StewardCall *call, StewardReach *until, int64_t *wait_ms)
+read_wait (StewardCall *call, StewardNumberState *until, int64_t *wait_ms)
 {
   const char *wait = steward_call_query (call, "wait");
 
@@ -189,14 +189,15 @@
 }
 
 static void
-answer_reach (StewardCall *call, int64_t number, StewardReach until, int64_t wait_ms)
+answer_state (StewardCall *call, int64_t number, StewardNumberState until, int64_t wait_ms)
 {
   size_t in_force, members;
-  StewardReach reach = steward_wait (call->s, number, until, wait_ms, &in_force, &members);
+  StewardNumberState state = steward_wait (call->s, number, until, wait_ms, &in_force, &members);
   Json *answer = json_object_new_object ();
 
   json_object_object_add (answer, "number", json_object_new_int64 (number));
-  json_object_object_add (answer, "state", json_object_new_string (steward_reach_name (reach)));
+  json_object_object_add (answer, "state",
+                          json_object_new_string (steward_number_state_name (state)));
   json_object_object_add (answer, "members_in_force", json_object_new_int64 ((int64_t)in_force));
   json_object_object_add (answer, "members", json_object_new_int64 ((int64_t)members));
   steward_call_done (call, answer);
@@ -208,7 +209,7 @@
   const char *reason = steward_call_text (call, "reason");
   char quoted[QUOTED_SIZE];
   StewardSubmitResult result;
-  StewardReach until;
+  StewardNumberState until;
   int64_t wait_ms;
   int64_t known_number;
   char *known_text;
@@ -238,7 +239,7 @@
                (long long)result.number, call->operator->name,
                log_quote (reason, quoted, sizeof quoted));
       (void)steward_publish_document (call->s, result.number, result.text);
-      answer_reach (call, result.number, until, wait_ms);
+      answer_state (call, result.number, until, wait_ms);
     }
   else
     answer_refusal (call, &result);
--- a/src/steward_brakes.c
+++ b/src/steward_brakes.c
@@ -8,9 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEY_SIZE     (2 * ((size_t)CLUSTER_NAME_MAX + 1))
-#define QUOTED_SIZE  512
-#define SYNC_OPS_MAX 64
+#define KEY_SIZE    (2 * ((size_t)CLUSTER_NAME_MAX + 1))
+#define QUOTED_SIZE 512
 
 void
 steward_brakes_init (StewardBrakes *b)
--- a/src/steward_cluster.c
+++ b/src/steward_cluster.c
@@ -61,11 +61,10 @@
     log_msg (MSG_STEWARD_APPLIED, "config=\"%lld\"", (long long)number);
 }
 
-/* True if operators wait for this steward before a number counts as in force, which it does when
-   all members apply it. A steward that is no member, nor at the address of one, is not waited for;
-   if it took work on a proof by its peers, it could do so under an older number after the newer one
-   counts as in force. This occurs after a graceful stop and a restart during an outage of the table
-   service, when it can't be registered yet. */
+/* True if a number counts as in force only once this steward applies it: it is a member, or at
+   the address of one. Any other steward gets no grant: on a proof by its peers it could take work
+   under an older number after the newer one counts as in force. This occurs after a graceful stop
+   and a restart during an outage of the table service, when it can't be registered yet. */
 static bool
 is_waited_for (const Steward *s)
 {
@@ -117,8 +116,8 @@
   return false;
 }
 
-/* The first view that this steward adopts may have lost a member just before. Only view number 1
-   can't. */
+/* A member may have been removed just before the first view that this steward adopts, unless that
+   is view number 1. */
 bool
 steward_cluster_adopt_view (Steward *s, const ClusterView *view, int64_t now)
 {
@@ -135,11 +134,10 @@
 }
 
 /* A VM that left the view at a graceful stop and was started again during an outage of the table
-   service may have got a grant by peers that still had the view with its address in it. The
-   view without it doesn't count it, so a number would be called in force while that VM takes work
-   under a lower one. Once the new view is established no majority supports that grant any more (a
-   voter that has seen a newer view is not counted), so it ends grant_ms later at the latest. Until
-   then the members' reports are not sufficient. */
+   service may have a grant by peers that still had the view with its address. The next view doesn't
+   contain it, so a number could count as in force while that VM takes work under a lower one. Once
+   that view is established no majority supports the grant any more (a voter that has seen a newer
+   view is not counted), so it ends grant_ms later at the latest. */
 static bool
 unseen_grant_possible (const Steward *s, int64_t now)
 {
@@ -256,7 +254,7 @@
   return count;
 }
 
-/* Among many members information about one takes some rounds of asks to arrive here. */
+/* Among many members, information about one takes several rounds of asks to arrive here. */
 static int64_t
 suspect_ms (const Steward *s)
 {
--- a/src/steward_evidence.c
+++ b/src/steward_evidence.c
@@ -46,11 +46,12 @@
   return NULL;
 }
 
+/* Keeps the totals unless the roll-out is a new one or went back to an earlier stage. */
 static void
-follow_rollout (const StewardEvidence *e,
-                const Config *config,
-                const ConfigRollout *from,
-                EvidenceRollout *out)
+fill_rollout (const StewardEvidence *e,
+              const Config *config,
+              const ConfigRollout *from,
+              EvidenceRollout *out)
 {
   const char *model = config->models[from->model].name;
   const EvidenceRollout *before = find_rollout (e->rollouts, e->count, model);
@@ -79,7 +80,7 @@
     {
       const ConfigRollout *rollout = &config->rollouts[i];
       if (rollout->state == ROLLOUT_RUNNING || rollout->state == ROLLOUT_PAUSED)
-        follow_rollout (e, config, rollout, &next[count++]);
+        fill_rollout (e, config, rollout, &next[count++]);
     }
   free (e->rollouts);
   e->rollouts = next;
--- a/src/steward_gates.h
+++ b/src/steward_gates.h
@@ -16,12 +16,12 @@
 typedef struct
 {
   uint64_t incarnation; /**< 0: free */
-  int64_t number;       /**< in force at the gate when it asked last */
+  int64_t number;       /**< in force at the gate when it last asked for a grant */
   int64_t until; /**< end of the last grant that it can use under number; boot-time clock, ms */
   int64_t pending_until;  /**< the same for grants that it can use only from pending_number on */
   int64_t pending_number; /**< above number; 0: no pending grants */
-  int64_t asked_at;       /**< time of its last ask */
-  unsigned in_flight;     /**< requests in progress at its last ask */
+  int64_t asked_at;       /**< time at which it last asked for a grant */
+  unsigned in_flight;     /**< requests in progress at that time */
 } StewardGate;
 
 typedef struct
--- a/src/steward_heartbeat.c
+++ b/src/steward_heartbeat.c
@@ -29,10 +29,10 @@
   pthread_mutex_t lock;
   pthread_cond_t wake;
   bool stop;
-  uint64_t next_peer; /**< index of the next member to ask, in this steward's order */
-  uint64_t seed;      /**< seed of this steward's order of members */
-  double credit;      /**< asks that may be sent now: the rate limit's tokens */
-  int64_t credit_at;  /**< time of the last increase of credit */
+  uint64_t next_peer;  /**< index of the next member to ask, in this steward's order */
+  uint64_t seed;       /**< seed of this steward's order of members */
+  double tokens;       /**< asks that may be sent now (token bucket) */
+  int64_t refilled_at; /**< time at which tokens were last added */
 };
 
 /** What an ask carries in addition to the heartbeat. */
@@ -126,8 +126,8 @@
 }
 
 /* Lists the other members in an order specific to this steward, the same in each round, so that
-   asking in turn reaches every member equally often. Members with lagging_number or a newer number
-   are left out if it is not 0. *out is freed by the caller. */
+   asking in turn reaches every member equally often. If lagging_number is not 0, members that apply
+   it or a newer number are left out. *out is freed by the caller. */
 static size_t
 list_peers (Steward *s, uint64_t seed, int64_t lagging_number, Peer **out)
 {
@@ -157,18 +157,18 @@
 
 /* Returns the number of asks that this round may send: at most one to each other member. */
 static size_t
-take_credit (StewardHeartbeat *h, size_t others)
+take_tokens (StewardHeartbeat *h, size_t others)
 {
   int64_t now = clock_boot_ms ();
   double rate = steward_heartbeat_rate (others + 1);
   size_t asks;
 
-  h->credit += rate * (double)(now - h->credit_at) / 1000;
-  h->credit_at = now;
-  if (h->credit > (double)others)
-    h->credit = (double)others;
-  asks = (size_t)h->credit;
-  h->credit -= (double)asks;
+  h->tokens += rate * (double)(now - h->refilled_at) / 1000;
+  h->refilled_at = now;
+  if (h->tokens > (double)others)
+    h->tokens = (double)others;
+  asks = (size_t)h->tokens;
+  h->tokens -= (double)asks;
   return asks;
 }
 
@@ -177,7 +177,7 @@
 {
   Peer *peers;
   size_t count = list_peers (h->s, h->seed, 0, &peers);
-  size_t asks = take_credit (h, count);
+  size_t asks = take_tokens (h, count);
 
   for (size_t i = 0; i < asks && count > 0; i++)
     send_ask (h->s, &peers[h->next_peer++ % count], ASK_PLAIN);
@@ -256,7 +256,7 @@
 
   h->s = s;
   h->seed = id_random_u64 ();
-  h->credit_at = clock_boot_ms ();
+  h->refilled_at = clock_boot_ms ();
   pthread_mutex_init (&h->lock, NULL);
   wait_init (&h->wake);
   int error = pthread_create (&h->thread, NULL, run, h);
--- a/src/steward_http.c
+++ b/src/steward_http.c
@@ -117,10 +117,10 @@
 path_matches (StewardCall *call, const StewardRoute *route, const char *url)
 {
   size_t len = strlen (route->path);
-  bool open = route->path[len - 1] == '/';
+  bool is_prefix = route->path[len - 1] == '/';
 
   call->rest = "";
-  if (!open)
+  if (!is_prefix)
     return strcmp (url, route->path) == 0;
   if (strncmp (url, route->path, len) != 0 || url[len] == '\0')
     return false;
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -149,7 +149,7 @@
 }
 
 /* After cluster_state_leave this steward answers no ask and gives no grant, so that its removal
-   from the view is as good as a proof of its death. */
+   from the view counts as a proof of its death. */
 static void
 leave (Steward *s)
 {
--- a/src/steward_meter.c
+++ b/src/steward_meter.c
@@ -8,9 +8,8 @@
    the packets of one connection. */
 #define EXCHANGE_BYTES 1100
 /* Estimated bytes of a read on a persistent connection beside its rows: 3 segments with 52 bytes
-   of TCP/IP each, 104 bytes of request, and the answer's headers. Compared with TCP_INFO of the
-   stand-in's sockets the sum is 1% too low with 9 stewards and 5% with 36; the sockets' figure
-   includes the lists of VMs, which are not counted here. A read that has to connect first, as when
+   of TCP/IP each, 104 bytes of request, and the answer's headers. The lists of VMs are not counted.
+   The total is 1% too low with 9 stewards and 5% with 36. A read that has to connect first, as when
    the server closes the connection after each answer, is counted about 700 bytes too low. */
 #define READ_BYTES 360
 /* Estimated bytes of names and quotes of one operation, or of one row of an answer, beside its
--- a/src/steward_orders_state.c
+++ b/src/steward_orders_state.c
@@ -35,7 +35,7 @@
 }
 
 static bool
-holds (Json *array, const char *label)
+contains (Json *array, const char *label)
 {
   for (size_t i = 0; i < json_object_array_length (array); i++)
     {
@@ -46,11 +46,12 @@
   return false;
 }
 
+/* True if models contains all of the labels, or none of them if listed is false. */
 static bool
-all_are (Json *labels, Json *models, bool wanted)
+all_listed (Json *labels, Json *models, bool listed)
 {
   for (size_t i = 0; i < json_object_array_length (labels); i++)
-    if (holds (models, json_object_get_string (json_object_array_get_idx (labels, i))) != wanted)
+    if (contains (models, json_object_get_string (json_object_array_get_idx (labels, i))) != listed)
       return false;
   return true;
 }
@@ -63,6 +64,6 @@
   if (!json_object_object_get_ex (report, "models", &models)
       || !json_object_is_type (models, json_type_array))
     return false;
-  return all_are (json_object_object_get (desired, "load"), models, true)
-         && all_are (json_object_object_get (desired, "unload"), models, false);
+  return all_listed (json_object_object_get (desired, "load"), models, true)
+         && all_listed (json_object_object_get (desired, "unload"), models, false);
 }
--- a/src/steward_recover.c
+++ b/src/steward_recover.c
@@ -95,11 +95,10 @@
   return false;
 }
 
-/* Copies are written although their gate may still run. If they waited until it counts as
-   terminated, STEWARD_GATE_TERMINATED_MS after its last report, records could be lost: if a VM
-   fails and the two VMs that hold its copies are replaced within that minute, its answers would
-   never be billed. A record that its gate writes as well is stored once, since it is inserted only
-   if absent. */
+/* Copies are written although their gate may still run. If they waited STEWARD_GATE_TERMINATED_MS,
+   a VM could fail and the two VMs that hold its copies be replaced within that minute, and its
+   answers would never be billed. A record that its gate writes as well is stored once, since it is
+   inserted only if absent. */
 size_t
 steward_recover_leave (Steward *s, int64_t timeout_ms)
 {
--- a/src/steward_recover.h
+++ b/src/steward_recover.h
@@ -14,7 +14,8 @@
 
 /** True if a gate may still write its records itself, or if that is not certain. */
 bool steward_recover_gate_alive (Steward *s, uint64_t gate, int64_t now);
-/** Makes one pass. Only the first member of the view recovers records from the object store. */
+/** Writes the copies held here of gates that no longer run. The first live member of the view also
+ * recovers records from the object store, once a minute. */
 void steward_recover (Steward *s, int64_t now);
 /**
  * To be called at a graceful stop, when no further copies arrive: writes all copies held here to
--- a/src/steward_removal.c
+++ b/src/steward_removal.c
@@ -81,9 +81,8 @@
 }
 
 /* While this VM's own network is suspected, silence says nothing about the others. The exception
-   is the replacement of all VMs at once: as many members are gone as are new, and if those that are
-   gone were not removed, half of the members would be silent for ever and no majority could accept
-   a configuration. */
+   is the replacement of all VMs at once: half of the members are then old ones that never answer
+   again, and unless they were removed no majority could accept a configuration. */
 static bool
 silence_counts (Steward *s, const ClusterView *view, const PlatformVms *vms, int64_t now)
 {
--- a/src/steward_removal.h
+++ b/src/steward_removal.h
@@ -1,7 +1,7 @@
 /**
- * Finds members whose VMs no longer exist: those that the platform's list of VMs no longer contains
- * and that have been silent for as long. The list lags and may be wrong for a while, so it is never
- * sufficient alone.
+ * Finds members whose VMs no longer exist: those that have been silent, and missing in the
+ * platform's list of VMs, for STEWARD_LIST_LAG_MS. The list lags and may be wrong for a while, so
+ * it is never sufficient alone.
  */
 #ifndef STEWARD_REMOVAL_H
 #define STEWARD_REMOVAL_H
--- a/src/steward_rollout.c
+++ b/src/steward_rollout.c
@@ -85,7 +85,7 @@
 }
 
 static void
-follow_config (StewardRollout *r, const Config *config, int64_t now)
+update_open_rollouts (StewardRollout *r, const Config *config, int64_t now)
 {
   if (config->number != r->number)
     {
@@ -233,7 +233,7 @@
   config = steward_document_config (&r->s->document);
   if (config == NULL)
     return;
-  follow_config (r, config, now);
+  update_open_rollouts (r, config, now);
   test_own_evidence (r, config, now);
   write_row (r, now);
   act_as_holder (r, config, now);
--- a/src/steward_rpc.c
+++ b/src/steward_rpc.c
@@ -129,9 +129,9 @@
   if (steward_deaths_merge (&s->deaths, ask->deaths.deaths_val, ask->deaths.deaths_len, now))
     steward_heartbeat_broadcast_deaths (s);
   (void)steward_cluster_grant (s, now);
-  bool known
+  bool recorded
       = steward_gates_record_ask (&s->gates, ask->incarnation, ask->number, ask->in_flight, now);
-  if (known)
+  if (recorded)
     left = give_grant (s, ask->incarnation, now, &grant->number);
   grant->grant_ms = ask->stopping ? 0 : (u_int)left;
   fill_members (s, now, grant);
--- a/src/steward_suspicion.c
+++ b/src/steward_suspicion.c
@@ -41,11 +41,11 @@
 /* True if all members of the domain are silent, and they are more than all other silent members
    together. */
 static bool
-is_domain (const ClusterView *view,
-           const bool *silent,
-           int self,
-           const char *domain,
-           size_t silent_in_all)
+is_silent_domain (const ClusterView *view,
+                  const bool *silent,
+                  int self,
+                  const char *domain,
+                  size_t silent_in_all)
 {
   DomainCount count = count_domain (view, silent, self, domain);
 
@@ -84,7 +84,7 @@
   for (size_t i = 0; i < view->count; i++)
     {
       const char *domain = view->members[i].failure_domain;
-      if ((int)i == self || !silent[i] || !is_domain (view, silent, self, domain, s.silent))
+      if ((int)i == self || !silent[i] || !is_silent_domain (view, silent, self, domain, s.silent))
         continue;
       s.kind = STEWARD_SUSPECT_DOMAIN;
       snprintf (s.failure_domain, sizeof s.failure_domain, "%s", domain);
--- a/src/steward_wait.c
+++ b/src/steward_wait.c
@@ -29,8 +29,8 @@
          && now - w->accepted_at > steward_cluster_grant_bound_ms (w->s->settings.grant_ms);
 }
 
-static StewardReach
-check_reach (Wait *w, StewardProgress *progress, int64_t now)
+static StewardNumberState
+check_state (Wait *w, StewardProgress *progress, int64_t now)
 {
   *progress = steward_cluster_progress (w->s, w->number, now);
   if (!progress->accepted)
@@ -51,10 +51,10 @@
       = 2 * w->ask_interval_ms < ASK_INTERVAL_MAX_MS ? 2 * w->ask_interval_ms : ASK_INTERVAL_MAX_MS;
 }
 
-StewardReach
+StewardNumberState
 steward_wait (Steward *s,
               int64_t number,
-              StewardReach until,
+              StewardNumberState until,
               int64_t wait_ms,
               size_t *members_in_force,
               size_t *members)
@@ -63,33 +63,33 @@
   int64_t now = clock_boot_ms ();
   int64_t end = now + wait_ms;
   StewardProgress progress;
-  StewardReach reach = check_reach (&w, &progress, now);
+  StewardNumberState state = check_state (&w, &progress, now);
 
   /* Asked once even if the caller doesn't wait, so that the number spreads now and not with the
      next poll. */
   ask_lagging (&w, now);
   steward_table_accept_soon (s->table, number);
-  while (reach < until && now < end && !steward_cluster_leaving (s))
+  while (state < until && now < end && !steward_cluster_leaving (s))
     {
       int64_t next = w.next_ask_at < end ? w.next_ask_at : end;
       steward_cluster_wait (s, next - now);
       now = clock_boot_ms ();
       ask_lagging (&w, now);
-      if (reach == STEWARD_DURABLE)
+      if (state == STEWARD_DURABLE)
         steward_table_wake (s->table);
-      reach = check_reach (&w, &progress, now);
+      state = check_state (&w, &progress, now);
     }
   *members_in_force = progress.members_in_force;
   *members = progress.members;
-  return reach;
+  return state;
 }
 
 const char *
-steward_reach_name (StewardReach reach)
+steward_number_state_name (StewardNumberState state)
 {
   static const char *const names[] = {
     [STEWARD_DURABLE] = "durable", [STEWARD_ACCEPTED] = "accepted", [STEWARD_IN_FORCE] = "in_force"
   };
 
-  return names[reach];
+  return names[state];
 }
--- a/src/steward_wait.h
+++ b/src/steward_wait.h
@@ -11,17 +11,17 @@
   STEWARD_DURABLE,
   STEWARD_ACCEPTED,
   STEWARD_IN_FORCE /**< no member's gate takes new work under a lower number any more */
-} StewardReach;
+} StewardNumberState;
 
-/** Waits at most wait_ms until the number has reached the given state. Returns the state reached,
- * and how many members have the number in force. */
-StewardReach steward_wait (Steward *s,
-                           int64_t number,
-                           StewardReach until,
-                           int64_t wait_ms,
-                           size_t *members_in_force,
-                           size_t *members);
+/** Waits at most wait_ms until the number has reached the given state. Returns the state that it
+ * has, and how many members have the number in force. */
+StewardNumberState steward_wait (Steward *s,
+                                 int64_t number,
+                                 StewardNumberState until,
+                                 int64_t wait_ms,
+                                 size_t *members_in_force,
+                                 size_t *members);
 
-const char *steward_reach_name (StewardReach reach);
+const char *steward_number_state_name (StewardNumberState state);
 
 #endif
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -32,8 +32,8 @@
   free (text);
 }
 
-/* A dispatch order is sent again while the first attempt is running and after it was answered. It
- * must run once: the retries get "in progress", then the stored answer. */
+/* A caller retries a dispatch order while the first attempt is running and after it was answered.
+ * The order must run once: the retries get "in progress", then the stored answer. */
 static void
 test_retry_does_not_run_again (void)
 {
@@ -52,9 +52,9 @@
 }
 
 /* The VM that has the order is killed at the write of its claim, before or after the write takes
- * effect; after the claim was taken and bytes may have been sent; and after the bill, before the
- * end of the answer. A retry at another VM may run the order only in the first case, and must get
- * the answer in the last. */
+ * effect; after the claim was taken and bytes may have been sent; and after its usage
+ * record was written, before the end of the answer. A retry at another VM may run the order only in
+ * the first case, and must get the answer in the last. */
 static void
 test_order_of_a_killed_holder_runs_at_most_once (void)
 {
@@ -158,13 +158,13 @@
 }
 
 static size_t
-claims_left (ClaimReleaser *releaser)
+free_releaser (ClaimReleaser *releaser)
 {
   return claim_releaser_free (releaser);
 }
 
 /* The write takes effect, its reply is lost and then the service is unavailable. The caller is told
- * "not run". Without the release each of its retries would get "in progress" for ever. */
+ * "not run". Without the release all of its retries would get "in progress". */
 static void
 test_unknown_outcome_is_released (void)
 {
@@ -178,7 +178,7 @@
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
   claim_releaser_add (releaser, &out.claim);
-  CU_ASSERT_EQUAL (claims_left (releaser), 0);
+  CU_ASSERT_EQUAL (free_releaser (releaser), 0);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
@@ -349,7 +349,7 @@
     { "too_long_answer_is_not_stored", test_too_long_answer_is_not_stored },
     { "lost_reply_is_recognised_by_nonce", test_lost_reply_is_recognised_by_nonce },
     { "lost_call_is_repeated", test_lost_call_is_repeated },
-    { "down", test_order_does_not_run_while_table_is_down },
+    { "order_does_not_run_while_table_is_down", test_order_does_not_run_while_table_is_down },
     { "unknown_outcome_is_released", test_unknown_outcome_is_released },
     { "delayed_write_after_release_has_no_effect", test_delayed_write_after_release_has_no_effect },
     { "delayed_take_over_after_release_has_no_effect",
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -20,90 +20,90 @@
 } Fixture;
 
 static void
-fixture_fault (Fixture *w)
+fixture_fault (Fixture *f)
 {
   static const FakeFault faults[]
       = { FAULT_NONE, FAULT_NONE, FAULT_DOWN, FAULT_LOSE_REPLY, FAULT_LOSE_CALL, FAULT_SLOW };
-  FakeFault fault = faults[gsl_rng_uniform_int (w->rng, sizeof faults / sizeof faults[0])];
+  FakeFault fault = faults[gsl_rng_uniform_int (f->rng, sizeof faults / sizeof faults[0])];
 
-  w->faults += fault != FAULT_NONE;
-  fake_platform_fault (w->site.p, fault, gsl_rng_uniform_int (w->rng, 2) ? CALL_ALL : CALL_TXN,
-                       (unsigned)gsl_rng_uniform_int (w->rng, 6));
+  f->faults += fault != FAULT_NONE;
+  fake_platform_fault (f->site.p, fault, gsl_rng_uniform_int (f->rng, 2) ? CALL_ALL : CALL_TXN,
+                       (unsigned)gsl_rng_uniform_int (f->rng, 6));
 }
 
 static void
-fixture_take (Fixture *w)
+fixture_take (Fixture *f)
 {
   ClaimOutcome out;
-  ClaimResult result = order_claim (&w->site, ORDER_BODY, &out);
+  ClaimResult result = order_claim (&f->site, ORDER_BODY, &out);
 
   if (result == CLAIM_TAKEN)
     {
-      CU_ASSERT_FALSE (w->has_running);
-      w->running = out.claim;
-      w->has_running = true;
-      w->runs++;
+      CU_ASSERT_FALSE (f->has_running);
+      f->running = out.claim;
+      f->has_running = true;
+      f->runs++;
     }
-  if (result == CLAIM_UNAVAILABLE && out.outcome_unknown && w->released_count < 64)
-    w->released[w->released_count++] = out.claim;
+  if (result == CLAIM_UNAVAILABLE && out.outcome_unknown && f->released_count < 64)
+    f->released[f->released_count++] = out.claim;
   claim_outcome_clear (&out);
 }
 
 static void
-fixture_release (Fixture *w)
+fixture_release (Fixture *f)
 {
-  if (w->released_count > 0
-      && claim_release (w->site.p, &w->released[w->released_count - 1], NULL) == STATUS_OK)
-    w->released_count--;
+  if (f->released_count > 0
+      && claim_release (f->site.p, &f->released[f->released_count - 1], NULL) == STATUS_OK)
+    f->released_count--;
 }
 
 /* The attempt that has the claim is refused by its backend server: it did not run. */
 static void
-fixture_not_run (Fixture *w)
+fixture_not_run (Fixture *f)
 {
-  if (!w->has_running)
+  if (!f->has_running)
     return;
-  w->has_running = false;
-  if (claim_release (w->site.p, &w->running, NULL) != STATUS_OK && w->released_count < 64)
-    w->released[w->released_count++] = w->running;
+  f->has_running = false;
+  if (claim_release (f->site.p, &f->running, NULL) != STATUS_OK && f->released_count < 64)
+    f->released[f->released_count++] = f->running;
 }
 
 static void
 test_random_attempts (void)
 {
-  Fixture w = { .site = order_site_new (), .rng = gsl_rng_alloc (gsl_rng_mt19937) };
+  Fixture f = { .site = order_site_new (), .rng = gsl_rng_alloc (gsl_rng_mt19937) };
 
-  gsl_rng_set (w.rng, 4711);
+  gsl_rng_set (f.rng, 4711);
   for (int step = 0; step < 20000; step++)
-    switch (gsl_rng_uniform_int (w.rng, 6))
+    switch (gsl_rng_uniform_int (f.rng, 6))
       {
       case 0:
-        fixture_fault (&w);
+        fixture_fault (&f);
         break;
       case 1:
-        fake_platform_late_effects (w.site.p);
+        fake_platform_late_effects (f.site.p);
         break;
       case 2:
-        fixture_release (&w);
+        fixture_release (&f);
         break;
       case 3:
-        fixture_not_run (&w);
+        fixture_not_run (&f);
         break;
       default:
-        fixture_take (&w);
+        fixture_take (&f);
         break;
       }
-  CU_ASSERT_TRUE (w.runs > 100 && w.faults > 1000);
+  CU_ASSERT_TRUE (f.runs > 100 && f.faults > 1000);
   /* At the end the order can run: no row stays in progress. */
-  fake_platform_fault (w.site.p, FAULT_NONE, 0, 0);
-  fake_platform_late_effects (w.site.p);
-  fixture_not_run (&w);
-  while (w.released_count > 0)
-    fixture_release (&w);
-  fake_platform_late_effects (w.site.p);
-  CU_ASSERT_EQUAL (order_resend (&w.site), CLAIM_TAKEN);
-  gsl_rng_free (w.rng);
-  order_site_free (&w.site);
+  fake_platform_fault (f.site.p, FAULT_NONE, 0, 0);
+  fake_platform_late_effects (f.site.p);
+  fixture_not_run (&f);
+  while (f.released_count > 0)
+    fixture_release (&f);
+  fake_platform_late_effects (f.site.p);
+  CU_ASSERT_EQUAL (order_resend (&f.site), CLAIM_TAKEN);
+  gsl_rng_free (f.rng);
+  order_site_free (&f.site);
 }
 
 int
--- a/tests/test_cluster_grant.c
+++ b/tests/test_cluster_grant.c
@@ -173,7 +173,7 @@
    and a grant by a majority of the members. Once a majority has restarted no steward has a grant
    until the service is back. */
 static void
-restarts_during_an_outage (void)
+no_grant_once_a_majority_has_restarted (void)
 {
   static const uint64_t members[] = { A, B, C, D, E };
   ClusterView v = fake_view (1, 0, members, 5);
@@ -206,7 +206,7 @@
     members_with_newer_numbers_do_not_end_the_grant },
   { "acceptance_takes_the_newest_number_of_a_majority",
     acceptance_takes_the_newest_number_of_a_majority },
-  { "restarts_during_an_outage", restarts_during_an_outage },
+  { "no_grant_once_a_majority_has_restarted", no_grant_once_a_majority_has_restarted },
 };
 
 int
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -192,14 +192,14 @@
   ClusterState *d = fake_member_new (D, 7, &v);
   ClusterState *e = fake_member_new (E, 7, &v);
   ClusterView pending;
-  ClusterView settled;
+  ClusterView established;
 
   CU_ASSERT_TRUE (cluster_view_remove (&v, dead, 3, 8, &pending));
-  CU_ASSERT_TRUE (cluster_view_establish (&pending, d, 8, &settled));
-  CU_ASSERT_EQUAL (settled.count, 2);
-  CU_ASSERT_EQUAL (settled.head, 8);
-  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &settled));
-  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &settled));
+  CU_ASSERT_TRUE (cluster_view_establish (&pending, d, 8, &established));
+  CU_ASSERT_EQUAL (established.count, 2);
+  CU_ASSERT_EQUAL (established.head, 8);
+  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &established));
+  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &established));
   for (int64_t now = 1000; now < 3000; now += 500)
     {
       fake_exchange (d, e, now, now);
@@ -209,8 +209,8 @@
     }
   cluster_state_apply (d, 8);
   cluster_state_apply (e, 8);
-  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &settled));
-  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &settled));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &established));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &established));
   fake_exchange (d, e, 4000, 4000);
   CU_ASSERT_TRUE (has_grant (d, 4000));
   free_all ((ClusterState *[]){ d, e }, 2);
@@ -242,7 +242,7 @@
    numbers and get grants by the head row, but can't accept; the five get grants by their
    majority. */
 static void
-both_sides_of_a_partition_keep_the_bound (void)
+grants_of_a_partitioned_side_end_after_acceptance (void)
 {
   static const uint64_t members[] = { 1, 2, 3, 4, 5, 6, 7, 8, 9 };
   ClusterView v = fake_view (1, 0, members, 9);
@@ -346,7 +346,8 @@
   { "a_pending_view_needs_both_majorities", a_pending_view_needs_both_majorities },
   { "a_smaller_view_requires_its_head_number", a_smaller_view_requires_its_head_number },
   { "any_steward_can_accept_a_durable_number", any_steward_can_accept_a_durable_number },
-  { "both_sides_of_a_partition_keep_the_bound", both_sides_of_a_partition_keep_the_bound },
+  { "grants_of_a_partitioned_side_end_after_acceptance",
+    grants_of_a_partitioned_side_end_after_acceptance },
   { "a_grant_does_not_outlive_a_pause", a_grant_does_not_outlive_a_pause },
   { "a_resumed_steward_has_no_grant", a_resumed_steward_has_no_grant },
   { "a_leaving_steward_sends_no_answers", a_leaving_steward_sends_no_answers },
--- a/tests/test_cluster_view.c
+++ b/tests/test_cluster_view.c
@@ -61,10 +61,10 @@
   ClusterState *s = fake_member_new (1, 9, &pending);
   ClusterView out;
   ClusterMember self = fake_member (3, 3);
-  uint64_t gone = 2;
+  uint64_t removed = 2;
 
   CU_ASSERT_FALSE (cluster_view_register (&v, &self, 8, &out));
-  CU_ASSERT_FALSE (cluster_view_remove (&v, &gone, 1, 8, &out));
+  CU_ASSERT_FALSE (cluster_view_remove (&v, &removed, 1, 8, &out));
   CU_ASSERT_FALSE (cluster_view_establish (&pending, s, 8, &out));
   CU_ASSERT_TRUE (cluster_view_establish (&pending, s, 9, &out));
   cluster_state_free (s);
@@ -74,15 +74,15 @@
 previous_members_stay_until_established (void)
 {
   static const uint64_t members[] = { 1, 2, 3 };
-  static const uint64_t gone[] = { 2, 77 };
+  static const uint64_t removed[] = { 2, 77 };
   ClusterView v = fake_view (4, 0, members, 3);
   ClusterView first;
   ClusterView second;
   ClusterMember joining = fake_member (4, 4);
 
   CU_ASSERT_TRUE (cluster_view_register (&v, &joining, 0, &first));
-  CU_ASSERT_TRUE (cluster_view_remove (&first, gone, 2, 0, &second));
-  CU_ASSERT_FALSE (cluster_view_remove (&second, gone, 2, 0, &v));
+  CU_ASSERT_TRUE (cluster_view_remove (&first, removed, 2, 0, &second));
+  CU_ASSERT_FALSE (cluster_view_remove (&second, removed, 2, 0, &v));
   CU_ASSERT_EQUAL (second.number, 6);
   CU_ASSERT_EQUAL (second.count, 3);
   CU_ASSERT_EQUAL (cluster_view_find (&second, 2), -1);
--- a/tests/test_rpc.c
+++ b/tests/test_rpc.c
@@ -220,19 +220,20 @@
 }
 
 static void
-test_call_refused (void)
+test_refused_calls_fail (void)
 {
   RpcServer *server = start_server ();
-  RpcClient *stranger = rpc_client_new (&other_key, 7, "127.0.0.1", rpc_server_port (server));
+  RpcClient *other_key_client
+      = rpc_client_new (&other_key, 7, "127.0.0.1", rpc_server_port (server));
   RpcClient *client = rpc_client_new (&key, 7, "127.0.0.1", rpc_server_port (server));
   Status st = { 0 };
 
-  CU_ASSERT_EQUAL (get_document (stranger, 1, &st), STATUS_DENIED);
+  CU_ASSERT_EQUAL (get_document (other_key_client, 1, &st), STATUS_DENIED);
   CU_ASSERT_STRING_EQUAL (st.step, "rpc.call");
   CU_ASSERT_PTR_NOT_NULL (strstr (st.peer, "127.0.0.1:"));
   CU_ASSERT_NOT_EQUAL (get_document (client, -1, NULL), STATUS_OK);
   CU_ASSERT_EQUAL (get_document (client, 2, NULL), STATUS_OK);
-  rpc_client_free (stranger);
+  rpc_client_free (other_key_client);
   rpc_client_free (client);
   rpc_server_free (server);
 }
@@ -329,8 +330,7 @@
   rpc_server_free (server);
 }
 
-/* Guards against replayed datagrams: a datagram that is re-sent from another socket is handled
- * once. */
+/* Guards against replayed datagrams: a datagram that arrives twice is handled once. */
 static void
 test_repeated_datagram_refused (void)
 {
@@ -401,7 +401,7 @@
     { "old_answer_refused", test_old_answer_refused },
     { "each_datagram_accepted_once", test_each_datagram_accepted_once },
     { "large_answers_are_received", test_large_answers_are_received },
-    { "call_refused", test_call_refused },
+    { "refused_calls_fail", test_refused_calls_fail },
     { "client_reconnects_after_restart", test_client_reconnects_after_restart },
     { "half_record_does_not_block", test_half_record_does_not_block },
     { "silent_peer_times_out", test_silent_peer_times_out },
--- a/tests/test_steward_deaths.c
+++ b/tests/test_steward_deaths.c
@@ -249,7 +249,7 @@
 
 /* Without deaths to send the message must have no part for them. */
 static void
-test_no_deaths_take_no_room (void)
+test_message_without_deaths_is_empty (void)
 {
   StewardDeaths d;
 
@@ -299,7 +299,7 @@
     { "deaths_beyond_limits_follow_in_turn", test_deaths_beyond_limits_follow_in_turn },
     { "heartbeat_bytes_are_bounded", test_heartbeat_bytes_are_bounded },
     { "death_does_not_circulate_beyond_retention", test_death_does_not_circulate_beyond_retention },
-    { "no_deaths_take_no_room", test_no_deaths_take_no_room },
+    { "message_without_deaths_is_empty", test_message_without_deaths_is_empty },
     { "broadcasts_are_limited", test_broadcasts_are_limited },
   };
 
--- a/tests/test_steward_duty.c
+++ b/tests/test_steward_duty.c
@@ -88,7 +88,7 @@
 }
 
 /*
- * The holder dies. If no steward took its duty over, roll-outs would stop for ever; if one did so
+ * The holder dies. If no steward took its duty over, all roll-outs would stop; if one did so
  * before the lease has expired, two stewards would drive roll-outs at once.
  */
 static void
--- a/tests/test_steward_rollout.c
+++ b/tests/test_steward_rollout.c
@@ -38,7 +38,7 @@
 
 /* Initialises evidence with a configuration of this number. */
 static void
-evidence_new (StewardEvidence *e, int64_t number, int stage, const char *state)
+evidence_init (StewardEvidence *e, int64_t number, int stage, const char *state)
 {
   Config *config = fake_rollout_config (number, 1, stage, state);
 
@@ -48,7 +48,7 @@
 }
 
 static void
-follow (StewardEvidence *e, int64_t number, int stage, const char *state)
+apply_config (StewardEvidence *e, int64_t number, int stage, const char *state)
 {
   Config *config = fake_rollout_config (number, 1, stage, state);
 
@@ -74,7 +74,7 @@
 {
   StewardEvidence e;
 
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   (void)steward_evidence_changed (&e);
   CU_ASSERT_FALSE (steward_evidence_changed (&e));
   add (&e, "a", "v0", 7, 1);
@@ -91,13 +91,13 @@
   CU_ASSERT_EQUAL (t.sums[EVIDENCE_OLD][0].answers, 4);
   /* Totals continue in a later stage, but start from zero in an earlier stage and after the
      roll-out ended. */
-  follow (&e, 6, 1, "running");
+  apply_config (&e, 6, 1, "running");
   CU_ASSERT_EQUAL (totals_of (&e).sums[EVIDENCE_NEW][0].answers, 5);
   CU_ASSERT_EQUAL (totals_of (&e).since, 5);
-  follow (&e, 7, 0, "running");
+  apply_config (&e, 7, 0, "running");
   CU_ASSERT_EQUAL (totals_of (&e).counts[EVIDENCE_NEW], 0);
   CU_ASSERT_EQUAL (totals_of (&e).since, 7);
-  follow (&e, 8, 0, "backed_out");
+  apply_config (&e, 8, 0, "backed_out");
   EvidenceRollout none[EVIDENCE_ROLLOUTS_MAX];
   CU_ASSERT_EQUAL (steward_evidence_copy (&e, none), 0);
   steward_evidence_clear (&e);
@@ -110,7 +110,7 @@
   char team[16];
   int64_t sum = 0;
 
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   for (int i = 0; i < 40; i++)
     {
       snprintf (team, sizeof team, "team-%d", i);
@@ -130,7 +130,7 @@
   StewardEvidence e;
   EvidenceRollout *read = calloc (EVIDENCE_ROLLOUTS_MAX, sizeof *read);
 
-  evidence_new (&e, 5, 1, "running");
+  evidence_init (&e, 5, 1, "running");
   for (int i = 0; i < 20; i++)
     {
       char team[16];
@@ -193,7 +193,7 @@
 test_repeated_read_counts_once (void)
 {
   StewardEvidence e;
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   RolloutWatch *w = watch_new (&e, 0);
 
   add (&e, "a", "v1", 100, 0.8);
@@ -206,8 +206,8 @@
   CU_ASSERT_EQUAL (rollout_watch_callers (w), 2);
   /* If a steward starts counting from zero, all of its totals are new, though they are not
      greater. */
-  follow (&e, 8, 0, "done");
-  follow (&e, 9, 0, "running");
+  apply_config (&e, 8, 0, "done");
+  apply_config (&e, 9, 0, "running");
   add (&e, "a", "v2", 2, 0.4);
   add_totals (w, "0000000000000001", &e);
   CU_ASSERT_EQUAL (rollout_watch_callers (w), 4);
@@ -226,12 +226,12 @@
   char source[16];
   RolloutDecision own, merged = { .verdict = ROLLOUT_WAIT };
 
-  evidence_new (&e[0], 5, 0, "running");
+  evidence_init (&e[0], 5, 0, "running");
   RolloutWatch *all = watch_new (&e[0], 0);
   steward_evidence_clear (&e[0]);
   for (int i = 0; i < 9; i++)
     {
-      evidence_new (&e[i], 5, 0, "running");
+      evidence_init (&e[i], 5, 0, "running");
       add (&e[i], "a", "v1", 50, 0.8);
       add (&e[i], "a", "v2", 2, 0.3);
       RolloutWatch *one = watch_new (&e[i], 0);
@@ -255,7 +255,7 @@
 test_unrated_errors_raise_brake (void)
 {
   StewardEvidence e;
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   RolloutWatch *w = watch_new (&e, 0);
   int i;
 
@@ -280,7 +280,7 @@
 test_stages_need_own_evidence (void)
 {
   StewardEvidence e;
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   RolloutWatch *w = watch_new (&e, 0);
 
   add (&e, "a", "v1", 500, 0.8);
@@ -309,12 +309,12 @@
 test_earlier_rollout_is_ignored (void)
 {
   StewardEvidence dead, e;
-  evidence_new (&dead, 5, 0, "running");
+  evidence_init (&dead, 5, 0, "running");
   add (&dead, "a", "v1", 100, 0.8);
   add (&dead, "a", "v2", 100, 0.1);
-  evidence_new (&e, 5, 0, "running");
-  follow (&e, 6, 0, "backed_out");
-  follow (&e, 7, 0, "running");
+  evidence_init (&e, 5, 0, "running");
+  apply_config (&e, 6, 0, "backed_out");
+  apply_config (&e, 7, 0, "running");
   RolloutWatch *w = watch_new (&e, 0);
 
   add_totals (w, "dead", &dead);
@@ -335,7 +335,7 @@
 {
   StewardEvidence e;
   RolloutSet set = { 0 };
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   EvidenceRollout t = totals_of (&e);
   EvidenceRollout other = t;
 
@@ -402,7 +402,7 @@
   StewardEvidence e;
   EvidenceRow row;
 
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   evidence_row_init (&row, 1);
   add (&e, "a", "v2", 3, 0.5);
   fake_platform_fault (p, FAULT_SLOW, CALL_TXN, 1);
@@ -458,7 +458,7 @@
   Race race = { .p = p, .row = &late, .e = &e };
   int64_t answers = 0;
 
-  evidence_new (&e, 5, 0, "running");
+  evidence_init (&e, 5, 0, "running");
   add (&e, "a", "v2", 3, 0.5);
   evidence_row_init (&row, 1);
   evidence_row_init (&late, 2);
@@ -496,8 +496,8 @@
     { "row_text_round_trip", test_row_text_round_trip },
     { "repeated_read_counts_once", test_repeated_read_counts_once },
     { "evidence_of_vms_is_merged", test_evidence_of_vms_is_merged },
-    { "errors", test_unrated_errors_raise_brake },
-    { "stages", test_stages_need_own_evidence },
+    { "unrated_errors_raise_brake", test_unrated_errors_raise_brake },
+    { "stages_need_own_evidence", test_stages_need_own_evidence },
     { "earlier_rollout_is_ignored", test_earlier_rollout_is_ignored },
     { "set_follows_open_rollouts", test_set_follows_open_rollouts },
     { "late_write_does_not_lower_totals", test_late_write_does_not_lower_totals },
--- a/tests/test_steward_rollout_step.c
+++ b/tests/test_steward_rollout_step.c
@@ -171,7 +171,7 @@
 {
   static const SuiteCase cases[] = {
     { "next_step_needs_acceptance_and_orders", test_next_step_needs_acceptance_and_orders },
-    { "patches", test_step_patches_apply },
+    { "step_patches_apply", test_step_patches_apply },
     { "desired_orders_unload_withdrawn_versions", test_desired_orders_unload_withdrawn_versions },
     { "orders_need_held_duty", test_orders_need_held_duty },
   };
--- a/tests/test_steward_submit.c
+++ b/tests/test_steward_submit.c
@@ -116,7 +116,7 @@
 }
 
 static void
-test_invalid_changes_nothing (void)
+test_invalid_patch_changes_nothing (void)
 {
   Platform *p = platform_with_first ();
   StewardSubmitResult result;
@@ -179,14 +179,14 @@
   platform_free (p);
 }
 
-/** What another steward does before this one's transaction arrives. */
+/** State of the hooks, which act before a transaction of the steward under test arrives. */
 typedef struct
 {
   Platform *p;
   bool done;
-  const char *change; /**< a patch, or NULL to accept the newest number */
+  const char *change; /**< another steward's patch, or NULL: it accepts the newest number */
   FakeFault after;    /**< fault of the next transaction of the steward under test */
-} Between;
+} HookState;
 
 static void
 put_head (Platform *p, int64_t number, int64_t accepted)
@@ -198,10 +198,11 @@
   free (text);
 }
 
+/* Makes another steward's change before the first transaction. */
 static void
-between (void *context, FakeCall call)
+change_before_transaction (void *context, FakeCall call)
 {
-  Between *b = context;
+  HookState *b = context;
   int64_t number;
 
   if (call != CALL_TXN || b->done)
@@ -221,10 +222,10 @@
 test_lost_call_reports_conflict_of_other_patch (void)
 {
   Platform *p = platform_with_first ();
-  Between b = { .p = p, .change = withdraw_v2, .after = FAULT_LOSE_CALL };
+  HookState b = { .p = p, .change = withdraw_v2, .after = FAULT_LOSE_CALL };
   int64_t number;
 
-  fake_platform_hook (p, between, &b);
+  fake_platform_hook (p, change_before_transaction, &b);
   CU_ASSERT_EQUAL (submit_number (p, 1, withdraw_v1, &number), STEWARD_SUBMIT_CONFLICT);
   CU_ASSERT_EQUAL (number, 2);
   CU_ASSERT_TRUE (newest_state (p, "v2", "withdrawn"));
@@ -238,11 +239,11 @@
 test_concurrent_acceptance_is_no_conflict (void)
 {
   Platform *p = platform_with_first ();
-  Between b = { .p = p };
+  HookState b = { .p = p };
   StewardHead head;
   int64_t number;
 
-  fake_platform_hook (p, between, &b);
+  fake_platform_hook (p, change_before_transaction, &b);
   CU_ASSERT_EQUAL (submit_number (p, 1, withdraw_v1, &number), STEWARD_SUBMIT_DURABLE);
   CU_ASSERT_EQUAL (number, 2);
   CU_ASSERT_EQUAL (steward_head_read (p, 1000, &head, NULL), STATUS_OK);
@@ -271,7 +272,7 @@
 static void
 down_after_first (void *context, FakeCall call)
 {
-  Between *b = context;
+  HookState *b = context;
 
   if (call == CALL_TXN && !b->done)
     b->done = true;
@@ -283,7 +284,7 @@
 test_lost_reply_in_outage_is_unknown (void)
 {
   Platform *p = platform_with_first ();
-  Between b = { .p = p };
+  HookState b = { .p = p };
   int64_t number;
 
   fake_platform_fault (p, FAULT_LOSE_REPLY, CALL_TXN, 1);
@@ -301,7 +302,7 @@
   static const SuiteCase cases[] = {
     { "numbers_rise_by_one", test_numbers_rise_by_one },
     { "concurrent_patches_have_one_winner", test_concurrent_patches_have_one_winner },
-    { "invalid_changes_nothing", test_invalid_changes_nothing },
+    { "invalid_patch_changes_nothing", test_invalid_patch_changes_nothing },
     { "lost_reply_is_found_durable", test_lost_reply_is_found_durable },
     { "lost_call_is_repeated", test_lost_call_is_repeated },
     { "late_write_makes_no_second_version", test_late_write_makes_no_second_version },
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -1,5 +1,5 @@
 /**
- * Writes of the view row and of acceptance, and removal of members that have left for good.
+ * Writes of the view row and of acceptance, and removal of members whose VMs no longer exist.
  */
 #include "fake_members.h"
 #include "fake_platform.h"
@@ -205,8 +205,8 @@
   return due;
 }
 
-/* A VM has left for good. Its vote would stay in every majority; it must be removed after the
-   list's lag. */
+/* A VM no longer exists. Its vote would still be needed for majorities; it must be removed after
+   the list's lag. */
 static void
 test_missing_silent_member_is_removed (void)
 {
@@ -293,7 +293,7 @@
 /*
  * An operator is told that number 8 is in force, but a request sent after that is answered under
  * number 7. A VM left the view at a graceful stop and was started again in an outage; it took work
- * on its peers' reports, and no number waited for it.
+ * on its peers' reports, and numbers counted as in force without it.
  */
 static void
 test_steward_that_is_not_waited_for_gets_no_grant (void)
@@ -387,7 +387,7 @@
       test_members_are_removed_after_replacement_of_all },
     { "steward_that_is_not_waited_for_gets_no_grant",
       test_steward_that_is_not_waited_for_gets_no_grant },
-    { "foreign_list_removes_nobody", test_foreign_list_removes_no_member },
+    { "foreign_list_removes_no_member", test_foreign_list_removes_no_member },
   };
 
   return suite_main (argc, argv, "steward_view", cases, SUITE_COUNT (cases));
