--- a/src/claim.c
+++ b/src/claim.c
@@ -66,6 +66,8 @@
   return TRY_AGAIN;
 }
 
+/* Decides by the row found. version is 0 if it is not known, as after an insert; a take-over needs
+ * it. */
 static TryResult
 evaluate_row (Platform *platform,
               const char *value,
--- a/src/claim.h
+++ b/src/claim.h
@@ -68,8 +68,7 @@
                  Status *st);
 
 /** Releases a claim after proof that the request did not run, so that the caller's retry may run.
- *  On failure the claim stays in progress, which is safe; claim_releaser_add retries the release.
- */
+ * On failure the claim stays in progress, which is safe; claim_releaser_add retries the release. */
 StatusCode claim_release (Platform *platform, const Claim *claim, Status *st);
 
 /** Row text of a settled claim; freed with free. */
--- a/src/cluster_brake.h
+++ b/src/cluster_brake.h
@@ -36,7 +36,7 @@
   CLUSTER_BRAKE_ADDED,
   CLUSTER_BRAKE_KNOWN,    /**< the set has this brake or a later one */
   CLUSTER_BRAKE_RELEASED, /**< released by the applied configuration */
-  CLUSTER_BRAKE_INVALID,  /**< an empty name, or a since below 0 */
+  CLUSTER_BRAKE_INVALID,  /**< an empty name, an unterminated text, or a since below 0 */
   CLUSTER_BRAKE_FULL      /**< the set has CLUSTER_BRAKES_MAX versions already */
 } ClusterBrakeResult;
 
--- a/src/cluster_state.c
+++ b/src/cluster_state.c
@@ -65,7 +65,7 @@
     return k;
   cluster_progress_prune (&s->progress, is_needed, s);
   k = cluster_progress_get (&s->progress, incarnation);
-  INVARIANT (k != NULL, "no free entry in the progress table");
+  INVARIANT (k != NULL, "members and previous members fill the table");
   return k;
 }
 
--- a/src/rpc_client.h
+++ b/src/rpc_client.h
@@ -13,9 +13,9 @@
 RpcClient *rpc_client_new (const SiteKey *key, uint64_t sender, const char *address, int port);
 void rpc_client_free (RpcClient *client);
 
-/** Makes one call, limited to timeout_ms including the connection. STATUS_UNAVAILABLE: not sent;
- *  STATUS_UNKNOWN: sent, but no answer; STATUS_DENIED: seal refused. The result is freed with
- *  xdr_free. */
+/** Makes one call, limited to timeout_ms including the connection. STATUS_UNAVAILABLE: not sent, or
+ *  the peer does not have the procedure; STATUS_UNKNOWN: sent, but no answer; STATUS_DENIED: the
+ *  peer refused the message, or the answer has a wrong MAC. The result is freed with xdr_free. */
 StatusCode rpc_client_call (RpcClient *client,
                             unsigned procedure,
                             xdrproc_t arg_proc,
--- a/src/rpc_server.c
+++ b/src/rpc_server.c
@@ -20,7 +20,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Sizes in bytes. A datagram has room for a heartbeat with relayed entries of all members. */
+/* Sizes in bytes. A datagram has room for a heartbeat with news of all members. */
 #define DATAGRAM_MAX       32768
 #define STREAM_BUFFER_SIZE 8192
 #define RECORD_MAX         (LOVAGE_SEALED_MAX + 1024)
--- a/src/steward_http.c
+++ b/src/steward_http.c
@@ -227,10 +227,10 @@
 }
 
 static void
-completed (void *cls,
-           struct MHD_Connection *connection,
-           void **con_cls,
-           enum MHD_RequestTerminationCode code)
+request_completed (void *cls,
+                   struct MHD_Connection *connection,
+                   void **con_cls,
+                   enum MHD_RequestTerminationCode code)
 {
   Upload *upload = *con_cls;
 
@@ -264,7 +264,7 @@
 }
 
 static struct MHD_Daemon *
-start_daemon (StewardHttp *http, const struct sockaddr_in *where)
+start_daemon (StewardHttp *http, const struct sockaddr_in *address)
 {
   struct MHD_OptionItem tls[] = { { MHD_OPTION_HTTPS_MEM_CERT, 0, http->certificate },
                                   { MHD_OPTION_HTTPS_MEM_KEY, 0, http->key },
@@ -276,11 +276,11 @@
   else
     flags |= MHD_USE_TLS;
   return MHD_start_daemon (
-      flags, ntohs (where->sin_port), NULL, NULL, handle, http, MHD_OPTION_SOCK_ADDR,
-      (const struct sockaddr *)where, MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTIONS_MAX,
+      flags, ntohs (address->sin_port), NULL, NULL, handle, http, MHD_OPTION_SOCK_ADDR,
+      (const struct sockaddr *)address, MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTIONS_MAX,
       MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)IDLE_TIMEOUT_S, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      CONNECTION_MEMORY_BYTES, MHD_OPTION_NOTIFY_COMPLETED, completed, NULL, MHD_OPTION_ARRAY, tls,
-      MHD_OPTION_END);
+      CONNECTION_MEMORY_BYTES, MHD_OPTION_NOTIFY_COMPLETED, request_completed, NULL,
+      MHD_OPTION_ARRAY, tls, MHD_OPTION_END);
 }
 
 StewardHttp *
@@ -288,7 +288,7 @@
 {
   const SettingsSteward *settings = &s->settings;
   StewardHttp *http = memory_alloc (sizeof *http);
-  struct sockaddr_in where;
+  struct sockaddr_in address;
 
   http->s = s;
   if (settings->tls_certificate_file != NULL
@@ -298,8 +298,8 @@
       steward_http_stop (http);
       return NULL;
     }
-  if (rpc_address (settings->operators.address, (int)settings->operators.port, &where))
-    http->daemon = start_daemon (http, &where);
+  if (rpc_address (settings->operators.address, (int)settings->operators.port, &address))
+    http->daemon = start_daemon (http, &address);
   if (http->daemon != NULL)
     return http;
   status_set (st, STATUS_UNAVAILABLE, "http.operators", settings->operators.address,
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -175,7 +175,7 @@
 }
 
 static int
-not_started (const Status *st)
+report_start_failure (const Status *st)
 {
   log_msg (MSG_STEWARD_NOT_STARTED, "step=\"%s\" peer=\"%s\" error=\"%s\"", st->step, st->peer,
            st->message);
@@ -210,11 +210,11 @@
   HttpLocal *local = start_local (s, &st);
 
   if (local == NULL)
-    return not_started (&st);
+    return report_start_failure (&st);
   if (!start_parts (s, &st))
     {
       http_local_stop (local);
-      return not_started (&st);
+      return report_start_failure (&st);
     }
   log_msg (MSG_STEWARD_STARTED, "vm=\"%s\" rpc=\"%s:%lld\" incarnation=\"%016llx\"", s->self.vm,
            s->settings.rpc.address, (long long)s->settings.rpc.port,
--- a/src/steward_rollout_table.h
+++ b/src/steward_rollout_table.h
@@ -26,7 +26,7 @@
 typedef bool (*EvidenceHandler) (void *context, const char *key, const EvidenceRollout *totals);
 
 /** Reads all rows, passes each roll-out in them to handle, and deletes the rows that name a
- * roll-out that is not open: it would count as evidence of a later one of the same versions. A row
+ * roll-out that is not open: their totals would count for a later one of the same versions. A row
  * that was written since the read stays; a steward whose row was deleted writes it again with all
  * its totals. */
 StatusCode evidence_rows_read (Platform *p, EvidenceHandler handle, void *context, Status *st);
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -52,9 +52,9 @@
 }
 
 /* The VM that has the order is killed at the write of its claim, before or after the write takes
- * effect; after the claim was taken and bytes may have been sent; and after its usage
- * record was written, before the end of the answer. A retry at another VM may run the order only in
- * the first case, and must get the answer in the last. */
+ * effect; after the claim was taken and bytes may have been sent; and after the usage record was
+ * written, before the end of the answer. A retry at another VM may run the order only in the first
+ * case, and must get the answer in the last. */
 static void
 test_order_of_a_killed_holder_runs_at_most_once (void)
 {
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -192,14 +192,14 @@
   ClusterState *d = fake_member_new (D, 7, &v);
   ClusterState *e = fake_member_new (E, 7, &v);
   ClusterView pending;
-  ClusterView established;
+  ClusterView settled;
 
   CU_ASSERT_TRUE (cluster_view_remove (&v, dead, 3, 8, &pending));
-  CU_ASSERT_TRUE (cluster_view_establish (&pending, d, 8, &established));
-  CU_ASSERT_EQUAL (established.count, 2);
-  CU_ASSERT_EQUAL (established.head, 8);
-  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &established));
-  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &established));
+  CU_ASSERT_TRUE (cluster_view_establish (&pending, d, 8, &settled));
+  CU_ASSERT_EQUAL (settled.count, 2);
+  CU_ASSERT_EQUAL (settled.head, 8);
+  CU_ASSERT_FALSE (cluster_state_adopt_view (d, &settled));
+  CU_ASSERT_FALSE (cluster_state_adopt_view (e, &settled));
   for (int64_t now = 1000; now < 3000; now += 500)
     {
       fake_exchange (d, e, now, now);
@@ -209,8 +209,8 @@
     }
   cluster_state_apply (d, 8);
   cluster_state_apply (e, 8);
-  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &established));
-  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &established));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (d, &settled));
+  CU_ASSERT_TRUE (cluster_state_adopt_view (e, &settled));
   fake_exchange (d, e, 4000, 4000);
   CU_ASSERT_TRUE (has_grant (d, 4000));
   free_all ((ClusterState *[]){ d, e }, 2);
--- a/tests/test_steward_gates.c
+++ b/tests/test_steward_gates.c
@@ -104,15 +104,15 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "grant_in_use_keeps_lower_number", test_grant_in_use_keeps_lower_number },
-    { "grant_of_number_being_fetched_keeps_that_number",
+    { "grant in use keeps the lower number", test_grant_in_use_keeps_lower_number },
+    { "grant of a number being fetched keeps it",
       test_grant_of_number_being_fetched_keeps_that_number },
-    { "lowest_of_two_pending_grants_counts", test_lowest_of_two_pending_grants_counts },
-    { "replaced_steward_waits_for_predecessors_gate",
+    { "lowest of two pending grants counts", test_lowest_of_two_pending_grants_counts },
+    { "replaced steward waits for its predecessor's grants",
       test_replaced_steward_waits_for_predecessors_gate },
-    { "replaced_steward_without_gate_waits_for_end_of_grant",
+    { "replaced steward, no gate: waits until grants end",
       test_replaced_steward_without_gate_waits_for_end_of_grant },
-    { "end_is_that_of_the_last_grant", test_end_is_that_of_the_last_grant },
+    { "end of grants is that of the last one", test_end_is_that_of_the_last_grant },
   };
 
   return suite_main (argc, argv, "steward_gates", cases, SUITE_COUNT (cases));
--- a/tests/test_steward_submit.c
+++ b/tests/test_steward_submit.c
@@ -270,7 +270,7 @@
 /* The reply is lost and then the service becomes unavailable: whether the transaction took effect
    can't be determined. */
 static void
-down_after_first (void *context, FakeCall call)
+fail_after_first_call (void *context, FakeCall call)
 {
   HookState *b = context;
 
@@ -288,7 +288,7 @@
   int64_t number;
 
   fake_platform_fault (p, FAULT_LOSE_REPLY, CALL_TXN, 1);
-  fake_platform_hook (p, down_after_first, &b);
+  fake_platform_hook (p, fail_after_first_call, &b);
   CU_ASSERT_EQUAL (submit_number (p, 1, withdraw_v1, &number), STEWARD_SUBMIT_UNKNOWN);
   fake_platform_hook (p, NULL, NULL);
   fake_platform_fault (p, FAULT_NONE, 0, 0);
