--- a/src/steward_gates.c
+++ b/src/steward_gates.c
@@ -131,8 +131,7 @@
   pthread_mutex_lock (&g->lock);
   /* A steward that has replaced another has no record of the VM's gate, which continues to use its
      grant. Until the gate has asked or that grant has ended, no number is known to be in force
-     here. Only one gate per VM takes callers' work, since only one process can listen on their
-     port. */
+     here. The first ask suffices, since only one process per VM can listen on the callers' port. */
   if (!g->asked && now < g->inherited_until)
     lowest = 0;
   for (size_t i = 0; i < STEWARD_GATES_MAX; i++)
--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -134,10 +134,9 @@
   (void)pthread_sigmask (SIG_BLOCK, &signals, NULL);
 }
 
-/* The VM's gate may continue to use its last grant after this steward's stop. If this steward were
-   removed from the view before the grant's end, an operator could see a number as in force on all
-   members while that gate still takes work under an older one. So the removal waits for the grant's
-   end. */
+/* The VM's gate may use its last grant after this steward's stop. If this steward were removed from
+   the view before the grant's end, a number could be reported as in force on all members while that
+   gate still takes work under an older one. */
 static void
 wait_for_grants_end (Steward *s)
 {
@@ -168,7 +167,7 @@
   steward_table_stop (s->table);
   wait_for_grants_end (s);
   steward_leave (s);
-  bills_left = steward_recover_leave (s, LEAVE_BILLS_TIMEOUT_MS);
+  bills_left = steward_recover_at_stop (s, LEAVE_BILLS_TIMEOUT_MS);
   if (bills_left > 0)
     log_msg (MSG_STEWARD_BILLS_LEFT, "vm=\"%s\" records=\"%zu\"", s->self.vm, bills_left);
   rpc_server_free (s->rpc);
--- a/src/steward_recover.c
+++ b/src/steward_recover.c
@@ -100,7 +100,7 @@
    answers would never be billed. A record that its gate writes as well is stored once, since it is
    inserted only if absent. */
 size_t
-steward_recover_leave (Steward *s, int64_t timeout_ms)
+steward_recover_at_stop (Steward *s, int64_t timeout_ms)
 {
   int64_t end = clock_boot_ms () + timeout_ms;
   BillReplicaSize size;
--- a/src/steward_recover.h
+++ b/src/steward_recover.h
@@ -22,6 +22,6 @@
  * the table, for about timeout_ms at most. Returns the number of records left, which are lost with
  * this process.
  */
-size_t steward_recover_leave (Steward *s, int64_t timeout_ms);
+size_t steward_recover_at_stop (Steward *s, int64_t timeout_ms);
 
 #endif
--- a/src/steward_rollout_watch.h
+++ b/src/steward_rollout_watch.h
@@ -20,7 +20,7 @@
 void rollout_watch_free (RolloutWatch *w);
 /** True if the test is of this roll-out. */
 bool rollout_watch_matches (const RolloutWatch *w, const EvidenceRollout *rollout);
-/** Adds the totals of a steward; totals of another roll-out are ignored. */
+/** Adds the totals of the steward that source names; those of another roll-out are ignored. */
 void rollout_watch_add_totals (RolloutWatch *w, const char *source, const EvidenceRollout *totals);
 /** Feeds the added evidence to the test and returns its decision; stage is the one in force. */
 RolloutDecision rollout_watch_decide (RolloutWatch *w, size_t stage, int64_t now);
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -39,9 +39,8 @@
     cluster_state_free (states[i]);
 }
 
-/* Work started on a withdrawn version: w acknowledged patch 8 and was replaced. The new process at
-   its address got 7 from {c, d, x} and voted in place of w, while a counted {a, w, x} and accepted
-   8. */
+/* w acknowledges patch 8 and is replaced; the new process at its address gets 7 from {c, d, x}. If
+   it voted in place of w, it would support grants on 7 while a counts {a, w, x} and accepts 8. */
 static void
 a_replaced_member_has_no_vote (void)
 {
@@ -80,9 +79,9 @@
   free_all ((ClusterState *[]){ a, w, x, c, d, w_restarted }, 6);
 }
 
-/* Stewards had different views. {c, d, e}, a majority of the old five, are partitioned off from the
-   table service. The others are replaced, more members join, and they accept a withdrawal without
-   c, d and e, unless a majority of the old five must have seen the new view before. */
+/* {c, d, e}, a majority of the old five, are partitioned off from the table service. The others are
+   replaced and more members join. These could accept a withdrawal without c, d and e, unless a
+   majority of the old five must have seen the new view before. */
 static void
 previous_members_establish_a_view (void)
 {
--- a/tests/test_cluster_state.c
+++ b/tests/test_cluster_state.c
@@ -64,8 +64,8 @@
   cluster_state_free (s);
 }
 
-/* A steward sent work to a withdrawn version for a minute: an answer made before the withdrawal was
-   delayed in a queue, and was counted from its receipt. */
+/* An answer made before a withdrawal is delayed in a queue for a minute. If it counted from its
+   receipt, the withdrawn version would get work. */
 static void
 an_answer_counts_from_its_ask (void)
 {
--- a/tests/test_steward_document.c
+++ b/tests/test_steward_document.c
@@ -23,10 +23,8 @@
   free (kept_text);
 }
 
-/*
- * A withdrawn version would get work again: a peer's answer with document 4 arrives after document
- * 5 was read from the table. Were it stored, number 4 would be in force here again.
- */
+/* A peer's answer with document 4 arrives after document 5 was read from the table. Were it stored,
+ * a version that 5 withdraws would get work again. */
 static void
 test_late_document_does_not_revert (void)
 {
--- a/tests/test_steward_duty.c
+++ b/tests/test_steward_duty.c
@@ -252,9 +252,9 @@
 }
 
 /*
- * A replaced driver would advance a stage: the holder checks its lease, its VM is paused for half a
- * minute, a successor takes the duty over, and then the holder's transaction arrives. The head's
- * number has not changed, so only the check of the duty's row refuses it.
+ * Guards against a step by a former holder: it checks its lease, its VM is paused for half a
+ * minute, a successor takes the duty over, and then the first holder's transaction arrives. The
+ * head's number has not changed, so only the check of the duty's row refuses it.
  */
 static void
 test_paused_holder_changes_nothing (void)
--- a/tests/test_steward_gates.c
+++ b/tests/test_steward_gates.c
@@ -26,9 +26,9 @@
 }
 
 /*
- * An operator is told that number 2 is in force, but a request sent after that is answered under
- * number 1: a gate that had just started was granted number 1 before it had it, fetched it and took
- * work under it, and number 2 arrived before its next ask.
+ * Guards against reporting number 2 as in force while a gate still answers under number 1: a gate
+ * that has just started is granted number 1 before it has it, fetches it and takes work under it,
+ * and number 2 arrives before its next ask.
  */
 static void
 test_grant_of_number_being_fetched_keeps_that_number (void)
@@ -60,10 +60,9 @@
 }
 
 /*
- * An operator is told that number 17 is in force, but a request sent after that is answered under
- * number 15: a steward was killed and replaced while its gate ran on. The new steward had no record
- * of the gate and reported at once that it applied 17, while the gate still had a grant of the old
- * one for 15.
+ * Guards against reporting number 17 as in force while a gate still answers under number 15: a
+ * steward is killed and replaced while its gate runs on. The new steward has no record of the gate,
+ * which still has a grant of the old one for 15.
  */
 static void
 test_replaced_steward_waits_for_predecessors_gate (void)
--- a/tests/test_steward_parts.c
+++ b/tests/test_steward_parts.c
@@ -355,11 +355,10 @@
   free (s);
 }
 
-/* An operator sees "in force" for a number that withdraws a version, but a later request is
-   answered under the number before. vm0 left the view at a graceful stop, was started again in an
-   outage of the table service, fetched the old view from its peers and got a grant on their
-   reports. After the outage the peers adopted the view without vm0, accepted the next number and
-   had it in force among themselves, while vm0's grant still lasted. */
+/* Guards against reporting a number as in force while a VM still answers under the number before.
+   vm0 leaves the view at a graceful stop, is started again in an outage of the table service,
+   fetches the old view from its peers and gets a grant on their reports. After the outage the peers
+   adopt the view without vm0 and have the next number in force while vm0's grant still lasts. */
 static void
 test_in_force_waits_for_grant_of_removed_member (void)
 {
--- a/tests/test_steward_recover.c
+++ b/tests/test_steward_recover.c
@@ -30,9 +30,9 @@
 }
 
 /*
- * Answers are never billed: their VM was cut off from the platform, so that only stewards of other
- * VMs held their records, and then it died. Within the minute after which a gate counts as
- * terminated those VMs were replaced as planned, and the records were lost with their stewards.
+ * Guards against answers that are never billed: their VM is cut off from the platform, so that only
+ * stewards of other VMs hold their records, and dies. Those VMs are replaced as planned within the
+ * minute after which a gate counts as terminated.
  */
 static void
 test_graceful_stop_writes_copies_to_the_table (void)
@@ -42,7 +42,7 @@
 
   add_copies (&site);
   CU_ASSERT_EQUAL (fake_platform_rows (site.platform, "bill"), 0);
-  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), 0);
+  CU_ASSERT_EQUAL (steward_recover_at_stop (&s, LEAVE_TIMEOUT_MS), 0);
   for (int n = 0; n < RECORDS; n++)
     CU_ASSERT_TRUE (fake_site_is_billed (&site, n));
   CU_ASSERT_EQUAL (fake_platform_rows (site.platform, "bill"), RECORDS);
@@ -59,7 +59,7 @@
   FakeGate *gate = fake_gate_new (&site, GATE, SPOOL_MAX);
 
   add_copies (&site);
-  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), 0);
+  CU_ASSERT_EQUAL (steward_recover_at_stop (&s, LEAVE_TIMEOUT_MS), 0);
   for (int n = 0; n < RECORDS; n++)
     CU_ASSERT_EQUAL (fake_gate_commit (gate, n), BILL_AT_TABLE);
   CU_ASSERT_EQUAL (fake_gate_free (gate, LEAVE_TIMEOUT_MS), 0);
@@ -78,9 +78,9 @@
 
   add_copies (&site);
   fake_link_set (link, CALL_TXN | CALL_GET | CALL_SCAN, LINK_REFUSED);
-  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), RECORDS);
+  CU_ASSERT_EQUAL (steward_recover_at_stop (&s, LEAVE_TIMEOUT_MS), RECORDS);
   fake_link_set (link, CALL_TXN | CALL_GET | CALL_SCAN, LINK_UP);
-  CU_ASSERT_EQUAL (steward_recover_leave (&s, LEAVE_TIMEOUT_MS), 0);
+  CU_ASSERT_EQUAL (steward_recover_at_stop (&s, LEAVE_TIMEOUT_MS), 0);
   CU_ASSERT_EQUAL (fake_platform_rows (site.platform, "bill"), RECORDS);
   platform_free (link);
   fake_site_free (&site);
--- a/tests/test_steward_view.c
+++ b/tests/test_steward_view.c
@@ -265,9 +265,9 @@
 }
 
 /*
- * After all VMs were replaced at once by VMs with other addresses, no patch comes into force: the
- * old members stay in the view, and as they are as many as the new ones, each steward suspects its
- * own network and removes none of them.
+ * All VMs are replaced at once by VMs with other addresses. The old members are as many as the new
+ * ones, so each steward suspects its own network; unless it removes them all the same, no patch can
+ * come into force.
  */
 static void
 test_members_are_removed_after_replacement_of_all (void)
@@ -291,9 +291,9 @@
 }
 
 /*
- * An operator is told that number 8 is in force, but a request sent after that is answered under
- * number 7. A VM left the view at a graceful stop and was started again in an outage; it took work
- * on its peers' reports, and numbers counted as in force without it.
+ * Guards against reporting number 8 as in force while a VM still answers under number 7: the VM
+ * left the view at a graceful stop, was started again in an outage and takes work on its peers'
+ * reports, although numbers count as in force without it.
  */
 static void
 test_steward_that_is_not_waited_for_gets_no_grant (void)
