--- a/src/steward_main.c
+++ b/src/steward_main.c
@@ -8,9 +8,9 @@
 #include "steward_http.h"
 #include "steward_leave.h"
 #include "steward_meter.h"
+#include "steward_recover.h"
 #include "steward_rollout.h"
 #include "steward_rpc.h"
-#include "steward_settle.h"
 #include "steward_table.h"
 #include "util_assert.h"
 #include "util_clock.h"
@@ -134,10 +134,9 @@
   (void)pthread_sigmask (SIG_BLOCK, &signals, NULL);
 }
 
-/* The VM's gate may continue to use its last grant after this steward's stop. If this steward were
-   removed from the view before the grant's end, an operator could see a number as in force on all
-   members while that gate still takes work under an older one. So the removal waits for the grant's
-   end. */
+/* The VM's gate may use its last grant after this steward's stop. If this steward were removed from
+   the view before the grant's end, a number could be reported as in force on all members while that
+   gate still takes work under an older one. */
 static void
 wait_for_grants_end (Steward *s)
 {
@@ -149,7 +148,7 @@
 }
 
 /* After cluster_state_leave this steward answers no ask and gives no grant, so that its removal
-   from the view is as good as a proof of its death. */
+   from the view counts as a proof of its death. */
 static void
 leave (Steward *s)
 {
@@ -168,14 +167,14 @@
   steward_table_stop (s->table);
   wait_for_grants_end (s);
   steward_leave (s);
-  bills_left = steward_settle_leave (s, LEAVE_BILLS_TIMEOUT_MS);
+  bills_left = steward_recover_at_stop (s, LEAVE_BILLS_TIMEOUT_MS);
   if (bills_left > 0)
     log_msg (MSG_STEWARD_BILLS_LEFT, "vm=\"%s\" records=\"%zu\"", s->self.vm, bills_left);
   rpc_server_free (s->rpc);
 }
 
 static int
-not_started (const Status *st)
+report_start_failure (const Status *st)
 {
   log_msg (MSG_STEWARD_NOT_STARTED, "step=\"%s\" peer=\"%s\" error=\"%s\"", st->step, st->peer,
            st->message);
@@ -210,11 +209,11 @@
   HttpLocal *local = start_local (s, &st);
 
   if (local == NULL)
-    return not_started (&st);
+    return report_start_failure (&st);
   if (!start_parts (s, &st))
     {
       http_local_stop (local);
-      return not_started (&st);
+      return report_start_failure (&st);
     }
   log_msg (MSG_STEWARD_STARTED, "vm=\"%s\" rpc=\"%s:%lld\" incarnation=\"%016llx\"", s->self.vm,
            s->settings.rpc.address, (long long)s->settings.rpc.port,
--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -39,9 +39,8 @@
     cluster_state_free (states[i]);
 }
 
-/* Work started on a withdrawn version: w acknowledged patch 8 and was replaced. The new process at
-   its address got 7 from {c, d, x} and voted in place of w, while a counted {a, w, x} and accepted
-   8. */
+/* w acknowledges patch 8 and is replaced; the new process at its address gets 7 from {c, d, x}. If
+   it voted in place of w, it would support grants on 7 while a counts {a, w, x} and accepts 8. */
 static void
 a_replaced_member_has_no_vote (void)
 {
@@ -80,9 +79,9 @@
   free_all ((ClusterState *[]){ a, w, x, c, d, w_restarted }, 6);
 }
 
-/* Stewards had different views. {c, d, e}, a majority of the old five, are partitioned off from the
-   table service. The others are replaced, more members join, and they accept a withdrawal without
-   c, d and e, unless a majority of the old five must have seen the new view before. */
+/* {c, d, e}, a majority of the old five, are partitioned off from the table service. The others are
+   replaced and more members join. These could accept a withdrawal without c, d and e, unless a
+   majority of the old five must have seen the new view before. */
 static void
 previous_members_establish_a_view (void)
 {
@@ -242,7 +241,7 @@
    numbers and get grants by the head row, but can't accept; the five get grants by their
    majority. */
 static void
-both_sides_of_a_partition_keep_the_bound (void)
+grants_of_a_partitioned_side_end_after_acceptance (void)
 {
   static const uint64_t members[] = { 1, 2, 3, 4, 5, 6, 7, 8, 9 };
   ClusterView v = fake_view (1, 0, members, 9);
@@ -346,7 +345,8 @@
   { "a_pending_view_needs_both_majorities", a_pending_view_needs_both_majorities },
   { "a_smaller_view_requires_its_head_number", a_smaller_view_requires_its_head_number },
   { "any_steward_can_accept_a_durable_number", any_steward_can_accept_a_durable_number },
-  { "both_sides_of_a_partition_keep_the_bound", both_sides_of_a_partition_keep_the_bound },
+  { "grants_of_a_partitioned_side_end_after_acceptance",
+    grants_of_a_partitioned_side_end_after_acceptance },
   { "a_grant_does_not_outlive_a_pause", a_grant_does_not_outlive_a_pause },
   { "a_resumed_steward_has_no_grant", a_resumed_steward_has_no_grant },
   { "a_leaving_steward_sends_no_answers", a_leaving_steward_sends_no_answers },
