--- a/src/front_bootstrap.h
+++ b/src/front_bootstrap.h
@@ -12,8 +12,8 @@
 typedef enum
 {
   BOOTSTRAP_WAIT,         /**< wait for messages or the list; decide again later */
-  BOOTSTRAP_ASK_INFORMED, /**< ask the front that has the rows or is about to */
-  BOOTSTRAP_ASK_RANKED,   /**< ask by rank of the living fronts, as for changes */
+  BOOTSTRAP_ASK_INFORMED, /**< ask a front that has the rows or is about to get them */
+  BOOTSTRAP_ASK_RANKED,   /**< ask the store or another front, by rank, as for changes */
   BOOTSTRAP_ASK_STORE,
 } BootstrapStep;
 
@@ -25,8 +25,8 @@
   bool list_lost;      /**< the store failed to return the list */
   bool is_registered;  /**< this front is on the list: others rely on it to ask the store */
   bool has_registered; /**< other fronts of the same failure domain are on the list */
-  bool has_informed;   /**< one of these, or one that reported that it has the rows, can be asked */
-  unsigned failures;   /**< failed requests to other fronts in a row */
+  bool has_informed; /**< another front that has the rows, or is about to get them, can be asked */
+  unsigned failures; /**< failed requests to other fronts in a row */
 } BootstrapView;
 
 BootstrapStep front_bootstrap_step (const BootstrapView *view);
--- a/src/front_control.h
+++ b/src/front_control.h
@@ -1,5 +1,5 @@
 /**
- * The HTTP servers for the load balancer, for monitoring and for other fronts.
+ * HTTP servers: the health check for the load balancer, the metrics, and rows for other fronts.
  */
 #ifndef FRONT_CONTROL_H
 #define FRONT_CONTROL_H
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -18,7 +18,8 @@
 #include <sys/stat.h>
 #include <syslog.h>
 
-/* Period of time-outs, roll-outs and messages; far below any of their limits. */
+/* Interval at which time-outs, roll-outs and messages are checked; far below any of their limits.
+ */
 #define TICK_INTERVAL_MS           100
 #define MS_PER_S                   1000
 #define NS_PER_MS                  1000000
--- a/src/front_member.h
+++ b/src/front_member.h
@@ -9,7 +9,7 @@
 #include "util_span.h"
 #include <stdbool.h>
 
-#define MEMBER_TEXT_MAX 128
+#define MEMBER_TEXT_MAX 128 /**< bytes, with the terminating NUL */
 
 typedef struct
 {
--- a/src/front_peer_message.h
+++ b/src/front_peer_message.h
@@ -49,7 +49,7 @@
 {
   uint64_t incarnation;
   uint32_t domain;             /**< hash of the sender's failure domain */
-  int64_t newest[PEER_TABLES]; /**< newest change known of each table */
+  int64_t newest[PEER_TABLES]; /**< version of the newest change known of each table */
   uint32_t alive; /**< number of other fronts that the sender knows to be alive; if it is small, the
                      sender has just started, and receivers answer with a list of members */
   uint32_t rollout_count;
--- a/src/front_peers.c
+++ b/src/front_peers.c
@@ -16,7 +16,7 @@
 /* The same with many peers: five messages of 900 bytes in a round have to stay below 14 KB/s. */
 #define ROUND_INTERVAL_ROLLOUT_LARGE_MS 400
 #define LARGE_PEERS                     100
-/* Milliseconds without a message, to any front, after which a peer counts as dead. */
+/* Milliseconds after a peer's last message, to any front, from which the peer counts as dead. */
 #define ALIVE_MS 3500
 /* Added to that for each peer above LARGE_PEERS: a message reports 40 peers at most, so that
  * reports of all of 360 peers take several rounds. */
--- a/src/front_peers.h
+++ b/src/front_peers.h
@@ -43,8 +43,8 @@
                                 uint64_t table,
                                 int64_t now_ms,
                                 struct sockaddr_in *address);
-/** For a front without rows of the table: one of the same failure domain that has them or that,
- *  being registered, is about to. */
+/** For a front without rows of the table: true and *address if another front of the same failure
+ *  domain has them or, being registered, is about to get them. */
 bool front_peers_informed_source (const FrontPeers *peers,
                                   uint64_t table,
                                   int64_t now_ms,
--- a/src/front_peers_fetch.c
+++ b/src/front_peers_fetch.c
@@ -1,4 +1,4 @@
-/* Fetches rows that other fronts have before the store has reported them here. */
+/* Fetches from other fronts rows that the store has not yet reported to this one. */
 #include "front_log.h"
 #include "front_peers_private.h"
 #include "util_clock.h"
@@ -22,7 +22,7 @@
   StoreAnswer answer;
 
   fetch->done = true;
-  /* The peer no longer has the removals since our version. */
+  /* The peer no longer has the removals since this front's version. */
   fetch->needs_all = status == STATUS_UNAVAILABLE;
   if (status != STATUS_OK || !front_store_decode_peer_answer (text, len, &answer))
     {
@@ -34,8 +34,8 @@
   store_answer_clear (&answer);
 }
 
-/* Requests the changes since our version. If each front fetched the complete list of servers for
- * each delayed change, that would be most of the traffic between failure domains. */
+/* Requests the changes since this front's version. If each front fetched the complete list of
+ * servers for each delayed change, that would be most of the traffic between failure domains. */
 static void
 fetch_begin (FrontPeers *peers, const Peer *peer, StoreTable table)
 {
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -36,7 +36,7 @@
   struct sockaddr_in source;
   int64_t asked_ms;
   int64_t since;  /* version after which changes are requested; 0: all rows are requested */
-  bool needs_all; /* the peer no longer has the changes since our version */
+  bool needs_all; /* the peer no longer has the changes since this front's version */
   bool done;      /* the channel has to be freed, but not within its own callback */
 } Fetch;
 
@@ -89,8 +89,8 @@
 /* front_peers.c */
 bool peer_is_alive (const Peer *peer, int64_t now_ms);
 Peer *peer_find (FrontPeers *peers, uint32_t ip);
-/* The entry of this address, created if there is none; NULL if the address is our own or the table
- * is full. */
+/* The entry of this address, created if there is none; NULL if the address is this front's or the
+ * table is full. */
 Peer *peer_add (FrontPeers *peers, uint32_t ip);
 
 bool peers_is_large (const FrontPeers *peers);
@@ -109,7 +109,7 @@
 /* front_peers_send.c: chooses the peers of this round: the collectors of the own failure domain,
  * other living peers in turn, and at intervals those that don't answer. Returns their number. */
 unsigned peers_choose_recipients (FrontPeers *peers, Peer **chosen, int64_t now_ms);
-/* Adds the sum of our own failure domain, and some of the others in turn. */
+/* Adds the sum of this front's failure domain, and those of some others in turn. */
 void peers_domains_fill (FrontPeers *peers, FrontRollout *rollout, PeerRollout *out);
 /* Limit on the held sessions in this round's message. */
 unsigned peers_sessions_max (const FrontPeers *peers);
@@ -117,7 +117,8 @@
 size_t peers_encode (PeerMessage *message, void *out, size_t size);
 /* Sends this round's message. */
 void peers_send_round (FrontPeers *peers, int64_t now_ms);
-/* True if the peer, which knows so many living fronts, has just started and is due an answer. */
+/* True if the peer has just started, as it knows few other living fronts (alive), and is due an
+ * answer. */
 bool peers_is_starting (const FrontPeers *peers, const Peer *peer, uint32_t alive, int64_t now_ms);
 /* Answers a front that has just started with the members of its failure domain. */
 void peers_answer_starting (FrontPeers *peers, Peer *peer, int64_t now_ms);
--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -8,7 +8,7 @@
 #define REGISTRARS        5
 #define REGISTRAR_SUBJECT 0x72656731u
 #define DOMAINS_MAX       16 /* domains that are distinguished; the target has 6 */
-/* Makes the order of collectors differ from that of followers. */
+/* Makes the order of collectors differ from that of followers (front_peers_source.c). */
 #define COLLECTOR_SUBJECT 0x636f6c6cu
 
 /* Milliseconds that a front is counted after its last message: longer than a failure domain is cut
@@ -162,8 +162,8 @@
   return id_hash (&domain, sizeof domain, subject);
 }
 
-/* Number of failure domains with living fronts, ours included; *before: those that come before
- * ours. */
+/* Number of failure domains with living fronts, this front's included; *before: those that come
+ * before this front's. */
 static unsigned
 count_domains (const FrontPeers *peers, uint64_t subject, int64_t now_ms, unsigned *before)
 {
@@ -189,8 +189,8 @@
 }
 
 /* Selects by failure domain first and then within it. After its start a front soon knows its own
- * domain, but all of 300 fronts only after many rounds; ranked over all of them, ten acted where
- * three should. */
+ * domain, but all of 300 fronts only after many rounds; ranked over all of them, ten would act
+ * instead of three. */
 bool
 front_peers_is_selected (const FrontPeers *peers, uint64_t subject, unsigned count, int64_t now_ms)
 {
--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -9,19 +9,19 @@
 
 /* Milliseconds between messages to an address that doesn't answer. */
 #define PROBE_INTERVAL_MS 2500
-/* The same while no other front answers: they may be starting as well. */
+/* The same while no other front answers: the others may be starting as well. */
 #define PROBE_INTERVAL_ALONE_MS 150
-/* Held sessions in a message that also lists members. Sessions and members alternate, as both don't
- * fit: with 24 in each message one in eight of 186 sessions was unknown to a front of 300 after 4
- * s, and moved to the new version in its middle; with 64 in every second one it is less than one in
- * sixty. */
+/* Held sessions in a message that also lists members. Every second message may list
+ * PEER_SESSIONS_MAX sessions, then without members, as both don't fit. With 24 in each message,
+ * each of 300 fronts lacked one in eight of 186 sessions after 4 s and moved it to the new version
+ * before its end; with 64 in every second message it lacks less than one in sixty. */
 #define SESSIONS_BESIDE_MEMBERS 24
 #define ANSWER_INTERVAL_MS      300 /* milliseconds between answers to a front that starts */
 /* A front that knows fewer than 1/STARTING_FRACTION of the fronts known here has just started. */
 #define STARTING_FRACTION   4
-#define SAME_DOMAIN_FANOUT  4 /* peers of the own failure domain in a round, collectors included */
-#define OTHER_DOMAIN_FANOUT 3 /* peers of other failure domains in a round */
-#define PROBE_FANOUT        6 /* peers that are not known to be alive in a round */
+#define SAME_DOMAIN_FANOUT  4 /* peers of the own failure domain per round, collectors included */
+#define OTHER_DOMAIN_FANOUT 3 /* peers of other failure domains per round */
+#define PROBE_FANOUT        6 /* peers per round that are not known to be alive */
 /* Messages to other failure domains that all fronts of one domain together send in a round, those
  * of collectors not counted. Traffic between domains has a cost, and what one front receives it
  * relays within its domain. Compared with three messages from each front this saves 14% of all
--- a/src/front_peers_source.c
+++ b/src/front_peers_source.c
@@ -84,8 +84,8 @@
 }
 
 /* True if the peer reported rows of the table; or if it is registered and not known to be dead
- * (alive, or no message from it since our start), as it then requests the rows from the store if it
- * has none. */
+ * (alive, or no message from it since this front started), as it then requests the rows from the
+ * store if it has none. */
 static bool
 is_informed (const FrontPeers *peers, const Peer *peer, uint64_t table, int64_t now_ms)
 {
@@ -97,8 +97,8 @@
          && (peer->seen_ms == 0 || peer_is_alive (peer, now_ms));
 }
 
-/* Of the informed fronts of the domain with at least this hash, the one that our address selects.
- */
+/* Of the informed fronts of the domain with at least this hash, the one that this front's address
+ * selects. */
 static bool
 pick_informed (const FrontPeers *peers,
                uint64_t table,
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -6,15 +6,15 @@
 #include <math.h>
 #include <sys/socket.h>
 
-/* Milliseconds of reading at one server from which it is announced: shorter prompts have been read
- * before another front could use the information. */
+/* Milliseconds of unannounced reading at one server from which it is announced: shorter prompts
+ * have been read before another front could use the information. */
 #define ANNOUNCE_MIN_MS 10.0
 /* Maximum number of fronts that get a message, those of the same failure domain first, as they use
  * the same servers. */
 #define RECIPIENTS_MAX 24
 #define SHARE_UNITS    100.0 /* of WorkReport.running */
-/* Bytes per second for work messages, UDP and IP headers included. A front of 80 needs 7,200 at 6
- * requests per second; one of 360 with 28 would need 32,000, but its control traffic has to stay
+/* Bytes per second for work messages, UDP and IP headers included. One of 80 fronts needs 7,200 at
+ * 6 requests per second; one of 360 at 28 would need 32,000, but its control traffic has to stay
  * within 14,000, of which other messages take 4,700, or 12,600 during a roll-out with many fronts.
  * Work that can't be announced now is added to the next announcement for the same server. */
 #define BYTES_PER_S         8000.0
--- a/src/front_socket.h
+++ b/src/front_socket.h
@@ -1,5 +1,5 @@
 /**
- * Socket options and connections of the event loop.
+ * TCP sockets on the event loop: addresses, options, connecting and reading.
  */
 #ifndef FRONT_SOCKET_H
 #define FRONT_SOCKET_H
--- a/src/front_store_private.h
+++ b/src/front_store_private.h
@@ -32,7 +32,7 @@
   bool lost;                 /* the last request to the store failed */
   unsigned failures;         /* failed requests to the store in a row */
   int64_t recovered_ms;      /* when the store answered again after an error */
-  int64_t asked_ms;          /* last request */
+  int64_t asked_ms;          /* when the last request was sent */
   bool asked_peer;           /* the last request went to another front */
   bool is_short_poll;        /* the pending request is a sentinel's short poll */
   struct sockaddr_in source; /* the front that was asked last */
@@ -52,9 +52,9 @@
   FrontRolloutState writing_state;
   int64_t writing_started_ms;
   bool settled;             /* FRONT_SETTLED_MS have passed since the start */
-  bool registering;         /* our own address is being written */
-  int64_t clock_offset_ms;  /* the store's clock minus ours */
-  int64_t next_write_at_ms; /* after a failed write */
+  bool registering;         /* this front's address is being written */
+  int64_t clock_offset_ms;  /* the store's clock minus this front's */
+  int64_t next_write_at_ms; /* earliest time of a write after a failed one */
 };
 
 /* front_store_apply.c: apply a row that is new, changed or removed, by table. */
@@ -75,7 +75,7 @@
 void store_watch_hint (Watch *watch, int64_t version, int64_t now_ms);
 /* Applies rows from another front: all, or those changed since a version. */
 void store_watch_apply_peer_rows (Watch *watch, int64_t since, StoreAnswer *answer);
-/* Polls in so many milliseconds. */
+/* Polls after a delay in milliseconds. */
 void store_watch_schedule_poll (Watch *watch, int64_t ms);
 
 /* front_store.c */
@@ -84,7 +84,7 @@
 /* Once the front knows its rank, restarts polls that went to another front, as their source may be
  * a different one now. */
 void store_settle_tick (FrontStore *store, int64_t now_ms);
-/* Replaces the long poll by a short one if we have become a sentinel because another one died. */
+/* Replaces the long poll by a short one if this front has become a sentinel as another one died. */
 void store_sentinel_tick (Watch *watch, int64_t now_ms);
 /* Reads the list of fronts again while no other front is known. */
 void store_member_list_tick (FrontStore *store, int64_t now_ms);
@@ -98,7 +98,7 @@
 } StoreSource;
 
 StoreSource store_choose_source (Watch *watch, int64_t now_ms);
-/* True if we are one of the few fronts that poll the store at short intervals. */
+/* True if this front is one of the few that poll the store at short intervals. */
 bool store_is_sentinel (const Watch *watch, int64_t now_ms);
 
 /* front_store_write.c */
--- a/src/front_store_source.c
+++ b/src/front_store_source.c
@@ -7,13 +7,13 @@
  * domain may have died at one moment. */
 #define PEER_FAILURES_MAX 4
 
-/* A store may hang without closing its connections, and requests from before its return are never
- * answered; keep-alive doesn't show this. Instead of all fronts waiting for their long polls to
- * time out, a few sentinels, the first by rank, use short polls for the tables that callers depend
- * on. With three, one may be stopped and another frozen. They learn of a change within
- * SENTINEL_WAIT_MS + SENTINEL_ANSWER_TIMEOUT_MS, announce it in their next message, and the other
- * fronts restart their polls. This costs two calls per second for each sentinel, however many
- * fronts there are. */
+/* Fronts, the first by rank, that use short polls for the tables that callers depend on; with
+ * three, one may be stopped and another frozen. A store may hang without closing its connections
+ * and never answer the requests from before its return; keep-alive doesn't show this, and long
+ * polls time out only after FRONT_LONG_POLL_MS. Sentinels learn of a change within SENTINEL_WAIT_MS
+ * + SENTINEL_ANSWER_TIMEOUT_MS (front_store_watch.c) and announce it in their next message, upon
+ * which the other fronts restart their polls. Each sentinel makes two calls per second, however
+ * many fronts there are. */
 #define SENTINELS 3
 
 static bool
@@ -81,8 +81,8 @@
     }
 }
 
-/* The store no longer has the changes since our version. All followers get this answer at one
- * moment; if they then asked each other, none would read the changes. */
+/* The store no longer has the changes since this front's version. All followers get this answer at
+ * one moment; if they then asked each other, none would read the changes. */
 static bool
 is_history_lost (const Watch *watch)
 {
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -201,7 +201,7 @@
 
   if (status == STORE_HTTP_GONE && !watch->asked_peer)
     {
-      /* The store no longer has the changes since our version: read all rows. */
+      /* The store no longer has the changes since this front's version: read all rows. */
       watch->loaded = false;
       store_watch_poll (watch);
       return;
--- a/src/front_table.h
+++ b/src/front_table.h
@@ -15,7 +15,7 @@
 {
   struct cds_list_head node;
   struct cds_list_head bucket;
-  StoreRow row;     /**< removed rows are kept for a while, for other fronts to learn of it */
+  StoreRow row; /**< removed rows are kept for a while, so that other fronts learn of the removal */
   bool in_snapshot; /**< while a complete read is applied: the row is part of it */
 } TableEntry;
 
