--- a/src/front_control.c
+++ b/src/front_control.c
@@ -190,14 +190,14 @@
 }
 
 static void
-on_news (struct evhttp_request *http, void *user)
+on_rows_request (struct evhttp_request *http, void *user)
 {
   FrontControl *control = user;
   StoreTable table;
   int64_t since;
   bool wait;
 
-  if (!front_store_parse_news_path (evhttp_request_get_uri (http), &table, &since, &wait))
+  if (!front_store_parse_rows_path (evhttp_request_get_uri (http), &table, &since, &wait))
     send_reply (http, HTTP_NOTFOUND, NULL);
   else if (wait && !front_store_has_changes (control->front->store, table, since))
     poll_hold (control, http, table, since);
@@ -241,7 +241,7 @@
     }
   evhttp_set_gencb (control->ready, on_ready, control);
   evhttp_set_cb (control->control, "/metrics", on_metrics, control);
-  evhttp_set_gencb (control->control, on_news, control);
+  evhttp_set_gencb (control->control, on_rows_request, control);
   return control;
 }
 
--- a/src/front_peers_fetch.c
+++ b/src/front_peers_fetch.c
@@ -55,7 +55,7 @@
   *fetch = (Fetch){ .peers = peers, .table = table, .since = since, .source = source };
   fetch->asked_ms = clock_boot_ms ();
   fetch->channel = front_channel_new (peers->front->base, &source, on_fetched, fetch);
-  front_store_format_news_path (&path, table, since, false);
+  front_store_format_rows_path (&path, table, since, false);
   front_channel_request (fetch->channel, path.data, NULL, FETCH_TIMEOUT_MS);
   buffer_free (&path);
 }
--- a/src/front_store.h
+++ b/src/front_store.h
@@ -59,9 +59,9 @@
 bool front_store_has_changes (const FrontStore *store, StoreTable table, int64_t since);
 /** URL path under which another front returns a table's changes; wait: long poll until there are
  *  some. */
-void front_store_format_news_path (Buffer *out, StoreTable table, int64_t since, bool wait);
+void front_store_format_rows_path (Buffer *out, StoreTable table, int64_t since, bool wait);
 /** Parses such a path; false if it is not one. */
-bool front_store_parse_news_path (const char *path, StoreTable *table, int64_t *since, bool *wait);
+bool front_store_parse_rows_path (const char *path, StoreTable *table, int64_t *since, bool *wait);
 /** Milliseconds that a long poll for changes is held. */
 #define FRONT_LONG_POLL_MS 20000
 
--- a/src/front_store_news.c
+++ b/src/front_store_news.c
@@ -5,31 +5,31 @@
 #include "wire_store.h"
 #include <string.h>
 
-static const char news_prefix[] = "/news/";
-static const char news_wait[] = "/wait";
+static const char rows_prefix[] = "/news/";
+static const char rows_wait[] = "/wait";
 
 void
-front_store_format_news_path (Buffer *out, StoreTable table, int64_t since, bool wait)
+front_store_format_rows_path (Buffer *out, StoreTable table, int64_t since, bool wait)
 {
-  buffer_printf (out, "%s%d/%lld%s", news_prefix, (int)table, (long long)since,
-                 wait ? news_wait : "");
+  buffer_printf (out, "%s%d/%lld%s", rows_prefix, (int)table, (long long)since,
+                 wait ? rows_wait : "");
 }
 
 bool
-front_store_parse_news_path (const char *path, StoreTable *table, int64_t *since, bool *wait)
+front_store_parse_rows_path (const char *path, StoreTable *table, int64_t *since, bool *wait)
 {
   Span rest, part;
   int64_t number;
 
-  if (strncmp (path, news_prefix, strlen (news_prefix)) != 0)
+  if (strncmp (path, rows_prefix, strlen (rows_prefix)) != 0)
     return false;
-  rest = span_of (path + strlen (news_prefix));
+  rest = span_of (path + strlen (rows_prefix));
   part = span_cut (&rest, '/');
   if (!span_number (part, &number) || number >= STORE_TABLES)
     return false;
   *table = (StoreTable)number;
   part = span_cut (&rest, '/');
-  *wait = span_is (rest, news_wait + 1);
+  *wait = span_is (rest, rows_wait + 1);
   return span_number (part, since) && (rest.text == NULL || *wait);
 }
 
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -256,7 +256,7 @@
 
   front_channel_set_address (watch->channel, &watch->source);
   front_channel_set_connect_timeout (watch->channel, PEER_CONNECT_TIMEOUT_MS);
-  front_store_format_news_path (&path, watch->id, watch->table.version, true);
+  front_store_format_rows_path (&path, watch->id, watch->table.version, true);
   front_channel_request (watch->channel, path.data, NULL,
                          watch->loaded ? STORE_ANSWER_TIMEOUT_MS + FRONT_LONG_POLL_MS
                                        : PEER_LOAD_TIMEOUT_MS);
