--- a/src/front_counter.c
+++ b/src/front_counter.c
@@ -40,7 +40,7 @@
 }
 
 void
-front_counter_wait (FrontWaitId id, int64_t ms)
+front_counter_add_wait (FrontWaitId id, int64_t ms)
 {
   unsigned i = 0;
 
--- a/src/front_counter.h
+++ b/src/front_counter.h
@@ -25,7 +25,7 @@
 
 void front_counter_add (FrontCounterId id);
 void front_counter_add_many (FrontCounterId id, size_t count);
-void front_counter_wait (FrontWaitId id, int64_t ms);
+void front_counter_add_wait (FrontWaitId id, int64_t ms);
 /** Appends all metrics in the Prometheus text format. */
 void front_counter_metrics (Buffer *out);
 
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -173,7 +173,7 @@
   front_log_number (line, "attempts", request->attempts);
   front_log_end (line);
   front_counter_add (FRONT_COUNTER_ANSWERED);
-  front_counter_wait (FRONT_WAIT_WHOLE, whole_ms);
+  front_counter_add_wait (FRONT_WAIT_WHOLE, whole_ms);
 }
 
 static void
@@ -182,7 +182,7 @@
   if (request->first_ms >= 0)
     return;
   request->first_ms = clock_boot_ms () - request->arrived_ms;
-  front_counter_wait (FRONT_WAIT_FIRST, request->first_ms);
+  front_counter_add_wait (FRONT_WAIT_FIRST, request->first_ms);
 }
 
 static void
