--- a/src/front_control.c
+++ b/src/front_control.c
@@ -38,8 +38,8 @@
 struct FrontControl
 {
   Front *front;
-  struct evhttp *ready;
-  struct evhttp *control;
+  struct evhttp *ready_server;   /* health check */
+  struct evhttp *control_server; /* metrics, and rows for other fronts */
   struct cds_list_head held_polls;
   EncodedRows encoded;
 };
@@ -232,26 +232,26 @@
   control->front = front;
   front->control = control;
   CDS_INIT_LIST_HEAD (&control->held_polls);
-  control->ready = http_server_new (front, front->settings.ready);
-  control->control = http_server_new (front, front->settings.control);
-  if (!control->ready || !control->control)
+  control->ready_server = http_server_new (front, front->settings.ready);
+  control->control_server = http_server_new (front, front->settings.control);
+  if (!control->ready_server || !control->control_server)
     {
       front_control_free (control);
       return NULL;
     }
-  evhttp_set_gencb (control->ready, on_ready, control);
-  evhttp_set_cb (control->control, "/metrics", on_metrics, control);
-  evhttp_set_gencb (control->control, on_rows_request, control);
+  evhttp_set_gencb (control->ready_server, on_ready, control);
+  evhttp_set_cb (control->control_server, "/metrics", on_metrics, control);
+  evhttp_set_gencb (control->control_server, on_rows_request, control);
   return control;
 }
 
 void
 front_control_free (FrontControl *control)
 {
-  if (control->ready)
-    evhttp_free (control->ready);
-  if (control->control)
-    evhttp_free (control->control);
+  if (control->ready_server)
+    evhttp_free (control->ready_server);
+  if (control->control_server)
+    evhttp_free (control->control_server);
   buffer_free (&control->encoded.text);
   control->front->control = NULL;
   free (control);
--- a/src/front_store_watch.c
+++ b/src/front_store_watch.c
@@ -82,7 +82,7 @@
 /* Waits a random time, so that fronts that lost the store at one moment don't all return at one
  * moment. */
 static void
-watch_failed (Watch *watch, int status)
+handle_store_failure (Watch *watch, int status)
 {
   int64_t wait_max_ms = RETRY_MIN_MS << (watch->failures < 4 ? watch->failures : 4);
 
@@ -171,7 +171,7 @@
 }
 
 static void
-rows_failed (const Watch *watch)
+log_rows_failed (const Watch *watch)
 {
   front_store_log_rows_failed (watch->store, watch->id, asked_source (watch), watch->asked_ms,
                                watch->channel);
@@ -179,7 +179,7 @@
 
 /* Requests the rows from another source. */
 static void
-peer_failed (Watch *watch)
+handle_peer_failure (Watch *watch)
 {
   watch->peer_failures++;
   front_peers_mark_failed (watch->store->front->peers, &watch->source, clock_boot_ms ());
@@ -209,11 +209,11 @@
   if (status != STORE_HTTP_OK || !answer_decode (watch, text, len, &answer))
     {
       if (watch->asked_peer || front_channel_received (watch->channel) > 0)
-        rows_failed (watch);
+        log_rows_failed (watch);
       if (watch->asked_peer)
-        peer_failed (watch);
+        handle_peer_failure (watch);
       else
-        watch_failed (watch, status);
+        handle_store_failure (watch, status);
       return;
     }
   watch->failures = 0;
@@ -336,9 +336,9 @@
   front_channel_cancel (watch->channel);
   pages_clear (watch);
   /* The source that was asked lacks the change as well: choose another one. */
-  rows_failed (watch);
+  log_rows_failed (watch);
   if (watch->asked_peer)
-    peer_failed (watch);
+    handle_peer_failure (watch);
   else
     store_watch_poll (watch);
 }
