--- a/src/front_events.c
+++ b/src/front_events.c
@@ -59,7 +59,7 @@
           else
             {
               buffer_add (output, input->data + taken, len);
-              events->passed++;
+              events->forwarded++;
             }
         }
       if (id > events->last_id && !events->id_skipped)
--- a/src/front_events.h
+++ b/src/front_events.h
@@ -11,9 +11,9 @@
 
 typedef struct
 {
-  int64_t last_id; /**< of the last event forwarded; -1: none */
-  int64_t passed;  /**< number of events forwarded */
-  bool id_skipped; /**< an id was skipped; the stream can't continue */
+  int64_t last_id;   /**< of the last event forwarded; -1: none */
+  int64_t forwarded; /**< number of events forwarded */
+  bool id_skipped;   /**< an id was skipped; the stream can't continue */
 } FrontEvents;
 
 void front_events_init (FrontEvents *events);
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -169,7 +169,7 @@
   front_log_number (line, "objective_ms", request->route->objective_ms);
   front_log_number (line, "pause_ms", request->pause_ms);
   front_log_number (line, "pause_aim_ms", request->route->gap_ms);
-  front_log_number (line, "events", request->events.passed);
+  front_log_number (line, "events", request->events.forwarded);
   front_log_number (line, "attempts", request->attempts);
   front_log_end (line);
   front_counter_add (FRONT_COUNTER_ANSWERED);
--- a/tests/test_front_events.c
+++ b/tests/test_front_events.c
@@ -16,11 +16,11 @@
 
 /* Adds input and checks all output so far. */
 static void
-check (const char *more, const char *passed_on)
+check (const char *more, const char *expected)
 {
   buffer_add_string (&input, more);
   front_events_forward (&events, &input, &output);
-  CU_ASSERT_STRING_EQUAL (output.data ? output.data : "", passed_on);
+  CU_ASSERT_STRING_EQUAL (output.data ? output.data : "", expected);
 }
 
 /* Only complete events are forwarded. If an engine stops in the middle of an event and the first
@@ -35,7 +35,7 @@
   check ("ta: b\n", "id: 0\ndata: a\n\n");
   check ("\n", "id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
   CU_ASSERT_EQUAL (events.last_id, 1);
-  CU_ASSERT_EQUAL (events.passed, 2);
+  CU_ASSERT_EQUAL (events.forwarded, 2);
   CU_ASSERT_EQUAL (input.len, 0);
 }
 
