--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -1,5 +1,5 @@
 /** Compressed rows between fronts, and the row by which a front registers: src/front_compress.c,
- *  front_store_news.c, front_member.c. */
+ *  front_store_peer.c, front_member.c. */
 #include "front_compress.h"
 #include "front_member.h"
 #include "front_store.h"
