--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -20,8 +20,8 @@
 #define ANSWER_MS        10   /* of the store, or of a front that has the rows */
 #define FIRST_IP         0x0a000001u
 #define TABLE            ((uint64_t)STORE_SERVERS)
-#define ORIGIN_MS        1000000
-#define END_MS           20000 /* of the simulation, whatever its state */
+#define ORIGIN_MS        1000000 /* when the simulation starts */
+#define END_MS           20000   /* of the simulation, whatever its state */
 /* Maximum calls to the store per start: reading the list of fronts, and one more. */
 #define CALLS_PER_START 2
 
@@ -42,8 +42,8 @@
   bool has_table;
   int64_t known_ms; /* time since which it has the table */
   Asks asks;
-  unsigned asked; /* number of the front that is asked */
-  int64_t until_ms;
+  unsigned asked;   /* number of the front that is asked */
+  int64_t until_ms; /* when the store's answer arrives, or the request to a front times out */
   unsigned failures;
 } Node;
 
@@ -354,7 +354,7 @@
   free (world);
 }
 
-/* The same, and in one failure domain none of the three registered fronts comes back. */
+/* All VMs lose power, and in one failure domain none of the three registered fronts comes back. */
 static void
 test_starts_without_registered_fronts (void)
 {
@@ -368,8 +368,8 @@
   free (world);
 }
 
-/* The same, and the registered fronts of one domain die 20 ms after their start, while others wait
- * for their answers. */
+/* All VMs lose power, and the registered fronts of one domain die 20 ms after their start, while
+ * others wait for their answers. */
 static void
 test_starts_although_registered_fronts_die (void)
 {
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -26,13 +26,12 @@
   FrontRollout *rollout;
 } Node;
 
-/** All fronts. One of so many messages (loss) is lost, as the last of a burst on a congested link;
- *  0: none. */
+/** All fronts, and the network between them. */
 typedef struct
 {
   unsigned count;
   unsigned domains;
-  unsigned loss;
+  unsigned loss;             /* one of so many messages is lost, as by a congested link; 0: none */
   unsigned sent;             /* messages */
   unsigned to_other_domains; /* of these, to other failure domains */
   Node nodes[FRONTS_MAX];
@@ -341,9 +340,9 @@
 
 /* 9,300 sessions continue during a roll-out at 300 fronts, 186 of them in the share that starts on
  * the new version. Four seconds after the order new sessions start there; a session of which a
- * front has no report changes its version between two of its requests. With twice the share, and
- * 2.5 s, four to five sessions did so at low load. At most three may, which is 0.016 of one request
- * of each. */
+ * front has no report changes its version between two of its requests. With twice that share on the
+ * new version 2.5 s after the order, four to five sessions did so at low load. At most three may:
+ * 0.016 of the 186, if each sends one request. */
 static void
 test_sessions_are_held_at_300_fronts (void)
 {
--- a/tests/test_front_store_source.c
+++ b/tests/test_front_store_source.c
@@ -137,10 +137,10 @@
   site_free (site);
 }
 
-/* Fronts that start together must not poll each other in a circle. 300 fronts that had just got
- * their rows each polled a front known to have them, some of them each other: no change arrived
- * until they were four seconds old, and a quarter of the requests was refused as the servers
- * changed. */
+/* Fronts that start together must not poll each other in a circle. If each of 300 fronts that have
+ * just got their rows polls any front known to have them, some poll each other: no change arrives
+ * until they have run for four seconds, and a quarter of the requests is refused as the servers
+ * change. */
 static void
 test_starting_fronts_form_no_cycle (void)
 {
@@ -151,9 +151,9 @@
   site_free (site);
 }
 
-/* Where a failure domain has two fronts, both poll the store. If one polled the other, and the
- * store refused that one, both would get a leaving server's row from another failure domain
- * only. */
+/* Where a failure domain has two fronts, both poll the store. If one polled the other, and that
+ * one were cut off from the store, both would get a leaving server's row from another failure
+ * domain only. */
 static void
 test_both_of_two_fronts_poll_store (void)
 {
@@ -163,9 +163,9 @@
   site_free (site);
 }
 
-/* The store drops its history, and all that poll for changes get that answer at one moment. Treated
- * as starting fronts, they asked each other; for six seconds no front polled the store, and a
- * revoked key was accepted. */
+/* The store drops its history, and all fronts that poll it for changes learn so at one moment. If
+ * they were treated as starting fronts, they would ask each other: for six seconds no front would
+ * poll the store, and a revoked key would be accepted. */
 static void
 test_all_poll_store_after_lost_history (void)
 {
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -389,8 +389,8 @@
   CU_ASSERT_STRING_EQUAL (changes, expected);
 }
 
-/* A front that the store refuses gets rows from another front; an older copy of a row that arrives
- * after a newer one must not replace it. */
+/* A front that is cut off from the store gets rows from another front; an older copy of a row that
+ * arrives after a newer one must not replace it. */
 static void
 test_table (void)
 {
@@ -432,8 +432,8 @@
 }
 
 /* The store drops its history while a server leaves. A front then reads all rows and never sees the
- * removal, whose version others report. When it considered itself behind, it fetched the same rows
- * ten times a second and dropped its connection to the store each time. */
+ * removal, whose version others report. If it considered itself behind, it would fetch the same
+ * rows ten times a second and drop its connection to the store each time. */
 static void
 test_complete_read_is_not_behind (void)
 {
