--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -105,7 +105,7 @@
  * the store sends it to a dozen others over one link of 10 Mbit/s. Uncompressed, the last of them
  * would get it seconds after it had to be in force. */
 static void
-test_large_configuration_is_small_enough (void)
+test_large_configuration_fits_transfer_time (void)
 {
   Buffer value = configuration (), text = { 0 };
   StoreAnswer answer = { .count = 1, .version = 7 };
@@ -188,7 +188,7 @@
 
 static const SuiteCase cases[] = {
   { "rows_survive_round_trip", test_rows_survive_round_trip },
-  { "large_configuration_is_small_enough", test_large_configuration_is_small_enough },
+  { "large_configuration_fits_transfer_time", test_large_configuration_fits_transfer_time },
   { "damaged_data_is_rejected", test_damaged_data_is_rejected },
   { "decompressed_size_is_limited", test_decompressed_size_is_limited },
   { "member_row_is_decoded_or_rejected", test_member_row_is_decoded_or_rejected },
--- a/tests/test_front_log.c
+++ b/tests/test_front_log.c
@@ -83,7 +83,7 @@
 /* When no process reads the log and the pipe is full, writing must not block, and the first line
  * that is written again reports how many were lost. */
 static void
-test_full_pipe_loses_lines (void)
+test_lines_are_omitted_while_pipe_is_full (void)
 {
   struct json_object *line;
   char block[4096];
@@ -131,7 +131,7 @@
 
 /* Each event has its own rate limit: a flood of one must not suppress the lines of others. */
 static void
-test_rate_limit_per_event (void)
+test_rate_limit_is_per_event (void)
 {
   unsigned answered = 0, failed = 0;
   FrontLine *out;
@@ -155,9 +155,9 @@
 
 static const SuiteCase cases[] = {
   { "values_are_escaped", test_values_are_escaped },
-  { "full_pipe_loses_lines", test_full_pipe_loses_lines },
+  { "lines_are_omitted_while_pipe_is_full", test_lines_are_omitted_while_pipe_is_full },
   { "long_line_is_omitted", test_long_line_is_omitted },
-  { "rate_limit_per_event", test_rate_limit_per_event },
+  { "rate_limit_is_per_event", test_rate_limit_is_per_event },
 };
 
 int
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -24,7 +24,7 @@
       "\"Priority\":0},{\"Name\":\"t2\",\"ApiKeys\":[\"k3\"]}]}";
 
 static void
-test_config (void)
+test_config_is_decoded (void)
 {
   Status status;
   FrontConfig *config = wire_config_decode (config_text, strlen (config_text), &status);
@@ -90,7 +90,7 @@
 }
 
 static void
-refused_config (const char *text, const char *message)
+check_config_refused (const char *text, const char *message)
 {
   Status status = { 0 };
 
@@ -102,12 +102,12 @@
 static void
 test_bad_config_is_refused (void)
 {
-  refused_config ("", "no JSON");
-  refused_config ("[1]", "no JSON");
-  refused_config ("{\"Version\":1,\"Rou", "no JSON");
-  refused_config ("{\"Routes\":[{\"Name\":\"r\",\"Prefix\":\"/\",\"Kind\":\"new\"}]}",
-                  "r: unknown");
-  refused_config ("{\"Routes\":[{\"Name\":\"r\",\"Kind\":\"streaming\"}]}", "r: prefix");
+  check_config_refused ("", "no JSON");
+  check_config_refused ("[1]", "no JSON");
+  check_config_refused ("{\"Version\":1,\"Rou", "no JSON");
+  check_config_refused ("{\"Routes\":[{\"Name\":\"r\",\"Prefix\":\"/\",\"Kind\":\"new\"}]}",
+                        "r: unknown");
+  check_config_refused ("{\"Routes\":[{\"Name\":\"r\",\"Kind\":\"streaming\"}]}", "r: prefix");
 }
 
 static void
@@ -197,23 +197,23 @@
 }
 
 static void
-test_reply_and_refusal_heads (void)
+test_reply_and_refusal_heads_are_translated (void)
 {
   static const char text[] = "HTTP/1.1 200 Fine\r\nLovagehub-Request-Id: r17\r\n"
                              "Lovagehub-Server-Signature: x.y\r\nLovagehub-Confidence: 41\r\n"
                              "Connection: close\r\nContent-Length: 2\r\nX-Own: 1\r\n\r\nab";
   HttpReply reply;
-  ReplyInfo facts;
+  ReplyInfo info;
   Buffer out = { 0 };
 
   http_reply_init (&reply);
   http_reply_feed (&reply, text, strlen (text));
-  wire_reply_decode (&reply, "i-1", &facts);
-  CU_ASSERT (facts.is_signed);
-  CU_ASSERT (!facts.not_executed);
-  CU_ASSERT (!facts.other_server);
-  CU_ASSERT_EQUAL (facts.confidence, 41);
-  CU_ASSERT (span_is (facts.request_id, "r17"));
+  wire_reply_decode (&reply, "i-1", &info);
+  CU_ASSERT (info.is_signed);
+  CU_ASSERT (!info.not_executed);
+  CU_ASSERT (!info.other_server);
+  CU_ASSERT_EQUAL (info.confidence, 41);
+  CU_ASSERT (span_is (info.request_id, "r17"));
   wire_reply_encode (&out, &reply);
   CU_ASSERT_STRING_EQUAL (out.data, "HTTP/1.1 200 Fine\r\nLovagehub-Request-Id: r17\r\n"
                                     "Lovagehub-Server-Signature: x.y\r\n"
@@ -222,8 +222,8 @@
   http_reply_clear (&reply);
   http_reply_init (&reply);
   http_reply_feed (&reply, "HTTP/1.1 421 x\r\nLovagehub-Instance-Id: i-2\r\n\r\n", 47);
-  wire_reply_decode (&reply, "i-1", &facts);
-  CU_ASSERT (facts.other_server);
+  wire_reply_decode (&reply, "i-1", &info);
+  CU_ASSERT (info.other_server);
   http_reply_clear (&reply);
   wire_refusal_encode (&out, 503, span_of ("r17"), 250);
   CU_ASSERT_STRING_EQUAL (out.data, "HTTP/1.1 503 Service Unavailable\r\n"
@@ -232,7 +232,7 @@
 }
 
 static void
-test_rollout (void)
+test_rollout_order_and_status_are_decoded (void)
 {
   static const char text[] = "{\"Service\":\"s1\",\"Target\":\"v2\",\"RampS\":12.5}";
   RolloutOrder order;
@@ -258,7 +258,7 @@
 }
 
 static void
-test_server (void)
+test_server_entry_is_decoded (void)
 {
   ServerEntry entry;
 
@@ -392,7 +392,7 @@
 /* A front that is cut off from the store gets rows from another front; an older copy of a row that
  * arrives after a newer one must not replace it. */
 static void
-test_table (void)
+test_older_rows_never_replace_newer (void)
 {
   FrontTable table, other;
   Buffer out = { 0 };
@@ -470,16 +470,16 @@
 }
 
 static const SuiteCase cases[] = {
-  { "config", test_config },
+  { "config_is_decoded", test_config_is_decoded },
   { "invalid_cold_limits_are_ignored", test_invalid_cold_limits_are_ignored },
   { "bad_config_is_refused", test_bad_config_is_refused },
   { "call_is_decoded", test_call_is_decoded },
   { "call_is_encoded_without_forged_fields", test_call_is_encoded_without_forged_fields },
-  { "reply_and_refusal_heads", test_reply_and_refusal_heads },
-  { "rollout", test_rollout },
-  { "server", test_server },
+  { "reply_and_refusal_heads_are_translated", test_reply_and_refusal_heads_are_translated },
+  { "rollout_order_and_status_are_decoded", test_rollout_order_and_status_are_decoded },
+  { "server_entry_is_decoded", test_server_entry_is_decoded },
   { "invalid_server_entries_are_rejected", test_invalid_server_entries_are_rejected },
-  { "table", test_table },
+  { "older_rows_never_replace_newer", test_older_rows_never_replace_newer },
   { "complete_read_is_not_behind", test_complete_read_is_not_behind },
   { "write_body_is_encoded", test_write_body_is_encoded },
 };
