--- a/src/front.h
+++ b/src/front.h
@@ -56,9 +56,9 @@
 bool front_is_ready (const Front *front);
 /** Starts to accept callers' connections as soon as front_is_ready, or FRONT_OPEN_DELAY_MS after
  *  the start, when requests that can't be served are refused. Until then connections wait in the
- *  kernel's backlog. After a power loss of all VMs callers reconnect while the fronts still fetch
- *  the configuration from each other (0.02 to 0.6 s); a caller refused in that time retries half a
- *  second later and then has no attempt left. */
+ *  kernel's backlog: after a power loss of all VMs the fronts need 0.02 to 0.6 s to fetch the
+ *  configuration from each other, and a caller refused in that time has one attempt left, half a
+ *  second later. */
 void front_open (Front *front, int64_t now_ms);
 /** Half of the shortest time after which a caller gives up on a request that is not read. */
 #define FRONT_OPEN_DELAY_MS 500
--- a/src/front_control.h
+++ b/src/front_control.h
@@ -9,7 +9,7 @@
 /** NULL if an address can't be bound. */
 FrontControl *front_control_new (Front *front);
 void front_control_free (FrontControl *control);
-/** Answers the held long polls for which there are changes or whose time is over. */
+/** Answers the held long polls for which there are changes or that have timed out. */
 void front_control_tick (FrontControl *control, int64_t now_ms);
 
 #endif
--- a/src/front_peer_message.c
+++ b/src/front_peer_message.c
@@ -11,7 +11,7 @@
 }
 
 static bool_t
-xdr_count (XDR *xdr, EvidenceCount *count)
+xdr_evidence_count (XDR *xdr, EvidenceCount *count)
 {
   return xdr_uint32_t (xdr, &count->answers) && xdr_uint32_t (xdr, &count->failed)
          && xdr_uint32_t (xdr, &count->slow);
@@ -39,15 +39,15 @@
     {
       if ((present & 1u << i) == 0)
         continue;
-      if (!xdr_count (xdr, &evidence->counts[EVIDENCE_NEW][i])
-          || !xdr_count (xdr, &evidence->counts[EVIDENCE_OLD][i]))
+      if (!xdr_evidence_count (xdr, &evidence->counts[EVIDENCE_NEW][i])
+          || !xdr_evidence_count (xdr, &evidence->counts[EVIDENCE_OLD][i]))
         return FALSE;
     }
   return TRUE;
 }
 
 static bool_t
-xdr_counted (XDR *xdr, uint32_t *count, uint32_t max)
+xdr_list_length (XDR *xdr, uint32_t *count, uint32_t max)
 {
   return xdr_uint32_t (xdr, count) && *count <= max;
 }
@@ -55,7 +55,7 @@
 static bool_t
 xdr_sessions (XDR *xdr, PeerRollout *rollout)
 {
-  if (!xdr_counted (xdr, &rollout->session_count, PEER_SESSIONS_MAX))
+  if (!xdr_list_length (xdr, &rollout->session_count, PEER_SESSIONS_MAX))
     return FALSE;
   for (unsigned i = 0; i < rollout->session_count; i++)
     {
@@ -72,7 +72,7 @@
   if (!xdr_hash (xdr, &rollout->service) || !xdr_int64_t (xdr, &rollout->order)
       || !xdr_uint32_t (xdr, &rollout->old_busy_age_ms) || !xdr_uint32_t (xdr, &rollout->is_bad)
       || !xdr_evidence (xdr, &rollout->evidence)
-      || !xdr_counted (xdr, &rollout->domain_count, PEER_DOMAINS_MAX))
+      || !xdr_list_length (xdr, &rollout->domain_count, PEER_DOMAINS_MAX))
     return FALSE;
   for (unsigned i = 0; i < rollout->domain_count; i++)
     {
@@ -100,21 +100,21 @@
 static bool_t
 xdr_lists (XDR *xdr, PeerMessage *message)
 {
-  if (!xdr_counted (xdr, &message->rollout_count, PEER_ROLLOUTS_MAX))
+  if (!xdr_list_length (xdr, &message->rollout_count, PEER_ROLLOUTS_MAX))
     return FALSE;
   for (unsigned i = 0; i < message->rollout_count; i++)
     {
       if (!xdr_rollout (xdr, &message->rollouts[i]))
         return FALSE;
     }
-  if (!xdr_counted (xdr, &message->death_count, PEER_DEATHS_MAX))
+  if (!xdr_list_length (xdr, &message->death_count, PEER_DEATHS_MAX))
     return FALSE;
   for (unsigned i = 0; i < message->death_count; i++)
     {
       if (!xdr_death (xdr, &message->deaths[i]))
         return FALSE;
     }
-  if (!xdr_counted (xdr, &message->member_count, PEER_MEMBERS_MAX))
+  if (!xdr_list_length (xdr, &message->member_count, PEER_MEMBERS_MAX))
     return FALSE;
   for (unsigned i = 0; i < message->member_count; i++)
     {
--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -57,8 +57,8 @@
   double work_credit_bytes;   /* bytes that may be spent on work messages */
   int64_t work_ms;            /* time at which work_credit_bytes was computed */
   unsigned next_work;         /* first peer considered for the next work message */
-  double other_domain_credit; /* messages to other failure domains that may still be sent; less than
-                                 one is left over by a round */
+  double other_domain_credit; /* fraction of a message to other failure domains, carried over from
+                                 the last round */
   int64_t round_ms;           /* last round of messages */
   int64_t started_ms;
   bool is_registered;                  /* this front is on the store's list */
--- a/src/front_peers_source.c
+++ b/src/front_peers_source.c
@@ -2,9 +2,9 @@
 #include "front_peers_private.h"
 
 /* Fronts of each failure domain that follow a table at the store; the others ask one of these. If
- * one of the two is frozen or cut off, the half of the domain that follows the other one receives a
- * change at once and announces it to the rest by messages. Each additional follower costs one more
- * call to the store for each change. */
+ * one of the two is frozen or cut off, the half of the domain that asks the other one receives a
+ * change at once and announces it to the rest. Each additional follower costs one more call to the
+ * store for each change. */
 #define FOLLOWERS 2
 /* Milliseconds until a front whose request failed is asked again; it may be frozen for seconds.
  * While all fronts start, one that refuses connections is about to listen. */
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -43,7 +43,7 @@
   int64_t known_ms; /* time since which it has the table */
   Asks asks;
   unsigned asked;   /* number of the front that is asked */
-  int64_t until_ms; /* when the store's answer arrives, or the request to a front times out */
+  int64_t until_ms; /* when the store's answer arrives, or the request times out */
   unsigned failures;
 } Node;
 
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -282,12 +282,12 @@
   const char *field;
   const char *value; /* NULL: the field is missing */
   bool good;
-} Change;
+} FieldChange;
 
 #define SERVER_FIELDS 8
 
 static void
-server_text (char *out, size_t size, const Change *change)
+server_text (char *out, size_t size, const FieldChange *change)
 {
   static const char *const fields[SERVER_FIELDS][2] = {
     { "Service", "\"s1\"" }, { "Address", "\"1.2.3.4:80\"" },
@@ -317,7 +317,7 @@
 static void
 test_invalid_server_entries_are_rejected (void)
 {
-  static const Change changes_made[] = {
+  static const FieldChange field_changes[] = {
     { "State", "\"ready\"", true },
     { "State", "\"draining\"", true },
     { "State", "\"resting\"", false },
@@ -350,9 +350,9 @@
     { "born", "null", false },
   };
 
-  for (size_t i = 0; i < SUITE_COUNT (changes_made); i++)
+  for (size_t i = 0; i < SUITE_COUNT (field_changes); i++)
     {
-      const Change *change = &changes_made[i];
+      const FieldChange *change = &field_changes[i];
       char text[400];
       ServerEntry entry;
 
