--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -166,14 +166,14 @@
 static void
 test_member_row_is_decoded_or_rejected (void)
 {
-  static const char *const malformed[] = { "",
-                                           "front-1",
-                                           "[]",
-                                           "{}",
-                                           "{\"vm\":\"a\"}",
-                                           "{\"vm\":\"\",\"failure_domain\":\"b\"}",
-                                           "{\"vm\":1,\"failure_domain\":\"b\"}",
-                                           "{\"vm\":\"a\",\"failure_domain\":\"b\"" };
+  static const char *const odd[] = { "",
+                                     "front-1",
+                                     "[]",
+                                     "{}",
+                                     "{\"vm\":\"a\"}",
+                                     "{\"vm\":\"\",\"failure_domain\":\"b\"}",
+                                     "{\"vm\":1,\"failure_domain\":\"b\"}",
+                                     "{\"vm\":\"a\",\"failure_domain\":\"b\"" };
   FrontMember member;
   Buffer text = { 0 };
 
@@ -181,8 +181,8 @@
   CU_ASSERT (front_member_decode ((Span){ .text = text.data, .len = text.len }, &member));
   CU_ASSERT_STRING_EQUAL (member.vm, "front-\"1\"");
   CU_ASSERT_STRING_EQUAL (member.failure_domain, "hall");
-  for (size_t i = 0; i < SUITE_COUNT (malformed); i++)
-    CU_ASSERT_FALSE (front_member_decode (span_of (malformed[i]), &member));
+  for (size_t i = 0; i < SUITE_COUNT (odd); i++)
+    CU_ASSERT_FALSE (front_member_decode (span_of (odd[i]), &member));
   buffer_free (&text);
 }
 
--- a/tests/test_front_http.c
+++ b/tests/test_front_http.c
@@ -140,7 +140,7 @@
 }
 
 static void
-test_oversized_requests_are_refused (void)
+test_too_large (void)
 {
   char text[2000];
   int len = snprintf (text, sizeof text, "GET / HTTP/1.1\r\nHost: x\r\nA: %01100d\r\n\r\n", 0);
@@ -259,7 +259,7 @@
   { "chunked_request_is_parsed", test_chunked_request_is_parsed },
   { "smuggled_requests_are_refused", test_smuggled_requests_are_refused },
   { "malformed_requests_are_refused", test_malformed_requests_are_refused },
-  { "oversized_requests_are_refused", test_oversized_requests_are_refused },
+  { "too_large", test_too_large },
   { "pipelined_requests_are_separated", test_pipelined_requests_are_separated },
   { "truncated_replies_are_not_complete", test_truncated_replies_are_not_complete },
   { "malformed_replies_are_broken", test_malformed_replies_are_broken },
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -203,17 +203,17 @@
                              "Lovagehub-Server-Signature: x.y\r\nLovagehub-Confidence: 41\r\n"
                              "Connection: close\r\nContent-Length: 2\r\nX-Own: 1\r\n\r\nab";
   HttpReply reply;
-  ReplyInfo info;
+  ReplyInfo facts;
   Buffer out = { 0 };
 
   http_reply_init (&reply);
   http_reply_feed (&reply, text, strlen (text));
-  wire_reply_decode (&reply, "i-1", &info);
-  CU_ASSERT (info.is_signed);
-  CU_ASSERT (!info.not_executed);
-  CU_ASSERT (!info.other_server);
-  CU_ASSERT_EQUAL (info.confidence, 41);
-  CU_ASSERT (span_is (info.request_id, "r17"));
+  wire_reply_decode (&reply, "i-1", &facts);
+  CU_ASSERT (facts.is_signed);
+  CU_ASSERT (!facts.not_executed);
+  CU_ASSERT (!facts.other_server);
+  CU_ASSERT_EQUAL (facts.confidence, 41);
+  CU_ASSERT (span_is (facts.request_id, "r17"));
   wire_reply_encode (&out, &reply);
   CU_ASSERT_STRING_EQUAL (out.data, "HTTP/1.1 200 Fine\r\nLovagehub-Request-Id: r17\r\n"
                                     "Lovagehub-Server-Signature: x.y\r\n"
@@ -222,8 +222,8 @@
   http_reply_clear (&reply);
   http_reply_init (&reply);
   http_reply_feed (&reply, "HTTP/1.1 421 x\r\nLovagehub-Instance-Id: i-2\r\n\r\n", 47);
-  wire_reply_decode (&reply, "i-1", &info);
-  CU_ASSERT (info.other_server);
+  wire_reply_decode (&reply, "i-1", &facts);
+  CU_ASSERT (facts.other_server);
   http_reply_clear (&reply);
   wire_refusal_encode (&out, 503, span_of ("r17"), 250);
   CU_ASSERT_STRING_EQUAL (out.data, "HTTP/1.1 503 Service Unavailable\r\n"
@@ -232,7 +232,7 @@
 }
 
 static void
-test_rollout_order_and_status_are_decoded (void)
+test_rollout (void)
 {
   static const char text[] = "{\"Service\":\"s1\",\"Target\":\"v2\",\"RampS\":12.5}";
   RolloutOrder order;
@@ -476,7 +476,7 @@
   { "call_is_decoded", test_call_is_decoded },
   { "call_is_encoded_without_forged_fields", test_call_is_encoded_without_forged_fields },
   { "reply_and_refusal_heads_are_translated", test_reply_and_refusal_heads_are_translated },
-  { "rollout_order_and_status_are_decoded", test_rollout_order_and_status_are_decoded },
+  { "rollout", test_rollout },
   { "server_entry_is_decoded", test_server_entry_is_decoded },
   { "invalid_server_entries_are_rejected", test_invalid_server_entries_are_rejected },
   { "older_rows_never_replace_newer", test_older_rows_never_replace_newer },
