--- a/src/front_events.h
+++ b/src/front_events.h
@@ -12,7 +12,7 @@
 typedef struct
 {
   int64_t last_id;   /**< of the last event forwarded; -1: none */
-  int64_t forwarded; /**< number of events forwarded */
+  int64_t forwarded; /**< events */
   bool id_skipped;   /**< an id was skipped; the stream can't continue */
 } FrontEvents;
 
--- a/src/front_main.c
+++ b/src/front_main.c
@@ -18,8 +18,7 @@
 #include <sys/stat.h>
 #include <syslog.h>
 
-/* Interval at which time-outs, roll-outs and messages are checked; far below any of their limits.
- */
+/* Interval between checks of time-outs, roll-outs and messages; far below any of their limits. */
 #define TICK_INTERVAL_MS           100
 #define MS_PER_S                   1000
 #define NS_PER_MS                  1000000
@@ -194,8 +193,8 @@
   event_add (self->signals[1], NULL);
 }
 
-/* Starts all parts. Returns the name of the first one whose endpoint is not valid or can't be
- * bound; NULL: all were started. */
+/* Returns the name of the first part whose endpoint is not valid or can't be bound; NULL: all were
+ * started. */
 static const char *
 parts_start (Main *self)
 {
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -6,8 +6,8 @@
 #include <math.h>
 #include <sys/socket.h>
 
-/* Milliseconds of unannounced reading at one server from which it is announced: shorter prompts
- * have been read before another front could use the information. */
+/* A message is sent once so many milliseconds of reading at one server are unannounced: shorter
+ * prompts have been read before another front could use the information. */
 #define ANNOUNCE_MIN_MS 10.0
 /* Maximum number of fronts that get a message, those of the same failure domain first, as they use
  * the same servers. */
--- a/tests/test_front_bootstrap.c
+++ b/tests/test_front_bootstrap.c
@@ -433,7 +433,6 @@
   free (world);
 }
 
-/* Each state of a starting front and the step that follows. */
 static void
 test_step_for_each_state (void)
 {
--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -31,7 +31,6 @@
 {
 }
 
-/* The rows of 300 servers, compressed. */
 static Buffer
 compressed_rows (void)
 {
--- a/tests/test_front_peers.c
+++ b/tests/test_front_peers.c
@@ -120,7 +120,6 @@
     front_rollouts_hold_session (receiver->rollouts, receiver->rollout, &updates[i], now_ms);
 }
 
-/* Delivers one message from a front to another. */
 static void
 deliver (Net *net, unsigned from, unsigned to, int64_t now_ms)
 {
