--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -1,5 +1,5 @@
 /** Compressed rows between fronts, and the row by which a front registers: src/front_compress.c,
- *  front_store_news.c, front_member.c. */
+ *  front_store_peer.c, front_member.c. */
 #include "front_compress.h"
 #include "front_member.h"
 #include "front_store.h"
@@ -31,7 +31,6 @@
 {
 }
 
-/* The rows of 300 servers, compressed. */
 static Buffer
 compressed_rows (void)
 {
@@ -105,7 +104,7 @@
  * the store sends it to a dozen others over one link of 10 Mbit/s. Uncompressed, the last of them
  * would get it seconds after it had to be in force. */
 static void
-test_large_configuration_is_small_enough (void)
+test_large_configuration_fits_transfer_time (void)
 {
   Buffer value = configuration (), text = { 0 };
   StoreAnswer answer = { .count = 1, .version = 7 };
@@ -188,7 +187,7 @@
 
 static const SuiteCase cases[] = {
   { "rows_survive_round_trip", test_rows_survive_round_trip },
-  { "large_configuration_is_small_enough", test_large_configuration_is_small_enough },
+  { "large_configuration_fits_transfer_time", test_large_configuration_fits_transfer_time },
   { "damaged_data_is_rejected", test_damaged_data_is_rejected },
   { "decompressed_size_is_limited", test_decompressed_size_is_limited },
   { "member_row_is_decoded_or_rejected", test_member_row_is_decoded_or_rejected },
--- a/tests/test_front_wire.c
+++ b/tests/test_front_wire.c
@@ -24,7 +24,7 @@
       "\"Priority\":0},{\"Name\":\"t2\",\"ApiKeys\":[\"k3\"]}]}";
 
 static void
-test_config (void)
+test_config_is_decoded (void)
 {
   Status status;
   FrontConfig *config = wire_config_decode (config_text, strlen (config_text), &status);
@@ -90,7 +90,7 @@
 }
 
 static void
-refused_config (const char *text, const char *message)
+check_config_refused (const char *text, const char *message)
 {
   Status status = { 0 };
 
@@ -102,12 +102,12 @@
 static void
 test_bad_config_is_refused (void)
 {
-  refused_config ("", "no JSON");
-  refused_config ("[1]", "no JSON");
-  refused_config ("{\"Version\":1,\"Rou", "no JSON");
-  refused_config ("{\"Routes\":[{\"Name\":\"r\",\"Prefix\":\"/\",\"Kind\":\"new\"}]}",
-                  "r: unknown");
-  refused_config ("{\"Routes\":[{\"Name\":\"r\",\"Kind\":\"streaming\"}]}", "r: prefix");
+  check_config_refused ("", "no JSON");
+  check_config_refused ("[1]", "no JSON");
+  check_config_refused ("{\"Version\":1,\"Rou", "no JSON");
+  check_config_refused ("{\"Routes\":[{\"Name\":\"r\",\"Prefix\":\"/\",\"Kind\":\"new\"}]}",
+                        "r: unknown");
+  check_config_refused ("{\"Routes\":[{\"Name\":\"r\",\"Kind\":\"streaming\"}]}", "r: prefix");
 }
 
 static void
@@ -197,7 +197,7 @@
 }
 
 static void
-test_reply_and_refusal_heads (void)
+test_reply_and_refusal_heads_are_translated (void)
 {
   static const char text[] = "HTTP/1.1 200 Fine\r\nLovagehub-Request-Id: r17\r\n"
                              "Lovagehub-Server-Signature: x.y\r\nLovagehub-Confidence: 41\r\n"
@@ -258,7 +258,7 @@
 }
 
 static void
-test_server (void)
+test_server_entry_is_decoded (void)
 {
   ServerEntry entry;
 
@@ -282,12 +282,12 @@
   const char *field;
   const char *value; /* NULL: the field is missing */
   bool good;
-} Change;
+} FieldChange;
 
 #define SERVER_FIELDS 8
 
 static void
-server_text (char *out, size_t size, const Change *change)
+server_text (char *out, size_t size, const FieldChange *change)
 {
   static const char *const fields[SERVER_FIELDS][2] = {
     { "Service", "\"s1\"" }, { "Address", "\"1.2.3.4:80\"" },
@@ -317,7 +317,7 @@
 static void
 test_invalid_server_entries_are_rejected (void)
 {
-  static const Change changes_made[] = {
+  static const FieldChange field_changes[] = {
     { "State", "\"ready\"", true },
     { "State", "\"draining\"", true },
     { "State", "\"resting\"", false },
@@ -350,9 +350,9 @@
     { "born", "null", false },
   };
 
-  for (size_t i = 0; i < SUITE_COUNT (changes_made); i++)
+  for (size_t i = 0; i < SUITE_COUNT (field_changes); i++)
     {
-      const Change *change = &changes_made[i];
+      const FieldChange *change = &field_changes[i];
       char text[400];
       ServerEntry entry;
 
@@ -389,10 +389,10 @@
   CU_ASSERT_STRING_EQUAL (changes, expected);
 }
 
-/* A front that the store refuses gets rows from another front; an older copy of a row that arrives
- * after a newer one must not replace it. */
+/* A front that is cut off from the store gets rows from another front; an older copy of a row that
+ * arrives after a newer one must not replace it. */
 static void
-test_table (void)
+test_older_rows_never_replace_newer (void)
 {
   FrontTable table, other;
   Buffer out = { 0 };
@@ -432,8 +432,8 @@
 }
 
 /* The store drops its history while a server leaves. A front then reads all rows and never sees the
- * removal, whose version others report. When it considered itself behind, it fetched the same rows
- * ten times a second and dropped its connection to the store each time. */
+ * removal, whose version others report. If it considered itself behind, it would fetch the same
+ * rows ten times a second and drop its connection to the store each time. */
 static void
 test_complete_read_is_not_behind (void)
 {
@@ -470,16 +470,16 @@
 }
 
 static const SuiteCase cases[] = {
-  { "config", test_config },
+  { "config_is_decoded", test_config_is_decoded },
   { "invalid_cold_limits_are_ignored", test_invalid_cold_limits_are_ignored },
   { "bad_config_is_refused", test_bad_config_is_refused },
   { "call_is_decoded", test_call_is_decoded },
   { "call_is_encoded_without_forged_fields", test_call_is_encoded_without_forged_fields },
-  { "reply_and_refusal_heads", test_reply_and_refusal_heads },
+  { "reply_and_refusal_heads_are_translated", test_reply_and_refusal_heads_are_translated },
   { "rollout", test_rollout },
-  { "server", test_server },
+  { "server_entry_is_decoded", test_server_entry_is_decoded },
   { "invalid_server_entries_are_rejected", test_invalid_server_entries_are_rejected },
-  { "table", test_table },
+  { "older_rows_never_replace_newer", test_older_rows_never_replace_newer },
   { "complete_read_is_not_behind", test_complete_read_is_not_behind },
   { "write_body_is_encoded", test_write_body_is_encoded },
 };
