--- a/src/config.h
+++ b/src/config.h
@@ -181,6 +181,6 @@
  *  if either text can't be parsed. */
 char *config_diff (const char *a, const char *b, CheckList *list);
 /** BLAKE2b-256 of a key, as 64 hexadecimal digits. */
-void config_key_hash (const char *key, char out[65]);
+void config_key_hash (const char *key, char out[CONFIG_KEY_HASH_LEN + 1]);
 
 #endif
--- a/src/config_class.c
+++ b/src/config_class.c
@@ -6,7 +6,7 @@
 #include "util_memory.h"
 #include <stdlib.h>
 
-#define DEADLINE_MS_MAX 86400000 /**< a day */
+#define DEADLINE_MAX_MS 86400000 /**< a day */
 typedef struct
 {
   struct json_object *stages;
@@ -18,7 +18,7 @@
 static const FieldSpec class_specs[] = {
   { "stages", FIELD_ARRAY, true, offsetof (ClassFields, stages), 0, 0 },
   { "quality_target", FIELD_NUMBER, true, offsetof (ClassFields, quality_target), 0, 1 },
-  { "deadline_ms", FIELD_INT, false, offsetof (ClassFields, deadline_ms), 0, DEADLINE_MS_MAX },
+  { "deadline_ms", FIELD_INT, false, offsetof (ClassFields, deadline_ms), 0, DEADLINE_MAX_MS },
   { "idempotent", FIELD_BOOL, true, offsetof (ClassFields, idempotent), 0, 0 },
 };
 
--- a/src/config_server.c
+++ b/src/config_server.c
@@ -94,7 +94,7 @@
 /** Replaces an address by its canonical form, so that different spellings of one address are found
  *  to clash. */
 static void
-check_address (ConfigParser *parser, const char *path, char **address)
+make_address_canonical (ConfigParser *parser, const char *path, char **address)
 {
   char member[CONFIG_PATH_MAX];
   char canonical[INET6_ADDRSTRLEN];
@@ -196,7 +196,7 @@
   if (kind < 0 && fields.kind != NULL)
     config_enum_error (parser, path, "kind", kind_names, KIND_COUNT);
   free (fields.kind);
-  check_address (parser, path, &fields.address);
+  make_address_canonical (parser, path, &fields.address);
   check_name (parser, path, "failure_domain", fields.failure_domain);
   *server = (ConfigServer){
     .index = (unsigned)config->server_count++,
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -16,7 +16,7 @@
 #include <string.h>
 
 #define STEP           "attempt"
-#define ERROR_BODY_MAX 4096 /* bytes of an error body that are searched for "not run" */
+#define ERROR_BODY_MAX 4096 /* bytes of an error body read to find whether the request ran */
 /** A refused connection takes one round trip. A failure that takes longer counts as an attempt. */
 #define REFUSED_WITHIN_US INT64_C (100000)
 #define PROBE_TIMEOUT_MS  200
--- a/src/gate_callers.c
+++ b/src/gate_callers.c
@@ -45,8 +45,8 @@
   SSL_CTX *tls; /* NULL: plain HTTP */
   struct event_base *base;
   struct evconnlistener *listener;
-  struct event *stop_accepting; /* made active by other threads */
-  struct event *end;            /* likewise: ends the loop */
+  struct event *stop_accepting; /* made active by other threads; closes the listener */
+  struct event *end;            /* made active by other threads; ends the loop */
   int64_t end_ms;               /* boot-time clock; latest end of the loop; 0: not ending */
   sem_t accept_stopped;
   pthread_t thread;
@@ -92,8 +92,8 @@
   return link;
 }
 
-/* An older link listed under this descriptor number belongs to a connection that libmicrohttpd
- * closed without a callback because its connection limit was reached; it is released. */
+/* Releases an older link listed under this descriptor number: libmicrohttpd closed its connection
+ * without a callback because the connection limit was reached. */
 static void
 add_handoff (GateCallers *callers, int fd, GateLink *link)
 {
--- a/src/gate_config.c
+++ b/src/gate_config.c
@@ -9,7 +9,7 @@
 #define FETCH_TIMEOUT_MS 2000
 #define QUOTED_MAX       400 /* bytes of the quoted errors in a log line */
 
-static bool *brakes_of (Gate *gate, const Config *config);
+static bool *update_brakes (Gate *gate, const Config *config);
 static void put_in_force (Gate *gate, Config *config);
 
 int64_t
@@ -22,9 +22,10 @@
   return number;
 }
 
-/* Whether each version is stopped by a brake, by version index; the caller frees the array. */
+/* Drops the brakes that the configuration releases. Returns, by version index, whether a brake
+   still stops each version; the caller frees the array. */
 static bool *
-brakes_of (Gate *gate, const Config *config)
+update_brakes (Gate *gate, const Config *config)
 {
   bool *braked = memory_array (config->version_count + 1, sizeof (bool));
 
@@ -41,7 +42,7 @@
 static void
 put_in_force (Gate *gate, Config *config)
 {
-  bool *braked = brakes_of (gate, config);
+  bool *braked = update_brakes (gate, config);
 
   gate_snapshot_publish (&gate->snapshots, gate_snapshot_new (config, braked, &gate->servers));
   free (braked);
@@ -94,7 +95,7 @@
 
   if (snapshot == NULL)
     return;
-  braked = brakes_of (gate, snapshot->config);
+  braked = update_brakes (gate, snapshot->config);
   if (memcmp (braked, snapshot->braked, snapshot->config->version_count * sizeof (bool)) != 0)
     gate_snapshot_publish (&gate->snapshots, gate_snapshot_new (config_ref (snapshot->config),
                                                                 braked, &gate->servers));
--- a/src/gate_evidence.c
+++ b/src/gate_evidence.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALLER_TABLE_SIZE                                                                          \
-  1024 /* size of the table of distinct callers in one report; a power of two */
+#define CALLER_TABLE_SIZE 1024 /* entries of a cell's table of callers; a power of two */
 
+/** Sums of one team and version since the last report. */
 typedef struct
 {
   EvidenceKey key;
@@ -22,7 +22,7 @@
   size_t count;
 };
 
-static Cell *cell_of (GateEvidence *evidence, const EvidenceKey *key);
+static Cell *find_or_add_cell (GateEvidence *evidence, const EvidenceKey *key);
 static void add_caller (Cell *cell, uint64_t caller);
 
 EvidenceKey
@@ -59,10 +59,10 @@
   free (evidence);
 }
 
-/* Finds or adds a cell; the lock must be held. A linear search is enough for the few hundred pairs
-   of team and version. */
+/* The lock must be held. A linear search is enough for the few hundred pairs of team
+   and version. */
 static Cell *
-cell_of (GateEvidence *evidence, const EvidenceKey *key)
+find_or_add_cell (GateEvidence *evidence, const EvidenceKey *key)
 {
   Cell *cell;
 
@@ -108,7 +108,7 @@
   Cell *cell;
 
   pthread_mutex_lock (&evidence->lock);
-  cell = cell_of (evidence, key);
+  cell = find_or_add_cell (evidence, key);
   cell->sums.answers++;
   cell->sums.slow += slow ? 1 : 0;
   add_caller (cell, caller);
@@ -121,7 +121,7 @@
   Cell *cell;
 
   pthread_mutex_lock (&evidence->lock);
-  cell = cell_of (evidence, key);
+  cell = find_or_add_cell (evidence, key);
   cell->sums.errors++;
   add_caller (cell, caller);
   pthread_mutex_unlock (&evidence->lock);
@@ -133,7 +133,7 @@
   Cell *cell;
 
   pthread_mutex_lock (&evidence->lock);
-  cell = cell_of (evidence, key);
+  cell = find_or_add_cell (evidence, key);
   cell->sums.rated++;
   cell->sums.rating_sum += score;
   cell->sums.rating_square_sum += score * score;
@@ -181,7 +181,7 @@
       snprintf (key.team, sizeof (key.team), "%s", entries[i].team);
       snprintf (key.model, sizeof (key.model), "%s", entries[i].model_name);
       snprintf (key.version, sizeof (key.version), "%s", entries[i].version_name);
-      cell = cell_of (evidence, &key);
+      cell = find_or_add_cell (evidence, &key);
       cell->sums.answers += entries[i].answers;
       cell->sums.errors += entries[i].errors;
       cell->sums.slow += entries[i].slow;
--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -32,8 +32,8 @@
   snprintf (out, size, "%s", name != NULL ? name : "");
 }
 
-/* Only adds brakes. A version is released by a configuration whose `released` is later than the
- * brake. */
+/* Only adds brakes. A brake is released by a configuration whose `released` for the version is at
+ * least the brake's `since`. */
 static void
 add_brakes (Gate *gate, const rpc_grant *grant)
 {
--- a/src/gate_grant.h
+++ b/src/gate_grant.h
@@ -22,7 +22,7 @@
   pthread_mutex_t lock; /**< guards the members up to completed */
   pthread_cond_t changed;
   bool stop;
-  uint64_t requested;    /**< renewals requested ahead of the interval, counted */
+  uint64_t requested;    /**< number of renewals requested ahead of the interval */
   uint64_t completed;    /**< value of requested when the last finished renewal began */
   int64_t until_ms;      /**< atomic; boot-time clock; end of the grant; 0: none */
   int64_t members;       /**< atomic; VMs in the membership view; 0: unknown */
--- a/src/gate_guard.c
+++ b/src/gate_guard.c
@@ -10,7 +10,7 @@
 
 /* Index in the newest configuration of the version with the same names; -1: it no longer exists. */
 static int
-version_in (const GateAttempt *a, const GateSnapshot *newest)
+find_version_in (const GateAttempt *a, const GateSnapshot *newest)
 {
   const Config *old = a->request->snapshot->config;
   const ConfigVersion *version = &old->versions[a->version];
@@ -35,7 +35,7 @@
 static int
 check_version (const GateAttempt *a, const GateSnapshot *newest)
 {
-  int version = version_in (a, newest);
+  int version = find_version_in (a, newest);
 
   if (version < 0)
     return REASON_VERSION_WITHDRAWN;
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -273,8 +273,8 @@
   return NULL;
 }
 
-/* Callers that were connected when the listening socket was closed still get a refusal with a retry
-   time; stopping at once would reset their connections. */
+/* Callers that were connected when the listening socket was closed still get a refusal with a
+   retry-after time; stopping at once would reset their connections. */
 static void
 drain (GateHttp *http)
 {
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -173,7 +173,7 @@
 }
 
 /* Refuses new requests, with a retry-after time, and waits for those in progress. Their connections
-   stay open until they have ended or the stop timeout has passed. */
+   stay open until the requests have ended or stop_timeout_ms has passed. */
 static void
 wait_for_requests (Gate *gate)
 {
@@ -192,7 +192,7 @@
     }
 }
 
-/* Stops all modules. Usage records that are not durable yet get the rest of the stop timeout,
+/* Stops all modules. Usage records that are not durable yet get the rest of stop_timeout_ms,
    but at least STOP_BILL_MIN_MS. Returns the number of records left. */
 static size_t
 stop (Main *m)
--- a/src/gate_pick.c
+++ b/src/gate_pick.c
@@ -83,11 +83,10 @@
 }
 
 /*
- * The gate may watch hundreds of servers for all versions together, and copying the states of all
- * adds half of the cost of the rest of the choice. A policy looks at the servers watched for the
- * requested version, and at others only if none of these is usable. So the states of the first are
- * copied; if the policy then picks none of them, it did so without the states of the others, which
- * are copied too before it picks again.
+ * Copies at first only the states of the servers watched for the requested version: the gate may
+ * watch hundreds, and copying all of them adds half of the cost of the rest of the choice. A policy
+ * looks at other servers only if none of these is usable. So if it picks none of these, the states
+ * of all watched servers are copied and it picks again.
  */
 int
 gate_pick (const ServerPolicy *policy, GateServer *const *servers, ServerQuery *query)
--- a/src/gate_poll.c
+++ b/src/gate_poll.c
@@ -52,7 +52,7 @@
 }
 
 static int64_t
-count_member (struct json_object *root, const char *name)
+read_count (struct json_object *root, const char *name)
 {
   struct json_object *value;
   int64_t n;
@@ -78,8 +78,8 @@
     }
   is_draining = json_object_object_get_ex (root, "draining", &draining)
                 && json_object_get_boolean (draining);
-  gate_server_report (server, count_member (root, "running") + count_member (root, "queued"),
-                      is_draining, count_member (root, "at_ms"), clock_boot_ms ());
+  gate_server_report (server, read_count (root, "running") + read_count (root, "queued"),
+                      is_draining, read_count (root, "at_ms"), clock_boot_ms ());
   json_object_put (root);
   return true;
 }
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -162,8 +162,8 @@
   const char *team = gate_request_team (r)->name;
   char key[REQUEST_KEY_MAX + 1 + 20];
 
-  /* A re-send is billed as the same request only if its body is the same. Otherwise one idempotency
-     key would cover the cost of many requests. */
+  /* A caller's retry is billed as the same request only if its body is the same. Otherwise one
+     idempotency key would cover the cost of many requests. */
   key[0] = '\0';
   if (r->key[0] != '\0')
     snprintf (key, sizeof (key), "%s.%016llx", r->key, (unsigned long long)body_hash (r));
@@ -227,9 +227,7 @@
   return result;
 }
 
-/*
- * Refuses a request that has crashed servers before: its caller sends it again after each failure.
- */
+/* Refuses a request that has crashed servers before: a caller's retry would crash one more. */
 static bool
 check_quarantine (GateRequest *r)
 {
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -8,8 +8,8 @@
 static void cancel (GateRequest *r);
 static void cut (GateRequest *r, const Status *st);
 
-/* All events but the closing ones have been relayed at once. These are relayed only after the usage
-   record is durable, so that a caller never has a complete answer that is not billed. */
+/* The closing events are relayed only after the usage record is durable, so that a caller never has
+   a complete answer that is not billed. All other events have already been relayed. */
 static void
 finish (GateRequest *r)
 {
--- a/src/gate_request.h
+++ b/src/gate_request.h
@@ -46,7 +46,7 @@
 {
   Gate *gate;
   struct MHD_Connection *connection;
-  int fd; /**< socket to the caller, by way of gate_filter; -1: none */
+  int fd; /**< libmicrohttpd's end of the socket pair to gate_filter; -1: none */
   char id[ID_SIZE];
   int64_t begun_ms; /**< boot-time clock: when the request line was read */
   Refusal refusal;
@@ -116,7 +116,7 @@
 /** True if the caller has closed its side of the connection. */
 bool gate_request_caller_left (const GateRequest *r);
 /** True if the deadline has passed and the request may be ended. Never true with a claim: such a
- * request runs to its end, so that a re-send finds its answer. */
+ * request runs to its end, so that a caller's retry finds its answer. */
 bool gate_request_past_deadline (const GateRequest *r);
 /** True if a request with the same fingerprint has crashed backend servers before. */
 bool gate_request_quarantined (const GateRequest *r);
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -10,8 +10,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SERVICE_ANSWER_MAX (16UL * 1024 * 1024) /* bytes; of collected engines' answers too */
-#define READ_SIZE          4096                 /* bytes */
+#define COLLECTED_ANSWER_MAX (16UL * 1024 * 1024) /* bytes of a service's or a collected answer */
+#define READ_SIZE            4096                 /* bytes */
 
 /** Result of one stage of a plan. */
 typedef enum
@@ -37,7 +37,7 @@
 
   answer->keep_content = collect || r->sampled;
   answer->content_optional = !collect;
-  answer->content_max = collect ? SERVICE_ANSWER_MAX : SAMPLE_TEXT_MAX;
+  answer->content_max = collect ? COLLECTED_ANSWER_MAX : SAMPLE_TEXT_MAX;
   while ((result = gate_attempt_next (r, &r->out, st)) == STREAM_CHUNK && collect)
     {
       if (!r->stream)
@@ -203,10 +203,10 @@
     buffer_add (&r->out, peeked->data, peeked->len);
   while ((n = http_exchange_read (r->attempt->exchange, data, sizeof (data), st)) > 0)
     {
-      if (r->out.len + (size_t)n > SERVICE_ANSWER_MAX)
+      if (r->out.len + (size_t)n > COLLECTED_ANSWER_MAX)
         {
           status_set (st, STATUS_FULL, "service.read", r->attempt->config_server->name,
-                      "answer longer than %lu bytes", SERVICE_ANSWER_MAX);
+                      "answer longer than %lu bytes", COLLECTED_ANSWER_MAX);
           return false;
         }
       buffer_add (&r->out, data, (size_t)n);
--- a/src/gate_run.h
+++ b/src/gate_run.h
@@ -20,7 +20,8 @@
 bool gate_run_next (GateRequest *r);
 /**
  * Ends the current attempt when the caller has left: the engine's answer is cancelled and its
- * tokens so far are billed. A claimed request runs to its end, so that a re-send finds its answer.
+ * tokens so far are billed. A claimed request runs to its end, so that a caller's retry finds its
+ * answer.
  */
 void gate_run_abandon (GateRequest *r);
 
--- a/src/gate_servers.c
+++ b/src/gate_servers.c
@@ -112,9 +112,9 @@
   pthread_mutex_unlock (&server->lock);
 }
 
-/* The lock must be held. A request that was not sent, or found all entries used, has none. */
+/* The lock must be held. A request that was not sent, or found all entries used, has no entry. */
 static void
-running_end (GateServer *server, uint64_t fingerprint)
+remove_running (GateServer *server, uint64_t fingerprint)
 {
   for (unsigned i = 0; i < QUARANTINE_FLIGHT_MAX; i++)
     {
@@ -144,7 +144,7 @@
 /* A refused connection opens the circuit breaker at once: nothing listens there, and further
    attempts would only cost callers time. */
 static void
-view_unreachable (ServerView *view, int64_t now_ms)
+mark_unreachable (ServerView *view, int64_t now_ms)
 {
   if (view->failures < BREAKER_FAILURES - 1)
     view->failures = BREAKER_FAILURES - 1;
@@ -161,7 +161,7 @@
 }
 
 static void
-death_add (QuarantineDeath *death, uint64_t fingerprint)
+add_to_death (QuarantineDeath *death, uint64_t fingerprint)
 {
   for (unsigned i = 0; i < death->count; i++)
     {
@@ -185,7 +185,7 @@
     {
       ServerAbort *aborted = &server->aborts[i];
       if (aborted->fingerprint != 0 && now_ms - aborted->at_ms <= DEATH_WINDOW_MS)
-        death_add (death, aborted->fingerprint);
+        add_to_death (death, aborted->fingerprint);
       aborted->fingerprint = 0;
     }
   if (death->count == 0)
@@ -193,7 +193,7 @@
   for (unsigned i = 0; i < QUARANTINE_FLIGHT_MAX; i++)
     {
       if (server->running[i] != 0)
-        death_add (death, server->running[i]);
+        add_to_death (death, server->running[i]);
     }
   return true;
 }
@@ -232,7 +232,7 @@
 }
 
 static void
-view_busy (ServerView *view, int64_t now_ms)
+mark_busy (ServerView *view, int64_t now_ms)
 {
   if (view->open_until_ms < now_ms + BUSY_BACKOFF_MS)
     view->open_until_ms = now_ms + BUSY_BACKOFF_MS;
@@ -260,7 +260,7 @@
 
   pthread_mutex_lock (&server->lock);
   left = --view->in_flight;
-  running_end (server, fingerprint);
+  remove_running (server, fingerprint);
   load_history_add (&server->history, view, now_ms);
   switch (result)
     {
@@ -268,7 +268,7 @@
       breaker_success (view);
       break;
     case SERVER_UNREACHABLE:
-      view_unreachable (view, now_ms);
+      mark_unreachable (view, now_ms);
       died = find_death (server, now_ms, &death);
       break;
     case SERVER_FAILED:
@@ -276,7 +276,7 @@
       record_abort (server, fingerprint, now_ms);
       break;
     case SERVER_BUSY:
-      view_busy (view, now_ms);
+      mark_busy (view, now_ms);
       break;
     case SERVER_NEUTRAL:
       break;
@@ -310,7 +310,7 @@
 
   pthread_mutex_lock (&server->lock);
   server->report_missed = true;
-  view_unreachable (&server->view, now_ms);
+  mark_unreachable (&server->view, now_ms);
   died = refused && find_death (server, now_ms, &death);
   pthread_mutex_unlock (&server->lock);
   if (died)
--- a/src/gate_servers.h
+++ b/src/gate_servers.h
@@ -30,7 +30,7 @@
   LoadHistory history;
   ServerAbort aborts[QUARANTINE_FLIGHT_MAX]; /**< ring of the latest aborted answers */
   unsigned next_abort;
-  uint64_t running[QUARANTINE_FLIGHT_MAX]; /**< fingerprints of its requests; 0: free */
+  uint64_t running[QUARANTINE_FLIGHT_MAX]; /**< fingerprints of running requests; 0: free */
   int64_t died_ms;                         /**< when its last death was observed; 0: none */
   bool report_missed;                      /**< the last load report failed */
 } GateServer;
--- a/src/gate_sse.h
+++ b/src/gate_sse.h
@@ -19,7 +19,7 @@
 
 typedef struct
 {
-  Buffer pending;   /**< bytes of an incomplete event */
+  Buffer pending;   /**< bytes fed that belong to no event returned yet */
   size_t event_max; /**< longest incomplete event in bytes; a longer one is an error */
   bool malformed;
 } SseParser;
--- a/src/gate_sweep.c
+++ b/src/gate_sweep.c
@@ -177,15 +177,15 @@
 size_t
 gate_sweep_active_count (GateSweep *sweep)
 {
-  size_t open = 0;
+  size_t active = 0;
   SweepEntry *entry;
 
   pthread_mutex_lock (&sweep->lock);
   cds_list_for_each_entry (entry, &sweep->entries, list)
   {
     if (entry->state != SWEEP_IDLE)
-      open++;
+      active++;
   }
   pthread_mutex_unlock (&sweep->lock);
-  return open;
+  return active;
 }
--- a/src/session.c
+++ b/src/session.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 /* Token format: "lvs1." and the base64url of a random id, the version's length, the version and a
- * MAC. The MAC covers the team, which is not in the token, since the gate that reads
- * it gets the team from the caller's key. The random id makes the tokens of two sessions differ,
- * for affinity to a backend server. */
+ * MAC. The MAC covers the team, which is not in the token: the gate that reads the token gets the
+ * team from the caller's key. The random id makes the tokens of two sessions differ, for affinity
+ * to a backend server. */
 #define TOKEN_PREFIX   "lvs1."
 #define MAC_CONTEXT    "lovage-session-1"
 #define ID_LEN         8 /* bytes */
