--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -152,8 +152,8 @@
   bench->servers = gate_servers_resolve (&bench->owner, bench->config);
   for (i = 0; i < bench->config->server_count; i++)
     {
-      gate_server_report (bench->servers[i], i % 9, false, START_MS, START_MS);
-      gate_server_token_time (bench->servers[i], 15);
+      gate_server_record_report (bench->servers[i], i % 9, false, START_MS, START_MS);
+      gate_server_record_token_time (bench->servers[i], 15);
     }
 }
 
--- a/src/gate_attempt.c
+++ b/src/gate_attempt.c
@@ -220,7 +220,7 @@
   a->begun_us = clock_boot_us ();
   snprintf (a->id, sizeof (a->id), "%s-%u", r->id, ++r->attempt_number % 100);
   gate_stream_init (&a->stream, &gate_attempt_stream_ops, a);
-  gate_server_begin (a->server, clock_boot_ms ());
+  gate_server_begin_attempt (a->server, clock_boot_ms ());
   r->excluded[server] = 1;
   watch_caller (r, a);
   code = gate_attempt_send (a, &st);
@@ -366,7 +366,7 @@
   if (!gate_probe_refused (server->address, server->port, PROBE_TIMEOUT_MS))
     return;
   r->server_died = true;
-  gate_server_report_missed (a->server, true, clock_boot_ms ());
+  gate_server_record_missed_report (a->server, true, clock_boot_ms ());
 }
 
 void
@@ -385,7 +385,7 @@
   if (a->watched)
     gate_watch_remove (&r->gate->watch, &a->watch);
   http_exchange_free (a->exchange);
-  gate_server_end (a->server, result, r->fingerprint, clock_boot_ms ());
+  gate_server_end_attempt (a->server, result, r->fingerprint, clock_boot_ms ());
   if (result == SERVER_FAILED)
     confirm_death (r, a);
   gate_stream_free (&a->stream);
--- a/src/gate_attempt_stream.c
+++ b/src/gate_attempt_stream.c
@@ -90,7 +90,7 @@
     {
       a->first_token_seen = true;
       a->first_token_ms = (double)(clock_boot_us () - a->begun_us) / 1000.0;
-      gate_server_first_token (a->server, a->first_token_ms);
+      gate_server_record_first_token (a->server, a->first_token_ms);
     }
   return result;
 }
--- a/src/gate_guard.c
+++ b/src/gate_guard.c
@@ -131,6 +131,6 @@
   if (a->guard_reason != REASON_NONE)
     counter_add (COUNTER_GATE_GUARD_REFUSED, 1);
   else
-    gate_server_running (a->server, a->request->fingerprint);
+    gate_server_add_running (a->server, a->request->fingerprint);
   return a->guard_reason == REASON_NONE;
 }
--- a/src/gate_learn.c
+++ b/src/gate_learn.c
@@ -33,7 +33,8 @@
 
   gate_limit_record_time (&r->gate->limit, ms);
   if (answer->chunks > 1)
-    gate_server_token_time (a->server, (ms - a->first_token_ms) / (double)(answer->chunks - 1));
+    gate_server_record_token_time (a->server,
+                                   (ms - a->first_token_ms) / (double)(answer->chunks - 1));
   cascade_record_run (r->gate->estimates, &outcome,
                       (double)(answer->prompt_tokens + answer_completion_tokens (answer)), ms);
   gate_evidence_answer (r->gate->evidence, &key, r->caller_hash,
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -74,7 +74,7 @@
       if (!snapshot->index->watched[i] || config->servers[i].kind != SERVER_ENGINE
           || config->servers[i].leaving)
         continue;
-      gate_server_view (snapshot->servers[i], &views[i]);
+      gate_server_copy_view (snapshot->servers[i], &views[i]);
       if (views[i].draining || views[i].open_until_ms > now_ms)
         continue;
       load = server_load (&query, i);
--- a/src/gate_pick.c
+++ b/src/gate_pick.c
@@ -71,7 +71,7 @@
   for (size_t i = 0; i < query->config->server_count; i++)
     {
       if (query->index->watched[i])
-        gate_server_view (servers[i], &views[i]);
+        gate_server_copy_view (servers[i], &views[i]);
     }
 }
 
@@ -98,7 +98,7 @@
 
   query->views = views;
   for (unsigned i = 0; list != NULL && i < list->count; i++)
-    gate_server_view (servers[list->servers[i]], &views[list->servers[i]]);
+    gate_server_copy_view (servers[list->servers[i]], &views[list->servers[i]]);
   if (list != NULL)
     picked = policy->pick (query);
   if (list == NULL || !is_in (list, picked))
--- a/src/gate_poll.c
+++ b/src/gate_poll.c
@@ -78,8 +78,8 @@
     }
   is_draining = json_object_object_get_ex (root, "draining", &draining)
                 && json_object_get_boolean (draining);
-  gate_server_report (server, read_count (root, "running") + read_count (root, "queued"),
-                      is_draining, read_count (root, "at_ms"), clock_boot_ms ());
+  gate_server_record_report (server, read_count (root, "running") + read_count (root, "queued"),
+                             is_draining, read_count (root, "at_ms"), clock_boot_ms ());
   json_object_put (root);
   return true;
 }
@@ -100,7 +100,7 @@
   bool taken = code == STATUS_OK && http_status == 200 && apply_report (server, &answer);
 
   if (!taken)
-    gate_server_report_missed (server, code == STATUS_UNAVAILABLE, clock_boot_ms ());
+    gate_server_record_missed_report (server, code == STATUS_UNAVAILABLE, clock_boot_ms ());
   counter_add (taken ? COUNTER_GATE_LOAD_REPORTS : COUNTER_GATE_LOAD_REPORTS_MISSED, 1);
   buffer_free (&answer);
 }
--- a/src/gate_servers.c
+++ b/src/gate_servers.c
@@ -87,7 +87,7 @@
 }
 
 void
-gate_server_begin (GateServer *server, int64_t now_ms)
+gate_server_begin_attempt (GateServer *server, int64_t now_ms)
 {
   pthread_mutex_lock (&server->lock);
   server->view.in_flight++;
@@ -97,7 +97,7 @@
 }
 
 void
-gate_server_running (GateServer *server, uint64_t fingerprint)
+gate_server_add_running (GateServer *server, uint64_t fingerprint)
 {
   if (fingerprint == 0)
     return;
@@ -126,7 +126,7 @@
 }
 
 void
-gate_server_first_token (GateServer *server, double ms)
+gate_server_record_first_token (GateServer *server, double ms)
 {
   ServerView *view = &server->view;
   double error;
@@ -239,7 +239,7 @@
 }
 
 void
-gate_server_token_time (GateServer *server, double ms)
+gate_server_record_token_time (GateServer *server, double ms)
 {
   ServerView *view = &server->view;
 
@@ -251,7 +251,10 @@
 }
 
 void
-gate_server_end (GateServer *server, ServerResult result, uint64_t fingerprint, int64_t now_ms)
+gate_server_end_attempt (GateServer *server,
+                         ServerResult result,
+                         uint64_t fingerprint,
+                         int64_t now_ms)
 {
   ServerView *view = &server->view;
   QuarantineDeath death = { 0 };
@@ -288,7 +291,11 @@
 }
 
 void
-gate_server_report (GateServer *server, int64_t load, bool draining, int64_t at_ms, int64_t now_ms)
+gate_server_record_report (GateServer *server,
+                           int64_t load,
+                           bool draining,
+                           int64_t at_ms,
+                           int64_t now_ms)
 {
   pthread_mutex_lock (&server->lock);
   load_report (&server->history, &server->view, load, at_ms, now_ms);
@@ -303,7 +310,7 @@
 }
 
 void
-gate_server_report_missed (GateServer *server, bool refused, int64_t now_ms)
+gate_server_record_missed_report (GateServer *server, bool refused, int64_t now_ms)
 {
   QuarantineDeath death;
   bool died;
@@ -318,7 +325,7 @@
 }
 
 void
-gate_server_view (GateServer *server, ServerView *out)
+gate_server_copy_view (GateServer *server, ServerView *out)
 {
   pthread_mutex_lock (&server->lock);
   *out = server->view;
--- a/src/gate_servers.h
+++ b/src/gate_servers.h
@@ -64,23 +64,27 @@
   SERVER_NEUTRAL      /**< nothing: the gate ended the attempt itself */
 } ServerResult;
 
-void gate_server_begin (GateServer *server, int64_t now_ms);
+void gate_server_begin_attempt (GateServer *server, int64_t now_ms);
 /** Called before the attempt's last byte is sent: if the server dies from then on, the request
  * counts as running there. */
-void gate_server_running (GateServer *server, uint64_t fingerprint);
-void gate_server_first_token (GateServer *server, double ms);
+void gate_server_add_running (GateServer *server, uint64_t fingerprint);
+void gate_server_record_first_token (GateServer *server, double ms);
 /** Ends an attempt. fingerprint is the request's (choose_quarantine.h), or 0. */
-void
-gate_server_end (GateServer *server, ServerResult result, uint64_t fingerprint, int64_t now_ms);
+void gate_server_end_attempt (GateServer *server,
+                              ServerResult result,
+                              uint64_t fingerprint,
+                              int64_t now_ms);
 /** Records the mean time between the tokens of a complete answer, in milliseconds. */
-void gate_server_token_time (GateServer *server, double ms);
+void gate_server_record_token_time (GateServer *server, double ms);
 /** Records a load report from the server, taken at at_ms on the server's clock. */
-void
-gate_server_report (GateServer *server, int64_t load, bool draining, int64_t at_ms, int64_t now_ms);
+void gate_server_record_report (GateServer *server,
+                                int64_t load,
+                                bool draining,
+                                int64_t at_ms,
+                                int64_t now_ms);
 /** Records that the server's load report could not be read; refused says whether its port refused
  * the connection. Also called, with refused, if a probe after an aborted answer was refused. */
-void gate_server_report_missed (GateServer *server, bool refused, int64_t now_ms);
-/** Copies the server's current view. */
-void gate_server_view (GateServer *server, ServerView *out);
+void gate_server_record_missed_report (GateServer *server, bool refused, int64_t now_ms);
+void gate_server_copy_view (GateServer *server, ServerView *out);
 
 #endif
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -107,14 +107,14 @@
   GateServer *server = one_server (&servers, &config, &entry);
   ServerView view;
 
-  gate_server_begin (server, 1000);
-  gate_server_end (server, SERVER_UNREACHABLE, 0, 1000);
-  gate_server_view (server, &view);
+  gate_server_begin_attempt (server, 1000);
+  gate_server_end_attempt (server, SERVER_UNREACHABLE, 0, 1000);
+  gate_server_copy_view (server, &view);
   CU_ASSERT (view.open_until_ms > 1000);
   CU_ASSERT_EQUAL (view.in_flight, 0);
-  gate_server_report_missed (server, true, 1500);
-  gate_server_report (server, 0, false, 1600, 1600);
-  gate_server_view (server, &view);
+  gate_server_record_missed_report (server, true, 1500);
+  gate_server_record_report (server, 0, false, 1600, 1600);
+  gate_server_copy_view (server, &view);
   CU_ASSERT_EQUAL (view.open_until_ms, 0);
   CU_ASSERT_EQUAL (view.failures, 0);
   gate_server_put (server);
@@ -133,14 +133,14 @@
 
   for (int i = 0; i < 5; i++)
     {
-      gate_server_begin (server, 1000 + i);
-      gate_server_end (server, SERVER_FAILED, 0, 1000 + i);
-      gate_server_report (server, 0, false, 1000 + i, 1000 + i);
+      gate_server_begin_attempt (server, 1000 + i);
+      gate_server_end_attempt (server, SERVER_FAILED, 0, 1000 + i);
+      gate_server_record_report (server, 0, false, 1000 + i, 1000 + i);
     }
-  gate_server_view (server, &view);
+  gate_server_copy_view (server, &view);
   CU_ASSERT (view.open_until_ms > 1005);
-  gate_server_report (server, 0, true, 1010, 1010);
-  gate_server_view (server, &view);
+  gate_server_record_report (server, 0, true, 1010, 1010);
+  gate_server_copy_view (server, &view);
   CU_ASSERT (view.draining);
   gate_server_put (server);
 }
@@ -155,12 +155,12 @@
   GateServer *server = one_server (&servers, &config, &entry);
   GateServer **again;
 
-  gate_server_begin (server, 1000);
+  gate_server_begin_attempt (server, 1000);
   again = gate_servers_resolve (&servers, &config);
   CU_ASSERT_PTR_EQUAL (again[0], server);
   gate_server_put (again[0]);
   free (again);
-  gate_server_end (server, SERVER_NEUTRAL, 0, 1001);
+  gate_server_end_attempt (server, SERVER_NEUTRAL, 0, 1001);
   gate_server_put (server);
   CU_ASSERT (cds_list_empty (&servers.list));
 }
@@ -183,8 +183,8 @@
 static void
 abort_answer (GateServer *server, uint64_t fingerprint, int64_t now_ms)
 {
-  gate_server_begin (server, now_ms);
-  gate_server_end (server, SERVER_FAILED, fingerprint, now_ms);
+  gate_server_begin_attempt (server, now_ms);
+  gate_server_end_attempt (server, SERVER_FAILED, fingerprint, now_ms);
 }
 
 /*
@@ -207,16 +207,16 @@
   b = named_server (&servers, &config, &entry, "b");
   c = named_server (&servers, &config, &entry, "c");
   abort_answer (a, 77, 1000);
-  gate_server_report (a, 0, false, 1200, 1200);
+  gate_server_record_report (a, 0, false, 1200, 1200);
   abort_answer (b, 77, 2000);
-  gate_server_report_missed (b, false, 2500);
-  gate_server_report_missed (c, true, 2500);
+  gate_server_record_missed_report (b, false, 2500);
+  gate_server_record_missed_report (c, true, 2500);
   CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
-  gate_server_report_missed (b, true, 3000);
+  gate_server_record_missed_report (b, true, 3000);
   CU_ASSERT (!quarantine_contains (quarantine, 77, 3000));
   abort_answer (a, 77, 4000);
-  gate_server_begin (a, 4100);
-  gate_server_end (a, SERVER_UNREACHABLE, 88, 4100);
+  gate_server_begin_attempt (a, 4100);
+  gate_server_end_attempt (a, SERVER_UNREACHABLE, 88, 4100);
   CU_ASSERT (quarantine_contains (quarantine, 77, 4200));
   CU_ASSERT (!quarantine_contains (quarantine, 88, 4200));
   gate_server_put (a);
@@ -260,18 +260,18 @@
       int64_t now_ms = 1000 + 1000 * i;
       for (uint64_t fingerprint = 1; fingerprint <= 3; fingerprint++)
         {
-          gate_server_begin (server, now_ms);
-          gate_server_running (server, fingerprint);
+          gate_server_begin_attempt (server, now_ms);
+          gate_server_add_running (server, fingerprint);
         }
-      gate_server_begin (server, now_ms);
-      gate_server_end (server, SERVER_SUCCEEDED, 3, now_ms);
-      gate_server_end (server, SERVER_FAILED, 1, now_ms);
-      gate_server_report_missed (server, true, now_ms);
+      gate_server_begin_attempt (server, now_ms);
+      gate_server_end_attempt (server, SERVER_SUCCEEDED, 3, now_ms);
+      gate_server_end_attempt (server, SERVER_FAILED, 1, now_ms);
+      gate_server_record_missed_report (server, true, now_ms);
       CU_ASSERT_EQUAL (notified, i + 1);
-      gate_server_end (server, SERVER_FAILED, 2, now_ms + 5);
-      gate_server_report_missed (server, true, now_ms + 5);
+      gate_server_end_attempt (server, SERVER_FAILED, 2, now_ms + 5);
+      gate_server_record_missed_report (server, true, now_ms + 5);
       CU_ASSERT_EQUAL (notified, i + 1);
-      gate_server_end (server, SERVER_UNREACHABLE, 4, now_ms + 6);
+      gate_server_end_attempt (server, SERVER_UNREACHABLE, 4, now_ms + 6);
       gate_server_put (server);
     }
   CU_ASSERT_EQUAL (quarantine_recent_deaths (observed, news, QUARANTINE_DEATHS_MAX, 2500), 2);
@@ -304,7 +304,7 @@
       vms[i].servers.observed_deaths = quarantine_new (&quarantine_settings_default);
       server = named_server (&vms[i].servers, &config, &entry, i == 0 ? "a" : "b");
       abort_answer (server, 77, clock_boot_ms ());
-      gate_server_report_missed (server, true, clock_boot_ms ());
+      gate_server_record_missed_report (server, true, clock_boot_ms ());
       gate_server_put (server);
       gate_deaths_collect (&vms[i], &news[i]);
       CU_ASSERT_EQUAL (news[i].count, 1);
--- a/tests/test_gate_pick.c
+++ b/tests/test_gate_pick.c
@@ -89,7 +89,7 @@
 
   for (unsigned i = 0; i < SERVERS; i++)
     if (s->index->watched[i])
-      gate_server_view (s->states[i], &views[i]);
+      gate_server_copy_view (s->states[i], &views[i]);
   query.views = views;
   return server_policy_default.pick (&query);
 }
@@ -121,8 +121,8 @@
 load_at_random (const Site *s)
 {
   for (unsigned i = 0; i < SERVERS; i++)
-    gate_server_report (s->states[i], (int64_t)(id_hash (&i, sizeof i, 3) % 20), i % 7 == 0, NOW_MS,
-                        NOW_MS);
+    gate_server_record_report (s->states[i], (int64_t)(id_hash (&i, sizeof i, 3) % 20), i % 7 == 0,
+                               NOW_MS, NOW_MS);
 }
 
 /* Copying fewer states must not change the choice: otherwise a gate could send requests to a server
@@ -149,7 +149,7 @@
 
   load_at_random (s);
   for (unsigned k = 0; k < list->count; k++)
-    gate_server_report (s->states[list->servers[k]], 0, true, NOW_MS, NOW_MS);
+    gate_server_record_report (s->states[list->servers[k]], 0, true, NOW_MS, NOW_MS);
   CU_ASSERT_TRUE (compare_picks (s) > 0);
   for (unsigned i = 0; i < CHOICES; i++)
     {
--- a/tests/test_gate_poll.c
+++ b/tests/test_gate_poll.c
@@ -109,7 +109,7 @@
   for (int i = 0; i < ENGINES; i++)
     {
       ServerView view;
-      gate_server_view (site->gate.snapshots.newest->servers[i], &view);
+      gate_server_copy_view (site->gate.snapshots.newest->servers[i], &view);
       CU_ASSERT_EQUAL (view.reported_load, 3);
     }
   publish (site, REMAINING, 2);
