--- a/src/gate_bill.c
+++ b/src/gate_bill.c
@@ -5,7 +5,7 @@
 #include "util_log.h"
 
 void
-gate_bill_keep (GateRequest *r)
+gate_bill_keep_answer (GateRequest *r)
 {
   if (!r->claimed || r->kept_overflow)
     return;
--- a/src/gate_callers.c
+++ b/src/gate_callers.c
@@ -82,7 +82,7 @@
 }
 
 GateLink *
-gate_callers_link (GateCallers *callers, int fd)
+gate_callers_take_link (GateCallers *callers, int fd)
 {
   GateLink *link;
 
--- a/src/gate_callers.h
+++ b/src/gate_callers.h
@@ -21,7 +21,7 @@
 bool gate_callers_start (GateCallers *callers, struct MHD_Daemon *daemon, Status *st);
 /** The link of a connection that has just been handed to the daemon as fd, with a reference for the
  * function's caller; NULL if there is none. */
-GateLink *gate_callers_link (GateCallers *callers, int fd);
+GateLink *gate_callers_take_link (GateCallers *callers, int fd);
 /** Stops accepting connections; open ones continue. After it returns, the daemon gets no more. */
 void gate_callers_stop_accepting (GateCallers *callers);
 /** Flushes pending output for a bounded time, closes all connections and frees callers. */
--- a/src/gate_evidence.c
+++ b/src/gate_evidence.c
@@ -103,7 +103,10 @@
 }
 
 void
-gate_evidence_answer (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller, bool slow)
+gate_evidence_add_answer (GateEvidence *evidence,
+                          const EvidenceKey *key,
+                          uint64_t caller,
+                          bool slow)
 {
   Cell *cell;
 
@@ -116,7 +119,7 @@
 }
 
 void
-gate_evidence_error (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller)
+gate_evidence_add_error (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller)
 {
   Cell *cell;
 
@@ -128,7 +131,7 @@
 }
 
 void
-gate_evidence_rated (GateEvidence *evidence, const EvidenceKey *key, double score)
+gate_evidence_add_rating (GateEvidence *evidence, const EvidenceKey *key, double score)
 {
   Cell *cell;
 
--- a/src/gate_evidence.h
+++ b/src/gate_evidence.h
@@ -27,10 +27,12 @@
 void gate_evidence_free (GateEvidence *evidence);
 /** Counts a complete answer; slow: its first token took longer than EVIDENCE_SLOW_MS. caller is a
  * hash of the caller's identity, by which distinct callers are counted. */
-void
-gate_evidence_answer (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller, bool slow);
-void gate_evidence_error (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller);
-void gate_evidence_rated (GateEvidence *evidence, const EvidenceKey *key, double score);
+void gate_evidence_add_answer (GateEvidence *evidence,
+                               const EvidenceKey *key,
+                               uint64_t caller,
+                               bool slow);
+void gate_evidence_add_error (GateEvidence *evidence, const EvidenceKey *key, uint64_t caller);
+void gate_evidence_add_rating (GateEvidence *evidence, const EvidenceKey *key, double score);
 /** Moves up to max entries to out and returns how many. Their strings belong to evidence and stay
  * valid until the next call of this function or of gate_evidence_put_back. For one thread only. */
 size_t gate_evidence_take (GateEvidence *evidence, rpc_evidence *out, size_t max);
--- a/src/gate_filter.c
+++ b/src/gate_filter.c
@@ -171,7 +171,7 @@
 
   while (filter->server && evbuffer_get_length (input) > 0)
     {
-      if (gate_link_answers (filter->link) < filter->requests)
+      if (gate_link_answer_count (filter->link) < filter->requests)
         {
           await_answer (filter);
           return;
--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -79,7 +79,7 @@
       && grant->members > 0)
     platform_group_set_interval (gate->group, platform_group_site_interval_ms (grant->members));
   __atomic_store_n (&own->rank, (int64_t)grant->rank, __ATOMIC_RELAXED);
-  gate_limit_view (&gate->limit, grant->members, grant->rank);
+  gate_limit_set_view (&gate->limit, grant->members, grant->rank);
   gate_replicas_set_peers (&gate->replicas, grant->peers.peers_val, grant->peers.peers_len);
   if (grant->number > gate_config_number (gate))
     gate_config_fetch (gate, grant->number);
--- a/src/gate_http.c
+++ b/src/gate_http.c
@@ -87,7 +87,7 @@
   info = MHD_get_connection_info (connection, MHD_CONNECTION_INFO_CONNECTION_FD);
   c = memory_alloc (sizeof (*c));
   c->sweep = gate_sweep_add (http->sweep, info->connect_fd);
-  c->link = gate_callers_link (http->callers, info->connect_fd);
+  c->link = gate_callers_take_link (http->callers, info->connect_fd);
   *socket_context = c;
 }
 
@@ -98,7 +98,7 @@
 {
   GateHttp *http = cls;
 
-  gate_sweep_reading (http->sweep, sweep_entry (connection));
+  gate_sweep_set_reading (http->sweep, sweep_entry (connection));
   return gate_request_new (http->gate, connection, uri);
 }
 
@@ -117,12 +117,12 @@
 {
   if (!gate_request_read_head (r, method))
     {
-      gate_sweep_working (http->sweep, sweep_entry (r->connection));
+      gate_sweep_set_working (http->sweep, sweep_entry (r->connection));
       return gate_respond_refusal (r);
     }
   if (!body_too_large (r))
     return MHD_YES;
-  gate_sweep_working (http->sweep, sweep_entry (r->connection));
+  gate_sweep_set_working (http->sweep, sweep_entry (r->connection));
   refusal_set (&r->refusal, REFUSAL_TOO_LARGE, REQUEST_NOT_RUN, "request.body",
                "expected at most %lld bytes", (long long)r->gate->settings.body_max);
   return gate_respond_refusal (r);
@@ -141,7 +141,7 @@
       buffer_add (&r->body, upload, size);
       return MHD_YES;
     }
-  gate_sweep_working (http->sweep, sweep_entry (r->connection));
+  gate_sweep_set_working (http->sweep, sweep_entry (r->connection));
   refusal_set (&r->refusal, REFUSAL_TOO_LARGE, REQUEST_NOT_RUN, "request.body",
                "expected at most %zu bytes", max);
   gate_refused_record (r);
@@ -155,7 +155,7 @@
 {
   enum MHD_Result queued = MHD_NO;
 
-  gate_sweep_working (http->sweep, sweep_entry (r->connection));
+  gate_sweep_set_working (http->sweep, sweep_entry (r->connection));
   if (r->refusal.reason != REASON_NONE || !gate_request_read_body (r))
     return gate_respond_refusal (r);
   gate_respond_pause_timeout (r);
@@ -215,8 +215,8 @@
   *con_cls = NULL;
   if (c == NULL)
     return;
-  gate_sweep_idle (http->sweep, c->sweep);
-  gate_link_answered (c->link);
+  gate_sweep_set_idle (http->sweep, c->sweep);
+  gate_link_add_answer (c->link);
 }
 
 static unsigned
--- a/src/gate_learn.c
+++ b/src/gate_learn.c
@@ -37,8 +37,8 @@
                                    (ms - a->first_token_ms) / (double)(answer->chunks - 1));
   cascade_record_run (r->gate->estimates, &outcome,
                       (double)(answer->prompt_tokens + answer_completion_tokens (answer)), ms);
-  gate_evidence_answer (r->gate->evidence, &key, r->caller_hash,
-                        a->first_token_ms > EVIDENCE_SLOW_MS);
+  gate_evidence_add_answer (r->gate->evidence, &key, r->caller_hash,
+                            a->first_token_ms > EVIDENCE_SLOW_MS);
   if (r->sampled && !r->rated && answer->content.len > 0)
     gate_sample_add (r->gate->sample, r);
 }
@@ -51,15 +51,15 @@
   if (r->attempt->version < 0)
     return;
   key = evidence_key (r);
-  gate_evidence_error (r->gate->evidence, &key, r->caller_hash);
+  gate_evidence_add_error (r->gate->evidence, &key, r->caller_hash);
 }
 
 void
-gate_learn_rated (GateRequest *r, double score)
+gate_learn_rating (GateRequest *r, double score)
 {
   EvidenceKey key = evidence_key (r);
   CascadeOutcome outcome = outcome_of (r);
 
   cascade_record_rating (r->gate->estimates, &outcome, score);
-  gate_evidence_rated (r->gate->evidence, &key, score);
+  gate_evidence_add_rating (r->gate->evidence, &key, score);
 }
--- a/src/gate_learn.h
+++ b/src/gate_learn.h
@@ -15,6 +15,6 @@
  */
 void gate_learn_error (GateRequest *r);
 /** Records the score of an answer that was rated before it was relayed. */
-void gate_learn_rated (GateRequest *r, double score);
+void gate_learn_rating (GateRequest *r, double score);
 
 #endif
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -37,7 +37,7 @@
 }
 
 void
-gate_limit_view (GateLimit *limit, unsigned members, int rank)
+gate_limit_set_view (GateLimit *limit, unsigned members, int rank)
 {
   int64_t now_ms = clock_boot_ms ();
 
--- a/src/gate_limit.h
+++ b/src/gate_limit.h
@@ -27,7 +27,7 @@
 void gate_limit_init (GateLimit *limit);
 void gate_limit_clear (GateLimit *limit);
 /** Sets the number of member VMs and this VM's rank among them, from the latest grant. */
-void gate_limit_view (GateLimit *limit, unsigned members, int rank);
+void gate_limit_set_view (GateLimit *limit, unsigned members, int rank);
 /**
  * True once this VM's shares of the teams' limits are usable. After its start a VM has no share
  * until the other VMs use a membership view that contains it. Always true if no team has a limit.
--- a/src/gate_link.c
+++ b/src/gate_link.c
@@ -32,13 +32,13 @@
 }
 
 void
-gate_link_answered (GateLink *link)
+gate_link_add_answer (GateLink *link)
 {
   __atomic_add_fetch (&link->answers, 1, __ATOMIC_RELEASE);
 }
 
 int64_t
-gate_link_answers (const GateLink *link)
+gate_link_answer_count (const GateLink *link)
 {
   return __atomic_load_n (&link->answers, __ATOMIC_ACQUIRE);
 }
--- a/src/gate_link.h
+++ b/src/gate_link.h
@@ -15,7 +15,7 @@
 /** NULL is allowed. */
 void gate_link_unref (GateLink *link);
 /** Counts one more answer, all bytes of which have been written. */
-void gate_link_answered (GateLink *link);
-int64_t gate_link_answers (const GateLink *link);
+void gate_link_add_answer (GateLink *link);
+int64_t gate_link_answer_count (const GateLink *link);
 
 #endif
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -13,7 +13,7 @@
 static void
 finish (GateRequest *r)
 {
-  gate_bill_keep (r);
+  gate_bill_keep_answer (r);
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
@@ -56,7 +56,7 @@
   switch (gate_attempt_next (r, &r->out, &st))
     {
     case STREAM_CHUNK:
-      gate_bill_keep (r);
+      gate_bill_keep_answer (r);
       break;
     case STREAM_END:
       finish (r);
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -110,7 +110,7 @@
   if (!gate_rating_rate (r->gate, config->classes[r->plan.class_index].name, r->body.data,
                          answer->content.data, &score))
     return false;
-  gate_learn_rated (r, score);
+  gate_learn_rating (r, score);
   return cascade_passes (&r->plan, score);
 }
 
@@ -128,7 +128,7 @@
   r->http_status = 200;
   snprintf (r->answer_type, sizeof (r->answer_type), "%s",
             r->stream ? "text/event-stream" : "application/json");
-  gate_bill_keep (r);
+  gate_bill_keep_answer (r);
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
@@ -141,7 +141,7 @@
   gate_watch_set_relayed (&r->attempt->watch);
   r->http_status = 200;
   snprintf (r->answer_type, sizeof (r->answer_type), "text/event-stream");
-  gate_bill_keep (r);
+  gate_bill_keep_answer (r);
   return RUN_STREAM;
 }
 
@@ -228,7 +228,7 @@
                 type != NULL ? type : "application/octet-stream");
       if (read_service (r, &st))
         {
-          gate_bill_keep (r);
+          gate_bill_keep_answer (r);
           gate_attempt_bill (r, true);
           gate_bill_commit (r, BILL_ANSWERED);
           return RUN_COMPLETE;
--- a/src/gate_sample.c
+++ b/src/gate_sample.c
@@ -81,7 +81,7 @@
         {
           s->outcome.now_ms = clock_boot_ms ();
           cascade_record_rating (gate->estimates, &s->outcome, score);
-          gate_evidence_rated (gate->evidence, &s->key, score);
+          gate_evidence_add_rating (gate->evidence, &s->key, score);
           counter_add (COUNTER_GATE_SAMPLES, 1);
         }
       sample_free (s);
--- a/src/gate_sweep.c
+++ b/src/gate_sweep.c
@@ -157,19 +157,19 @@
 }
 
 void
-gate_sweep_reading (GateSweep *sweep, SweepEntry *entry)
+gate_sweep_set_reading (GateSweep *sweep, SweepEntry *entry)
 {
   set_state (sweep, entry, SWEEP_READING);
 }
 
 void
-gate_sweep_working (GateSweep *sweep, SweepEntry *entry)
+gate_sweep_set_working (GateSweep *sweep, SweepEntry *entry)
 {
   set_state (sweep, entry, SWEEP_WORKING);
 }
 
 void
-gate_sweep_idle (GateSweep *sweep, SweepEntry *entry)
+gate_sweep_set_idle (GateSweep *sweep, SweepEntry *entry)
 {
   set_state (sweep, entry, SWEEP_IDLE);
 }
--- a/src/gate_sweep.h
+++ b/src/gate_sweep.h
@@ -18,13 +18,13 @@
 SweepEntry *gate_sweep_add (GateSweep *sweep, int fd);
 void gate_sweep_remove (GateSweep *sweep, SweepEntry *entry);
 /** Call when a request has begun to arrive. */
-void gate_sweep_reading (GateSweep *sweep, SweepEntry *entry);
+void gate_sweep_set_reading (GateSweep *sweep, SweepEntry *entry);
 /** Call when the request has arrived; its time is limited elsewhere. */
-void gate_sweep_working (GateSweep *sweep, SweepEntry *entry);
+void gate_sweep_set_working (GateSweep *sweep, SweepEntry *entry);
 /** Number of connections that are not idle: nothing, or a part of a request, has arrived, or a
  * request is being answered. */
 size_t gate_sweep_active_count (GateSweep *sweep);
 /** Call when the request has been answered and the connection waits for the next one. */
-void gate_sweep_idle (GateSweep *sweep, SweepEntry *entry);
+void gate_sweep_set_idle (GateSweep *sweep, SweepEntry *entry);
 
 #endif
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -21,11 +21,11 @@
 
   CU_ASSERT_EQUAL (gate_evidence_take (evidence, out, 4), 0);
   for (uint64_t i = 0; i < 10; i++)
-    gate_evidence_answer (evidence, &key, i % 3 + 1, i == 4);
-  gate_evidence_error (evidence, &key, 77);
-  gate_evidence_rated (evidence, &key, 0.5);
-  gate_evidence_rated (evidence, &key, 0.1);
-  gate_evidence_error (evidence, &other, 1);
+    gate_evidence_add_answer (evidence, &key, i % 3 + 1, i == 4);
+  gate_evidence_add_error (evidence, &key, 77);
+  gate_evidence_add_rating (evidence, &key, 0.5);
+  gate_evidence_add_rating (evidence, &key, 0.1);
+  gate_evidence_add_error (evidence, &other, 1);
   CU_ASSERT_EQUAL (gate_evidence_take (evidence, out, 4), 2);
   CU_ASSERT_STRING_EQUAL (out[0].team, "tender");
   CU_ASSERT_STRING_EQUAL (out[0].model_name, "draft");
@@ -50,11 +50,11 @@
   rpc_evidence out[4];
   size_t n;
 
-  gate_evidence_answer (evidence, &key, 5, false);
-  gate_evidence_answer (evidence, &other, 5, false);
+  gate_evidence_add_answer (evidence, &key, 5, false);
+  gate_evidence_add_answer (evidence, &other, 5, false);
   n = gate_evidence_take (evidence, out, 1);
   CU_ASSERT_EQUAL (n, 1);
-  gate_evidence_answer (evidence, &key, 6, false);
+  gate_evidence_add_answer (evidence, &key, 6, false);
   gate_evidence_put_back (evidence, out, n);
   CU_ASSERT_EQUAL (gate_evidence_take (evidence, out, 4), 2);
   CU_ASSERT_EQUAL (out[0].answers, 2);
@@ -71,7 +71,7 @@
   rpc_evidence out[1];
 
   for (uint64_t i = 0; i < 100000; i++)
-    gate_evidence_answer (evidence, &key, i * 1024, false);
+    gate_evidence_add_answer (evidence, &key, i * 1024, false);
   CU_ASSERT_EQUAL (gate_evidence_take (evidence, out, 1), 1);
   CU_ASSERT_EQUAL (out[0].answers, 100000);
   CU_ASSERT (out[0].callers >= 700 && out[0].callers <= 1024);
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -100,7 +100,7 @@
   gate->evidence = gate_evidence_new ();
   gate_rating_init (&gate->rating);
   gate_limit_init (&gate->limit);
-  gate_limit_view (&gate->limit, 1, 0);
+  gate_limit_set_view (&gate->limit, 1, 0);
   gate->sample = gate_sample_start (gate);
   gate_watch_start (&gate->watch);
   gate_servers_init (&gate->servers, "vm-1", "oita");
