--- a/src/gate.h
+++ b/src/gate.h
@@ -43,7 +43,7 @@
   GateLimit limit;
   SessionNamed *sessions;
   GateEvidence *evidence;
-  GateSample *sample;
+  GateSampler *sampler;
   GateReplicas replicas;
   GateWatch watch;
   GateServers servers;
--- a/src/gate_learn.c
+++ b/src/gate_learn.c
@@ -40,7 +40,7 @@
   gate_evidence_add_answer (r->gate->evidence, &key, r->caller_hash,
                             a->first_token_ms > EVIDENCE_SLOW_MS);
   if (r->sampled && !r->rated && answer->content.len > 0)
-    gate_sample_add (r->gate->sample, r);
+    gate_sample_add (r->gate->sampler, r);
 }
 
 void
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -129,7 +129,7 @@
   gate->bill = bill_writer_new (&bill);
   gate->releaser = claim_releaser_new (gate->platform);
   gate->sessions = session_named_new (gate->group, SESSION_CACHE_MAX);
-  gate->sample = gate_sample_start (gate);
+  gate->sampler = gate_sample_start (gate);
 }
 
 static void
@@ -207,7 +207,7 @@
   gate_poll_stop (m->poll);
   gate_watch_stop (&gate->watch);
   gate_grant_stop (gate);
-  gate_sample_stop (gate->sample);
+  gate_sample_stop (gate->sampler);
   claim_releaser_free (gate->releaser);
   left_ms = until_ms - clock_boot_ms ();
   left = bill_writer_free (gate->bill,
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -137,7 +137,7 @@
     r->deadline_ms = r->begun_ms + config->classes[class_index].deadline_ms;
   r->caller_hash
       = id_hash_string (r->caller, id_hash_string (gate_request_team (r)->name, CALLER_HASH_SEED));
-  r->sampled = gate_sample_draw (r->gate->sample);
+  r->sampled = gate_sample_draw (r->gate->sampler);
   if (!gate_session_read (r) || !choose_versions (r))
     return false;
   if (plan_has_rollout (r))
--- a/src/gate_sample.c
+++ b/src/gate_sample.c
@@ -24,7 +24,7 @@
   char *answer;
 } Sample;
 
-struct GateSample
+struct GateSampler
 {
   Gate *gate;
   pthread_t thread;
@@ -50,32 +50,32 @@
 
 /* Waits for the next sample. NULL: the thread is to end. */
 static Sample *
-wait_for_sample (GateSample *sample)
+wait_for_sample (GateSampler *sampler)
 {
   Sample *s = NULL;
 
-  pthread_mutex_lock (&sample->lock);
-  while (!sample->stop && cds_list_empty (&sample->queue))
-    pthread_cond_wait (&sample->filled, &sample->lock);
-  if (!sample->stop)
+  pthread_mutex_lock (&sampler->lock);
+  while (!sampler->stop && cds_list_empty (&sampler->queue))
+    pthread_cond_wait (&sampler->filled, &sampler->lock);
+  if (!sampler->stop)
     {
-      s = cds_list_first_entry (&sample->queue, Sample, list);
+      s = cds_list_first_entry (&sampler->queue, Sample, list);
       cds_list_del (&s->list);
-      sample->waiting--;
+      sampler->waiting--;
     }
-  pthread_mutex_unlock (&sample->lock);
+  pthread_mutex_unlock (&sampler->lock);
   return s;
 }
 
 static void *
 sample_run (void *context)
 {
-  GateSample *sample = context;
+  GateSampler *sampler = context;
   Sample *s;
 
-  while ((s = wait_for_sample (sample)) != NULL)
+  while ((s = wait_for_sample (sampler)) != NULL)
     {
-      Gate *gate = sample->gate;
+      Gate *gate = sampler->gate;
       double score = 0;
       if (gate_rating_rate (gate, s->class_name, s->prompt, s->answer, &score))
         {
@@ -89,43 +89,43 @@
   return NULL;
 }
 
-GateSample *
+GateSampler *
 gate_sample_start (Gate *gate)
 {
-  GateSample *sample = memory_alloc (sizeof (*sample));
-
-  sample->gate = gate;
-  pthread_mutex_init (&sample->lock, NULL);
-  pthread_cond_init (&sample->filled, NULL);
-  CDS_INIT_LIST_HEAD (&sample->queue);
-  gate_thread_start (&sample->thread, sample_run, sample);
-  return sample;
+  GateSampler *sampler = memory_alloc (sizeof (*sampler));
+
+  sampler->gate = gate;
+  pthread_mutex_init (&sampler->lock, NULL);
+  pthread_cond_init (&sampler->filled, NULL);
+  CDS_INIT_LIST_HEAD (&sampler->queue);
+  gate_thread_start (&sampler->thread, sample_run, sampler);
+  return sampler;
 }
 
 void
-gate_sample_stop (GateSample *sample)
+gate_sample_stop (GateSampler *sampler)
 {
   Sample *s;
   Sample *next;
 
-  pthread_mutex_lock (&sample->lock);
-  sample->stop = true;
-  pthread_cond_signal (&sample->filled);
-  pthread_mutex_unlock (&sample->lock);
-  pthread_join (sample->thread, NULL);
-  cds_list_for_each_entry_safe (s, next, &sample->queue, list)
+  pthread_mutex_lock (&sampler->lock);
+  sampler->stop = true;
+  pthread_cond_signal (&sampler->filled);
+  pthread_mutex_unlock (&sampler->lock);
+  pthread_join (sampler->thread, NULL);
+  cds_list_for_each_entry_safe (s, next, &sampler->queue, list)
   {
     sample_free (s);
   }
-  pthread_cond_destroy (&sample->filled);
-  pthread_mutex_destroy (&sample->lock);
-  free (sample);
+  pthread_cond_destroy (&sampler->filled);
+  pthread_mutex_destroy (&sampler->lock);
+  free (sampler);
 }
 
 bool
-gate_sample_draw (GateSample *sample)
+gate_sample_draw (GateSampler *sampler)
 {
-  double share = sample->gate->settings.sample_share;
+  double share = sampler->gate->settings.sample_share;
 
   return ldexp ((double)(id_random_u64 () >> 11), -53) < share;
 }
@@ -164,20 +164,20 @@
 }
 
 void
-gate_sample_add (GateSample *sample, GateRequest *r)
+gate_sample_add (GateSampler *sampler, GateRequest *r)
 {
   Sample *s = sample_new (r);
   bool added;
 
-  pthread_mutex_lock (&sample->lock);
-  added = sample->waiting < QUEUE_MAX && !sample->stop;
+  pthread_mutex_lock (&sampler->lock);
+  added = sampler->waiting < QUEUE_MAX && !sampler->stop;
   if (added)
     {
-      cds_list_add_tail (&s->list, &sample->queue);
-      sample->waiting++;
-      pthread_cond_signal (&sample->filled);
+      cds_list_add_tail (&s->list, &sampler->queue);
+      sampler->waiting++;
+      pthread_cond_signal (&sampler->filled);
     }
-  pthread_mutex_unlock (&sample->lock);
+  pthread_mutex_unlock (&sampler->lock);
   if (added)
     return;
   sample_free (s);
--- a/src/gate_sample.h
+++ b/src/gate_sample.h
@@ -13,14 +13,14 @@
 
 #define SAMPLE_TEXT_MAX (256UL * 1024) /**< bytes; longer answers are not sampled */
 
-typedef struct GateSample GateSample;
+typedef struct GateSampler GateSampler;
 
-GateSample *gate_sample_start (struct Gate *gate);
+GateSampler *gate_sample_start (struct Gate *gate);
 /** Drops the queued samples and ends the thread. */
-void gate_sample_stop (GateSample *sample);
+void gate_sample_stop (GateSampler *sampler);
 /** Random: true with a probability of settings.sample_share. */
-bool gate_sample_draw (GateSample *sample);
+bool gate_sample_draw (GateSampler *sampler);
 /** Queues a copy of r->attempt's answer to be rated. */
-void gate_sample_add (GateSample *sample, struct GateRequest *r);
+void gate_sample_add (GateSampler *sampler, struct GateRequest *r);
 
 #endif
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -101,7 +101,7 @@
   gate_rating_init (&gate->rating);
   gate_limit_init (&gate->limit);
   gate_limit_set_view (&gate->limit, 1, 0);
-  gate->sample = gate_sample_start (gate);
+  gate->sampler = gate_sample_start (gate);
   gate_watch_start (&gate->watch);
   gate_servers_init (&gate->servers, "vm-1", "oita");
   publish (site, "active", 1);
@@ -116,7 +116,7 @@
 
   CU_ASSERT_EQUAL (gate->in_flight, 0);
   gate_watch_stop (&gate->watch);
-  gate_sample_stop (gate->sample);
+  gate_sample_stop (gate->sampler);
   claim_releaser_free (gate->releaser);
   bill_writer_free (gate->bill, 2000);
   session_named_free (gate->sessions);
