--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -243,7 +243,7 @@
 {
   Quarantine *quarantine = quarantine_new (&quarantine_settings_default);
   Quarantine *observed = quarantine_new (&quarantine_settings_default);
-  QuarantineDeath deaths[QUARANTINE_DEATHS_MAX];
+  QuarantineDeath news[QUARANTINE_DEATHS_MAX];
   GateServers servers;
   int notified = 0;
 
@@ -274,9 +274,9 @@
       gate_server_end_attempt (server, SERVER_UNREACHABLE, 4, now_ms + 6);
       gate_server_put (server);
     }
-  CU_ASSERT_EQUAL (quarantine_recent_deaths (observed, deaths, QUARANTINE_DEATHS_MAX, 2500), 2);
-  CU_ASSERT_EQUAL (deaths[0].count, 2);
-  CU_ASSERT_EQUAL (deaths[1].count, 2);
+  CU_ASSERT_EQUAL (quarantine_recent_deaths (observed, news, QUARANTINE_DEATHS_MAX, 2500), 2);
+  CU_ASSERT_EQUAL (news[0].count, 2);
+  CU_ASSERT_EQUAL (news[1].count, 2);
   CU_ASSERT (!quarantine_contains (quarantine, 1, 2500));
   CU_ASSERT (!quarantine_contains (quarantine, 2, 2500));
   quarantine_free (quarantine);
@@ -285,7 +285,7 @@
 
 /*
  * A crash prompt is sent to one VM, then to another, and each observes one death. Only the
- * reports of both show that one prompt caused the deaths, and then both quarantine it. A
+ * reports of both show that one prompt caused the news, and then both quarantine it. A
  * report that comes back to the VM that made it changes nothing.
  */
 static void
@@ -294,7 +294,7 @@
   static Gate vms[2];
   ConfigServer entry;
   Config config;
-  DeathReports reports[2];
+  DeathReports news[2];
 
   for (int i = 0; i < 2; i++)
     {
@@ -306,16 +306,16 @@
       abort_answer (server, 77, clock_boot_ms ());
       gate_server_record_missed_report (server, true, clock_boot_ms ());
       gate_server_put (server);
-      gate_deaths_collect (&vms[i], &reports[i]);
-      CU_ASSERT_EQUAL (reports[i].count, 1);
+      gate_deaths_collect (&vms[i], &news[i]);
+      CU_ASSERT_EQUAL (news[i].count, 1);
       CU_ASSERT (!quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
     }
   for (int i = 0; i < 2; i++)
     {
       DeathReports again;
-      gate_deaths_merge (&vms[i], reports[i].list, reports[i].count);
+      gate_deaths_merge (&vms[i], news[i].list, news[i].count);
       CU_ASSERT (!quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
-      gate_deaths_merge (&vms[i], reports[1 - i].list, reports[1 - i].count);
+      gate_deaths_merge (&vms[i], news[1 - i].list, news[1 - i].count);
       CU_ASSERT (quarantine_contains (vms[i].servers.quarantine, 77, clock_boot_ms ()));
       gate_deaths_collect (&vms[i], &again);
       CU_ASSERT_EQUAL (again.count, 1);
--- a/tests/test_gate_refusal.c
+++ b/tests/test_gate_refusal.c
@@ -106,8 +106,8 @@
   static const SuiteCase suite[] = {
     { "every-reason-has-an-entry", test_every_reason_has_an_entry },
     { "retry-after-only-if-it-helps", test_retry_after_only_if_it_helps },
-    { "json-of-a-refusal", test_json_of_a_refusal },
-    { "message-default-and-truncation", test_message_default_and_truncation },
+    { "json", test_json_of_a_refusal },
+    { "message", test_message_default_and_truncation },
   };
 
   return suite_main (argc, argv, "gate_refusal", suite, SUITE_COUNT (suite));
--- a/tests/test_gate_run.c
+++ b/tests/test_gate_run.c
@@ -584,7 +584,7 @@
 main (int argc, char **argv)
 {
   static const SuiteCase suite[] = {
-    { "answer-is-billed", test_answer_is_billed },
+    { "answered", test_answer_is_billed },
     { "not-run-is-tried-elsewhere", test_not_run_is_tried_elsewhere },
     { "idempotent-runs-again", test_idempotent_runs_again },
     { "non-idempotent-runs-at-most-once", test_non_idempotent_runs_at_most_once },
