--- a/src/gate_body.c
+++ b/src/gate_body.c
@@ -8,6 +8,7 @@
 #define BODY_DEPTH_MAX   32   /* nesting of the JSON */
 #define PREFIX_HASH_MAX  1024 /* bytes of the first message that are hashed */
 #define PREFIX_HASH_SEED 1
+#define MAX_TOKENS_MAX   10000000 /* largest max_tokens of a request */
 
 static bool parse (GateRequest *r);
 static bool check_members (GateRequest *r);
@@ -131,7 +132,7 @@
         return refuse (r, "stream", "true or false");
       r->stream = json_object_get_boolean (value);
     }
-  return check_int (r, "max_tokens", 10000000) && check_int (r, "n", 1);
+  return check_int (r, "max_tokens", MAX_TOKENS_MAX) && check_int (r, "n", 1);
 }
 
 bool
--- a/src/gate_callers.h
+++ b/src/gate_callers.h
@@ -19,8 +19,8 @@
 /** Starts to listen and to hand connections to the daemon. False, with *st set, if the address
  * cannot be bound. */
 bool gate_callers_start (GateCallers *callers, struct MHD_Daemon *daemon, Status *st);
-/** The link of a connection that has just been handed to the daemon as fd, with a reference for the
- * function's caller; NULL if there is none. */
+/** Returns, once, the link of a connection that has just been handed to the daemon as fd, with a
+ * reference for the function's caller; NULL if there is none. */
 GateLink *gate_callers_take_link (GateCallers *callers, int fd);
 /** Stops accepting connections; open ones continue. After it returns, the daemon gets no more. */
 void gate_callers_stop_accepting (GateCallers *callers);
--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -1,7 +1,7 @@
 /* Guards against request smuggling: if two parsers read one head differently, a caller can hide a
  * request within another. libmicrohttpd accepts some ambiguous heads without an error (a
- * folded line, a NUL) and answers others twice (a negative length, no host). The last line of an
- * ambiguous head is therefore never forwarded to it. */
+ * folded line, a NUL) and answers other heads twice (a negative length, no host). The last line of
+ * an ambiguous head is therefore never forwarded to it. */
 #include "gate_framing.h"
 #include <stdint.h>
 #include <string.h>
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -91,8 +91,8 @@
 
 /*
  * Recomputes capacity: an equal share of the slots or, if the balancer sends this gate more than
- * the others, its own requests plus the slots that the engines report as free, whichever is larger.
- * Done at most every REFRESH_INTERVAL_MS, since it reads the state of each engine.
+ * other gates, its own requests plus the slots that the engines report as free, whichever is
+ * larger. Done at most every REFRESH_INTERVAL_MS, since it reads the state of each engine.
  */
 static void
 refresh (GateLimit *limit, const GateRequest *r, int64_t now_ms)
--- a/src/gate_servers.h
+++ b/src/gate_servers.h
@@ -39,10 +39,10 @@
 {
   pthread_mutex_t lock;
   struct cds_list_head list;
-  uint64_t vm_hash;            /**< hash of this VM's name */
-  const char *failure_domain;  /**< of this VM */
-  Quarantine *quarantine;      /**< deaths observed by any VM; NULL: not recorded */
-  Quarantine *observed_deaths; /**< those observed by this VM, for the others; NULL: not recorded */
+  uint64_t vm_hash;                 /**< hash of this VM's name */
+  const char *failure_domain;       /**< of this VM */
+  Quarantine *quarantine;           /**< deaths observed by any VM; NULL: not recorded */
+  Quarantine *observed_deaths;      /**< by this VM, to report to other VMs; NULL: not recorded */
   void (*on_death) (void *context); /**< called when observed_deaths has changed; NULL: none */
   void *context;
 } GateServers;
--- a/tests/test_gate_evidence.c
+++ b/tests/test_gate_evidence.c
@@ -284,9 +284,9 @@
 }
 
 /*
- * A crash prompt is sent to one VM, then to another, and each observes one death. Only the
- * reports of both show that one prompt caused the news, and then both quarantine it. A
- * report that comes back to the VM that made it changes nothing.
+ * A crash prompt is sent to one VM, then to another, and each observes one death. Only the reports
+ * of both show that one prompt caused the deaths, and then both quarantine it. A report that comes
+ * back to the VM that made it changes nothing.
  */
 static void
 test_deaths_of_two_vms_merge (void)
