--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -63,8 +63,8 @@
 /*
  * The grant runs from before the renewal was sent, since the steward's confirmation was true at
  * some moment after that. It is valid only once the configuration that it names, or a newer one, is
- * in force in this gate, so a gate that could not read a configuration
- * admits no requests under the old one.
+ * in force in this gate, so a gate that could not read a configuration admits no requests under the
+ * old one.
  */
 static void
 apply_grant (Gate *gate, const rpc_grant *grant, int64_t sent_ms)
