--- a/src/gate_grant.c
+++ b/src/gate_grant.c
@@ -32,8 +32,8 @@
   snprintf (out, size, "%s", name != NULL ? name : "");
 }
 
-/* Only adds brakes. A version is released by a configuration whose `released` is later than the
- * brake. */
+/* Only adds brakes. A brake is released by a configuration whose `released` for the version is at
+ * least the brake's `since`. */
 static void
 add_brakes (Gate *gate, const rpc_grant *grant)
 {
@@ -63,8 +63,8 @@
 /*
  * The grant runs from before the renewal was sent, since the steward's confirmation was true at
  * some moment after that. It is valid only once the configuration that it names, or a newer one, is
- * in force here, so a gate that could not read a configuration admits no requests under the old
- * one.
+ * in force in this gate, so a gate that could not read a configuration admits no requests under the
+ * old one.
  */
 static void
 apply_grant (Gate *gate, const rpc_grant *grant, int64_t sent_ms)
@@ -79,7 +79,7 @@
       && grant->members > 0)
     platform_group_set_interval (gate->group, platform_group_site_interval_ms (grant->members));
   __atomic_store_n (&own->rank, (int64_t)grant->rank, __ATOMIC_RELAXED);
-  gate_limit_view (&gate->limit, grant->members, grant->rank);
+  gate_limit_set_view (&gate->limit, grant->members, grant->rank);
   gate_replicas_set_peers (&gate->replicas, grant->peers.peers_val, grant->peers.peers_len);
   if (grant->number > gate_config_number (gate))
     gate_config_fetch (gate, grant->number);
--- a/src/gate_limit.c
+++ b/src/gate_limit.c
@@ -37,7 +37,7 @@
 }
 
 void
-gate_limit_view (GateLimit *limit, unsigned members, int rank)
+gate_limit_set_view (GateLimit *limit, unsigned members, int rank)
 {
   int64_t now_ms = clock_boot_ms ();
 
@@ -74,7 +74,7 @@
       if (!snapshot->index->watched[i] || config->servers[i].kind != SERVER_ENGINE
           || config->servers[i].leaving)
         continue;
-      gate_server_view (snapshot->servers[i], &views[i]);
+      gate_server_copy_view (snapshot->servers[i], &views[i]);
       if (views[i].draining || views[i].open_until_ms > now_ms)
         continue;
       load = server_load (&query, i);
@@ -91,8 +91,8 @@
 
 /*
  * Recomputes capacity: an equal share of the slots or, if the balancer sends this gate more than
- * the others, its own requests plus the slots that the engines report as free, whichever is larger.
- * Done at most every REFRESH_INTERVAL_MS, since it reads the state of each engine.
+ * other gates, its own requests plus the slots that the engines report as free, whichever is
+ * larger. Done at most every REFRESH_INTERVAL_MS, since it reads the state of each engine.
  */
 static void
 refresh (GateLimit *limit, const GateRequest *r, int64_t now_ms)
--- a/src/gate_main.c
+++ b/src/gate_main.c
@@ -129,7 +129,7 @@
   gate->bill = bill_writer_new (&bill);
   gate->releaser = claim_releaser_new (gate->platform);
   gate->sessions = session_named_new (gate->group, SESSION_CACHE_MAX);
-  gate->sample = gate_sample_start (gate);
+  gate->sampler = gate_sample_start (gate);
 }
 
 static void
@@ -173,7 +173,7 @@
 }
 
 /* Refuses new requests, with a retry-after time, and waits for those in progress. Their connections
-   stay open until they have ended or the stop timeout has passed. */
+   stay open until the requests have ended or stop_timeout_ms has passed. */
 static void
 wait_for_requests (Gate *gate)
 {
@@ -192,7 +192,7 @@
     }
 }
 
-/* Stops all modules. Usage records that are not durable yet get the rest of the stop timeout,
+/* Stops all modules. Usage records that are not durable yet get the rest of stop_timeout_ms,
    but at least STOP_BILL_MIN_MS. Returns the number of records left. */
 static size_t
 stop (Main *m)
@@ -207,7 +207,7 @@
   gate_poll_stop (m->poll);
   gate_watch_stop (&gate->watch);
   gate_grant_stop (gate);
-  gate_sample_stop (gate->sample);
+  gate_sample_stop (gate->sampler);
   claim_releaser_free (gate->releaser);
   left_ms = until_ms - clock_boot_ms ();
   left = bill_writer_free (gate->bill,
--- a/src/gate_prepare.c
+++ b/src/gate_prepare.c
@@ -137,7 +137,7 @@
     r->deadline_ms = r->begun_ms + config->classes[class_index].deadline_ms;
   r->caller_hash
       = id_hash_string (r->caller, id_hash_string (gate_request_team (r)->name, CALLER_HASH_SEED));
-  r->sampled = gate_sample_draw (r->gate->sample);
+  r->sampled = gate_sample_draw (r->gate->sampler);
   if (!gate_session_read (r) || !choose_versions (r))
     return false;
   if (plan_has_rollout (r))
@@ -162,8 +162,8 @@
   const char *team = gate_request_team (r)->name;
   char key[REQUEST_KEY_MAX + 1 + 20];
 
-  /* A re-send is billed as the same request only if its body is the same. Otherwise one idempotency
-     key would cover the cost of many requests. */
+  /* A caller's retry is billed as the same request only if its body is the same. Otherwise one
+     idempotency key would cover the cost of many requests. */
   key[0] = '\0';
   if (r->key[0] != '\0')
     snprintf (key, sizeof (key), "%s.%016llx", r->key, (unsigned long long)body_hash (r));
@@ -227,9 +227,7 @@
   return result;
 }
 
-/*
- * Refuses a request that has crashed servers before: its caller sends it again after each failure.
- */
+/* Refuses a request that has crashed servers before: a caller's retry would crash one more. */
 static bool
 check_quarantine (GateRequest *r)
 {
--- a/src/gate_relay.c
+++ b/src/gate_relay.c
@@ -8,12 +8,12 @@
 static void cancel (GateRequest *r);
 static void cut (GateRequest *r, const Status *st);
 
-/* All events but the closing ones have been relayed at once. These are relayed only after the usage
-   record is durable, so that a caller never has a complete answer that is not billed. */
+/* The closing events are relayed only after the usage record is durable, so that a caller never has
+   a complete answer that is not billed. All other events have already been relayed. */
 static void
 finish (GateRequest *r)
 {
-  gate_bill_keep (r);
+  gate_bill_keep_answer (r);
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
@@ -56,7 +56,7 @@
   switch (gate_attempt_next (r, &r->out, &st))
     {
     case STREAM_CHUNK:
-      gate_bill_keep (r);
+      gate_bill_keep_answer (r);
       break;
     case STREAM_END:
       finish (r);
--- a/src/gate_run.c
+++ b/src/gate_run.c
@@ -10,8 +10,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SERVICE_ANSWER_MAX (16UL * 1024 * 1024) /* bytes; of collected engines' answers too */
-#define READ_SIZE          4096                 /* bytes */
+#define COLLECTED_ANSWER_MAX (16UL * 1024 * 1024) /* bytes of a service's or a collected answer */
+#define READ_SIZE            4096                 /* bytes */
 
 /** Result of one stage of a plan. */
 typedef enum
@@ -37,7 +37,7 @@
 
   answer->keep_content = collect || r->sampled;
   answer->content_optional = !collect;
-  answer->content_max = collect ? SERVICE_ANSWER_MAX : SAMPLE_TEXT_MAX;
+  answer->content_max = collect ? COLLECTED_ANSWER_MAX : SAMPLE_TEXT_MAX;
   while ((result = gate_attempt_next (r, &r->out, st)) == STREAM_CHUNK && collect)
     {
       if (!r->stream)
@@ -110,7 +110,7 @@
   if (!gate_rating_rate (r->gate, config->classes[r->plan.class_index].name, r->body.data,
                          answer->content.data, &score))
     return false;
-  gate_learn_rated (r, score);
+  gate_learn_rating (r, score);
   return cascade_passes (&r->plan, score);
 }
 
@@ -128,7 +128,7 @@
   r->http_status = 200;
   snprintf (r->answer_type, sizeof (r->answer_type), "%s",
             r->stream ? "text/event-stream" : "application/json");
-  gate_bill_keep (r);
+  gate_bill_keep_answer (r);
   gate_attempt_bill (r, true);
   gate_bill_commit (r, BILL_ANSWERED);
   gate_learn_answer (r);
@@ -141,7 +141,7 @@
   gate_watch_set_relayed (&r->attempt->watch);
   r->http_status = 200;
   snprintf (r->answer_type, sizeof (r->answer_type), "text/event-stream");
-  gate_bill_keep (r);
+  gate_bill_keep_answer (r);
   return RUN_STREAM;
 }
 
@@ -203,10 +203,10 @@
     buffer_add (&r->out, peeked->data, peeked->len);
   while ((n = http_exchange_read (r->attempt->exchange, data, sizeof (data), st)) > 0)
     {
-      if (r->out.len + (size_t)n > SERVICE_ANSWER_MAX)
+      if (r->out.len + (size_t)n > COLLECTED_ANSWER_MAX)
         {
           status_set (st, STATUS_FULL, "service.read", r->attempt->config_server->name,
-                      "answer longer than %lu bytes", SERVICE_ANSWER_MAX);
+                      "answer longer than %lu bytes", COLLECTED_ANSWER_MAX);
           return false;
         }
       buffer_add (&r->out, data, (size_t)n);
@@ -228,7 +228,7 @@
                 type != NULL ? type : "application/octet-stream");
       if (read_service (r, &st))
         {
-          gate_bill_keep (r);
+          gate_bill_keep_answer (r);
           gate_attempt_bill (r, true);
           gate_bill_commit (r, BILL_ANSWERED);
           return RUN_COMPLETE;
