--- a/src/front_budget.c
+++ b/src/front_budget.c
@@ -8,8 +8,8 @@
 #define SLICES 40 /* per window; the limit is off by at most one slice's requests */
 
 /* Share of the allowed retries that each use may take. The rest is kept for requests that would end
- * without an answer: when cascades could take all, the budget was empty when a server stopped
- * answering, and entire streams were cut off. */
+ * without an answer: if cascades could take all, the budget would be empty when a server stops
+ * answering, and streams could not be resumed elsewhere. */
 static const double use_shares[] = {
   [BUDGET_RETRY] = 1.0,
   [BUDGET_CASCADE] = 0.8,
@@ -32,7 +32,7 @@
 
 typedef struct
 {
-  int64_t slice; /* slice number since the clock's start */
+  int64_t number; /* since the clock's start */
   unsigned requests;
   unsigned retries; /* additional sends, those of cascades included */
   unsigned refused;
@@ -111,8 +111,8 @@
   int64_t number = slice_number (budget, now_ms);
   Slice *slice = &entry->slices[number % SLICES];
 
-  if (slice->slice != number)
-    *slice = (Slice){ .slice = number };
+  if (slice->number != number)
+    *slice = (Slice){ .number = number };
   return slice;
 }
 
@@ -126,7 +126,7 @@
     {
       const Slice *slice = &entry->slices[i];
 
-      if (slice->slice <= number - SLICES)
+      if (slice->number <= number - SLICES)
         continue;
       sum.requests += slice->requests;
       sum.retries += slice->retries;
--- a/src/front_budget.h
+++ b/src/front_budget.h
@@ -36,8 +36,8 @@
 /** Takes one additional send; false if none is left for this use. */
 bool front_budget_take (FrontBudget *budget, const char *service, BudgetUse use, int64_t now_ms);
 /** Counts a refusal. Returns the milliseconds after which the caller may retry: longer the more of
- *  the service's recent requests were refused, so that returning callers are not the next
- *  overload. */
+ *  the service's recent requests were refused, so that their callers' retries don't
+ *  overload it again. */
 int64_t front_budget_count_refusal (FrontBudget *budget, const char *service, int64_t now_ms);
 
 #endif
--- a/src/front_cascade.c
+++ b/src/front_cascade.c
@@ -22,8 +22,8 @@
  * too hard for a middle model as well; below MIDDLE_FROM_CONFIDENCE nearly all are. */
 #define LARGEST_BELOW_CONFIDENCE 40
 #define MIDDLE_FROM_CONFIDENCE   30
-/* Weight of the lag against a predicted wait: lag shows a queue that still grows, in front of the
- * smallest model, too. */
+/* Weight of the lag compared with a predicted wait: lag means that queues are still growing, also
+ * that of the smallest model. */
 #define LAG_WEIGHT 3.0
 /* Milliseconds by which answers begin late without any queue, as predictions are rough. */
 #define LAG_BASELINE_MS 35.0
--- a/src/front_cold.c
+++ b/src/front_cold.c
@@ -17,7 +17,8 @@
  * before that as long as connecting may take. */
 #define SLOT_HOLD_MS (1000 + FRONT_CONNECT_TIMEOUT_MS)
 
-/* Number of fronts in a large site, and in one of its failure domains. */
+/* Numbers of fronts that a new front assumes at least, in all failure domains and in its own: those
+ * of a large site. */
 #define LARGE_SITE_FRONTS   360
 #define LARGE_DOMAIN_FRONTS 75
 /* With this many registered fronts in a failure domain there may be more that are not registered,
--- a/src/front_deaths.c
+++ b/src/front_deaths.c
@@ -12,7 +12,7 @@
 #define US_PER_MS        1000L
 
 /* Check of a server that has cut a connection. It counts as dead only if it accepts no new one:
- * engines also drop single answers, and a caller's request that met three of these in a row was
+ * engines also drop single answers, and a request that is dropped by three in a row would be
  * refused as if it crashed servers. */
 typedef struct
 {
@@ -38,7 +38,7 @@
 }
 
 static void
-server_is_dead (Probe *probe)
+record_death (Probe *probe)
 {
   int64_t now_ms = clock_boot_ms ();
 
@@ -63,7 +63,7 @@
   Probe *probe = user;
 
   if (!(what & BEV_EVENT_CONNECTED))
-    server_is_dead (probe);
+    record_death (probe);
   probe_free (probe);
 }
 
@@ -72,7 +72,7 @@
 {
   Probe *probe = user;
 
-  server_is_dead (probe);
+  record_death (probe);
   probe_free (probe);
 }
 
--- a/src/front_health.c
+++ b/src/front_health.c
@@ -15,7 +15,7 @@
  * again. */
 #define FAILURE_COST_MS 1500.0
 #define PRIOR_ANSWERS   2.0 /* one failure at a server without other answers weighs a third */
-#define LAG_SMOOTHING   0.2
+#define LAG_SMOOTHING   0.2 /* weight of one answer */
 #define LAG_MAX_MS      5000.0
 /* Share of the lag that the next request is expected to meet. Most lag comes from other fronts'
  * prompts that were read first, and is gone by the next answer; a server that has become slow shows
--- a/src/front_pick.c
+++ b/src/front_pick.c
@@ -4,19 +4,21 @@
 #include <string.h>
 
 /* Cost of a server in another failure domain, as a share of the caller's objective: traffic between
- * domains has a price, and a caller who waits two seconds gains nothing by 40 ms. */
+ * domains has a price, and with an objective of 2 s, 40 ms less make no difference to the caller.
+ */
 #define CROSS_DOMAIN_SHARE 0.02
-/* Minimum of that cost in milliseconds: two round trips (about 3 ms), the rest for the traffic. */
+/* Minimum of that cost in milliseconds: two round trips (about 3 ms), the rest for the price of
+ * the traffic. */
 #define CROSS_DOMAIN_MIN_MS 10.0
-/* Milliseconds that each running request of a middle-sized model adds to the time per event of all
+/* Milliseconds that each running request of a middle-sized model adds to the time per token of all
  * others. Requests are weighted by model: one of the largest adds ten times as much as one of the
  * smallest. */
 #define MODEL_RUNNING_MS 1.5
-/* Milliseconds that a running request of a plain service adds on average once all slots are taken:
- * about its own duration. */
+/* Milliseconds added when all slots of a plain service's server are taken, in proportion if fewer
+ * are: about the duration of one request. */
 #define SERVICE_RUNNING_MS 25.0
-#define SERVICE_QUEUED_MS  60.0 /* added by each request beyond the slots */
-#define COLD_MS            40.0 /* added by a server that is cold */
+#define QUEUED_MS          60.0 /* added by each request beyond the slots */
+#define COLD_MS            40.0 /* added if the server is cold */
 #define SLOTS_DEFAULT      8
 /* Milliseconds by which the entries of servers that became cold may arrive later than the end of
  * their evacuation. */
@@ -116,8 +118,8 @@
     return server->pending_ms + front_peer_load_read_ms (&server->peer_load, now_ms)
            + (server->running_share + front_peer_load_running (&server->peer_load, now_ms))
                  * MODEL_RUNNING_MS
-           + queued * SERVICE_QUEUED_MS;
-  return (double)server->running / slots * SERVICE_RUNNING_MS + queued * SERVICE_QUEUED_MS;
+           + queued * QUEUED_MS;
+  return (double)server->running / slots * SERVICE_RUNNING_MS + queued * QUEUED_MS;
 }
 
 static double
@@ -148,7 +150,7 @@
 
 /* Milliseconds until the cold-server limit admits the request; 0: now. */
 static int64_t
-cold_bound_wait_ms (const PickQuery *query, const FrontServer *server, int64_t now_ms)
+cold_limit_wait_ms (const PickQuery *query, const FrontServer *server, int64_t now_ms)
 {
   if (query->cold.max_per_s <= 0 || !is_cold (query, server, now_ms))
     return 0;
@@ -168,7 +170,7 @@
       answer->evacuated |= state == FRONT_SERVER_EVACUATED;
       return true;
     }
-  wait_ms = cold_bound_wait_ms (query, server, now_ms);
+  wait_ms = cold_limit_wait_ms (query, server, now_ms);
   if (wait_ms == 0)
     return false;
   if (wait_ms > query->cold.start_ms)
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -168,8 +168,8 @@
 }
 
 /* Whether the end of a graceful stop may cut off the answer. Where all fronts of a failure domain
- * stop at once callers have nowhere else to go, so a request whose time-out ends before the process
- * is killed is still served. */
+ * stop at once, no other front can take its callers' requests, so a request whose time-out ends
+ * before the process is killed is still served. */
 static bool
 may_outlive_stop (const FrontRequest *request)
 {
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -90,7 +90,7 @@
 /* Answers with an error status and frees the request. */
 void request_refuse (FrontRequest *request, int status, const char *reason, int64_t retry_after_ms);
 /* Sends the final answer of a request that is given up; its status tells whether the request may
- * have run. The caller is told to retry after at least wait_ms. */
+ * have run. The retry-after time of a refusal is at least wait_ms. */
 void request_give_up (FrontRequest *request, const char *reason, int64_t wait_ms);
 void request_free (FrontRequest *request);
 
--- a/src/front_request_retry.c
+++ b/src/front_request_retry.c
@@ -86,8 +86,9 @@
 }
 
 /* Nothing arrives at a server that can't be reached, so this counts neither against the route's
- * attempts nor against the retry budget: with several servers crashed at once, requests were
- * refused after three connections that took 7 ms in all, although other servers had capacity. */
+ * attempts nor against the retry budget: with several servers crashed at once, requests would
+ * be refused after three connections that take 7 ms in all, although other servers have
+ * capacity. */
 void
 request_unreached (FrontRequest *request, const char *reason)
 {
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -77,9 +77,9 @@
   return rule;
 }
 
-/* A front gets one in as many requests as there are fronts in its failure domain. A shared part
- * that is requested here within that many windows is requested about once per window from all of
- * them together, and so stays cached. */
+/* Each of the n fronts of a failure domain gets about one of n requests. A shared part that was
+ * requested here within the last n reuse windows is thus requested about once per window in the
+ * whole domain, and so stays cached. */
 static int64_t
 affinity_tokens (const FrontRequest *request, uint64_t model)
 {
--- a/src/front_rollouts.c
+++ b/src/front_rollouts.c
@@ -10,10 +10,10 @@
 {
   unsigned servers; /* minimum */
   /* Share of the sessions that begin on the new version during the first half. A bad version may
-   * get 15 of 100 requests; eight leave room for retries and for requests in flight when it is
-   * stopped, and give the evidence for a verdict within seconds. With many servers there are many
-   * requests, and many sessions that were open before the order; a smaller share gives the same
-   * number of answers and leaves fewer sessions to report. */
+   * get at most 15 of 100 requests; eight leave room for retries and for requests in flight when it
+   * is stopped, and give the evidence for a verdict within seconds. With many servers there are
+   * many requests, and many sessions that were open before the order; a smaller share gives the
+   * same number of answers and leaves fewer sessions to report. */
   double share;
   /* Milliseconds after the order in which no session begins on the new version. In that time fronts
    * report to each other the sessions on the old version; without it, such a session changes
@@ -36,7 +36,7 @@
 /* Milliseconds. Sessions may change version only in the second half, which fronts do not start at
  * the same moment, as the order reaches them at different times. */
 #define SECOND_HALF_MARGIN_MS 400
-#define SHARE_STEPS           10000
+#define SHARE_STEPS           10000 /* resolution of a share of the sessions */
 
 struct FrontRollouts
 {
--- a/src/front_server_entry.h
+++ b/src/front_server_entry.h
@@ -21,7 +21,7 @@
   char version[SERVER_TEXT_MAX];
   unsigned slots;
   bool draining;
-  int64_t cold_ms; /**< how much longer it stays cold after its start */
+  int64_t cold_ms; /**< remaining time for which it is cold after its start */
 } ServerEntry;
 
 #endif
--- a/src/front_sessions.c
+++ b/src/front_sessions.c
@@ -113,9 +113,9 @@
 }
 
 /* An active session known here takes precedence over updates, which may be older. An update with
- * the same version can only move the last use later: a session reported while its request ran was
- * dropped one idle time after that report, although the request ended seconds later, and its next
- * request moved to the new version. */
+ * the same version moves the last use only to a later time: a session that is reported while its
+ * request runs would otherwise expire one idle time after that report, although the request ends
+ * seconds later, and its next request would move to the new version. */
 void
 front_sessions_learn (FrontSessions *sessions,
                       uint64_t session,
--- a/src/front_speeds.c
+++ b/src/front_speeds.c
@@ -11,9 +11,10 @@
 #define LARGEST_FACTOR      3.0
 #define FIRST_MS_PRIOR      60.0 /* the two types of engines need 53 and 60 */
 
-/* Each answer changes the factor by a step of at most 10%, split so that TARGET_QUANTILE of the
- * answers are below the prediction. Queues that no front reported make answers late, and caches
- * filled by other fronts make few of them early, so the quantile is below one half. */
+/* An answer raises the factor by STEP * TARGET_QUANTILE or lowers it by the rest of STEP, so that
+ * TARGET_QUANTILE of the answers are below the prediction. Queues that no front reported make
+ * answers late, and caches filled by other fronts make few of them early, so the quantile is below
+ * one half. */
 #define STEP            0.1
 #define TARGET_QUANTILE 0.4
 #define FACTOR_MIN      0.05
--- a/src/front_speeds.h
+++ b/src/front_speeds.h
@@ -50,7 +50,7 @@
 double read_time_ms (const ReadTime *time, int64_t tokens, int64_t prompt_tokens);
 /** Prior of a model by its rank among a route's models; 0: the smallest. */
 ReadTime front_speeds_prior (unsigned rank, unsigned models);
-/** Time of a model as learned so far; the prior if nothing is known of it. */
+/** Reading time of a model as learned so far; the prior if nothing is known of it. */
 ReadTime front_speeds_of (const FrontSpeeds *speeds, uint64_t model, const ReadTime *prior);
 /** What a running request of a model with that time adds to the time per token of all others at its
  *  server; 1 for a middle-sized model. A model that reads slowly also generates its output
