--- a/src/front_peers.h
+++ b/src/front_peers.h
@@ -30,7 +30,7 @@
 /** Sends messages and fetches rows that are due. */
 void front_peers_tick (FrontPeers *peers, int64_t now_ms);
 /** Reports to others a request that is being sent to a server: how long its prompt will be read
- *  there, and what it adds to the tokens of other requests (PickQuery.running_share). */
+ *  there, and what it adds to the tokens of other requests (PickQuery.running_weight). */
 void front_peers_send_work (FrontPeers *peers,
                             FrontServer *server,
                             double read_ms,
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -79,15 +79,15 @@
   size_t len;
 
   server->unreported_ms += read_ms;
-  server->unreported_share += share;
+  server->unreported_weight += share;
   if (server->unreported_ms < ANNOUNCE_MIN_MS || !may_send (peers, now_ms))
     return;
   message.reports[0]
       = (WorkReport){ .server = server->hash,
                       .read_ms = (uint32_t)lround (server->unreported_ms),
-                      .running = (uint32_t)lround (server->unreported_share * SHARE_UNITS) };
+                      .running = (uint32_t)lround (server->unreported_weight * SHARE_UNITS) };
   server->unreported_ms = 0;
-  server->unreported_share = 0;
+  server->unreported_weight = 0;
   len = work_message_encode (&message, data, sizeof data);
   sent = send_to_peers (peers, data, len, true, RECIPIENTS_MAX, now_ms);
   sent += send_to_peers (peers, data, len, false, RECIPIENTS_MAX - sent, now_ms);
--- a/src/front_pick.c
+++ b/src/front_pick.c
@@ -116,7 +116,7 @@
 
   if (query->is_model)
     return server->pending_ms + front_peer_load_read_ms (&server->peer_load, now_ms)
-           + (server->running_share + front_peer_load_running (&server->peer_load, now_ms))
+           + (server->running_weight + front_peer_load_running (&server->peer_load, now_ms))
                  * MODEL_RUNNING_MS
            + queued * QUEUED_MS;
   return (double)server->running / slots * SERVICE_RUNNING_MS + queued * QUEUED_MS;
--- a/src/front_pick.h
+++ b/src/front_pick.h
@@ -17,14 +17,13 @@
   const char *service;
   const char *version; /**< NULL: any */
   const FrontCall *call;
-  uint64_t model;       /**< hash of the model's name */
-  double running_share; /**< what one running request of the model adds to the time per token of all
-                           others; 1 for a middle-sized model */
-  ReadTime read_time;   /**< reading speed of that model */
-  int64_t objective_ms; /**< within which the answer should begin */
-  unsigned slots;       /**< of a server whose entry gives none; 0: default */
-  bool is_model;        /**< a model engine, not a plain service */
-  ColdRule cold;        /**< limit for cold servers of the service */
+  uint64_t model;          /**< hash of the model's name */
+  double running_weight;   /**< of a running request of the model (front_speeds_weight) */
+  ReadTime read_time;      /**< reading speed of that model */
+  int64_t objective_ms;    /**< within which the answer should begin */
+  unsigned slots;          /**< of a server whose entry gives none; 0: default */
+  bool is_model;           /**< a model engine, not a plain service */
+  ColdRule cold;           /**< limit for cold servers of the service */
   int64_t affinity_tokens; /**< tokens of the prompt's shared parts that are requested often enough
                               for all fronts of the failure domain to agree on a server that keeps
                               them cached */
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -44,8 +44,8 @@
   double predicted_ms;   /* from the start of the attempt until the answer begins */
   double prompt_ms;      /* part of predicted_ms spent reading the prompt */
   int64_t prompt_tokens; /* prompt tokens that the server had to read, as far as known */
-  double running_share;  /* what it adds to the server's running_share */
-  double pending_ms;     /* what it adds to the server's pending_ms */
+  double running_weight; /* what the attempt adds to the server's running_weight */
+  double pending_ms;     /* what the attempt adds to the server's pending_ms */
   int64_t sent_ms;       /* start of the current attempt */
   int64_t event_ms;      /* time of its last event */
   int64_t relayed_ms;    /* time of the last event relayed on any attempt; 0: none */
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -102,7 +102,7 @@
     .version = version,
     .call = &request->call,
     .model = hash,
-    .running_share = front_speeds_share (&time),
+    .running_weight = front_speeds_weight (&time),
     .read_time = time,
     .objective_ms = request->route->objective_ms,
     .slots = service ? service->slots : 0,
@@ -181,12 +181,12 @@
   request->relaying = false;
   if (!query->is_model)
     return;
-  request->running_share = query->running_share;
-  pick->server->running_share += query->running_share;
+  request->running_weight = query->running_weight;
+  pick->server->running_weight += query->running_weight;
   front_prompts_sent (&pick->server->prompts, &request->call, query->model, now_ms);
   front_prompts_requested (&request->front->caller_prompts, &request->call, query->model, now_ms);
-  front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms, query->running_share,
-                         now_ms);
+  front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms,
+                         query->running_weight, now_ms);
 }
 
 static bool
@@ -291,8 +291,8 @@
   if (request->server)
     {
       pending_clear (request);
-      request->server->running_share -= request->running_share;
-      request->running_share = 0;
+      request->server->running_weight -= request->running_weight;
+      request->running_weight = 0;
       front_server_unref (request->server);
     }
   if (request->attempt)
--- a/src/front_server.h
+++ b/src/front_server.h
@@ -49,10 +49,10 @@
   unsigned running;    /**< our requests in progress there */
   double pending_ms;   /**< predicted reading of the prompts that we sent and whose answers have not
                           begun */
-  double running_share;    /**< of running, those at model engines, weighted by model */
+  double running_weight;   /**< like running, but requests to models only, weighted by model */
   FrontPeerLoad peer_load; /**< load by other fronts */
   double unreported_ms; /**< reading that we sent there and have not reported to other fronts yet */
-  double unreported_share; /**< running requests, likewise */
+  double unreported_weight; /**< running requests, likewise */
   FrontHealth health;
   FrontPrompts prompts;
 } FrontServer;
--- a/src/front_speeds.c
+++ b/src/front_speeds.c
@@ -100,7 +100,7 @@
 }
 
 double
-front_speeds_share (const ReadTime *time)
+front_speeds_weight (const ReadTime *time)
 {
   return time->ms_per_token * PRIOR_TOKENS_PER_MS;
 }
--- a/src/front_speeds.h
+++ b/src/front_speeds.h
@@ -52,10 +52,10 @@
 ReadTime front_speeds_prior (unsigned rank, unsigned models);
 /** Reading time of a model as learned so far; the prior if nothing is known of it. */
 ReadTime front_speeds_of (const FrontSpeeds *speeds, uint64_t model, const ReadTime *prior);
-/** What a running request of a model with that time adds to the time per token of all others at its
- *  server; 1 for a middle-sized model. A model that reads slowly also generates its output
- *  slowly. */
-double front_speeds_share (const ReadTime *time);
+/** Weight of a running request of a model with that time: what it adds to the time per token of all
+ *  others at its server; 1 for a middle-sized model. A model that reads slowly also generates its
+ * output slowly. */
+double front_speeds_weight (const ReadTime *time);
 /** Milliseconds from an idle engine's acceptance to its first event, without reading. */
 double front_speeds_first_ms (const FrontSpeeds *speeds);
 /** Learns from an answer. Impossible values are ignored, and an outlier has little effect. */
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -138,9 +138,9 @@
       CU_ASSERT (front_servers_set (servers, &entry, NOW, &changed));
     }
   near = front_servers_find (servers, "s0");
-  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_share (&small), NOW);
+  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_weight (&small), NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW).server->entry.id, "s0");
-  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_share (&large), NOW);
+  front_peer_load_add (&near->peer_load, 0, 10 * front_speeds_weight (&large), NOW);
   CU_ASSERT_STRING_EQUAL (front_pick (servers, &query, NOW).server->entry.id, "s1");
   front_servers_free (servers);
 }
