--- a/src/front_rollouts.c
+++ b/src/front_rollouts.c
@@ -104,10 +104,10 @@
 }
 
 bool
-front_rollouts_order (FrontRollouts *rollouts,
-                      FrontServers *servers,
-                      const RolloutOrder *order,
-                      int64_t now_ms)
+front_rollouts_apply_order (FrontRollouts *rollouts,
+                            FrontServers *servers,
+                            const RolloutOrder *order,
+                            int64_t now_ms)
 {
   FrontRollout *rollout = front_rollouts_get (rollouts, order->service);
 
@@ -140,11 +140,11 @@
 }
 
 bool
-front_rollouts_status (FrontRollout *rollout,
-                       const char *target,
-                       FrontRolloutState state,
-                       int64_t row_version,
-                       int64_t started_ms)
+front_rollouts_apply_status (FrontRollout *rollout,
+                             const char *target,
+                             FrontRolloutState state,
+                             int64_t row_version,
+                             int64_t started_ms)
 {
   bool changed;
 
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -84,19 +84,19 @@
 
 /** Applies an order that was read; false if it is not newer. servers gives the size of the
  *  service. */
-bool front_rollouts_order (FrontRollouts *rollouts,
-                           FrontServers *servers,
-                           const RolloutOrder *order,
-                           int64_t now_ms);
+bool front_rollouts_apply_order (FrontRollouts *rollouts,
+                                 FrontServers *servers,
+                                 const RolloutOrder *order,
+                                 int64_t now_ms);
 /** The order's row was removed. */
 void front_rollouts_order_removed (FrontRollouts *rollouts, const char *service);
 /** Applies a status that was read or written here, or received from another front. A status older
  *  than the order belongs to an earlier order. started_ms 0: unknown. True if the state changes. */
-bool front_rollouts_status (FrontRollout *rollout,
-                            const char *target,
-                            FrontRolloutState state,
-                            int64_t row_version,
-                            int64_t started_ms);
+bool front_rollouts_apply_status (FrontRollout *rollout,
+                                  const char *target,
+                                  FrontRolloutState state,
+                                  int64_t row_version,
+                                  int64_t started_ms);
 /** Sets missing base versions to the one that most servers have; called once the whole list is
  *  known. */
 void front_rollouts_find_base (FrontRollouts *rollouts, FrontServers *servers);
--- a/src/front_store_apply.c
+++ b/src/front_store_apply.c
@@ -55,7 +55,7 @@
     }
   if (!wire_rollout_decode ((Span){ .text = row->value, .len = row->value_len }, row->version,
                             &order)
-      || !front_rollouts_order (front->rollouts, front->servers, &order, clock_boot_ms ()))
+      || !front_rollouts_apply_order (front->rollouts, front->servers, &order, clock_boot_ms ()))
     return;
   line = front_log_begin (FRONT_EVENT_ORDER);
   front_log_text (line, "service", order.service);
@@ -169,7 +169,7 @@
     started_ms -= store->clock_offset_ms;
   else
     started_ms = 0;
-  if (front_rollouts_status (rollout, target, state, row->version, started_ms))
+  if (front_rollouts_apply_status (rollout, target, state, row->version, started_ms))
     {
       FrontLine *line = front_log_begin (FRONT_EVENT_ROLLOUT);
 
--- a/src/front_store_write.c
+++ b/src/front_store_write.c
@@ -75,8 +75,8 @@
       if (store->registering && status == STORE_HTTP_OK)
         front_peers_set_registered (store->front->peers);
       else if (status == STORE_HTTP_OK && store->writing)
-        front_rollouts_status (store->writing, store->writing->order.target, store->writing_state,
-                               answer.version, 0);
+        front_rollouts_apply_status (store->writing, store->writing->order.target,
+                                     store->writing_state, answer.version, 0);
       else if (store->writing) /* another front wrote first; the answer contains its row */
         front_table_apply_changes (&store->watches[STORE_STATUS].table,
                                    &(StoreAnswer){ .count = answer.count, .rows = answer.rows },
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -54,7 +54,7 @@
     .service = "drafts", .target = "v2", .duration_ms = DURATION_MS, .row_version = row_version
   };
 
-  CU_ASSERT (front_rollouts_order (rollouts, servers, &text, now_ms));
+  CU_ASSERT (front_rollouts_apply_order (rollouts, servers, &text, now_ms));
 }
 
 static const char *
@@ -314,7 +314,7 @@
   add_answers (&rollout->evidence, 0, 0, 100, false);
   front_rollout_update_verdict (rollout, NOW + 1000);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_RUNNING);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, 0) == false);
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, 0) == false);
   front_rollout_update_verdict (rollout, NOW + 17000);
   CU_ASSERT (!rollout->has_verdict);
   front_rollout_merge (rollout, &update);
@@ -327,7 +327,7 @@
   front_rollout_update_verdict (rollout, NOW + 19500);
   CU_ASSERT (rollout->has_verdict);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_COMPLETED, 12, 0));
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_COMPLETED, 12, 0));
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW + 19600), "v2");
 }
 
@@ -380,11 +380,11 @@
   setup ();
   add ("c", "v2");
   order (10, NOW);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
   order (20, NOW + 30000);
-  CU_ASSERT (!front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
+  CU_ASSERT (!front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
   CU_ASSERT (front_rollout_is_running (rollout));
-  CU_ASSERT (!front_rollouts_status (rollout, "v3", FRONT_ROLLOUT_ROLLED_BACK, 22, 0));
+  CU_ASSERT (!front_rollouts_apply_status (rollout, "v3", FRONT_ROLLOUT_ROLLED_BACK, 22, 0));
   CU_ASSERT (front_rollout_is_running (rollout));
 }
 
@@ -394,8 +394,8 @@
   setup ();
   add ("c", "v2");
   order (10, NOW);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
-  front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 13, 0);
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
+  front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 13, 0);
   CU_ASSERT_EQUAL (rollout->state, FRONT_ROLLOUT_ROLLED_BACK);
 }
 
@@ -407,7 +407,7 @@
   setup ();
   add ("c", "v2");
   order (10, NOW + 15000);
-  front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, NOW);
+  front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, NOW);
   CU_ASSERT (front_rollout_share (rollout, NOW + 18500) >= 1);
 }
 
@@ -464,7 +464,7 @@
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v2");
   /* A version that was rolled back is never used. */
   order (10, NOW);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 11, 0));
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 11, 0));
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "");
 }
 
