--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -21,7 +21,7 @@
   double wait_cost_per_s;   /**< cost units per second of waiting for the first token */
   double mix_shortfall_max; /**< a plan that misses the target by at most this may be mixed with a
                                better one */
-  double explore_share;     /**< largest share of requests that try a little rated version first */
+  double explore_share; /**< largest share of requests that try a version with few ratings first */
   double evidence_weight_min; /**< ratings below which a version has little evidence */
   unsigned stages_max;
   double tokens; /**< assumed tokens of an answer before any was observed */
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -97,7 +97,7 @@
 /** The ratio of observed to prior failures of this class, averaged over its versions with enough
  *  ratings; 1 if there are none. A class that proves easy for one version is easy for the others
  *  too. Without this ratio a version's prior would be compared with the observed rating of another,
- *  which might then look better for good. */
+ *  and a version that looks worse by its prior might never be tried. */
 static double
 class_failure_ratio (const Keys *keys, const Forecast *forecast, const Estimate *all)
 {
--- a/src/choose_forecast.h
+++ b/src/choose_forecast.h
@@ -1,5 +1,6 @@
 /**
- * Forecasts a cascade's expected cost, time and quality; private to choose_cascade.c.
+ * Forecasts a cascade's expected cost, time and quality; private to choose_cascade.c and
+ * choose_search.c.
  */
 #ifndef CHOOSE_FORECAST_H
 #define CHOOSE_FORECAST_H
@@ -24,7 +25,7 @@
   unsigned version;
   double cost;
   double ms;
-  double ms_high;                          /**< ms and one standard deviation */
+  double ms_high;                          /**< ms plus one standard deviation */
   ForecastRating first;                    /**< rating as the first stage */
   ForecastRating after[CHOOSE_STAGES_MAX]; /**< rating after another stage's answer failed, by that
                                               stage's index in Forecast.stages */
--- a/src/choose_index.h
+++ b/src/choose_index.h
@@ -25,9 +25,9 @@
   bool *watched; /**< whether the server is in at least one list, by server index */
 } ServerIndex;
 
-/** vm_hash is a stable hash of this VM's name; failure_domain is this VM's. Of a version with more
- *  than subset servers a third are taken from the own failure domain if it has as many, and the
- *  rest from the other failure domains in turn. */
+/** vm_hash is a stable hash of this VM's name; failure_domain is this VM's. If a version or
+ *  service has more than subset servers, a third of the subset is taken from the own failure
+ *  domain, if it has as many, and the rest from the other failure domains in turn. */
 ServerIndex *server_index_new (const Config *config,
                                uint64_t vm_hash,
                                const char *failure_domain,
--- a/src/choose_limit.c
+++ b/src/choose_limit.c
@@ -90,7 +90,7 @@
   limit_shares_set_view (&limiter->shares, members, rank, now_ms);
 }
 
-/** Retry-after time for a client refused by a team limit: while the view is unsettled, the time
+/** Retry-after time for a caller refused by a team limit: while the view is unsettled, the time
  *  until it is settled. */
 static int64_t
 limit_retry_after_ms (Limiter *limiter, int64_t now_ms)
@@ -168,11 +168,11 @@
  *  requests arrive independently. For a team that exceeds its long-term mean only the
  *  best_effort_share of the capacity counts. */
 static bool
-others_probably_need (Limiter *limiter,
-                      const LimitQuery *query,
-                      const LimitTeam *team,
-                      double share,
-                      bool within_long_mean)
+needed_by_others (Limiter *limiter,
+                  const LimitQuery *query,
+                  const LimitTeam *team,
+                  double share,
+                  bool within_long_mean)
 {
   double expected = (double)atomic_load (&limiter->expected) / FIXED_POINT_SCALE;
   double others = fmax (0, expected - fmin (team->recent_mean, share));
@@ -201,7 +201,7 @@
     return verdict;
   if (query->deadline_ms == 0 && busy >= query->capacity * limiter->settings.best_effort_share)
     return verdict;
-  if (beyond && others_probably_need (limiter, query, team, share, within_long_mean))
+  if (beyond && needed_by_others (limiter, query, team, share, within_long_mean))
     return verdict;
   verdict = make_verdict (REASON_NONE, 0);
   verdict.beyond_fair_share = beyond && !within_long_mean;
--- a/src/choose_limit.h
+++ b/src/choose_limit.h
@@ -16,7 +16,7 @@
   double best_effort_share; /**< share of the capacity beyond which requests without a deadline are
                                refused */
   double burst_s;           /**< size of a team's token bucket, in seconds of its token rate */
-  int64_t retry_after_ms;   /**< sent to refused clients when no better estimate is known */
+  int64_t retry_after_ms;   /**< sent to refused callers when no better estimate is known */
 } LimitSettings;
 
 extern const LimitSettings limit_settings_default;
--- a/src/choose_limit_share.h
+++ b/src/choose_limit_share.h
@@ -16,6 +16,7 @@
 } LimitPosition;
 
 #define LIMIT_POSITIONS_MAX 16 /**< former positions kept */
+
 /** The shares of gates that have different views never add up to more than the limit: each gate
  *  applies the smallest of its shares in the newest view and in those that it held within the last
  *  settle_ms. A gate that holds a grant has received each view in less time than that. So at any
--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -175,7 +175,7 @@
 }
 
 /** A request is assumed to be the cause if enough different servers died while running it, if it
- * was in flight at more of the deaths around them than it was not, and if no other request was in
+ *  was in flight at more of the deaths around them than it was not, and if no other request was in
  *  flight at as many. In an outage of a whole pool servers die while running many requests, none of
  *  which was in flight at most of the deaths. */
 static bool
@@ -219,7 +219,7 @@
 }
 
 /** Releases fingerprints that, by the deaths known now, are no longer the likely cause: the first
- * two servers of a pool that dies one by one look like two killed by a request. */
+ *  two servers of a pool that dies one by one look like two killed by a request. */
 static void
 review_entries (Quarantine *quarantine, int64_t now_ms)
 {
--- a/src/choose_retry.c
+++ b/src/choose_retry.c
@@ -116,11 +116,11 @@
   pthread_mutex_unlock (&budget->lock);
 }
 
-/** Retry-after time for a client whose request fails. Clients that all send again after the same
- *  short time make retries outside the budget, and keep a pool overloaded just as the gates' own
- * retries would; so the time grows with the share of recent requests that failed. */
+/** Retry-after time for a caller whose request fails. Callers' retries are outside the budget, and
+ *  if all came after the same short time they would keep a pool overloaded, just as the gates' own
+ *  retries would; so the time grows with the share of recent requests that failed. */
 static int64_t
-client_retry_after_ms (RetryBudget *budget, int64_t now_ms)
+caller_retry_after_ms (RetryBudget *budget, int64_t now_ms)
 {
   const RetrySettings *settings = &budget->settings;
   double share;
@@ -163,17 +163,17 @@
   return RETRY_NOW;
 }
 
-/** A client gets a retry-after time at once, unless its request may have run and must not be sent
- *  again, or its deadline is past. */
+/** An answer without a retry has a retry-after time unless the request may have run and must not be
+ *  sent again, or could not finish before its deadline. */
 static RetryAnswer
-answer (RetryBudget *budget, const RetryQuery *query, RetryVerdict verdict)
+make_answer (RetryBudget *budget, const RetryQuery *query, RetryVerdict verdict)
 {
   bool useful
       = verdict == RETRY_ATTEMPTS || verdict == RETRY_NO_SERVER || verdict == RETRY_NO_BUDGET;
 
   return (RetryAnswer){
     .verdict = verdict,
-    .retry_after_ms = useful ? client_retry_after_ms (budget, query->now_ms) : 0,
+    .retry_after_ms = useful ? caller_retry_after_ms (budget, query->now_ms) : 0,
   };
 }
 
@@ -184,14 +184,14 @@
 
   if (verdict == RETRY_NOW && !budget_take (budget))
     verdict = RETRY_NO_BUDGET;
-  return answer (budget, query, verdict);
+  return make_answer (budget, query, verdict);
 }
 
 /** Baseline: retries whatever may be retried, without a budget. */
 static RetryAnswer
 decide_always (RetryBudget *budget, const RetryQuery *query)
 {
-  return answer (budget, query, retry_forbidden (budget, query));
+  return make_answer (budget, query, retry_forbidden (budget, query));
 }
 
 /** Baseline: never retries. */
@@ -200,5 +200,5 @@
 {
   RetryVerdict verdict = retry_forbidden (budget, query);
 
-  return answer (budget, query, verdict == RETRY_NOW ? RETRY_ATTEMPTS : verdict);
+  return make_answer (budget, query, verdict == RETRY_NOW ? RETRY_ATTEMPTS : verdict);
 }
--- a/src/choose_retry.h
+++ b/src/choose_retry.h
@@ -27,7 +27,7 @@
   double fraction;            /**< retries earned by each first attempt */
   double burst;               /**< most retries that the budget holds */
   unsigned attempts_max;      /**< attempts of one stage, the first included */
-  int64_t retry_after_min_ms; /**< sent to a client whose request fails, when few requests fail */
+  int64_t retry_after_min_ms; /**< sent to a caller whose request fails, when few requests fail */
   int64_t retry_after_max_ms; /**< the same, when nearly all requests fail */
   int64_t half_life_ms;       /**< of the counts of first attempts and failed requests */
 } RetrySettings;
@@ -54,7 +54,7 @@
 typedef struct
 {
   RetryVerdict verdict;
-  int64_t retry_after_ms; /**< for the client, without a retry; 0: sending again would not help */
+  int64_t retry_after_ms; /**< for the caller, without a retry; 0: sending again would not help */
 } RetryAnswer;
 
 typedef struct
--- a/src/choose_rollout.c
+++ b/src/choose_rollout.c
@@ -204,9 +204,9 @@
   if (!rollout_control_is_live (&test->control, evidence->answers))
     counted.slow = 0;
   old = rollout_control_expected (&test->control, evidence);
-  add_alarms (&old, &test->all, &counted, old.pooled_error);
+  add_alarms (&old, &test->all, &counted, old.pooled_standard_error);
   if (evidence->team < test->teams)
-    add_alarms (&old, &test->team_alarms[evidence->team], &counted, old.error);
+    add_alarms (&old, &test->team_alarms[evidence->team], &counted, old.standard_error);
   for (metric = 0; metric < METRICS; metric++)
     test->pass_evidence[metric]
         -= metric_ratio (&old, (Metric)metric, &counted, stage_tolerance (test), 0);
--- a/src/choose_rollout_control.c
+++ b/src/choose_rollout_control.c
@@ -107,8 +107,8 @@
     .slow_rate = cautious_rate (sums->slow, sums->answers, prior->slow_rate),
     .mean = mean,
     .variance = variance,
-    .error = sqrt (variance / total),
-    .pooled_error = sqrt (variance / total),
+    .standard_error = sqrt (variance / total),
+    .pooled_standard_error = sqrt (variance / total),
   };
 }
 
@@ -126,6 +126,6 @@
   const RolloutSums *own = team_sums (control, evidence);
   RolloutExpected out = own != NULL ? expected_of (own, &pooled) : pooled;
 
-  out.pooled_error = pooled.error;
+  out.pooled_standard_error = pooled.standard_error;
   return out;
 }
--- a/src/choose_rollout_control.h
+++ b/src/choose_rollout_control.h
@@ -29,10 +29,10 @@
 typedef struct
 {
   double error_rate, slow_rate;
-  double mean;         /**< mean rating */
-  double variance;     /**< variance of one rating */
-  double error;        /**< standard error of mean */
-  double pooled_error; /**< standard error of the mean over all teams */
+  double mean;                  /**< mean rating */
+  double variance;              /**< variance of one rating */
+  double standard_error;        /**< of mean */
+  double pooled_standard_error; /**< of the mean over all teams */
 } RolloutExpected;
 
 void rollout_control_init (RolloutControl *control, size_t teams, double weight_max);
--- a/src/choose_search.c
+++ b/src/choose_search.c
@@ -4,6 +4,7 @@
 
 #define RANDOM_STEPS           65536 /**< resolution of random shares */
 #define FULL_SEARCH_STAGES_MAX 5     /**< with more candidates plans have at most two stages */
+
 /** Lower confidence bound of a plan's quality. */
 static double
 quality_lower_bound (const Search *search, const ForecastPlan *plan)
--- a/src/choose_search.h
+++ b/src/choose_search.h
@@ -33,8 +33,8 @@
  *  or the target. */
 ForecastPlan search_result (const Search *search, ChoosePlan *plan);
 /** Looks for a version with little evidence that, tried before the plan found, would make it
- * cheaper if the version's pass rate were at its upper confidence bound. Its answer is rated, so
- * only cost and time are risked. Returns the new plan's mask, or 0. */
+ *  cheaper if the version's pass rate were at its upper confidence bound. Its answer is rated, so
+ *  only cost and time are risked. Returns the new plan's mask, or 0. */
 unsigned
 search_explore (const CascadeQuery *query, const Forecast *forecast, const ForecastPlan *found);
 /** True for at most a share explore_share of the requests, selected by their random bits. */
--- a/src/front_pick.h
+++ b/src/front_pick.h
@@ -19,7 +19,7 @@
   const FrontCall *call;
   uint64_t model;          /**< hash of the model's name */
   double running_weight;   /**< of a running request of the model (front_speeds_weight) */
-  ReadTime read_time;      /**< reading speed of that model */
+  ReadTime read_time;      /**< reading time with that model */
   int64_t objective_ms;    /**< within which the answer should begin */
   unsigned slots;          /**< of a server whose entry gives none; 0: default */
   bool is_model;           /**< a model engine, not a plain service */
--- a/src/front_speeds.h
+++ b/src/front_speeds.h
@@ -54,7 +54,7 @@
 ReadTime front_speeds_of (const FrontSpeeds *speeds, uint64_t model, const ReadTime *prior);
 /** Weight of a running request of a model with that time: what it adds to the time per token of all
  *  others at its server; 1 for a middle-sized model. A model that reads slowly also generates its
- * output slowly. */
+ *  output slowly. */
 double front_speeds_weight (const ReadTime *time);
 /** Milliseconds from an idle engine's acceptance to its first event, without reading. */
 double front_speeds_first_ms (const FrontSpeeds *speeds);
--- a/tests/test_choose_cascade.c
+++ b/tests/test_choose_cascade.c
@@ -150,7 +150,7 @@
 
 /* The class is easier than its priors say: the cheap version passes 9 in 10, more than the prior of
    the next version. Compared with that prior, the next version would seem to pass none of the rest
-   and never be tried, and the most expensive one would be used for ever. */
+   and never be tried, and the most expensive one would always be used. */
 static void
 test_easy_class_does_not_hide_next_version (void)
 {
@@ -377,8 +377,8 @@
     { "own_ratings_outweigh_the_mean_of_teams", test_own_ratings_outweigh_the_mean_of_teams },
     { "estimates_decay_and_are_bounded", test_estimates_decay_and_are_bounded },
     { "single_stage_without_ratings", test_single_stage_without_ratings },
-    { "deadline", test_plans_finish_by_the_deadline },
-    { "target_unreachable", test_unreachable_target_is_refused },
+    { "plans_finish_by_the_deadline", test_plans_finish_by_the_deadline },
+    { "unreachable_target_is_refused", test_unreachable_target_is_refused },
     { "at_most_once_gets_one_stage", test_at_most_once_gets_one_stage },
     { "exploration_is_bounded", test_exploration_is_bounded },
     { "baseline_policies", test_baseline_policies },
--- a/tests/test_choose_limit.c
+++ b/tests/test_choose_limit.c
@@ -369,7 +369,7 @@
 {
   static const SuiteCase cases[] = {
     { "concurrent_requests_are_limited", test_concurrent_requests_are_limited },
-    { "tokens", test_token_rate_is_limited },
+    { "token_rate_is_limited", test_token_rate_is_limited },
     { "shares_add_up_to_the_limit", test_shares_add_up_to_the_limit },
     { "share_of_zero_refuses_with_retry_after", test_share_of_zero_refuses_with_retry_after },
     { "limit_holds_across_views", test_limit_holds_across_views },
--- a/tests/test_choose_load.c
+++ b/tests/test_choose_load.c
@@ -4,8 +4,7 @@
 
 /* A report arrives 5 s late, and the gate has sent 40 requests since it was taken. If the gate
    assumed that the report counts them, it would see an idle server and send the next 40 there as
-   well.
-   */
+   well. */
 static void
 test_late_report_is_compared_at_its_own_time (void)
 {
@@ -31,7 +30,7 @@
 }
 
 /* After a server's clock is set back its reports seem to be very late. They must not be compared
-   with the gate's requests of that earlier time for ever. */
+   with the gate's requests of that earlier time from then on. */
 static void
 test_offset_is_measured_anew_if_clock_is_set_back (void)
 {
--- a/tests/test_choose_plan.c
+++ b/tests/test_choose_plan.c
@@ -350,7 +350,7 @@
     { "reason_names_are_distinct", test_reason_names_are_distinct },
     { "plan_of_model_or_class", test_plan_of_model_or_class },
     { "requests_that_get_no_plan", test_requests_that_get_no_plan },
-    { "brakes", test_braked_versions_are_excluded },
+    { "braked_versions_are_excluded", test_braked_versions_are_excluded },
     { "at_most_once_has_one_stage", test_at_most_once_has_one_stage },
     { "rollout_only_adds_callers", test_rollout_only_adds_callers },
     { "rollout_state_selects_version", test_rollout_state_selects_version },
--- a/tests/test_choose_retry.c
+++ b/tests/test_choose_retry.c
@@ -68,9 +68,9 @@
   retry_budget_free (budget);
 }
 
-/* After a burst every failed client sends again after two seconds, up to three times, which keeps
-   the pool overloaded though the gates' own retries are bounded. The retry-after time must grow
-   while most requests fail, and fall afterwards. */
+/* After a burst every caller whose request failed sends it again after two seconds, up to three
+   times, which keeps the pool overloaded though the gates' own retries are bounded. The retry-after
+   time must grow while most requests fail, and fall afterwards. */
 static void
 test_retry_after_grows_with_failures (void)
 {
--- a/tests/test_choose_rollout.c
+++ b/tests/test_choose_rollout.c
@@ -44,9 +44,9 @@
   unsigned done;             /**< number of seeds in which three stages were passed */
 } Outcome;
 
-/** Runs a roll-out for each seed: from batch first_bad_batch on the new version behaves like
- * new_behaviour, for one team or, if team is negative, for all; before that it behaves like the old
- * version. */
+/** Runs a roll-out for each seed: from batch first_bad_batch on, the new version behaves like
+ *  new_behaviour, for one team or, if team is negative, for all; before that, like the old version.
+ */
 static Outcome
 run (const char *policy_name, const Behaviour *new_behaviour, int team, unsigned first_bad_batch)
 {
--- a/tests/test_front_budget.c
+++ b/tests/test_front_budget.c
@@ -26,8 +26,8 @@
 }
 
 /* Cascades must leave budget for retries. Half of all answers go to a larger model, in bursts, when
- * an engine stops answering: without a reserve its streams have no budget to resume elsewhere, and
- * entire answers are cut off. */
+ * an engine stops answering: without a reserve its streams would have no budget to resume elsewhere
+ * and would be cut off. */
 static void
 test_cascades_leave_budget_for_retries (void)
 {
@@ -103,8 +103,8 @@
   return true;
 }
 
-/* Engines fail most requests while fronts are killed and restarted, each without memory of what it
- * sent. Over all fronts no window may hold more retries than the limit, or the retries alone keep
+/* Engines fail most requests while fronts are killed and restarted, which resets their counts. Over
+ * all fronts no window may hold more retries than the limit, or the retries alone keep
  * the engines down. Load: 160 requests per second over six fronts, with two retries attempted for
  * each, and a front restarted every two seconds. */
 static void
--- a/tests/test_front_cascade.c
+++ b/tests/test_front_cascade.c
@@ -70,7 +70,7 @@
  * objective lowers the threshold by 40 of 100, so that only answers that are almost certainly poor
  * are replaced. */
 static void
-test_burst (void)
+test_long_wait_lowers_threshold (void)
 {
   CU_ASSERT (escalates (20, URGENT, 500, 100));
   CU_ASSERT (!escalates (20, URGENT, 750, 100));
@@ -80,9 +80,8 @@
 
 /* Load: a burst of four times the normal rate over 68 fronts, each of which sees too little of it
  * to predict the engines' queues. All answers begin later than predicted; with a lag of a quarter
- * of the objective, hardly anything goes to the largest model. In build/bench_front, the share of
- * that day's possible earnings, less the price of models, was 0.53 without this and 0.74 with
- * it. */
+ * of the objective, no answer may be replaced. In build/bench_front, such a day earned 0.74 of what
+ * was possible, less the price of models, and 0.53 without this rule. */
 static void
 test_lag_lowers_threshold (void)
 {
@@ -97,7 +96,7 @@
 }
 
 /* Load: long prompts queued behind others, so that the smallest model's answer itself begins late.
- * Reading the prompt a second time would miss the objective, and a late answer earns less than a
+ * Reading the prompt a second time would miss the objective, and a late answer is worth less than a
  * doubtful one. */
 static void
 test_no_escalation_when_late (void)
@@ -145,7 +144,7 @@
 static const SuiteCase cases[] = {
   { "low_confidence_escalates", test_low_confidence_escalates },
   { "least_urgent_escalates_less", test_least_urgent_escalates_less },
-  { "burst", test_burst },
+  { "long_wait_lowers_threshold", test_long_wait_lowers_threshold },
   { "lag_lowers_threshold", test_lag_lowers_threshold },
   { "no_escalation_when_late", test_no_escalation_when_late },
   { "middle_model_by_confidence", test_middle_model_by_confidence },
--- a/tests/test_front_lag.c
+++ b/tests/test_front_lag.c
@@ -9,7 +9,7 @@
  * that the queue has grown by a second. Over all of them it must measure two fifths of that lag
  * after these 15 answers, and nearly all of that must have decayed 4 s later. */
 static void
-test_burst (void)
+test_queue_growth_is_measured_and_decays (void)
 {
   FrontLag lag = { 0 };
 
@@ -32,7 +32,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "burst", test_burst },
+  { "queue_growth_is_measured_and_decays", test_queue_growth_is_measured_and_decays },
   { "one_slow_engine_changes_little", test_one_slow_engine_changes_little },
 };
 
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -134,7 +134,7 @@
 }
 
 /* 17 fronts of a failure domain get requests about the same 131 contracts, each prompt with 4,870
- * tokens of the contract (by the data sheet of the enlarged site). Each front knows only its own
+ * tokens of the contract. Each front knows only its own
  * requests; if each chose by these alone, every engine would read every contract. */
 static void
 test_fronts_agree_on_shared_prompts (void)
@@ -256,9 +256,9 @@
 
 /* Each of 50 fronts of a failure domain sees a fiftieth of what its 27 servers get, so that at any
  * moment some of them seems to have 20 ms more queued than one elsewhere. With a cost of 10 ms for
- * other domains, 40% of short questions left their domain, for callers who accept two seconds. The
- * cost is 0.02 of the 2,000 and 3,000 ms that callers of model engines accept; callers of plain
- * services, at 150 ms, gain by a server that is 15 ms faster. */
+ * other domains, 40% of short questions would leave their domain, although their objective is two
+ * seconds. The cost is 0.02 of the objectives of models, 2,000 and 3,000 ms; with the objective of
+ * plain services, 150 ms, a server that is 15 ms faster is worth it. */
 static void
 test_crosses_domains_only_for_gain (void)
 {
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -50,11 +50,11 @@
 static void
 order (int64_t row_version, int64_t now_ms)
 {
-  RolloutOrder text = {
+  RolloutOrder new_order = {
     .service = "drafts", .target = "v2", .duration_ms = DURATION_MS, .row_version = row_version
   };
 
-  CU_ASSERT (front_rollouts_apply_order (rollouts, servers, &text, now_ms));
+  CU_ASSERT (front_rollouts_apply_order (rollouts, servers, &new_order, now_ms));
 }
 
 static const char *
@@ -107,7 +107,7 @@
 static void
 test_sessions_stay_on_old_version (void)
 {
-  SessionUpdate news[4];
+  SessionUpdate updates[4];
   unsigned count;
 
   setup ();
@@ -117,23 +117,23 @@
   run_request (9999, "v1", NOW - 1000);
   order (10, NOW);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
-  count = front_rollouts_held_sessions (rollouts, rollout, news, 4, NOW + 100);
+  count = front_rollouts_held_sessions (rollouts, rollout, updates, 4, NOW + 100);
   CU_ASSERT_EQUAL (count, 1);
-  CU_ASSERT_EQUAL (news[0].session, SESSION_IN_SHARE);
-  CU_ASSERT_EQUAL (news[0].age_ms, 1100);
+  CU_ASSERT_EQUAL (updates[0].session, SESSION_IN_SHARE);
+  CU_ASSERT_EQUAL (updates[0].age_ms, 1100);
 
   setup (); /* another front, which has not seen the session */
   add ("c", "v2");
   order (10, NOW);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 100), "v1");
-  front_rollouts_hold_session (rollouts, rollout, &news[0], NOW + 150);
+  front_rollouts_hold_session (rollouts, rollout, &updates[0], NOW + 150);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 7000), "v2");
 }
 
 /* Another front reports a session while its stream runs on the old version, and again after the
  * stream has ended, five seconds later. The session lasts from that end, so its next request
- * seconds later must stay on the old version. Counted from the first report, it moved. */
+ * seconds later must stay on the old version; counted from the first report, it would move. */
 static void
 test_session_expires_after_last_end (void)
 {
@@ -191,8 +191,8 @@
   CU_ASSERT (front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
 }
 
-/* Of a version that fails everything only one answer is known when its time is over, as the rest
- * hang on a dead path. It must not be completed. */
+/* A version fails all its requests, but only one answer is known when the roll-out's time is over,
+ * as the others were sent over a broken network path. It must not be completed. */
 static void
 test_only_answer_failed_is_bad (void)
 {
@@ -356,8 +356,8 @@
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
 }
 
-/* A peer was killed with requests on the old version; its last update must not delay the roll-out
- * beyond its time. */
+/* A peer was killed with requests on the old version; its last update must not keep the roll-out
+ * from being completed. */
 static void
 test_dead_peer_does_not_block_completion (void)
 {
@@ -431,8 +431,8 @@
   front_servers_set (servers, &entry, NOW, &changed);
 }
 
-/* A front restarts while servers of the version before last drain, and there are more of them than
- * of the version in use. The front took the draining version for the one in use, and after these
+/* A front restarts while servers of an earlier version drain, and there are more of them than of
+ * the version in use. The front took the draining version for the one in use, and after these
  * servers had ended it refused all requests for lack of a server (soak, seeds 2 and 1002). */
 static void
 test_base_ignores_draining_servers (void)
@@ -451,7 +451,8 @@
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v2");
 }
 
-/* The same front, where the old servers had not yet reported that they drain. */
+/* A front starts when most servers are of an earlier version, and have not reported yet that they
+ * drain. When they are removed, it must use the version of the remaining servers. */
 static void
 test_base_follows_remaining_servers (void)
 {
--- a/tests/test_front_server.c
+++ b/tests/test_front_server.c
@@ -21,9 +21,9 @@
   FAILED,
   FULL,
   UNREACHABLE,
-  EVACUATED,  /* its failure domain */
-  TAKEN_BACK, /* its evacuation ended */
-  NOTHING,    /* only time passes */
+  EVACUATED, /* its failure domain */
+  EVACUATION_ENDED,
+  NOTHING, /* only time passes */
 } Event;
 
 typedef struct
@@ -122,13 +122,13 @@
       { EVACUATED, 10, FRONT_SERVER_EVACUATED },
       { ANSWERED, 20, FRONT_SERVER_EVACUATED },
       { LISTED_COLD, 30, FRONT_SERVER_EVACUATED },
-      { TAKEN_BACK, 2000, FRONT_SERVER_READY } } },
+      { EVACUATION_ENDED, 2000, FRONT_SERVER_READY } } },
   { "is listed in an evacuated failure domain, and leaves there",
     4,
     { { EVACUATED, 0, FRONT_SERVER_GONE },
       { LISTED, 10, FRONT_SERVER_EVACUATED },
       { DRAINS, 20, FRONT_SERVER_LEAVING },
-      { TAKEN_BACK, 30, FRONT_SERVER_LEAVING } } },
+      { EVACUATION_ENDED, 30, FRONT_SERVER_LEAVING } } },
   { "is avoided and leaves",
     4,
     { { LISTED, 0, FRONT_SERVER_READY },
@@ -195,7 +195,7 @@
       front_health_unreachable (&server->health, now_ms);
       break;
     case EVACUATED:
-    case TAKEN_BACK:
+    case EVACUATION_ENDED:
       front_servers_evacuate (servers, "hall", event == EVACUATED, now_ms);
       break;
     case NOTHING:
@@ -337,21 +337,21 @@
 test_late_report_does_not_revive (void)
 {
   static const Report ready = { FIRST_START_MS + 1, false, false },
-                      drains = { FIRST_START_MS + 1, true, false }, gone = { .removed = true },
-                      again = { FIRST_START_MS + 2, false, false };
+                      drains = { FIRST_START_MS + 1, true, false }, removal = { .removed = true },
+                      second_start = { FIRST_START_MS + 2, false, false };
   FrontServers *servers = front_servers_new ("here");
 
   apply_report (servers, &ready, NOW);
-  apply_report (servers, &gone, NOW);
+  apply_report (servers, &removal, NOW);
   apply_report (servers, &ready, NOW); /* its entry had expired, and is back */
   CU_ASSERT_PTR_NOT_NULL (front_servers_find (servers, "a"));
   apply_report (servers, &drains, NOW);
-  apply_report (servers, &gone, NOW);
+  apply_report (servers, &removal, NOW);
   apply_report (servers, &ready, NOW);
   CU_ASSERT_PTR_NULL (front_servers_find (servers, "a"));
-  apply_report (servers, &again, NOW);
+  apply_report (servers, &second_start, NOW);
   CU_ASSERT_PTR_NOT_NULL (front_servers_find (servers, "a"));
-  apply_report (servers, &gone, NOW);
+  apply_report (servers, &removal, NOW);
   apply_report (servers, &drains, NOW);
   CU_ASSERT_PTR_NULL (front_servers_find (servers, "a"));
   front_servers_free (servers);
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -55,7 +55,7 @@
 }
 
 static void
-test_message (void)
+test_only_whole_messages_are_decoded (void)
 {
   WorkMessage message
       = { .incarnation = 5, .count = 2, .reports = { { 11, 250, 300 }, { 12, 30, 5 } } };
@@ -80,8 +80,8 @@
 /* Two fronts get a prompt of 20,000 tokens for the largest model within 50 ms. If each knew only
  * its own work, both would send it to the same server, where one is read behind the other, and
  * callers would see streams that stall for two seconds. With a report of the first, the second
- * front must take the next server; once the first prompt is read, the best one again. A front that
- * gets no reports chooses by its own load alone. */
+ * front must choose the next server; once the first prompt is read, the best one again. A front
+ * that gets no reports chooses by its own load alone. */
 static void
 test_second_long_prompt_goes_elsewhere (void)
 {
@@ -163,9 +163,8 @@
 }
 
 /* Load: the largest planned site, 60 fronts in a failure domain, each with 28 requests per second
- * for ten seconds to 24 servers. Bytes for reports must stay at 8,000 per second, and what couldn't
- * be reported at once must be reported later: at each server all reading but that of its last
- * second. */
+ * for ten seconds to 24 servers. Bytes for reports must stay at 8,000 per second, and more than
+ * half of the reading must be reported within the ten seconds. */
 static void
 test_message_rate_is_bounded (void)
 {
@@ -213,7 +212,7 @@
   { "pending_reading_drains", test_pending_reading_drains },
   { "running_requests_decay", test_running_requests_decay },
   { "invalid_load_is_clamped", test_invalid_load_is_clamped },
-  { "message", test_message },
+  { "only_whole_messages_are_decoded", test_only_whole_messages_are_decoded },
   { "second_long_prompt_goes_elsewhere", test_second_long_prompt_goes_elsewhere },
   { "running_requests_weighted_by_model", test_running_requests_weighted_by_model },
   { "message_rate_is_bounded", test_message_rate_is_bounded },
