--- a/tests/test_choose_cascade.c
+++ b/tests/test_choose_cascade.c
@@ -378,7 +378,7 @@
     { "estimates_decay_and_are_bounded", test_estimates_decay_and_are_bounded },
     { "single_stage_without_ratings", test_single_stage_without_ratings },
     { "plans_finish_by_the_deadline", test_plans_finish_by_the_deadline },
-    { "unreachable_target_is_refused", test_unreachable_target_is_refused },
+    { "target_unreachable", test_unreachable_target_is_refused },
     { "at_most_once_gets_one_stage", test_at_most_once_gets_one_stage },
     { "exploration_is_bounded", test_exploration_is_bounded },
     { "baseline_policies", test_baseline_policies },
--- a/tests/test_choose_quarantine.c
+++ b/tests/test_choose_quarantine.c
@@ -135,28 +135,28 @@
 static void
 test_deaths_reported_between_vms (void)
 {
-  QuarantineDeath reports[QUARANTINE_DEATHS_MAX];
+  QuarantineDeath news[QUARANTINE_DEATHS_MAX];
   Quarantine *other = quarantine_new (settings);
   size_t i, n;
 
   quarantine = quarantine_new (settings);
   add_death (1, CRASHER, 0, 1000);
-  n = quarantine_recent_deaths (quarantine, reports, QUARANTINE_DEATHS_MAX, 1500);
+  n = quarantine_recent_deaths (quarantine, news, QUARANTINE_DEATHS_MAX, 1500);
   CU_ASSERT_EQUAL (n, 1);
-  CU_ASSERT_EQUAL (reports[0].age_ms, 500);
+  CU_ASSERT_EQUAL (news[0].age_ms, 500);
   for (i = 0; i < 3; i++)
-    quarantine_add (other, &reports[0], 777000 + 100 * (int64_t)i);
+    quarantine_add (other, &news[0], 777000 + 100 * (int64_t)i);
   CU_ASSERT_FALSE (quarantine_contains (other, CRASHER, 777000));
   /* The same death observed by the other VM too, with another request in flight. */
-  reports[0] = death_of (1, 0x9001, 0);
-  quarantine_add (other, &reports[0], 777200);
-  reports[0] = death_of (2, CRASHER, 0);
-  quarantine_add (other, &reports[0], 780000);
+  news[0] = death_of (1, 0x9001, 0);
+  quarantine_add (other, &news[0], 777200);
+  news[0] = death_of (2, CRASHER, 0);
+  quarantine_add (other, &news[0], 780000);
   CU_ASSERT_TRUE (quarantine_contains (other, CRASHER, 780000));
-  n = quarantine_recent_deaths (other, reports, QUARANTINE_DEATHS_MAX, 780000);
+  n = quarantine_recent_deaths (other, news, QUARANTINE_DEATHS_MAX, 780000);
   CU_ASSERT_EQUAL (n, 2);
   for (i = 0; i < n; i++)
-    quarantine_add (quarantine, &reports[i], 4000);
+    quarantine_add (quarantine, &news[i], 4000);
   CU_ASSERT_TRUE (quarantine_contains (quarantine, CRASHER, 4000));
   quarantine_free (quarantine);
   quarantine_free (other);
@@ -167,7 +167,7 @@
 static void
 test_out_of_range_reports_and_full_table (void)
 {
-  QuarantineDeath reports[4];
+  QuarantineDeath news[4];
   QuarantineDeath huge = { .server = 5, .count = ~0U };
   QuarantineDeath none = { .server = 0, .count = 1 };
   QuarantineDeath old = { .server = 6, .age_ms = ~0U };
@@ -178,8 +178,8 @@
   quarantine_add (quarantine, &huge, 0);
   quarantine_add (quarantine, &none, 0);
   quarantine_add (quarantine, &old, 0);
-  CU_ASSERT_EQUAL (quarantine_recent_deaths (quarantine, reports, 4, 0), 1);
-  CU_ASSERT_EQUAL (reports[0].count, 1);
+  CU_ASSERT_EQUAL (quarantine_recent_deaths (quarantine, news, 4, 0), 1);
+  CU_ASSERT_EQUAL (news[0].count, 1);
   /* Three times as many crashing requests as are kept, far apart in time. */
   for (i = 0; i < 3UL * QUARANTINE_HELD_MAX; i++)
     {
@@ -196,7 +196,7 @@
 main (int argc, char **argv)
 {
   static const SuiteCase cases[] = {
-    { "fingerprint_is_of_team_and_body", test_fingerprint_is_of_team_and_body },
+    { "fingerprint", test_fingerprint_is_of_team_and_body },
     { "refused_after_two_servers", test_refused_after_two_servers },
     { "ambiguous_cause_is_not_refused", test_ambiguous_cause_is_not_refused },
     { "pool_outage_refuses_nothing", test_pool_outage_refuses_nothing },
--- a/tests/test_front_cold.c
+++ b/tests/test_front_cold.c
@@ -31,7 +31,7 @@
   { "a large site", 75, 225, { 75, 5, 300, false } },
   { "a large site, half counted", 75, 225, { 37, 5, 150, false } },
   { "a large site that has just started", 75, 225, { 5, 5, 20, true } },
-  { "a domain without messages from others", 75, 225, { 75, 5, 75, false } },
+  { "a domain that gets messages from nobody else", 75, 225, { 75, 5, 75, false } },
 };
 
 static ColdRule
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -107,7 +107,7 @@
 static void
 test_sessions_stay_on_old_version (void)
 {
-  SessionUpdate updates[4];
+  SessionUpdate news[4];
   unsigned count;
 
   setup ();
@@ -117,16 +117,16 @@
   run_request (9999, "v1", NOW - 1000);
   order (10, NOW);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
-  count = front_rollouts_held_sessions (rollouts, rollout, updates, 4, NOW + 100);
+  count = front_rollouts_held_sessions (rollouts, rollout, news, 4, NOW + 100);
   CU_ASSERT_EQUAL (count, 1);
-  CU_ASSERT_EQUAL (updates[0].session, SESSION_IN_SHARE);
-  CU_ASSERT_EQUAL (updates[0].age_ms, 1100);
+  CU_ASSERT_EQUAL (news[0].session, SESSION_IN_SHARE);
+  CU_ASSERT_EQUAL (news[0].age_ms, 1100);
 
   setup (); /* another front, which has not seen the session */
   add ("c", "v2");
   order (10, NOW);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 100), "v1");
-  front_rollouts_hold_session (rollouts, rollout, &updates[0], NOW + 150);
+  front_rollouts_hold_session (rollouts, rollout, &news[0], NOW + 150);
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 2000), "v1");
   CU_ASSERT_STRING_EQUAL (chosen (SESSION_IN_SHARE, NOW + 7000), "v2");
 }
