--- a/src/choose_cascade.c
+++ b/src/choose_cascade.c
@@ -23,8 +23,8 @@
   .explore_share = 0.02,
   .evidence_weight_min = 50,
   .stages_max = 3,
-  .tokens = 800,
-  .ms = 2000,
+  .default_tokens = 800,
+  .default_duration_ms = 2000,
 };
 
 const CascadePolicy cascade_policy_default = { .name = "learned", .plan = plan_learned };
--- a/src/choose_cascade.h
+++ b/src/choose_cascade.h
@@ -24,8 +24,8 @@
   double explore_share; /**< largest share of requests that try a version with few ratings first */
   double evidence_weight_min; /**< ratings below which a version has little evidence */
   unsigned stages_max;
-  double tokens; /**< assumed tokens of an answer before any was observed */
-  double ms;     /**< assumed time of an answer before any was observed */
+  double default_tokens;      /**< assumed tokens of an answer before any was observed */
+  double default_duration_ms; /**< assumed time of an answer before any was observed */
 } CascadeSettings;
 
 extern const CascadeSettings cascade_settings_default;
--- a/src/choose_estimate.c
+++ b/src/choose_estimate.c
@@ -17,10 +17,10 @@
 
 typedef struct
 {
-  uint64_t key;                                    /**< 0: free */
-  int64_t at_ms;                                   /**< time up to which the sums have decayed */
-  double weight, passes, pass_scores, fail_scores; /**< sums over ratings */
-  double runs, tokens, ms, ms_squares;             /**< sums over answers */
+  uint64_t key;                                       /**< 0: free */
+  int64_t at_ms;                                      /**< time up to which the sums have decayed */
+  double weight, passes, pass_scores, fail_scores;    /**< sums over ratings */
+  double runs, tokens, duration_ms, duration_squares; /**< sums over answers */
 } Cell;
 
 typedef struct
@@ -140,8 +140,8 @@
 {
   cell->runs *= factor;
   cell->tokens *= factor;
-  cell->ms *= factor;
-  cell->ms_squares *= factor;
+  cell->duration_ms *= factor;
+  cell->duration_squares *= factor;
 }
 
 static void
@@ -198,8 +198,8 @@
     cell_scale_runs (cell, (estimates->settings.weight_max - 1) / cell->runs);
   cell->runs += 1;
   cell->tokens += tokens;
-  cell->ms += ms;
-  cell->ms_squares += ms * ms;
+  cell->duration_ms += ms;
+  cell->duration_squares += ms * ms;
   pthread_mutex_unlock (&shard->lock);
 }
 
@@ -219,9 +219,9 @@
   if (cell->runs <= WEIGHT_MIN)
     return out;
   out.tokens = cell->tokens / cell->runs;
-  out.ms = cell->ms / cell->runs;
-  variance = cell->ms_squares / cell->runs - out.ms * out.ms;
-  out.ms_dev = variance > 0 ? sqrt (variance) : 0;
+  out.duration_ms = cell->duration_ms / cell->runs;
+  variance = cell->duration_squares / cell->runs - out.duration_ms * out.duration_ms;
+  out.duration_dev_ms = variance > 0 ? sqrt (variance) : 0;
   return out;
 }
 
--- a/src/choose_estimate.h
+++ b/src/choose_estimate.h
@@ -32,14 +32,14 @@
 
 typedef struct
 {
-  double weight;     /**< number of ratings, decayed; 0: none */
-  double pass;       /**< share of the ratings that passed */
-  double pass_score; /**< mean rating of the answers that passed */
-  double fail_score; /**< mean rating of the answers that failed */
-  double run_weight; /**< number of answers with known tokens and time, decayed; 0: none */
-  double tokens;     /**< mean tokens of an answer, prompt included */
-  double ms;         /**< mean time until the answer is complete */
-  double ms_dev;     /**< standard deviation of that time */
+  double weight;          /**< number of ratings, decayed; 0: none */
+  double pass;            /**< share of the ratings that passed */
+  double pass_score;      /**< mean rating of the answers that passed */
+  double fail_score;      /**< mean rating of the answers that failed */
+  double run_weight;      /**< number of answers with known tokens and time, decayed; 0: none */
+  double tokens;          /**< mean tokens of an answer, prompt included */
+  double duration_ms;     /**< mean time until the answer is complete */
+  double duration_dev_ms; /**< standard deviation of that time */
 } Estimate;
 
 /** Thread-safe: cells are in shards by class, each with its own lock. */
--- a/src/choose_forecast.c
+++ b/src/choose_forecast.c
@@ -173,11 +173,11 @@
   const CascadeQuery *query = keys->query;
   const ConfigVersion *version = &query->request->config->versions[out->version];
   bool seen = all->run_weight >= 1;
-  double tokens = seen ? all->tokens : query->settings->tokens;
+  double tokens = seen ? all->tokens : query->settings->default_tokens;
 
   out->cost = version->cost_per_1k * tokens / TOKENS_1K;
-  out->ms = seen ? all->ms : query->settings->ms;
-  out->ms_high = out->ms + (seen ? all->ms_dev : 0);
+  out->duration_ms = seen ? all->duration_ms : query->settings->default_duration_ms;
+  out->duration_high_ms = out->duration_ms + (seen ? all->duration_dev_ms : 0);
   out->first = first_rating (keys, stage, all, version->prior_quality);
 }
 
@@ -291,8 +291,8 @@
   /* A rated answer is held back until it is complete, so the caller waits for all of it. */
   path->cost += path->reach_probability
                 * (s->cost + forecast->rating_cost
-                   + forecast->wait_cost_per_ms * (s->ms + forecast->rating_ms));
-  path->ms_high += s->ms_high + forecast->rating_ms;
+                   + forecast->wait_cost_per_ms * (s->duration_ms + forecast->rating_ms));
+  path->duration_high_ms += s->duration_high_ms + forecast->rating_ms;
   path->passed += path->reach_probability * rating->pass;
   path->scores += path->reach_probability * rating->pass * rating->pass_score;
   path->reach_probability *= 1 - rating->pass;
@@ -326,7 +326,7 @@
   ForecastPlan plan = {
     .mask = path->mask | 1U << stage,
     .cost = path->cost + path->reach_probability * forecast->stages[stage].cost,
-    .ms_high = path->ms_high + forecast->stages[stage].ms_high,
+    .duration_high_ms = path->duration_high_ms + forecast->stages[stage].duration_high_ms,
   };
   double error = path->reach_probability * rating->error;
   double variance = error * error;
--- a/src/choose_forecast.h
+++ b/src/choose_forecast.h
@@ -24,8 +24,8 @@
 {
   unsigned version;
   double cost;
-  double ms;
-  double ms_high;                          /**< ms plus one standard deviation */
+  double duration_ms;
+  double duration_high_ms;                 /**< duration_ms plus one standard deviation */
   ForecastRating first;                    /**< rating as the first stage */
   ForecastRating after[CHOOSE_STAGES_MAX]; /**< rating after another stage's answer failed, by that
                                               stage's index in Forecast.stages */
@@ -47,9 +47,9 @@
 {
   unsigned mask;
   double cost;
-  double quality; /**< mean rating of the answers that callers get */
-  double error;   /**< standard error of quality */
-  double ms_high; /**< time if every stage has to run */
+  double quality;          /**< mean rating of the answers that callers get */
+  double error;            /**< standard error of quality */
+  double duration_high_ms; /**< time if every stage has to run */
 } ForecastPlan;
 
 /** The stages of a plan before its last one. */
@@ -59,7 +59,7 @@
   unsigned count;
   unsigned previous;        /**< index of the latest stage in Forecast.stages */
   double reach_probability; /**< probability that no stage has passed */
-  double cost, ms_high;
+  double cost, duration_high_ms;
   double passed; /**< probability that one has passed */
   double scores; /**< mean rating of the passed answers times that probability */
   const ForecastRating *ratings[CHOOSE_STAGES_MAX];
--- a/src/choose_index.h
+++ b/src/choose_index.h
@@ -1,5 +1,5 @@
 /**
- * The servers that one gate watches and chooses among, by version and by service: a subset selected
+ * Selects the servers that one gate watches and chooses among, by version and by service: a subset,
  * by rendezvous hashing over the failure domains, since hundreds of gates can't all watch hundreds
  * of servers. Built anew for each configuration; immutable afterwards.
  */
--- a/src/choose_limit_team.c
+++ b/src/choose_limit_team.c
@@ -9,7 +9,7 @@
 #define RECENT_HALF_LIFE_MS 10000.0
 #define LONG_HALF_LIFE_MS   600000.0
 #define MS_PER_S            1000.0
-#define SHARD_BITS          8 /**< low bits of the key that are not used to select the shard */
+#define SHARD_SHIFT         8 /**< low bits of the key that are not used to select the shard */
 
 void
 limit_teams_init (LimitTeams *teams)
@@ -38,7 +38,7 @@
 LimitShard *
 limit_teams_shard (LimitTeams *teams, uint64_t key)
 {
-  return &teams->shards[(key >> SHARD_BITS) % LIMIT_SHARDS];
+  return &teams->shards[(key >> SHARD_SHIFT) % LIMIT_SHARDS];
 }
 
 LimitTeam *
--- a/src/choose_search.c
+++ b/src/choose_search.c
@@ -17,7 +17,7 @@
 {
   const CascadeSettings *settings = search->query->settings;
   double lower_bound = quality_lower_bound (search, plan);
-  bool late = search->time_ms != 0 && plan->ms_high > (double)search->time_ms;
+  bool late = search->time_ms != 0 && plan->duration_high_ms > (double)search->time_ms;
 
   if (plan->quality + settings->unreachable * plan->error >= search->target)
     search->reachable = true;
@@ -29,7 +29,7 @@
         search->below[search->below_count++] = *plan;
       return;
     }
-  if (search->fastest.mask == 0 || plan->ms_high < search->fastest.ms_high)
+  if (search->fastest.mask == 0 || plan->duration_high_ms < search->fastest.duration_high_ms)
     search->fastest = *plan;
   if (late)
     return;
--- a/src/front_evacuations.h
+++ b/src/front_evacuations.h
@@ -1,6 +1,6 @@
 /**
- * Failure domains whose servers get no work by the operator's order. Domains without servers are
- * kept too, as servers may still appear. No I/O.
+ * Lists the failure domains whose servers get no work by the operator's order. Domains without
+ * servers are kept too, as servers may still appear. No I/O.
  */
 #ifndef FRONT_EVACUATIONS_H
 #define FRONT_EVACUATIONS_H
--- a/src/front_evidence.h
+++ b/src/front_evidence.h
@@ -1,6 +1,6 @@
 /**
- * Counts of the answers of a service's new and old version, and whether they show the new one to be
- * worse. Counts only grow, so two reports of the same counts are merged by taking the larger
+ * Counts the answers of a service's new and old version, and decides whether they show the new one
+ * to be worse. Counts only grow, so two reports of the same counts are merged by taking the larger
  * ones.
  */
 #ifndef FRONT_EVIDENCE_H
--- a/src/front_health.h
+++ b/src/front_health.h
@@ -1,7 +1,7 @@
 /**
- * Health of a backend server, from the results of the requests sent to it. Its own health page is
- * not used: a server that fails its requests is avoided whatever it reports, and one that answers
- * them is used.
+ * Rates the health of a backend server by the results of the requests sent to it. Its own health
+ * page is not used: a server that fails its requests is avoided whatever it reports, and one that
+ * answers them is used.
  */
 #ifndef FRONT_HEALTH_H
 #define FRONT_HEALTH_H
--- a/src/front_lag.h
+++ b/src/front_lag.h
@@ -1,7 +1,7 @@
 /**
- * How much later than predicted the answers of model engines begin, over all engines that this
- * front uses. A front sees a small part of the requests, and its predictions count only these: what
- * other fronts add to the engines' queues shows here first.
+ * Measures how much later than predicted the answers of model engines begin, over all engines that
+ * this front uses. A front sees a small part of the requests, and its predictions count only these:
+ * what other fronts add to the engines' queues shows here first.
  */
 #ifndef FRONT_LAG_H
 #define FRONT_LAG_H
--- a/src/front_peer_load.h
+++ b/src/front_peer_load.h
@@ -1,8 +1,8 @@
 /**
- * Load of one backend server by other fronts, as they report it when they send requests: prompts
- * that wait to be read, and requests that run. Both decrease as time passes, so the end of a
- * request need not be reported, and errors from a lost message or a dead front disappear soon. A
- * front itself sees only a small part of its servers' load. No I/O.
+ * Estimates the load of one backend server by other fronts, which report it when they send
+ * requests: prompts that wait to be read, and requests that run. Both decrease as time passes, so
+ * the end of a request need not be reported, and errors from a lost message or a dead front
+ * disappear soon. A front itself sees only a small part of its servers' load. No I/O.
  */
 #ifndef FRONT_PEER_LOAD_H
 #define FRONT_PEER_LOAD_H
--- a/src/front_prompts.h
+++ b/src/front_prompts.h
@@ -1,8 +1,8 @@
 /**
- * Prompt parts that one backend server probably has in its cache, estimated from what this process
- * sent there. A hash table in which a newer part replaces an older one in the same slot. It is
- * allocated when the first prompt is sent: a front uses a few dozen of 3,000 servers, and tables
- * for all would take 24 MB.
+ * Estimates which prompt parts one backend server has in its cache, from what this process sent
+ * there. A hash table in which a newer part replaces an older one in the same slot. It is allocated
+ * when the first prompt is sent: a front uses a few dozen of 3,000 servers, and tables for all
+ * would take 24 MB.
  */
 #ifndef FRONT_PROMPTS_H
 #define FRONT_PROMPTS_H
--- a/src/front_request.h
+++ b/src/front_request.h
@@ -1,5 +1,6 @@
 /**
- * A caller's request, from its arrival to its final answer.
+ * Handles a caller's request from its arrival to its final answer: routes it, sends it to backend
+ * servers and relays the answer.
  */
 #ifndef FRONT_REQUEST_H
 #define FRONT_REQUEST_H
--- a/src/front_rollout_order.h
+++ b/src/front_rollout_order.h
@@ -6,7 +6,7 @@
 
 #include <stdint.h>
 
-#define ROLLOUT_TEXT_MAX 64
+#define ROLLOUT_TEXT_MAX 64 /**< bytes with the final NUL */
 
 typedef enum
 {
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -1,7 +1,7 @@
 /**
- * Which version of a service a request runs on, and when a roll-out has succeeded or failed. All
- * fronts apply the same rules to the same data: the order with its row version, the stored status,
- * and the answers counted by all fronts. No I/O; front_store writes the status.
+ * Decides which version of a service a request runs on, and when a roll-out has succeeded or
+ * failed. All fronts apply the same rules to the same data: the order with its row version, the
+ * stored status, and the answers counted by all fronts. No I/O; front_store writes the status.
  */
 #ifndef FRONT_ROLLOUTS_H
 #define FRONT_ROLLOUTS_H
--- a/src/front_server_entry.h
+++ b/src/front_server_entry.h
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SERVER_TEXT_MAX 64
+#define SERVER_TEXT_MAX 64 /**< bytes with the final NUL */
 
 typedef struct
 {
--- a/src/front_sessions.h
+++ b/src/front_sessions.h
@@ -1,7 +1,7 @@
 /**
- * Which version each session's recent requests ran on, so that a session stays on it during a
- * roll-out. A hash table of fixed size; where all slots of a hash are taken, the oldest entry is
- * replaced.
+ * Remembers which version each session's recent requests ran on, so that a session stays on it
+ * during a roll-out. A hash table of fixed size; where all slots of a hash are taken, the oldest
+ * entry is replaced.
  */
 #ifndef FRONT_SESSIONS_H
 #define FRONT_SESSIONS_H
