--- a/src/front_request.c
+++ b/src/front_request.c
@@ -251,7 +251,7 @@
   cds_list_for_each_entry_safe (request, next, &front->requests, node)
   {
     if (request->attempt && request->server->restarted)
-      request_cut (request);
+      request_handle_cut (request);
   }
 }
 
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -69,19 +69,19 @@
 /* Learns the engine's speed from an answer that began first_ms after the attempt. */
 void request_learn_speed (FrontRequest *request, double first_ms, int64_t now_ms);
 /* Handles the loss of the attempt's connection or of its server. May free the request. */
-void request_cut (FrontRequest *request);
+void request_handle_cut (FrontRequest *request);
 
 /* front_request_retry.c; each of these may free the request. */
 /* Handles a failed attempt: retries if that is allowed, otherwise gives up. */
 void request_retry (FrontRequest *request, const char *reason, bool may_have_run);
 /* Handles a server that could not be reached. */
-void request_unreached (FrontRequest *request, const char *reason);
+void request_handle_unreachable (FrontRequest *request, const char *reason);
 /* Handles a server that has been silent for too long. */
-void request_silent (FrontRequest *request);
+void request_handle_silence (FrontRequest *request);
 
 /* front_request_relay.c */
 /* Evaluates what has arrived of the answer. May free the request. */
-void request_progress (FrontRequest *request);
+void request_handle_progress (FrontRequest *request);
 /* During a roll-out, counts the current attempt for or against its version: how its answer began,
  * or that it has not begun yet. */
 void request_add_evidence (FrontRequest *request, bool failed, int64_t now_ms);
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -342,7 +342,7 @@
 }
 
 void
-request_progress (FrontRequest *request)
+request_handle_progress (FrontRequest *request)
 {
   HttpReply *reply = front_attempt_reply (request->attempt);
 
--- a/src/front_request_retry.c
+++ b/src/front_request_retry.c
@@ -90,7 +90,7 @@
  * be refused after three connections that take 7 ms in all, although other servers have
  * capacity. */
 void
-request_unreached (FrontRequest *request, const char *reason)
+request_handle_unreachable (FrontRequest *request, const char *reason)
 {
   int64_t now_ms = clock_boot_ms ();
 
@@ -109,7 +109,7 @@
 /* Unlike a lost connection, silence doesn't end the answer: the attempt is dropped only for another
  * one, and otherwise kept, since the server may continue. */
 void
-request_silent (FrontRequest *request)
+request_handle_silence (FrontRequest *request)
 {
   const char *reason = request->relaying ? "stream_silent" : "answer_late";
   RetryVerdict verdict = retry_verdict (request, true);
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -354,9 +354,9 @@
   else if (now_ms < silence_due_ms (request))
     request_arm_timer (request);
   else if (!sent)
-    request_unreached (request, "connect_timeout");
+    request_handle_unreachable (request, "connect_timeout");
   else
-    request_silent (request);
+    request_handle_silence (request);
 }
 
 static void
@@ -371,23 +371,23 @@
 static void
 on_progress (void *user)
 {
-  request_progress (user);
+  request_handle_progress (user);
 }
 
 static void
 on_cut (void *user)
 {
-  request_cut (user);
+  request_handle_cut (user);
 }
 
 void
-request_cut (FrontRequest *request)
+request_handle_cut (FrontRequest *request)
 {
   int64_t now_ms = clock_boot_ms ();
 
   if (!front_attempt_is_sent (request->attempt))
     {
-      request_unreached (request, "not_connected");
+      request_handle_unreachable (request, "not_connected");
       return;
     }
   front_health_failed (&request->server->health, now_ms);
