--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -105,7 +105,7 @@
   out->service = rollout->service_hash;
   out->order = rollout->order.row_version;
   out->is_bad = rollout->is_bad;
-  if (front_request_running (front, rollout->service, rollout->base) > 0)
+  if (front_requests_count_running (front, rollout->service, rollout->base) > 0)
     rollout->old_busy_ms = now_ms;
   out->old_busy_age_ms
       = rollout->old_busy_ms == 0 ? PEER_NEVER : (uint32_t)(now_ms - rollout->old_busy_ms);
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -256,7 +256,7 @@
 }
 
 unsigned
-front_request_running (const Front *front, const char *service, const char *version)
+front_requests_count_running (const Front *front, const char *service, const char *version)
 {
   const FrontRequest *request;
   unsigned count = 0;
--- a/src/front_request.h
+++ b/src/front_request.h
@@ -21,7 +21,8 @@
 
 /** Treats the attempts whose server has restarted like those with a lost connection. */
 void front_requests_cut_restarted (Front *front);
-/** Requests in progress that were sent to this version of the service. */
-unsigned front_request_running (const Front *front, const char *service, const char *version);
+/** Number of requests in progress that were sent to this version of the service. */
+unsigned
+front_requests_count_running (const Front *front, const char *service, const char *version);
 
 #endif
