--- a/src/choose_retry.h
+++ b/src/choose_retry.h
@@ -1,7 +1,7 @@
 /**
  * Decides whether a failed attempt is retried at another backend server. A budget, a fraction of
  * the first attempts, prevents retries from keeping a pool overloaded after the cause of the
- * overload has gone.
+ * overload has ended.
  */
 #ifndef CHOOSE_RETRY_H
 #define CHOOSE_RETRY_H
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -37,7 +37,7 @@
   unsigned unreached; /* servers that could not be reached */
   unsigned tried_count;
   uint64_t tried[PICK_TRIED_MAX];
-  bool may_have_run; /* an earlier attempt; "not executed" can no longer be reported */
+  bool may_have_run; /* on an earlier attempt, so "not executed" can no longer be reported */
 
   FrontAttempt *attempt; /* current attempt; NULL between attempts */
   FrontServer *server;   /* of the current attempt; holds a reference */
--- a/src/front_server.h
+++ b/src/front_server.h
@@ -57,7 +57,8 @@
   FrontPrompts prompts;
 } FrontServer;
 
-/** Another server answered at its address: it has ended, although it is still listed. */
+/** Records that another server answered at this server's address: this one has ended, although it
+ *  is still listed. */
 void front_server_lost_address (FrontServer *server);
 /** False in the states from EVACUATED on, in which it gets no work whatever its health. */
 bool front_server_takes_work (const FrontServer *server);
--- a/src/front_server_starts.h
+++ b/src/front_server_starts.h
@@ -1,5 +1,5 @@
 /**
- * Remembers the latest known start of each backend server id, also after its entry is removed:
+ * Records the latest known start of each backend server id, also after its entry is removed:
  * reports may arrive late, and an old one must not restore a process that has ended. A fixed-size
  * table in which a newer id replaces an older one with the same slot. No I/O.
  */
--- a/src/front_sessions.h
+++ b/src/front_sessions.h
@@ -1,5 +1,5 @@
 /**
- * Remembers which version each session's recent requests ran on, so that a session stays on it
+ * Records which version each session's recent requests ran on, so that a session stays on it
  * during a roll-out. A hash table of fixed size; where all slots of a hash are taken, the oldest
  * entry is replaced.
  */
--- a/src/front_speeds.h
+++ b/src/front_speeds.h
@@ -8,7 +8,7 @@
 
 #include <stdint.h>
 
-/** Models and versions remembered; the largest planned site uses 27. */
+/** Models and versions kept; the largest planned site uses 27. */
 #define SPEEDS_MODELS_MAX 64
 
 /** Time to read a prompt with one model: per token, and per pair of a token and one before it. */
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -134,8 +134,8 @@
 }
 
 /* 17 fronts of a failure domain get requests about the same 131 contracts, each prompt with 4,870
- * tokens of the contract. Each front knows only its own
- * requests; if each chose by these alone, every engine would read every contract. */
+ * tokens of the contract. Each front knows only its own requests; if each chose by these alone,
+ * every engine would read every contract. */
 static void
 test_fronts_agree_on_shared_prompts (void)
 {
@@ -195,17 +195,17 @@
 static void
 test_requested_prompts_expire (void)
 {
-  FrontPrompts asked = { 0 };
+  FrontPrompts requested = { 0 };
 
   setup ();
-  CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW, 6000), 0);
-  front_prompts_requested (&asked, &call, 1, NOW);
-  CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW + 6000, 6000), 5000);
-  CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 1, NOW + 6001, 6000), 0);
-  CU_ASSERT_EQUAL (front_prompts_cached (&asked, &call, 2, NOW, 6000), 0);
+  CU_ASSERT_EQUAL (front_prompts_cached (&requested, &call, 1, NOW, 6000), 0);
+  front_prompts_requested (&requested, &call, 1, NOW);
+  CU_ASSERT_EQUAL (front_prompts_cached (&requested, &call, 1, NOW + 6000, 6000), 5000);
+  CU_ASSERT_EQUAL (front_prompts_cached (&requested, &call, 1, NOW + 6001, 6000), 0);
+  CU_ASSERT_EQUAL (front_prompts_cached (&requested, &call, 2, NOW, 6000), 0);
   call.part_count = 0;
-  front_prompts_requested (&asked, &call, 1, NOW);
-  front_prompts_clear (&asked);
+  front_prompts_requested (&requested, &call, 1, NOW);
+  front_prompts_clear (&requested);
 }
 
 /* An engine's health page is good while it fails two of five requests. Its fast failures make it
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -332,8 +332,9 @@
 }
 
 /* A version that fails all its requests gets hardly any, as fronts are stopped and disconnected
- * during its roll-out. Two failures are too few for an early verdict, and at the end of its time
- * the version was reported completed, which stops the servers of the old one (soak, seed 2007). */
+ * during its roll-out. Two failures are too few for an early verdict, but at the end of its time
+ * it must not be reported completed, which would stop the old version's servers (soak, seed
+ * 2007). */
 static void
 test_doubtful_version_is_not_completed (void)
 {
@@ -432,8 +433,8 @@
 }
 
 /* A front restarts while servers of an earlier version drain, and there are more of them than of
- * the version in use. The front took the draining version for the one in use, and after these
- * servers had ended it refused all requests for lack of a server (soak, seeds 2 and 1002). */
+ * the version in use. If it took the draining version for the one in use, it would refuse all
+ * requests for lack of a server after these servers have ended (soak, seeds 2 and 1002). */
 static void
 test_base_ignores_draining_servers (void)
 {
--- a/tests/test_front_server.c
+++ b/tests/test_front_server.c
@@ -291,9 +291,9 @@
   return changed;
 }
 
-/* A server drained or crashed and restarted under its id. The front kept the address, the health
- * and the prompt cache of the earlier start, so that callers got no answer or a stalled stream, or
- * it sent the server no work at all, as if it still drained. */
+/* A server drains or crashes and restarts under its id. If the front kept the address, the health
+ * and the prompt cache of the earlier start, callers would get no answer or a stalled stream, or
+ * the server would get no work at all, as if it still drained. */
 static void
 test_later_start_replaces_earlier (void)
 {
