--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -1,7 +1,6 @@
 /**
- * Quarantine decisions from the deaths of servers and the requests in flight there. All VMs have
- * the same set of deaths and apply the same rule, so their decisions agree as soon as the reports
- * have spread.
+ * All VMs apply the same rule to the same set of deaths, so their decisions agree as soon as the
+ * reports have spread.
  */
 #include "choose_quarantine.h"
 
--- a/src/front_request.h
+++ b/src/front_request.h
@@ -1,6 +1,5 @@
 /**
- * Handles a caller's request from its arrival to its final answer: routes it, sends it to backend
- * servers and relays the answer.
+ * Handles a caller's request from its arrival to its final answer.
  */
 #ifndef FRONT_REQUEST_H
 #define FRONT_REQUEST_H
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -100,8 +100,7 @@
 /** Sets missing base versions to the one that most servers have; called once the whole list is
  *  known. */
 void front_rollouts_find_base (FrontRollouts *rollouts, FrontServers *servers);
-/** Version for a request of a session. If none may be used, returns one that no server has, so that
- *  no server is found for the request. */
+/** Version for a request of a session. If none may be used, returns one that no server has. */
 const char *front_rollouts_choose (FrontRollouts *rollouts,
                                    FrontServers *servers,
                                    const char *service,
--- a/src/front_rollouts_verdict.c
+++ b/src/front_rollouts_verdict.c
@@ -1,10 +1,9 @@
 /* Evaluates a new version by the answers counted at all fronts.
  *
- * Fronts of one failure domain send each other their own counts, and each sums up those that it has
- * of its domain. These sums are relayed from front to front over all domains. A sum may lack some
- * counts but never holds any twice, and counts only grow, so the larger of two sums of one domain
- * is the better one. A message thereby carries a few sums in place of the counts of hundreds of
- * fronts. */
+ * Fronts of one failure domain send each other their own counts, and each sums up those of its
+ * domain. The sums are relayed over all domains, so a message carries a few sums instead of the
+ * counts of hundreds of fronts. A sum may lack counts but never holds any twice, and counts only
+ * grow, so the larger of two sums of one domain is the better one. */
 #include "front_rollouts.h"
 #include <string.h>
 
