--- a/src/choose_quarantine.c
+++ b/src/choose_quarantine.c
@@ -1,7 +1,6 @@
 /**
- * Quarantine decisions from the deaths of servers and the requests in flight there. All VMs have
- * the same set of deaths and apply the same rule, so their decisions agree as soon as the reports
- * have spread.
+ * All VMs apply the same rule to the same set of deaths, so their decisions agree as soon as the
+ * reports have spread.
  */
 #include "choose_quarantine.h"
 
@@ -175,7 +174,7 @@
 }
 
 /** A request is assumed to be the cause if enough different servers died while running it, if it
- * was in flight at more of the deaths around them than it was not, and if no other request was in
+ *  was in flight at more of the deaths around them than it was not, and if no other request was in
  *  flight at as many. In an outage of a whole pool servers die while running many requests, none of
  *  which was in flight at most of the deaths. */
 static bool
@@ -219,7 +218,7 @@
 }
 
 /** Releases fingerprints that, by the deaths known now, are no longer the likely cause: the first
- * two servers of a pool that dies one by one look like two killed by a request. */
+ *  two servers of a pool that dies one by one look like two killed by a request. */
 static void
 review_entries (Quarantine *quarantine, int64_t now_ms)
 {
--- a/src/choose_search.c
+++ b/src/choose_search.c
@@ -4,6 +4,7 @@
 
 #define RANDOM_STEPS           65536 /**< resolution of random shares */
 #define FULL_SEARCH_STAGES_MAX 5     /**< with more candidates plans have at most two stages */
+
 /** Lower confidence bound of a plan's quality. */
 static double
 quality_lower_bound (const Search *search, const ForecastPlan *plan)
@@ -16,7 +17,7 @@
 {
   const CascadeSettings *settings = search->query->settings;
   double lower_bound = quality_lower_bound (search, plan);
-  bool late = search->time_ms != 0 && plan->ms_high > (double)search->time_ms;
+  bool late = search->time_ms != 0 && plan->duration_high_ms > (double)search->time_ms;
 
   if (plan->quality + settings->unreachable * plan->error >= search->target)
     search->reachable = true;
@@ -28,7 +29,7 @@
         search->below[search->below_count++] = *plan;
       return;
     }
-  if (search->fastest.mask == 0 || plan->ms_high < search->fastest.ms_high)
+  if (search->fastest.mask == 0 || plan->duration_high_ms < search->fastest.duration_high_ms)
     search->fastest = *plan;
   if (late)
     return;
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -168,8 +168,8 @@
 }
 
 /* Whether the end of a graceful stop may cut off the answer. Where all fronts of a failure domain
- * stop at once callers have nowhere else to go, so a request whose time-out ends before the process
- * is killed is still served. */
+ * stop at once, no other front can take its callers' requests, so a request whose time-out ends
+ * before the process is killed is still served. */
 static bool
 may_outlive_stop (const FrontRequest *request)
 {
@@ -251,12 +251,12 @@
   cds_list_for_each_entry_safe (request, next, &front->requests, node)
   {
     if (request->attempt && request->server->restarted)
-      request_cut (request);
+      request_handle_cut (request);
   }
 }
 
 unsigned
-front_request_running (const Front *front, const char *service, const char *version)
+front_requests_count_running (const Front *front, const char *service, const char *version)
 {
   const FrontRequest *request;
   unsigned count = 0;
--- a/src/front_request.h
+++ b/src/front_request.h
@@ -1,5 +1,5 @@
 /**
- * A caller's request, from its arrival to its final answer.
+ * Handles a caller's request from its arrival to its final answer.
  */
 #ifndef FRONT_REQUEST_H
 #define FRONT_REQUEST_H
@@ -20,7 +20,8 @@
 
 /** Treats the attempts whose server has restarted like those with a lost connection. */
 void front_requests_cut_restarted (Front *front);
-/** Requests in progress that were sent to this version of the service. */
-unsigned front_request_running (const Front *front, const char *service, const char *version);
+/** Number of requests in progress that were sent to this version of the service. */
+unsigned
+front_requests_count_running (const Front *front, const char *service, const char *version);
 
 #endif
--- a/src/front_request_private.h
+++ b/src/front_request_private.h
@@ -37,15 +37,15 @@
   unsigned unreached; /* servers that could not be reached */
   unsigned tried_count;
   uint64_t tried[PICK_TRIED_MAX];
-  bool may_have_run; /* an earlier attempt; "not executed" can no longer be reported */
+  bool may_have_run; /* on an earlier attempt, so "not executed" can no longer be reported */
 
   FrontAttempt *attempt; /* current attempt; NULL between attempts */
   FrontServer *server;   /* of the current attempt; holds a reference */
   double predicted_ms;   /* from the start of the attempt until the answer begins */
   double prompt_ms;      /* part of predicted_ms spent reading the prompt */
   int64_t prompt_tokens; /* prompt tokens that the server had to read, as far as known */
-  double running_share;  /* what it adds to the server's running_share */
-  double pending_ms;     /* what it adds to the server's pending_ms */
+  double running_weight; /* what the attempt adds to the server's running_weight */
+  double pending_ms;     /* what the attempt adds to the server's pending_ms */
   int64_t sent_ms;       /* start of the current attempt */
   int64_t event_ms;      /* time of its last event */
   int64_t relayed_ms;    /* time of the last event relayed on any attempt; 0: none */
@@ -69,19 +69,19 @@
 /* Learns the engine's speed from an answer that began first_ms after the attempt. */
 void request_learn_speed (FrontRequest *request, double first_ms, int64_t now_ms);
 /* Handles the loss of the attempt's connection or of its server. May free the request. */
-void request_cut (FrontRequest *request);
+void request_handle_cut (FrontRequest *request);
 
 /* front_request_retry.c; each of these may free the request. */
 /* Handles a failed attempt: retries if that is allowed, otherwise gives up. */
 void request_retry (FrontRequest *request, const char *reason, bool may_have_run);
 /* Handles a server that could not be reached. */
-void request_unreached (FrontRequest *request, const char *reason);
+void request_handle_unreachable (FrontRequest *request, const char *reason);
 /* Handles a server that has been silent for too long. */
-void request_silent (FrontRequest *request);
+void request_handle_silence (FrontRequest *request);
 
 /* front_request_relay.c */
 /* Evaluates what has arrived of the answer. May free the request. */
-void request_progress (FrontRequest *request);
+void request_handle_progress (FrontRequest *request);
 /* During a roll-out, counts the current attempt for or against its version: how its answer began,
  * or that it has not begun yet. */
 void request_add_evidence (FrontRequest *request, bool failed, int64_t now_ms);
@@ -90,7 +90,7 @@
 /* Answers with an error status and frees the request. */
 void request_refuse (FrontRequest *request, int status, const char *reason, int64_t retry_after_ms);
 /* Sends the final answer of a request that is given up; its status tells whether the request may
- * have run. The caller is told to retry after at least wait_ms. */
+ * have run. The retry-after time of a refusal is at least wait_ms. */
 void request_give_up (FrontRequest *request, const char *reason, int64_t wait_ms);
 void request_free (FrontRequest *request);
 
--- a/src/front_request_send.c
+++ b/src/front_request_send.c
@@ -77,9 +77,9 @@
   return rule;
 }
 
-/* A front gets one in as many requests as there are fronts in its failure domain. A shared part
- * that is requested here within that many windows is requested about once per window from all of
- * them together, and so stays cached. */
+/* Each of the n fronts of a failure domain gets about one of n requests. A shared part that was
+ * requested here within the last n reuse windows is thus requested about once per window in the
+ * whole domain, and so stays cached. */
 static int64_t
 affinity_tokens (const FrontRequest *request, uint64_t model)
 {
@@ -102,7 +102,7 @@
     .version = version,
     .call = &request->call,
     .model = hash,
-    .running_share = front_speeds_share (&time),
+    .running_weight = front_speeds_weight (&time),
     .read_time = time,
     .objective_ms = request->route->objective_ms,
     .slots = service ? service->slots : 0,
@@ -181,12 +181,12 @@
   request->relaying = false;
   if (!query->is_model)
     return;
-  request->running_share = query->running_share;
-  pick->server->running_share += query->running_share;
+  request->running_weight = query->running_weight;
+  pick->server->running_weight += query->running_weight;
   front_prompts_sent (&pick->server->prompts, &request->call, query->model, now_ms);
   front_prompts_requested (&request->front->caller_prompts, &request->call, query->model, now_ms);
-  front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms, query->running_share,
-                         now_ms);
+  front_peers_send_work (request->front->peers, pick->server, pick->prompt_ms,
+                         query->running_weight, now_ms);
 }
 
 static bool
@@ -291,8 +291,8 @@
   if (request->server)
     {
       pending_clear (request);
-      request->server->running_share -= request->running_share;
-      request->running_share = 0;
+      request->server->running_weight -= request->running_weight;
+      request->running_weight = 0;
       front_server_unref (request->server);
     }
   if (request->attempt)
@@ -354,9 +354,9 @@
   else if (now_ms < silence_due_ms (request))
     request_arm_timer (request);
   else if (!sent)
-    request_unreached (request, "connect_timeout");
+    request_handle_unreachable (request, "connect_timeout");
   else
-    request_silent (request);
+    request_handle_silence (request);
 }
 
 static void
@@ -371,23 +371,23 @@
 static void
 on_progress (void *user)
 {
-  request_progress (user);
+  request_handle_progress (user);
 }
 
 static void
 on_cut (void *user)
 {
-  request_cut (user);
+  request_handle_cut (user);
 }
 
 void
-request_cut (FrontRequest *request)
+request_handle_cut (FrontRequest *request)
 {
   int64_t now_ms = clock_boot_ms ();
 
   if (!front_attempt_is_sent (request->attempt))
     {
-      request_unreached (request, "not_connected");
+      request_handle_unreachable (request, "not_connected");
       return;
     }
   front_health_failed (&request->server->health, now_ms);
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -1,7 +1,7 @@
 /**
- * Which version of a service a request runs on, and when a roll-out has succeeded or failed. All
- * fronts apply the same rules to the same data: the order with its row version, the stored status,
- * and the answers counted by all fronts. No I/O; front_store writes the status.
+ * Decides which version of a service a request runs on, and when a roll-out has succeeded or
+ * failed. All fronts apply the same rules to the same data: the order with its row version, the
+ * stored status, and the answers counted by all fronts. No I/O; front_store writes the status.
  */
 #ifndef FRONT_ROLLOUTS_H
 #define FRONT_ROLLOUTS_H
@@ -84,23 +84,23 @@
 
 /** Applies an order that was read; false if it is not newer. servers gives the size of the
  *  service. */
-bool front_rollouts_order (FrontRollouts *rollouts,
-                           FrontServers *servers,
-                           const RolloutOrder *order,
-                           int64_t now_ms);
+bool front_rollouts_apply_order (FrontRollouts *rollouts,
+                                 FrontServers *servers,
+                                 const RolloutOrder *order,
+                                 int64_t now_ms);
 /** The order's row was removed. */
 void front_rollouts_order_removed (FrontRollouts *rollouts, const char *service);
 /** Applies a status that was read or written here, or received from another front. A status older
  *  than the order belongs to an earlier order. started_ms 0: unknown. True if the state changes. */
-bool front_rollouts_status (FrontRollout *rollout,
-                            const char *target,
-                            FrontRolloutState state,
-                            int64_t row_version,
-                            int64_t started_ms);
+bool front_rollouts_apply_status (FrontRollout *rollout,
+                                  const char *target,
+                                  FrontRolloutState state,
+                                  int64_t row_version,
+                                  int64_t started_ms);
 /** Sets missing base versions to the one that most servers have; called once the whole list is
  *  known. */
 void front_rollouts_find_base (FrontRollouts *rollouts, FrontServers *servers);
-/** Version for a request of a session; if none may be used, one that no server has. */
+/** Version for a request of a session. If none may be used, returns one that no server has. */
 const char *front_rollouts_choose (FrontRollouts *rollouts,
                                    FrontServers *servers,
                                    const char *service,
--- a/src/front_server_starts.h
+++ b/src/front_server_starts.h
@@ -1,14 +1,14 @@
 /**
- * The latest known start of each backend server id, kept after its entry is removed: reports may
- * arrive late, and an old one must not restore a process that has ended. A fixed-size table in
- * which a newer id replaces an older one with the same slot. No I/O.
+ * Records the latest known start of each backend server id, also after its entry is removed:
+ * reports may arrive late, and an old one must not restore a process that has ended. A fixed-size
+ * table in which a newer id replaces an older one with the same slot. No I/O.
  */
 #ifndef FRONT_SERVER_STARTS_H
 #define FRONT_SERVER_STARTS_H
 
 #include "front_server_entry.h"
 
-/** A power of two, three times the 660 servers of the target; 48 KiB. */
+/** A power of two, three times the 660 servers of the site that it is sized for; 48 KiB. */
 #define SERVER_STARTS_SLOTS 2048
 
 typedef struct
--- a/tests/test_choose_quarantine.c
+++ b/tests/test_choose_quarantine.c
@@ -64,7 +64,7 @@
   quarantine_free (quarantine);
 }
 
-/* An innocent request was in flight beside the crashing one on two engines, as it was retried. Both
+/* A harmless request was in flight beside the crashing one on two engines, as it was retried. Both
    may be the cause, so neither may be refused until the third death tells them apart. */
 static void
 test_ambiguous_cause_is_not_refused (void)
--- a/tests/test_front_rollouts.c
+++ b/tests/test_front_rollouts.c
@@ -50,11 +50,11 @@
 static void
 order (int64_t row_version, int64_t now_ms)
 {
-  RolloutOrder text = {
+  RolloutOrder new_order = {
     .service = "drafts", .target = "v2", .duration_ms = DURATION_MS, .row_version = row_version
   };
 
-  CU_ASSERT (front_rollouts_order (rollouts, servers, &text, now_ms));
+  CU_ASSERT (front_rollouts_apply_order (rollouts, servers, &new_order, now_ms));
 }
 
 static const char *
@@ -133,7 +133,7 @@
 
 /* Another front reports a session while its stream runs on the old version, and again after the
  * stream has ended, five seconds later. The session lasts from that end, so its next request
- * seconds later must stay on the old version. Counted from the first report, it moved. */
+ * seconds later must stay on the old version; counted from the first report, it would move. */
 static void
 test_session_expires_after_last_end (void)
 {
@@ -191,8 +191,8 @@
   CU_ASSERT (front_evidence_is_bad (&evidence, EVIDENCE_CERTAIN));
 }
 
-/* Of a version that fails everything only one answer is known when its time is over, as the rest
- * hang on a dead path. It must not be completed. */
+/* A version fails all its requests, but only one answer is known when the roll-out's time is over,
+ * as the others were sent over a broken network path. It must not be completed. */
 static void
 test_only_answer_failed_is_bad (void)
 {
@@ -314,7 +314,7 @@
   add_answers (&rollout->evidence, 0, 0, 100, false);
   front_rollout_update_verdict (rollout, NOW + 1000);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_RUNNING);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, 0) == false);
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, 0) == false);
   front_rollout_update_verdict (rollout, NOW + 17000);
   CU_ASSERT (!rollout->has_verdict);
   front_rollout_merge (rollout, &update);
@@ -327,13 +327,14 @@
   front_rollout_update_verdict (rollout, NOW + 19500);
   CU_ASSERT (rollout->has_verdict);
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_COMPLETED, 12, 0));
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_COMPLETED, 12, 0));
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW + 19600), "v2");
 }
 
 /* A version that fails all its requests gets hardly any, as fronts are stopped and disconnected
- * during its roll-out. Two failures are too few for an early verdict, and at the end of its time
- * the version was reported completed, which stops the servers of the old one (soak, seed 2007). */
+ * during its roll-out. Two failures are too few for an early verdict, but at the end of its time
+ * it must not be reported completed, which would stop the old version's servers (soak, seed
+ * 2007). */
 static void
 test_doubtful_version_is_not_completed (void)
 {
@@ -356,8 +357,8 @@
   CU_ASSERT_EQUAL (rollout->verdict, FRONT_ROLLOUT_COMPLETED);
 }
 
-/* A peer was killed with requests on the old version; its last update must not delay the roll-out
- * beyond its time. */
+/* A peer was killed with requests on the old version; its last update must not keep the roll-out
+ * from being completed. */
 static void
 test_dead_peer_does_not_block_completion (void)
 {
@@ -380,11 +381,11 @@
   setup ();
   add ("c", "v2");
   order (10, NOW);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
   order (20, NOW + 30000);
-  CU_ASSERT (!front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
+  CU_ASSERT (!front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
   CU_ASSERT (front_rollout_is_running (rollout));
-  CU_ASSERT (!front_rollouts_status (rollout, "v3", FRONT_ROLLOUT_ROLLED_BACK, 22, 0));
+  CU_ASSERT (!front_rollouts_apply_status (rollout, "v3", FRONT_ROLLOUT_ROLLED_BACK, 22, 0));
   CU_ASSERT (front_rollout_is_running (rollout));
 }
 
@@ -394,8 +395,8 @@
   setup ();
   add ("c", "v2");
   order (10, NOW);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
-  front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 13, 0);
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 12, 0));
+  front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 13, 0);
   CU_ASSERT_EQUAL (rollout->state, FRONT_ROLLOUT_ROLLED_BACK);
 }
 
@@ -407,7 +408,7 @@
   setup ();
   add ("c", "v2");
   order (10, NOW + 15000);
-  front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, NOW);
+  front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_RUNNING, 11, NOW);
   CU_ASSERT (front_rollout_share (rollout, NOW + 18500) >= 1);
 }
 
@@ -431,9 +432,9 @@
   front_servers_set (servers, &entry, NOW, &changed);
 }
 
-/* A front restarts while servers of the version before last drain, and there are more of them than
- * of the version in use. The front took the draining version for the one in use, and after these
- * servers had ended it refused all requests for lack of a server (soak, seeds 2 and 1002). */
+/* A front restarts while servers of an earlier version drain, and there are more of them than of
+ * the version in use. If it took the draining version for the one in use, it would refuse all
+ * requests for lack of a server after these servers have ended (soak, seeds 2 and 1002). */
 static void
 test_base_ignores_draining_servers (void)
 {
@@ -451,7 +452,8 @@
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v2");
 }
 
-/* The same front, where the old servers had not yet reported that they drain. */
+/* A front starts when most servers are of an earlier version, and have not reported yet that they
+ * drain. When they are removed, it must use the version of the remaining servers. */
 static void
 test_base_follows_remaining_servers (void)
 {
@@ -464,7 +466,7 @@
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "v2");
   /* A version that was rolled back is never used. */
   order (10, NOW);
-  CU_ASSERT (front_rollouts_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 11, 0));
+  CU_ASSERT (front_rollouts_apply_status (rollout, "v2", FRONT_ROLLOUT_ROLLED_BACK, 11, 0));
   CU_ASSERT_STRING_EQUAL (chosen (1, NOW), "");
 }
 
