--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
   src/cluster*.c src/choose*.c src/bill*.c src/claim*.c src/http_*.c src/session*.c)
 RPC = rpc/lovage_xdr.c rpc/lovage_clnt.c
 PROGRAMS = lovage-gate lovage-steward lovagectl lovage-front
-# The callers' side of lovage-gate, before libmicrohttpd.
+# Libraries of lovage-gate's TLS and HTTP filter between the callers and libmicrohttpd.
 GATE_PKGS = libevent libevent_pthreads libevent_openssl libssl libcrypto
 GATE_LIBS = $(shell pkg-config --libs $(GATE_PKGS)) -lhttp_parser
 # Libraries and modules of lovage-front besides src/front_*.c: few, because its memory has a cost.
--- a/mk/mutations.sh
+++ b/mk/mutations.sh
@@ -54,15 +54,15 @@
 
 while IFS='~' read -r name file expression runs; do
   case $name in '' | '#'*) continue ;; esac
-  cp "$file" kept
+  cp "$file" original
   sed -i -E "$expression" "$file"
-  if cmp -s "$file" kept; then
+  if cmp -s "$file" original; then
     echo "$name: the expression changes nothing"
     bad=1
   fi
   for run in $runs; do
     check "$name" "$run"
   done
-  cp kept "$file"
+  cp original "$file"
 done <mk/mutations.txt
 exit $bad
--- a/regress/case_bad_input.sh
+++ b/regress/case_bad_input.sh
@@ -38,7 +38,7 @@
   expect_refusal 403 not_run not_allowed
   expect_no_run bad-8
   ask 1 workshop "{\"model\":\"draft-large\",\"model\":\"draft-small\",$messages}"
-  expect_whole
+  expect_complete
   expect_equal "version that ran" draft-small@v1 "$(runs_of bad-8 | jq -r .model)"
 }
 
@@ -100,11 +100,11 @@
   expect_no_run bad-3
   # A team may not use another team's session.
   ask 1 tender-desk "$(chat draft-small "a session")"
-  expect_whole
+  expect_complete
   token=$(header X-Lovage-Session)
   [ -n "$token" ] || fail "the answer has no X-Lovage-Session"
   ask 2 tender-desk "$(chat draft-small "the same session")" -H "X-Lovage-Session: $token"
-  expect_whole
+  expect_complete
   ask 2 workshop "$(chat draft-small "[id=bad-4] their session")" -H "X-Lovage-Session: $token"
   expect_refusal 400 not_run bad_session
   expect_no_run bad-4
--- a/regress/case_cascade.sh
+++ b/regress/case_cascade.sh
@@ -42,10 +42,10 @@
 check_answer() {
   local text version request
   if [ "$1" = true ]; then
-    expect_whole_stream
+    expect_complete_stream
     text=$(stream_text)
   else
-    expect_whole
+    expect_complete
     text=$(body '.choices[0].message.content')
   fi
   version=$(header X-Lovage-Version)
@@ -73,8 +73,8 @@
 }
 
 small_model_answers() {
-  again=$((again + 1))
-  ask_wording $again
+  request_number=$((request_number + 1))
+  ask_wording $request_number
   [ "$code" = 200 ] && [ "$(header X-Lovage-Version)" = $SMALL ]
 }
 
@@ -98,7 +98,7 @@
 [ $direct -ge 3 ] || fail "$escalated of 12 requests waited for a rating service that was down"
 
 curl -sf -X DELETE "$(platform_url)/v1/fault"
-again=1000
+request_number=1000
 wait_for "an answer of the small model after the outage" small_model_answers
 site_stop
 echo "cascade: passed"
--- a/regress/case_crash_at_once.sh
+++ b/regress/case_crash_at_once.sh
@@ -69,7 +69,7 @@
 expect_refusal 422 not_run quarantined
 for gate in 1 2 3; do
   ask $gate tender-desk "$(chat draft-small "Draft without that clause" true)"
-  expect_whole_stream
+  expect_complete_stream
 done
 for n in $POOL; do
   alive "engine-$n" || start_pool_engine "$n"
--- a/regress/case_ctl.sh
+++ b/regress/case_ctl.sh
@@ -300,19 +300,19 @@
   done
   for i in 1 2 3; do
     ask $i tender-desk "$(MAX_TOKENS=$((10 + i)) chat draft-small "Draft bond $i")"
-    expect_whole
+    expect_complete
     jq -c '{team: "tender-desk", usage}' "$site/out/body"
     ask $i workshop "$(MAX_TOKENS=$((20 + i)) chat draft-small "Draft a service report on pump $i" true)"
-    expect_whole_stream
+    expect_complete_stream
     sed -n 's/^data: //p' "$site/out/body" | grep usage | jq -c '{team: "workshop", usage}'
-  done >"$site/out/told"
+  done >"$site/out/usages"
   ask 2 tender-desk "$(chat draft-large "Check a clause")"
-  expect_whole
-  jq -c '{team: "tender-desk", usage}' "$site/out/body" >>"$site/out/told"
+  expect_complete
+  jq -c '{team: "tender-desk", usage}' "$site/out/body" >>"$site/out/usages"
   ask 1 workshop "$(chat draft-large "not allowed")"
   expect_refusal 403 not_run not_allowed
   expected=$(jq -sc 'group_by(.team) | map({team: .[0].team, requests: length,
-    prompt_tokens: map(.usage.prompt_tokens) | add, completion_tokens: map(.usage.completion_tokens) | add})' "$site/out/told")
+    prompt_tokens: map(.usage.prompt_tokens) | add, completion_tokens: map(.usage.completion_tokens) | add})' "$site/out/usages")
   expect_equal "requests" '[4,3]' "$(jq -c 'map(.requests)' <<<"$expected")"
   wait_for "usage of $expected" usage_is "$expected"
   # cost_per_1k is 1 for draft-small and 8 for draft-large.
--- a/regress/case_graceful_stop.sh
+++ b/regress/case_graceful_stop.sh
@@ -34,7 +34,7 @@
   cp "$site/stream-$n/headers" "$site/stream-$n/body" "$site/out/"
   code=$(awk 'NR == 1 { print $2 }' "$site/out/headers")
   curl_status=0
-  expect_whole_stream
+  expect_complete_stream
   expect_equal "tokens of stream $n" $TOKENS \
     "$(sed -n 's/^data: //p' "$site/out/body" | grep -v '^\[DONE\]' \
       | jq -c '.choices[0].delta.content // "" | select(. != "")' | wc -l)"
@@ -74,7 +74,7 @@
 expect_equal "status of the steward" 0 "$status"
 # The other VMs still serve requests and accept patches.
 ask 2 tender-desk "$(chat draft-small "at another VM")"
-expect_whole
+expect_complete
 WAIT_MAX_S=60 wait_for "a patch without the stopped VM" ctl withdraw --wait accepted draft-large@v2
 site_stop
 echo "graceful stop: passed"
--- a/regress/case_lease.sh
+++ b/regress/case_lease.sh
@@ -62,7 +62,7 @@
 second=$(duty_holder)
 echo "steward $first frozen: steward $second holds the duty $((SECONDS - frozen)) s later"
 [ "$second" != "$first" ] || fail "the frozen steward holds the duty"
-wait_for "the bad version's end" rollout_state_is draft-small backed_out
+wait_for "the back-out of the bad version" rollout_state_is draft-small backed_out
 for n in 1 2 3 4; do
   wait_for "an order of the successor at engine $n" engine_has_fence $n $((fence + 1))
 done
--- a/regress/case_limits.sh
+++ b/regress/case_limits.sh
@@ -68,12 +68,12 @@
   wait_for_number 3
   for gate in 1 2 3; do
     ask $gate workshop "$(MAX_TOKENS=64 chat draft-small "tokens")"
-    expect_whole
+    expect_complete
     ask $gate workshop "$(MAX_TOKENS=64 chat draft-small "more tokens")"
     expect_refusal 429 not_run team_limit
     [ "$(header Retry-After)" -ge 2 ] || fail "Retry-After is $(header Retry-After) s, expected 2 s or more"
     ask $gate tender-desk "$(chat draft-small "another team")"
-    expect_whole
+    expect_complete
   done
 }
 
--- a/regress/case_quarantine.sh
+++ b/regress/case_quarantine.sh
@@ -85,7 +85,7 @@
   expect_equal "engines lost" $LOST_MAX "$(engines_lost)"
   for gate in 1 2 3; do
     ask $gate tender-desk "$(chat draft-small "Draft without that clause" true)"
-    expect_whole_stream
+    expect_complete_stream
   done
   restart_lost_engines
 }
--- a/regress/case_retries.sh
+++ b/regress/case_retries.sh
@@ -51,14 +51,14 @@
   wait_for "an engine to run it" engine_runs again 1 2
   kill_process "engine-$engine"
   end_request again
-  expect_whole
+  expect_complete
   expect_equal "runs at the other engine" 1 "$(runs_at $((3 - engine)) again)"
   expect_one_bill "$(header X-Lovage-Request)"
   expect_equal "attempts billed" "engine-$engine engine-$((3 - engine))" \
     "$(bills_of "$(header X-Lovage-Request)" | jq -r '[.attempts[].server] | join(" ")')"
   for n in 1 2 3; do
     ask $n tender-desk "$(chat draft-small "with one engine dead")"
-    expect_whole
+    expect_complete
   done
 }
 
@@ -76,7 +76,7 @@
   # request may go to the other engine.
   for n in 1 2 3; do
     ask $n tender-desk "$(chat draft-large "Never sent there [id=sent-$n]")" -H 'X-Lovage-Idempotent: no'
-    expect_whole
+    expect_complete
     expect_equal "runs of a request that was answered" 1 "$(runs_at $other "sent-$n")"
   done
   expect_equal "runs at the other engine" 0 "$(runs_at $other once)"
--- a/regress/case_rollout.sh
+++ b/regress/case_rollout.sh
@@ -30,7 +30,7 @@
 begun=$SECONDS
 rollout_start draft-small 0.5,1
 
-wait_for "the bad version's end" rollout_state_is draft-large backed_out
+wait_for "the back-out of the bad version" rollout_state_is draft-large backed_out
 echo "bad version: backed out $((SECONDS - begun)) s after its start"
 expect_equal "steps of the bad version" 1 "$(rollout_steps draft-large | wc -l)"
 expect_equal "the step" backed_out "$(rollout_steps draft-large | jq -r '.patch.rollouts["draft-large"].state')"
@@ -44,9 +44,9 @@
 [ "$exposed" -ge 1 ] || fail "no caller was answered by the bad version"
 [ "$exposed" -le $BAD_CALLERS_MAX ] || fail "$exposed callers were answered by the bad version"
 sleep 3
-expect_equal "answers of the bad version after its end" "$answers" "$(answers_of draft-large draft-large@v2)"
+expect_equal "answers of the bad version after its back-out" "$answers" "$(answers_of draft-large draft-large@v2)"
 
-wait_for "the good version's end" rollout_state_is draft-small done
+wait_for "the completion of the good version's roll-out" rollout_state_is draft-small done
 echo "good version: done $((SECONDS - begun)) s after its start, $(answers_of draft-small draft-small@v2) answers"
 expect_equal "the good version's steps" "1 done" \
   "$(rollout_steps draft-small | jq -r '.patch.rollouts["draft-small"] | .stage // .state' | paste -sd' ')"
@@ -55,12 +55,12 @@
 wait_for_number "$(head_number)"
 for ((n = 1; n <= site_vms; n++)); do
   ask $n tender-desk "$(chat draft-small "who answers now")"
-  expect_whole
+  expect_complete
   expect_equal "version" draft-small@v2 "$(header X-Lovage-Version)"
   ask $n tender-desk "$(chat draft-small@v2 "the new one by name")"
-  expect_whole
+  expect_complete
   ask $n tender-desk "$(chat draft-large "who answers now")"
-  expect_whole
+  expect_complete
   expect_equal "version" draft-large@v1 "$(header X-Lovage-Version)"
 done
 site_stop
--- a/regress/case_rollout_faults.sh
+++ b/regress/case_rollout_faults.sh
@@ -48,7 +48,7 @@
 for n in 1 2; do
   engine_fault $n '{"kind":"bad_version","value":"draft-small@v2"}'
 done
-wait_for "the end under lost replies" rollout_state_is draft-small backed_out
+wait_for "the back-out while replies are lost" rollout_state_is draft-small backed_out
 sleep 3
 platform_clear_faults
 expect_one_back_out draft-small 1
@@ -69,7 +69,7 @@
 expect_equal "state of the roll-out when the holder died" running "$(rollout_now draft-large | cut -d' ' -f1)"
 fence=$(duty_fence)
 platform_clear_faults
-wait_for "the end by another holder" rollout_state_is draft-large backed_out
+wait_for "the back-out by another holder" rollout_state_is draft-large backed_out
 expect_one_back_out draft-large 1
 [ "$(duty_fence)" -gt "$fence" ] || fail "no other steward took the duty over"
 echo "holder killed between brake and patch: one step, by steward $(duty_holder)"
@@ -104,7 +104,7 @@
   wait_for "gate $n without the bad version" gate_answers_with_v1 $n draft-small
 done
 platform_clear_faults
-wait_for "the end after the outage" rollout_state_is draft-small backed_out
+wait_for "the back-out after the outage" rollout_state_is draft-small backed_out
 expect_one_back_out draft-small 2
 echo "table service unavailable: braked meanwhile, one step afterwards"
 traffic_stop draft-small
--- a/regress/case_steward.sh
+++ b/regress/case_steward.sh
@@ -73,7 +73,7 @@
     expect_equal "proof at steward $n" peers "$(status $n .grant_proof)"
     url_ready "$(gate_local_url $n)" || fail "gate $n is not ready in the outage"
     ask $n tender-desk "$(chat draft-large "in the outage")"
-    expect_whole
+    expect_complete
   done
   curl -s --max-time 20 -o "$site/out/refusal" -D "$site/out/refusal-head" -X POST \
     -H "Authorization: Bearer ${key[operator]}" -d '{"base":1,"patch":{},"reason":"x"}' \
@@ -145,7 +145,7 @@
 }
 
 # Only the steward is killed and restarted, while its gate is frozen with a valid grant. The new steward does not
-# know of that gate. If it reported the next patch as applied at once, the operator would be told "in force",
+# know of that gate. If it reported the next patch as applied at once, the operator would get "in force",
 # and the gate would still send requests to the withdrawn version when it continues.
 check_gate_of_killed_steward() {
   local number
--- a/regress/case_tls.sh
+++ b/regress/case_tls.sh
@@ -67,10 +67,10 @@
   local n
   for n in 1 2; do
     ask $n tender-desk "$(chat draft-small "over TLS")" --cacert "$site/right.pem"
-    expect_whole
+    expect_complete
     expect_one_bill "$(header X-Lovage-Request)"
     ask $n tender-desk "$(chat draft-large "over TLS" true)" --cacert "$site/right.pem"
-    expect_whole_stream
+    expect_complete_stream
   done
   expect_equal "requests that ran" "4" "$(($(run_counts | tr ' ' '+')))"
   # 60: the peer's certificate is not trusted
--- a/regress/case_whole_path.sh
+++ b/regress/case_whole_path.sh
@@ -8,7 +8,7 @@
 check_answers() {
   local gate=$1 request
   ask "$gate" tender-desk "$(chat draft-small "Draft a bid bond at gate $gate")"
-  expect_whole
+  expect_complete
   expect_equal "version" draft-small@v1 "$(header X-Lovage-Version)"
   request=$(header X-Lovage-Request)
   expect_one_bill "$request"
@@ -16,7 +16,7 @@
     "$(bills_of "$request" | jq -r '"\(.team) \(.attempts[-1].version) \(.outcome)"')"
 
   ask "$gate" tender-desk "$(chat draft-large "Check a clause at gate $gate" true)"
-  expect_whole_stream
+  expect_complete_stream
   expect_equal "version" draft-large@v1 "$(header X-Lovage-Version)"
   expect_one_bill "$(header X-Lovage-Request)"
 }
@@ -38,7 +38,7 @@
     || fail "patch against 1"
   for ((gate = 1; gate <= site_vms; gate++)); do
     ask $gate tender-desk "$(chat draft-small@v2 "an active version by name")"
-    expect_whole
+    expect_complete
     expect_equal "version" draft-small@v2 "$(header X-Lovage-Version)"
     expect_equal "number in force" 2 "$(header X-Lovage-Config)"
   done
@@ -57,7 +57,7 @@
     ask $gate tender-desk "$(chat draft-small@v2 "again")"
     expect_refusal 409 not_run version_withdrawn
     ask $gate tender-desk "$(chat draft-small "the other version goes on")"
-    expect_whole
+    expect_complete
     expect_equal "version" draft-small@v1 "$(header X-Lovage-Version)"
   done
 }
--- a/regress/lib.sh
+++ b/regress/lib.sh
@@ -457,7 +457,7 @@
 }
 
 # The last answer, not streamed, must be complete: answered, with finish_reason "stop" and some content.
-expect_whole() {
+expect_complete() {
   expect_equal "status of the answer ($(head -c 300 "$site/out/body"))" 200 "$code"
   expect_equal "state" answered "$(header X-Lovage-State)"
   expect_equal "finish_reason" stop "$(body '.choices[0].finish_reason')"
@@ -472,7 +472,7 @@
 
 # The last streamed answer must be complete: events in sequence without a gap, finish_reason "stop", and the
 # end mark [DONE].
-expect_whole_stream() {
+expect_complete_stream() {
   expect_equal "status of the stream ($(head -c 300 "$site/out/body"))" 200 "$code"
   expect_equal "curl's status" 0 "$curl_status"
   expect_equal "end mark" 'data: [DONE]' "$(grep '^data:' "$site/out/body" | tail -n 1)"
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -24,9 +24,9 @@
     return
   fi
   if [ "$stream" = true ]; then
-    expect_whole_stream
+    expect_complete_stream
   else
-    expect_whole
+    expect_complete
   fi
   answers=$((answers + 1))
   echo "$team $version" >>"$site/out/answered"
