--- a/regress/front/cases.py
+++ b/regress/front/cases.py
@@ -35,7 +35,7 @@
     return [event for front in site.fronts for event in front.events(name)]
 
 
-async def calm(site):
+async def no_faults(site):
     """Without faults each front answers streams, orders and look-ups completely, on persistent connections."""
     for front in site.fronts:
         connection = await asyncio.open_connection(front.ip, CALLERS_PORT)
@@ -48,7 +48,7 @@
     equal(len(site.runs), len(site.fronts) * 15, "arrivals at engines")
 
 
-async def refusals(site):
+async def invalid_requests_are_refused(site):
     """A request with no route, an unknown key, a too large body or a malformed head is refused with its own
     status and reaches no engine."""
     front = site.fronts[0]
@@ -79,7 +79,7 @@
     check(site, first, second)
 
 
-async def resume(site):
+async def stream_is_resumed(site):
     """An engine closes or resets its connection within an event. The stream is resumed at another engine, and the
     caller gets each event exactly once."""
     for mode in ("half", "cut"):
@@ -93,9 +93,9 @@
         raise AssertionError("no stream was resumed")
 
 
-async def run_once(site):
+async def order_is_not_resent(site):
     """An engine runs an order and its answer is lost, truncated, invalid or an error. The order is not sent again,
-    and the caller is not told that it did not run."""
+    and its caller gets no refusal as not run."""
     for mode in ("lost", "half", "foreign", "unsigned", "error"):
         for engine in site.engines:
             engine.mode = mode
@@ -107,7 +107,7 @@
         check(site, idempotent)
 
 
-async def not_run(site):
+async def refused_when_engines_are_full(site):
     """All engines are full. An order is refused within a second with Retry-After, and no engine has run it."""
     for engine in site.engines:
         engine.mode = "full"
@@ -120,7 +120,7 @@
         raise AssertionError("the refusal took more than 1 s")
 
 
-async def crashed_engines(site):
+async def crashed_engines_use_no_attempts(site):
     """Five of six engines of a service crash at once, and their entries stay in the store. Each request reaches
     the sixth although its route allows three attempts: a connection that cannot be opened is no attempt."""
     for _ in range(4):
@@ -135,7 +135,7 @@
         check(site, answer)
 
 
-async def caller_leaves(site):
+async def request_of_closed_connection_is_cancelled(site):
     """A caller closes its connection before its stream ends; the front cancels the request at the engine."""
     for engine in site.engines:
         engine.delay = 3.0
@@ -146,7 +146,7 @@
         raise AssertionError("an engine still runs a request whose caller left")
 
 
-async def timeouts(site):
+async def gateway_timeout(site):
     """An engine accepts a request and does not answer. The caller gets 504 at the route's time-out."""
     for engine in site.engines:
         engine.mode = "mute"
@@ -156,7 +156,7 @@
         raise AssertionError("the answer did not come at the route's time-out")
 
 
-async def planned_stop(site):
+async def graceful_stop(site):
     """A front gets SIGTERM while it streams. It reports itself as not ready to the balancer, closes idle connections,
     completes the stream, and exits with status 0 well before it would be killed."""
     front = site.fronts[0]
@@ -212,7 +212,7 @@
     equal((await site.call(site.fronts[0], "/moved/a", key="key-two")).status, 200, "after an unreadable version")
 
 
-async def turned_away(site):
+async def changes_from_peers_without_store(site):
     """One front cannot read the store while a key is revoked and an engine leaves. It learns both from the other
     fronts."""
     front = site.fronts[0]
@@ -238,7 +238,7 @@
         raise AssertionError("an engine that leaves got new work")
 
 
-async def late_news(site):
+async def only_changed_rows_from_own_domain(site):
     """One front cannot read the store while engines leave one by one. It fetches only the changed rows, and from a
     front of its own failure domain. If each change were fetched as the complete list of servers from any
     other front, 300 fronts with 3,000 servers would saturate their links."""
@@ -256,11 +256,11 @@
             raise AssertionError(f"all rows were fetched, or from another failure domain: {event}")
 
 
-async def long_table_at_start(site):
+async def long_table_from_peer_at_start(site):
     """A front restarts on a site with 1,400 servers, while the store takes a second for each page of 500. It gets
-    all rows from a neighbour and reads no page from the store: 300 fronts that read all pages would fill the
+    all rows from a peer and reads no page from the store: 300 fronts that read all pages would fill the
     store's link for many seconds. The same holds for a registered front, which reads the store for the
-    others; it does so only if no neighbour is known to have the rows."""
+    others; it does so only if no peer is known to have the rows."""
     entry = site.store.rows["servers", site.engines[0].name][0]
     for number in range(1400):
         await site.store.put("servers", f"j-{number}", entry.replace('"texts"', '"spare"'))
@@ -270,7 +270,7 @@
         text = (await which.get(CONTROL_PORT, "/metrics")).body.decode()
         return any(line.startswith("lovage_front_servers 14") for line in text.splitlines())
 
-    await site.wait(lambda: knows_all(site.fronts[2]), "all servers at the neighbour")
+    await site.wait(lambda: knows_all(site.fronts[2]), "all servers at the peer")
 
     async def pages_of_start():
         await front.kill()
@@ -291,7 +291,7 @@
     equal(await pages_of_start(), 0, "pages read by a registered front")
 
 
-async def held_questions(site):
+async def key_replaced_after_store_hung(site):
     """The store does not answer for two seconds and all connections stay open. Requests from before or within that
     time are never answered. A key is replaced directly afterwards: all fronts must apply that soon after the
     store answers again, and not only when their long polls time out."""
@@ -321,7 +321,7 @@
     equal(answer.status, 200, "an order")
 
 
-async def all_start_again(site):
+async def all_fronts_restart(site):
     """All fronts are killed at once and restart, so that none can get the tables from another. Each becomes ready
     soon, and only the ten registered ones read the tables from the store."""
     for _ in range(9):
@@ -354,7 +354,7 @@
     equal(registered(), 10, "registered fronts")
 
 
-async def wrong_seeds(site):
+async def restart_with_wrong_seeds(site):
     """All fronts restart while no front is registered, and no front listens on the seed addresses of their settings.
     Each reads the store and registers, and reads the list of fronts again while it knows no other front, so
     that all find each other. A front without peers would not learn of their evidence against a bad version."""
@@ -374,8 +374,8 @@
         await site.wait(lambda front=front: knows_all(front), f"front {front.number} knows the others")
 
 
-async def callers_at_start(site):
-    """A front restarts and gets requests before a neighbour has sent it the configuration. These requests wait and
+async def requests_wait_for_configuration(site):
+    """A front restarts and gets requests before a peer has sent it the configuration. These requests wait and
     are served. If they were refused, the callers would retry half a second later and then give up."""
     front = site.fronts[0]
     front.store_endpoint.set("slow")
@@ -408,7 +408,7 @@
         raise AssertionError("refusal without Retry-After")
 
 
-async def forgotten_history(site):
+async def dropped_history(site):
     """The store drops its history while an engine leaves and a configuration is written, so that feeds are answered
     410. A front reads the tables completely and applies both."""
     site.store.drop_history()
@@ -424,7 +424,7 @@
     await site.wait(known, "the new key", BUSY_TIMEOUT_S)
 
 
-async def lost_write(site):
+async def lost_answer_to_status_write(site):
     """A front writes a roll-out's status, and the store's answer is lost. The status is written once, not twice, and
     the roll-out goes on when the store answers again."""
     for front in site.fronts:
@@ -504,7 +504,7 @@
     equal(site.store.get("status", "rollout/texts")["State"], "rolled_back", "status")
 
 
-async def crash_request(site):
+async def crashing_request_is_refused(site):
     """A request crashes each engine that runs it, and its caller sends it again and again. After three engines all
     fronts refuse it, and serve other requests."""
     for _ in range(4):
@@ -522,7 +522,7 @@
     equal((await site.call(site.fronts[0], "/again/other", b"innocent")).status, 200, "another request's status")
 
 
-async def lost_answers(site):
+async def lost_answers_do_not_quarantine(site):
     """Engines lose the answers to a request four times but do not crash. The request is not quarantined, and is
     served when the engines answer again."""
     for _ in range(4):
@@ -547,7 +547,7 @@
     equal(violations, [], "violations")
 
 
-async def engine_starts_again(site):
+async def engine_restarts_at_new_address(site):
     """An engine stops answering and restarts with the same id at another address; the connections to the old
     process hang. A request that ran there is sent again as soon as the restart is known, new work goes to the
     new address, and a late report of the old process changes nothing."""
@@ -570,7 +570,7 @@
         equal((await site.call(front, "/once/b", b"new")).status, 200, "an order after the late report")
 
 
-async def foreign_entries(site):
+async def invalid_server_rows(site):
     """The list of servers has rows that cannot be read and one with an address where nothing listens. They get no
     requests, the unreadable ones are logged, and the engines are used as before."""
     good = site.engines[0].entry()
@@ -627,7 +627,7 @@
     await wait_for_work_in_domain(site, "a")
 
 
-async def evacuation_forgotten(site):
+async def evacuation_with_dropped_history(site):
     """The store drops its history around the order of an evacuation and around its removal, so that no feed has
     the removal. Fronts learn both all the same."""
     site.store.drop_history()
@@ -640,7 +640,7 @@
     await wait_for_work_in_domain(site, "b")
 
 
-async def evacuated_everywhere(site):
+async def all_domains_evacuated(site):
     """Both failure domains are evacuated. Callers are refused within a second, as not run and with Retry-After."""
     for domain in "ab":
         await site.store.put("op", f"evacuate/{domain}", "{}")
@@ -653,7 +653,7 @@
     equal(reasons, ["evacuated"], "the reason")
 
 
-async def odd_evacuations(site):
+async def invalid_evacuations(site):
     """Evacuation orders that are malformed, name no failure domain, or name one without engines, and one that is
     written and removed twice. Invalid orders are logged as refused, the others are obeyed, and requests are served."""
     for key, value in (("evacuate/a", "\x00\xff"), ("evacuate/a", "{}"), ("evacuate/nowhere", "[]"),
@@ -705,14 +705,14 @@
     equal(reasons, {"servers_cold"}, "reasons")
 
 
-async def back_from_evacuation(site):
+async def cold_engines_after_evacuation(site):
     """An evacuation ends while thirty callers send requests. The engines are cold, but their entries show it only
     with the next heartbeat; the limit for cold engines must hold from the start."""
     site.cold_per_s = 4
     await site.configure()
     await site.evacuate("a")
     await asyncio.sleep(2)
-    taken = asyncio.ensure_future(site.take_back("a"))
+    taken = asyncio.ensure_future(site.end_evacuation("a"))
     check(site, *await call_concurrently(site, 30, 3))
     await taken
     equal(cold_violations(site), [], "violations of the limit for cold engines")
@@ -720,7 +720,7 @@
         raise AssertionError("the failure domain got no work after its evacuation ended")
 
 
-async def odd_cold_rates(site):
+async def invalid_cold_rates(site):
     """Invalid limits for cold engines in the configuration are ignored, and requests are served."""
     for rate in (0, -1, 1e300, "many", None):
         site.cold_per_s = rate
@@ -748,10 +748,16 @@
 
 
 CASES = [
-    calm, refusals, cascade, resume, run_once, not_run, crashed_engines, caller_leaves, timeouts, planned_stop, stopping_serves_what_ends_in_time, new_configuration,
-    turned_away, late_news, long_table_at_start, held_questions, start_without_store, all_start_again, wrong_seeds, callers_at_start,
-    refused_without_configuration, forgotten_history, lost_write, good_rollout, bad_rollout, slow_rollout, crash_request, lost_answers,
-    leaving_engine, engine_starts_again, foreign_entries, evacuated_domain, evacuation_forgotten, evacuated_everywhere, odd_evacuations, cold_engines, back_from_evacuation, odd_cold_rates, metrics_and_logs,
+    no_faults, invalid_requests_are_refused, cascade, stream_is_resumed, order_is_not_resent,
+    refused_when_engines_are_full, crashed_engines_use_no_attempts, request_of_closed_connection_is_cancelled,
+    gateway_timeout, graceful_stop, stopping_serves_what_ends_in_time, new_configuration,
+    changes_from_peers_without_store, only_changed_rows_from_own_domain, long_table_from_peer_at_start,
+    key_replaced_after_store_hung, start_without_store, all_fronts_restart, restart_with_wrong_seeds,
+    requests_wait_for_configuration, refused_without_configuration, dropped_history, lost_answer_to_status_write,
+    good_rollout, bad_rollout, slow_rollout, crashing_request_is_refused, lost_answers_do_not_quarantine,
+    leaving_engine, engine_restarts_at_new_address, invalid_server_rows, evacuated_domain,
+    evacuation_with_dropped_history, all_domains_evacuated, invalid_evacuations, cold_engines,
+    cold_engines_after_evacuation, invalid_cold_rates, metrics_and_logs,
 ]  # fmt: skip
 
 
--- a/regress/front/cases_links.py
+++ b/regress/front/cases_links.py
@@ -12,7 +12,7 @@
 EXTRA_ROUTES = 4200
 STORE_BYTES_PER_S = 350_000  # the store's answer with the extra routes has 1.2 MB
 FRONT_BYTES_PER_S = 35_000  # they are 0.11 MB as a front compresses them
-NEIGHBOUR_CONTROL_PORT = CONTROL_PORT + 100
+PEER_CONTROL_PORT = CONTROL_PORT + 100
 
 
 async def wait_applied(site, front, version, limit=BUSY_TIMEOUT_S):
@@ -22,31 +22,31 @@
     await site.wait(applied, f"configuration {version} at front {front.number}", limit)
 
 
-async def news_over_slow_link(site):
-    """A front whose connections to the store are reset fetches a large configuration from a neighbour, over
+async def configuration_from_peer_over_slow_link(site):
+    """A front whose connections to the store are reset fetches a large configuration from a peer, over
     a link on which the transfer takes three seconds. Guards against a time-out of 0.8 s on the complete
     answer instead of on its first byte: the front aborted each request while the answer arrived and repeated
     it without end, so that its log had fetch after fetch of the same rows, each cut with bytes received, and
     its callers were served by the old routes."""
-    neighbour, lagging = site.fronts[0], site.fronts[2]
-    await neighbour.kill()
-    neighbour.control = NEIGHBOUR_CONTROL_PORT  # the relay listens on the usual port
-    relay = Relay((neighbour.ip, CONTROL_PORT), (neighbour.ip, NEIGHBOUR_CONTROL_PORT))
+    peer, lagging = site.fronts[0], site.fronts[2]
+    await peer.kill()
+    peer.control = PEER_CONTROL_PORT  # the relay listens on the usual port
+    relay = Relay((peer.ip, CONTROL_PORT), (peer.ip, PEER_CONTROL_PORT))
     await relay.start()
     try:
-        await neighbour.start()
-        await site.wait(neighbour.is_ready, "the neighbour ready")
+        await peer.start()
+        await site.wait(peer.is_ready, "the peer ready")
         lagging.store_endpoint.set("reset")
         relay.rate = FRONT_BYTES_PER_S
         add_routes(site, EXTRA_ROUTES)
         version = await site.configure()
-        await wait_applied(site, neighbour, version)
+        await wait_applied(site, peer, version)
         await wait_applied(site, lagging, version)
     finally:
         relay.close()
 
 
-async def configuration_over_slow_link(site):
+async def configuration_from_store_over_slow_link(site):
     """The same configuration comes from the store, whose answer takes three seconds over each front's link.
     Guards against a time-out of 1.5 s on the complete answer of a short poll: the request was aborted while
     its answer arrived, and the store was taken for lost although it always answered."""
@@ -82,7 +82,7 @@
         await site.wait(front.is_ready, f"front {front.number} ready", BUSY_TIMEOUT_S)
 
 
-CASES = [news_over_slow_link, configuration_over_slow_link, start_over_slow_link]
+CASES = [configuration_from_peer_over_slow_link, configuration_from_store_over_slow_link, start_over_slow_link]
 
 if __name__ == "__main__":
     sys.exit(main(CASES))
--- a/regress/front/site_front.py
+++ b/regress/front/site_front.py
@@ -204,7 +204,7 @@
         await self.store.put("op", f"evacuate/{domain}", "{}")
         self.evacuations[domain] = time.monotonic()
 
-    async def take_back(self, domain):
+    async def end_evacuation(self, domain):
         """Ends an evacuation. The engines are cold from before it ends; their entries show it 0.8 s later, as with
         their next heartbeat."""
         self.evacuations.pop(domain, None)
--- a/regress/front/soak.py
+++ b/regress/front/soak.py
@@ -38,9 +38,9 @@
         self.violations = []
         self.answers = []
         self.disturbed = {}  # front number, or "engines", or "store" -> time of the last fault
-        self.planned_stops = {}  # front number -> time of the last SIGTERM
+        self.graceful_stops = {}  # front number -> time of the last SIGTERM
         self.revoked = {}  # key -> when the store acknowledged its removal
-        self.fronts_at_fault = {}  # numbers of the fronts that have a fault now
+        self.fronts_with_fault = {}  # numbers of the fronts that have a fault now
         self.counts = {}  # text for the report -> number of times
         self.until = 0.0
 
@@ -63,16 +63,16 @@
     async def fault_one_front(self, action):
         """Injects a fault into a random front, unless that has one already or only one front is without."""
         front = self.random.choice(self.site.fronts)
-        if front.number in self.fronts_at_fault or len(self.fronts_at_fault) >= max(1, len(self.site.fronts) - 1):
+        if front.number in self.fronts_with_fault or len(self.fronts_with_fault) >= max(1, len(self.site.fronts) - 1):
             return
-        self.fronts_at_fault[front.number] = True
+        self.fronts_with_fault[front.number] = True
         try:
             await action(front)
         finally:
-            del self.fronts_at_fault[front.number]
+            del self.fronts_with_fault[front.number]
 
     async def stop(self, front):
-        self.planned_stops[front.number] = time.monotonic()
+        self.graceful_stops[front.number] = time.monotonic()
         status = await front.stop()
         if status != 0:
             self.violations.append(f"front {front.number} ended with {status} when it was stopped")
@@ -176,7 +176,7 @@
         since = self.site.evacuations[domain]
         await self.pause(1, 6)
         self.violations += evacuation_violations(self.site, domain, since + self.slack, self.undisturbed_front(since))
-        await self.site.take_back(domain)
+        await self.site.end_evacuation(domain)
 
     async def drop_history(self):
         self.site.store.drop_history()
@@ -262,7 +262,7 @@
         limit = APPLY_S + self.slack
         if revoked_at and answer.status == 200 and answer.sent_at > max(revoked_at, undisturbed_since + UNDISTURBED_S) + limit:
             self.violations.append(f"{answer!r}: served with a key revoked {answer.sent_at - revoked_at:.2f} s before")
-        during_stop = answer.sent_at - 1 < self.planned_stops.get(name, 0) < answer.ended_at
+        during_stop = answer.sent_at - 1 < self.graceful_stops.get(name, 0) < answer.ended_at
         undisturbed = answer.sent_at > self.undisturbed_since(name, "engines") + UNDISTURBED_S
         if during_stop and not answer.complete and self.site.runs_of(answer) and undisturbed:
             self.violations.append(f"{answer!r}: truncated by a graceful stop of front {name}")
