--- a/regress/front/cases.py
+++ b/regress/front/cases.py
@@ -36,7 +36,8 @@
 
 
 async def no_faults(site):
-    """Without faults each front answers streams, orders and look-ups completely, on persistent connections."""
+    """Without faults each front answers streams, orders (non-idempotent) and look-ups (idempotent) completely, on
+    persistent connections."""
     for front in site.fronts:
         connection = await asyncio.open_connection(front.ip, CALLERS_PORT)
         for number in range(5):
--- a/regress/soak/brakes.py
+++ b/regress/soak/brakes.py
@@ -65,7 +65,7 @@
     def _protect(self, brake):
         """Keeps new faults away from the VM that raised the brake for some seconds, in seven of ten cases.
 
-        If the VM were always killed before it has told the others, no case would be left to check.
+        If the VM were always killed before its brake reaches the others, no case would be left to check.
         """
         position = next((i for i, vm in enumerate(self.site.vms) if vm.name == brake.vm), None)
         if not self.faults or position is None or self.rng.random() < 0.3 or not self.faults.claim(position):
--- a/regress/soak/episodes.py
+++ b/regress/soak/episodes.py
@@ -12,7 +12,7 @@
 
 OUTAGE_S = 60
 READY_TIMEOUT_S = 90
-CONTACT_S = 5
+CONTACT_S = 5  # the platform is reachable for so long before all VMs are killed
 QUEUED_REQUESTS = 6  # requests sent to a frozen VM
 POISON = "POISON"  # text that crashes an engine which has it in a prompt
 CRASH_PROMPTS = 20
@@ -84,14 +84,14 @@
         self.faults.record("kill_vm_in_outage", vm.name, begin)
         self.faults.release(position)
 
-    def _stop_vm(self, vm, planned):
-        if not planned:
+    def _stop_vm(self, vm, gracefully):
+        if not gracefully:
             for process in vm.processes():
                 process.stop(signal.SIGKILL, 10)
             return
         begin = boot_ms()
         status = vm.gate.stop(signal.SIGTERM, 90)
-        self.faults.planned.append((vm.name, begin, boot_ms(), status))
+        self.faults.graceful_stops.append((vm.name, begin, boot_ms(), status))
         vm.steward.stop(signal.SIGTERM, 30)
 
     def _replace_each(self):
--- a/regress/soak/faults.py
+++ b/regress/soak/faults.py
@@ -17,7 +17,7 @@
         self.rng = random.Random(seed)
         self.stopping = threading.Event()
         self.log = []  # (name, target, begin, end), times of boot_ms
-        self.planned = []  # (vm, begin, end, exit status) of graceful stops
+        self.graceful_stops = []  # (vm, begin, end, exit status of the gate)
         self.thread = threading.Thread(target=self._loop)
         self.kinds = [
             self.kill_vm, self.kill_steward, self.kill_gate, self.freeze_vm, self.freeze_steward,
@@ -226,7 +226,7 @@
         vm = self.site.vms[target]
         begin = boot_ms()
         status = vm.gate.stop(signal.SIGTERM, 90)
-        self.planned.append((vm.name, begin, boot_ms(), status))
+        self.graceful_stops.append((vm.name, begin, boot_ms(), status))
         vm.steward.stop(signal.SIGTERM, 30)
         self.stopping.wait(seconds / 4)
         vm.steward.start()
--- a/regress/soak/oracle.py
+++ b/regress/soak/oracle.py
@@ -50,7 +50,8 @@
                 self.fail("allowed version", f"{run['user']} of {team} ran on {run['model']}")
 
     def stopped_spans(self):
-        """(version or server, begin, end, number) of the times in which operators were told that it is stopped."""
+        """(version or server, begin, end, number): from the operator's answer that the patch which stops it is in force
+        until a patch may have reverted it."""
         spans = []
         for patch in self.operators:
             if not patch.stops or patch.result != "in_force":
@@ -162,7 +163,7 @@
                 self.fail("at most once", f"{tag} ran {len(self.by_tag[tag])} times")
 
     def graceful_stop_cuts_nothing(self):
-        for vm, begin, end, status in self.faults.planned:
+        for vm, begin, end, status in self.faults.graceful_stops:
             self.checked["graceful stops"] += 1
             if status != 0:
                 self.fail("graceful stop", f"the gate of {vm} ended with status {status}")
--- a/regress/soak/oracle_faults.py
+++ b/regress/soak/oracle_faults.py
@@ -16,7 +16,7 @@
 GATE_LOSS = {"kill_vm", "kill_gate", "planned_stop", "replace_vm", "kill_vm_in_outage"}
 GATE_FROZEN = {"freeze_vm", "freeze_gate", "freeze_in_patch"}
 # Faults during which a gate may not reach the platform.
-PLATFORM_AWAY = {"platform_down", "platform_slow", "platform_loses_calls", "platform_loses_replies", "long_outage"}
+PLATFORM_UNREACHABLE = {"platform_down", "platform_slow", "platform_loses_calls", "platform_loses_replies", "long_outage"}
 # A gate that could reach the table or the VMs with copies for so long has retried its writes there.
 CONTACT_MS = 5000
 # The longest time for which the end of an answer waits until its record is in the table or copied.
@@ -86,17 +86,17 @@
 
         Any cut between VMs counts for all of them: a relay resets connections while its VM is cut off from any other.
         """
-        away, links = [], []
+        unreachable, links = [], []
         for kind, what, begin, end in self.faults.log:
             if kind in LINK_CUT:
                 links.append((begin, end))
             if (
-                kind in PLATFORM_AWAY
+                kind in PLATFORM_UNREACHABLE
                 or kind == "cut_platform" and what == vm
                 or kind == "cut_halves" and vm in what.split("|")[2].split(",")
             ):
-                away.append((begin, end))
-        return away, links
+                unreachable.append((begin, end))
+        return unreachable, links
 
     def lost_in_window(self, sent):
         """Whether a missing bill is within the loss window that docs/design/billing.md states.
@@ -106,8 +106,8 @@
         killed = min((b for b, _ in self.faults_of(sent.vm, GATE_LOSS - {"planned_stop"}) if b > sent.end - 50), default=None)
         if killed is None:
             return False
-        away, links = self.isolated(sent.vm)
-        if stored_elsewhere(sent.end, killed, away):
+        unreachable, links = self.isolated(sent.vm)
+        if stored_elsewhere(sent.end, killed, unreachable):
             return False
         if not stored_elsewhere(sent.end, killed, links):
             return True
@@ -131,7 +131,7 @@
             self.checked["brakes raised in a partition"] += partition
             self.checked["requests refused by a brake"] += refused.pop(brake.target, 0)
             reached_by = {vm.name: self.reached_by(brake, vm) for vm in self.site.all_vms}
-            self.checked["brakes by gates that must have heard"] += sum(at < brake.released for at in reached_by.values())
+            self.checked["brakes at gates that must have learned of them"] += sum(at < brake.released for at in reached_by.values())
             for run in self.runs:
                 sent = by_tag.get(run["user"])
                 if not sent or run["model"] != brake.target or not sent.vm:
--- a/regress/soak/soak.py
+++ b/regress/soak/soak.py
@@ -27,7 +27,7 @@
     "runs on an allowed model", "requests for a model that is not allowed", "withdrawals in force", "leaving servers", "bills with the engine's tokens",
     "session answers", "answers with a bill", "complete answers", "refusals as not run",
     "non-idempotent requests", "graceful stops", "configuration numbers", "patches in force",
-    "brakes raised", "brakes raised in a partition", "brakes by gates that must have heard",
+    "brakes raised", "brakes raised in a partition", "brakes at gates that must have learned of them",
     "requests refused by a brake", "answers in sessions named by callers", "callers that left",
     "streams whose caller left, cancelled", "bills of callers that left",
 ]  # fmt: skip
@@ -57,7 +57,7 @@
 
 
 def settle(site, callers, faults, bills_bound):
-    """Clears what links are still cut and waits: all gates must become ready, and all bills must reach the table."""
+    """Restores the links that are still cut and waits: all gates must become ready, and all bills must reach the table."""
     site.relay.restore_all()
     site.wait(lambda: all(vm.ready() for vm in site.vms), "all gates ready after the faults", 90)
     checks = FaultChecks(site, faults)
