--- a/src/ctl_main.c
+++ b/src/ctl_main.c
@@ -166,8 +166,8 @@
     }
 }
 
-static const struct argp_child site_child[]
-    = { { .argp = &ctl_site_argp, .header = "Options of all commands:", .group = 1 }, { 0 } };
+static const struct argp_child common_child[]
+    = { { .argp = &ctl_option_argp, .header = "Options of all commands:", .group = 1 }, { 0 } };
 
 static void
 add_command_list (Buffer *doc)
@@ -192,7 +192,7 @@
 {
   Buffer doc = { 0 };
   struct argp argp
-      = { .parser = parse_top, .args_doc = "COMMAND [ARGUMENT...]", .children = site_child };
+      = { .parser = parse_top, .args_doc = "COMMAND [ARGUMENT...]", .children = common_child };
 
   add_command_list (&doc);
   argp.doc = doc.data;
@@ -209,7 +209,7 @@
                        .parser = parse_command,
                        .args_doc = command->operands,
                        .doc = command->doc,
-                       .children = site_child };
+                       .children = common_child };
   char **rest = argv + parse->command_at;
 
   snprintf (name, sizeof name, "lovagectl %s%s%s", command->group, command->name ? " " : "",
@@ -242,7 +242,7 @@
   CtlExit status;
 
   argp_err_exit_status = CTL_USAGE;
-  ctl_site_environment (&ctl);
+  ctl_option_read_environment (&ctl);
   parse_top_line (argc, argv, &parse);
   parse_command_line (argc, argv, &parse);
   status = run_command (&ctl, &parse);
--- a/src/ctl_site.c
+++ b/src/ctl_option.c
@@ -12,7 +12,7 @@
 #define KEY_SIZE 256 /* bytes */
 #define PORT_MAX 65535
 
-static const struct argp_option site_options[] = {
+static const struct argp_option common_options[] = {
   { "steward", OPTION_STEWARD, "A:P[,A:P...]", 0,
     "Stewards to try, the first one first (else " CTL_ENV_STEWARDS ")", 0 },
   { "key-file", OPTION_KEY_FILE, "FILE", 0,
@@ -95,7 +95,7 @@
 }
 
 static error_t
-parse_site_option (int key, char *arg, struct argp_state *state)
+parse_common_option (int key, char *arg, struct argp_state *state)
 {
   Ctl *ctl = state->input;
 
@@ -121,10 +121,10 @@
     }
 }
 
-const struct argp ctl_site_argp = { .options = site_options, .parser = parse_site_option };
+const struct argp ctl_option_argp = { .options = common_options, .parser = parse_common_option };
 
 void
-ctl_site_environment (Ctl *ctl)
+ctl_option_read_environment (Ctl *ctl)
 {
   const char *stewards = getenv (CTL_ENV_STEWARDS);
   const char *key_file = getenv (CTL_ENV_KEY_FILE);
--- a/src/ctl_option.h
+++ b/src/ctl_option.h
@@ -30,8 +30,8 @@
 };
 
 /** Parser of the options common to all commands; its input is the Ctl to fill. */
-extern const struct argp ctl_site_argp;
+extern const struct argp ctl_option_argp;
 /** Reads the environment variables; exits with CTL_USAGE if one is invalid. */
-void ctl_site_environment (Ctl *ctl);
+void ctl_option_read_environment (Ctl *ctl);
 
 #endif
