--- a/src/ctl.h
+++ b/src/ctl.h
@@ -48,7 +48,7 @@
   const char *operands[CTL_OPERANDS_MAX];
   size_t operand_count;
   int64_t base;       /**< version number that the change is made against; -1: not given */
-  int64_t wait_ms;    /**< how long to wait for what wait names */
+  int64_t wait_ms;    /**< maximum time to wait for the state that wait names */
   int64_t limit;      /**< maximum number of entries */
   const char *wait;   /**< what to wait for: "none", "accepted" or "in_force" */
   const char *reason; /**< never NULL */
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -107,8 +107,8 @@
       answer->outcome_unknown = earlier_unknown;
       if (code != STATUS_OK)
         {
-          /* In both cases nothing was executed: no connection, or an unusable request or trust
-           * file. */
+          /* Without a connection, or with an invalid request or trust file, nothing was executed.
+           */
           answer->outcome_unknown |= code != STATUS_UNAVAILABLE && code != STATUS_INVALID;
           add_failure (failures, steward, st.message);
           continue;
--- a/src/ctl_main.c
+++ b/src/ctl_main.c
@@ -142,7 +142,7 @@
 }
 
 static error_t
-parse_top (int key, char *arg, struct argp_state *state)
+parse_global (int key, char *arg, struct argp_state *state)
 {
   Parse *parse = state->input;
 
@@ -188,11 +188,11 @@
 }
 
 static void
-parse_top_line (int argc, char **argv, Parse *parse)
+parse_global_options (int argc, char **argv, Parse *parse)
 {
   Buffer doc = { 0 };
   struct argp argp
-      = { .parser = parse_top, .args_doc = "COMMAND [ARGUMENT...]", .children = common_child };
+      = { .parser = parse_global, .args_doc = "COMMAND [ARGUMENT...]", .children = common_child };
 
   add_command_list (&doc);
   argp.doc = doc.data;
@@ -201,7 +201,7 @@
 }
 
 static void
-parse_command_line (int argc, char **argv, Parse *parse)
+parse_command_options (int argc, char **argv, Parse *parse)
 {
   const CtlCommand *command = parse->command;
   char name[PROGRAM_NAME_SIZE];
@@ -243,8 +243,8 @@
 
   argp_err_exit_status = CTL_USAGE;
   ctl_option_read_environment (&ctl);
-  parse_top_line (argc, argv, &parse);
-  parse_command_line (argc, argv, &parse);
+  parse_global_options (argc, argv, &parse);
+  parse_command_options (argc, argv, &parse);
   status = run_command (&ctl, &parse);
   if (ctl.key != NULL)
     explicit_bzero (ctl.key, strlen (ctl.key));
--- a/src/ctl_status.c
+++ b/src/ctl_status.c
@@ -1,5 +1,5 @@
 /**
- * Commands on the state of the members and on brakes.
+ * Commands that print the state of the members and brakes, and raise brakes.
  */
 #include "ctl_http.h"
 #include "ctl_table.h"
--- a/src/ctl_submit.h
+++ b/src/ctl_submit.h
@@ -37,10 +37,10 @@
 ctl_submit_built (const Ctl *ctl, const CtlArgs *args, const char *command, CtlPatchBuilder build);
 
 /**
- * After a conflict, whether the accepted change is our own: an earlier steward may have submitted
- * it without its answer reaching us. Since each number has exactly one change, the given member of
- * version base + 1 (its patch, or the text of version 1) is compared with change. Prints a message
- * if it is our own.
+ * After a conflict, whether the accepted change is that of this command: a steward called earlier
+ * may have submitted it although its answer was lost. Since each number has exactly one change, the
+ * given member of version base + 1 (its patch, or the text of version 1) is compared with change.
+ * Prints a message if they are equal.
  */
 bool ctl_submit_was_applied (const Ctl *ctl,
                              const CtlAnswer *answer,
--- a/src/ctl_version.c
+++ b/src/ctl_version.c
@@ -1,5 +1,5 @@
 /**
- * Commands on numbered versions of the document.
+ * Commands that create, print, list and compare versions of the configuration document.
  */
 #include "config.h"
 #include "ctl_submit.h"
@@ -234,6 +234,7 @@
     print_change ("", before, patch);
   free (text);
   check_free (&list);
+  /* json_object_put returns 0 for NULL, that is if the documents could not be compared. */
   return json_object_put (patch) == 1 ? CTL_DONE : CTL_REFUSED;
 }
 
--- a/src/settings.h
+++ b/src/settings.h
@@ -32,14 +32,14 @@
   SettingsAddress steward;    /**< RPC endpoint of this VM's steward */
   char *tls_certificate_file; /**< NULL: plain HTTP */
   char *tls_key_file;
-  int64_t streams_max;           /**< most requests in progress */
+  int64_t streams_max;           /**< maximum number of requests in progress */
   int64_t body_max;              /**< bytes of a request's body */
   int64_t header_max;            /**< bytes of a request's head */
   int64_t read_timeout_ms;       /**< until a request is read completely */
   int64_t idle_timeout_ms;       /**< until a connection without any transfer is closed */
   int64_t first_byte_timeout_ms; /**< until a backend server's first byte */
   int64_t token_timeout_ms;      /**< longest gap within a backend server's stream */
-  int64_t spool_max;             /**< most bytes of usage records that are not yet durable */
+  int64_t spool_max;             /**< maximum bytes of usage records that are not yet durable */
   int64_t stop_timeout_ms;       /**< longest graceful stop */
   double sample_share; /**< share of answers that are sent to the rating service, 0 to 1 */
   char *server_policy; /**< name of a ServerPolicy (choose_server.h) */
--- a/src/settings_front.c
+++ b/src/settings_front.c
@@ -4,14 +4,14 @@
 #include <stdlib.h>
 
 #define STOP_DEFAULT_S         8.0
-#define RETRY_SHARE_DEFAULT    0.5
-#define RETRY_EXTRA_DEFAULT    20.0
+#define RETRY_SHARE_DEFAULT    0.5  /**< retries per request */
+#define RETRY_EXTRA_DEFAULT    20.0 /**< retries per window */
 #define RETRY_WINDOW_DEFAULT_S 10.0
 #define REUSE_WINDOW_DEFAULT_S 6.0
 #define SESSION_DEFAULT_S      5.0
-#define COLD_OVERAGE_DEFAULT   1.0
-#define COLD_OVERAGE_MAX       100.0
-#define COLD_SLACK_MAX         1000.0
+#define COLD_OVERAGE_DEFAULT   1.0     /**< multiple of a cold server's rate */
+#define COLD_OVERAGE_MAX       100.0   /**< multiple of a cold server's rate */
+#define COLD_SLACK_MAX         1000.0  /**< requests */
 #define SECONDS_MAX            86400.0 /**< a day */
 
 typedef struct
--- a/src/settings_operator.c
+++ b/src/settings_operator.c
@@ -1,4 +1,4 @@
-/* The operators in the steward's settings. */
+/* Reads and checks the list of operators in the steward's settings. */
 #include "settings_common.h"
 #include "util_memory.h"
 #include <stdio.h>
--- a/tests/test_ctl_commands.c
+++ b/tests/test_ctl_commands.c
@@ -142,7 +142,7 @@
  * number 8 contains this patch, lovagectl must report success.
  */
 static void
-test_lost_answer_of_own_patch (void)
+test_lost_answer_of_own_patch_is_resolved (void)
 {
   const FakeReply first[]
       = { { 200, VERSION ("7", "6", "active", "{}") }, { 0, "" }, { 0, "" }, { 0, NULL } };
@@ -162,7 +162,7 @@
 
 /** The same with another operator's patch as number 8: the conflict is reported. */
 static void
-test_lost_answer_and_other_patch (void)
+test_other_patch_after_lost_answer_is_conflict (void)
 {
   const FakeReply first[]
       = { { 200, VERSION ("7", "6", "active", "{}") }, { 0, "" }, { 0, "" }, { 0, NULL } };
@@ -195,7 +195,7 @@
   buffer_free (&second_log);
 }
 
-/** Like lost_answer_of_own_patch, but the first steward reports an unknown outcome. */
+/** Like lost_answer_of_own_patch_is_resolved, but the first steward reports an unknown outcome. */
 static void
 test_503_unknown_is_resolved (void)
 {
@@ -310,8 +310,8 @@
   { "withdraw_missing_or_withdrawn_version", test_withdraw_missing_or_withdrawn_version },
   { "withdraw_retried_after_conflict", test_withdraw_retried_after_conflict },
   { "withdraw_with_base_reports_conflict", test_withdraw_with_base_reports_conflict },
-  { "lost_answer_of_own_patch", test_lost_answer_of_own_patch },
-  { "lost_answer_and_other_patch", test_lost_answer_and_other_patch },
+  { "lost_answer_of_own_patch_is_resolved", test_lost_answer_of_own_patch_is_resolved },
+  { "other_patch_after_lost_answer_is_conflict", test_other_patch_after_lost_answer_is_conflict },
   { "503_tries_next_steward", test_503_tries_next_steward },
   { "503_unknown_is_resolved", test_503_unknown_is_resolved },
   { "unreachable_steward_is_skipped", test_unreachable_steward_is_skipped },
--- a/tests/test_ctl_rollout.c
+++ b/tests/test_ctl_rollout.c
@@ -20,7 +20,7 @@
                                 .reason = "bad wording" };
 
 static void
-test_rollout (void)
+test_rollout_start_resume_back_out (void)
 {
   const FakeReply replies[]
       = { { 200, "{\"head\":7}" },
@@ -59,7 +59,7 @@
 /** Guards against a roll-out to a withdrawn version, which would appear to run although no caller
  * gets the new version. */
 static void
-test_rollout_to_withdrawn (void)
+test_rollout_to_withdrawn_version_is_refused (void)
 {
   const FakeReply replies[] = { { 200, "{\"head\":7}" },
                                 { 200, "{\"text\":{\"models\":{\"m\":{\"versions\":{\"v2\":{"
@@ -100,8 +100,8 @@
 }
 
 static const SuiteCase cases[] = {
-  { "rollout", test_rollout },
-  { "rollout_to_withdrawn", test_rollout_to_withdrawn },
+  { "rollout_start_resume_back_out", test_rollout_start_resume_back_out },
+  { "rollout_to_withdrawn_version_is_refused", test_rollout_to_withdrawn_version_is_refused },
   { "rollout_advance", test_rollout_advance },
 };
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,3 +1,7 @@
+/**
+ * Settings files of lovage-gate and lovage-steward: defaults, and the errors reported for invalid
+ * ones.
+ */
 #include "settings.h"
 #include "suite.h"
 #include <stdio.h>
@@ -270,7 +274,7 @@
   { "steward_operator_errors_are_reported", test_steward_operator_errors_are_reported },
   { "steward_short_grant_is_refused", test_steward_short_grant_is_refused },
   { "steward_on_any_address_needs_advertise", test_steward_on_any_address_needs_advertise },
-  { "log_priority", test_log_priority_by_name },
+  { "log_priority_by_name", test_log_priority_by_name },
 };
 
 int
