--- a/regress/case_settings.sh
+++ b/regress/case_settings.sh
@@ -61,9 +61,9 @@
   expect_lines "$site/out/check" "$site/none.json: can't be opened: No such file or directory"
 }
 
-# Guards against choosing a port in the range of the port numbers of examples/site. A site that chose 18000 for a
-# gate's callers had that number replaced a second time, as that of the example's table service: the gate had
-# one port for both and did not start. One in twenty chosen ports was in the range, so 200 choices suffice.
+# Guards against choosing a port in the range of the examples' ports, which copy_example replaces a second time: a
+# gate that had chosen 18000 got one port for its callers and the table service, and did not start. One in
+# twenty chosen ports was in the range, so 200 choices suffice.
 check_ports() {
   local n number examples
   examples=$(grep -rhoE '\b1[0-9]{4}\b' "$LIB_ROOT/examples/site" | sort -u)
--- a/regress/front/cases.py
+++ b/regress/front/cases.py
@@ -259,9 +259,9 @@
 
 async def long_table_from_peer_at_start(site):
     """A front restarts on a site with 1,400 servers, while the store takes a second for each page of 500. It gets
-    all rows from a peer and reads no page from the store: 300 fronts that read all pages would fill the
-    store's link for many seconds. The same holds for a registered front, which reads the store for the
-    others; it does so only if no peer is known to have the rows."""
+    all rows from a peer and reads no page from the store, as 300 fronts that read all pages would fill the
+    store's link for many seconds. A registered front reads pages, for the others too, only if no peer is
+    known to have the rows."""
     entry = site.store.rows["servers", site.engines[0].name][0]
     for number in range(1400):
         await site.store.put("servers", f"j-{number}", entry.replace('"texts"', '"spare"'))
--- a/regress/front/cases_links.py
+++ b/regress/front/cases_links.py
@@ -11,7 +11,7 @@
 
 EXTRA_ROUTES = 4200
 STORE_BYTES_PER_S = 350_000  # the store's answer with the extra routes has 1.2 MB
-FRONT_BYTES_PER_S = 35_000  # they are 0.11 MB as a front compresses them
+FRONT_BYTES_PER_S = 35_000  # a front sends the extra routes compressed, in 0.11 MB
 PEER_CONTROL_PORT = CONTROL_PORT + 100
 
 
@@ -25,9 +25,8 @@
 async def configuration_from_peer_over_slow_link(site):
     """A front whose connections to the store are reset fetches a large configuration from a peer, over
     a link on which the transfer takes three seconds. Guards against a time-out of 0.8 s on the complete
-    answer instead of on its first byte: the front aborted each request while the answer arrived and repeated
-    it without end, so that its log had fetch after fetch of the same rows, each cut with bytes received, and
-    its callers were served by the old routes."""
+    answer instead of on its first byte: the front aborted and repeated each request while its answer arrived,
+    without end, and kept the old routes."""
     peer, lagging = site.fronts[0], site.fronts[2]
     await peer.kill()
     peer.control = PEER_CONTROL_PORT  # the relay listens on the usual port
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -42,7 +42,6 @@
             retry_after == NULL ? "" : retry_after);
 }
 
-/** Makes one call to one steward. */
 static StatusCode
 call_steward (const Ctl *ctl,
               const CtlSteward *steward,
--- a/tests/test_ctl_rollout.c
+++ b/tests/test_ctl_rollout.c
@@ -20,7 +20,7 @@
                                 .reason = "bad wording" };
 
 static void
-test_rollout_start_resume_back_out (void)
+test_rollout (void)
 {
   const FakeReply replies[]
       = { { 200, "{\"head\":7}" },
@@ -100,7 +100,7 @@
 }
 
 static const SuiteCase cases[] = {
-  { "rollout_start_resume_back_out", test_rollout_start_resume_back_out },
+  { "rollout", test_rollout },
   { "rollout_to_withdrawn_version_is_refused", test_rollout_to_withdrawn_version_is_refused },
   { "rollout_advance", test_rollout_advance },
 };
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -274,7 +274,7 @@
   { "steward_operator_errors_are_reported", test_steward_operator_errors_are_reported },
   { "steward_short_grant_is_refused", test_steward_short_grant_is_refused },
   { "steward_on_any_address_needs_advertise", test_steward_on_any_address_needs_advertise },
-  { "log_priority_by_name", test_log_priority_by_name },
+  { "log_priority", test_log_priority_by_name },
 };
 
 int
