--- a/Makefile
+++ b/Makefile
@@ -98,6 +98,7 @@
 # Checks. Each step's output is in $(BUILD)/logs; the last line of check, unit and regress is
 # "N passed, N failed".
 JOBS ?= $(shell nproc)
+# Written $(,) in arguments of call, which a plain comma would separate.
 , := ,
 # With sanitizers gcc also warns of the code that it adds for them, so only the plain build uses
 # -Werror.
--- a/regress/case_steward.sh
+++ b/regress/case_steward.sh
@@ -34,8 +34,8 @@
   ctl --json version list | jq .head
 }
 
-# patch LABEL [STEWARD]: submits a patch against the newest number that withdraws draft-small@v2 if that number is
-# odd and else restores it; sets $answer.
+# patch LABEL [STEWARD]: submits a patch against the newest number. It withdraws draft-small@v2 if the number is odd
+# and makes it active if the number is even. Sets $answer.
 patch() {
   local base state=withdrawn
   base=$(newest)
--- a/regress/front/cases.py
+++ b/regress/front/cases.py
@@ -125,7 +125,7 @@
     """Five of six engines of a service crash at once, and their entries stay in the store. Each request reaches
     the sixth although its route allows three attempts: a connection that cannot be opened is no attempt."""
     for _ in range(4):
-        await site.make_engine("orders")
+        await site.start_engine("orders")
     orders = [engine for engine in site.engines if engine.service == "orders"]
     await asyncio.sleep(1)
     for engine in orders[:-1]:
--- a/regress/front/site_front.py
+++ b/regress/front/site_front.py
@@ -178,13 +178,13 @@
         self.engines.append(engine)
         return engine
 
-    async def make_engine(self, service):
+    async def start_engine(self, service):
         await self.add_engine(service).start()
 
     async def start(self):
         for service in ("texts", "orders"):
             for _ in range(self.wanted_engines // 2):
-                await self.make_engine(service)
+                await self.start_engine(service)
         await self.configure()
         for front in self.fronts:
             await front.store_endpoint.start()
--- a/regress/front/soak.py
+++ b/regress/front/soak.py
@@ -143,7 +143,7 @@
     async def replace_engine(self):
         living = [engine for engine in self.site.engines if engine.left_at is None]
         leaving = self.random.choice(living)
-        replacement = await self.add_engine(leaving.service, leaving.version)
+        replacement = await self.start_engine(leaving.service, leaving.version)
         self.count(f"engine {replacement.name} for {leaving.name}")
         if self.random.random() < 0.3:
             self.disturb("engines")
@@ -188,7 +188,7 @@
         self.version_number += 1
         version = f"v{self.version_number}"
         bad = self.random.random() < 0.5
-        new_engines = [await self.add_engine("texts", version) for _ in range(2)]
+        new_engines = [await self.start_engine("texts", version) for _ in range(2)]
         for engine in new_engines:
             engine.mode = "error" if bad else "ok"
         order = {"Service": "texts", "Target": version, "RampS": 8}
@@ -269,7 +269,7 @@
 
     # -- the run
 
-    async def add_engine(self, service, version="v1"):
+    async def start_engine(self, service, version="v1"):
         """Starts an engine, half of them behind a relay; one that is added during the run is cold."""
         engine = self.site.add_engine(service, version)
         if self.until:
@@ -288,7 +288,7 @@
     async def start(self):
         self.relays, self.engine_relays = {}, []
         self.rollout_running, self.version_number = False, 1
-        self.site.make_engine = self.add_engine
+        self.site.start_engine = self.start_engine
         self.site.cold_per_s = COLD_PER_S
         if self.narrow:
             add_routes(self.site, NARROW_ROUTES)
--- a/src/ctl_record.c
+++ b/src/ctl_record.c
@@ -140,6 +140,7 @@
   return CTL_DONE;
 }
 
+/** Adds a line of the usage table; its headings if sums is NULL. */
 static void
 add_usage (CtlTable *table, const char *team, const char *version, Json *sums)
 {
--- a/tests/test_ctl_commands.c
+++ b/tests/test_ctl_commands.c
@@ -19,7 +19,7 @@
   "POST /v1/patches?wait=accepted&wait_ms=100 {\"base\":" base ",\"patch\":" WITHDRAWAL            \
   ",\"reason\":\"bad wording\"}\n"
 
-#define CREATE                                                                                     \
+#define POST_DOCUMENT                                                                              \
   "POST /v1/versions?wait=accepted&wait_ms=100 {\"text\":{\"models\":{\"m\":{\"versions\":{"       \
   "\"v1\":{\"cost_per_1k\":1,\"state\":\"withdrawn\"}}}}},\"reason\":\"bad wording\"}\n"
 
@@ -115,7 +115,7 @@
 } TwoStewards;
 
 static CtlExit
-run_with_two (const TwoStewards *two, Buffer *first_log, Buffer *second_log)
+withdraw_at_two (const TwoStewards *two, Buffer *first_log, Buffer *second_log)
 {
   FakeSteward first;
   FakeSteward second;
@@ -151,7 +151,7 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_DURABLE);
   CU_ASSERT_STRING_EQUAL (first_log.data,
                           "GET /v1/versions/7 \n" POST_PATCH ("7") "GET /v1/versions/8 \n");
@@ -171,7 +171,7 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_CONFLICT);
   buffer_free (&first_log);
   buffer_free (&second_log);
@@ -188,7 +188,7 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_DONE);
   CU_ASSERT_STRING_EQUAL (second_log.data, POST_PATCH ("7"));
   buffer_free (&first_log);
@@ -208,7 +208,7 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_DURABLE);
   buffer_free (&first_log);
   buffer_free (&second_log);
@@ -250,9 +250,9 @@
   fake_steward_expect (ctl_version_create, &args, next, CTL_DONE,
                        FAKE_GET_HEAD ("7") POST_PATCH ("7"));
   fake_steward_expect (ctl_version_create, &args, first, CTL_DONE,
-                       "GET /v1/versions?limit=1 \n" CREATE);
+                       "GET /v1/versions?limit=1 \n" POST_DOCUMENT);
   fake_steward_expect (ctl_version_create, &args, lost, CTL_REFUSED,
-                       "GET /v1/versions?limit=1 \n" CREATE);
+                       "GET /v1/versions?limit=1 \n" POST_DOCUMENT);
   unlink (path);
   suite_file (path, "{\"models\":{\"m\":{}}}");
   fake_steward_expect (ctl_version_create, &args, none, CTL_REFUSED, "");
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -5,7 +5,7 @@
 # usage: tools/check.sh BUILD-FOLDER unit|regress...
 #
 # KNOWN-RED.txt lists at most three tests that are known to fail, one per line as "TEST, cause, issue", where TEST is
-# PROGRAM:CASE, regress/case_X.sh or, where a script plays several cases, regress/case_X.sh:CASE. Their failures are
+# PROGRAM:CASE, regress/case_X.sh or, where a script runs several cases, regress/case_X.sh:CASE. Their failures are
 # printed but not counted.
 # EARLIER_FAILED is the number of steps that failed before (see .ci/run).
 set -uo pipefail
