--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
   src/cluster*.c src/choose*.c src/bill*.c src/claim*.c src/http_*.c src/session*.c)
 RPC = rpc/lovage_xdr.c rpc/lovage_clnt.c
 PROGRAMS = lovage-gate lovage-steward lovagectl lovage-front
-# The callers' side of lovage-gate, before libmicrohttpd.
+# Libraries of lovage-gate's TLS and HTTP filter between the callers and libmicrohttpd.
 GATE_PKGS = libevent libevent_pthreads libevent_openssl libssl libcrypto
 GATE_LIBS = $(shell pkg-config --libs $(GATE_PKGS)) -lhttp_parser
 # Libraries and modules of lovage-front besides src/front_*.c: few, because its memory has a cost.
@@ -98,6 +98,7 @@
 # Checks. Each step's output is in $(BUILD)/logs; the last line of check, unit and regress is
 # "N passed, N failed".
 JOBS ?= $(shell nproc)
+# Written $(,) in arguments of call, which a plain comma would separate.
 , := ,
 # With sanitizers gcc also warns of the code that it adds for them, so only the plain build uses
 # -Werror.
--- a/regress/front/site_front.py
+++ b/regress/front/site_front.py
@@ -178,13 +178,13 @@
         self.engines.append(engine)
         return engine
 
-    async def make_engine(self, service):
+    async def start_engine(self, service):
         await self.add_engine(service).start()
 
     async def start(self):
         for service in ("texts", "orders"):
             for _ in range(self.wanted_engines // 2):
-                await self.make_engine(service)
+                await self.start_engine(service)
         await self.configure()
         for front in self.fronts:
             await front.store_endpoint.start()
@@ -204,7 +204,7 @@
         await self.store.put("op", f"evacuate/{domain}", "{}")
         self.evacuations[domain] = time.monotonic()
 
-    async def take_back(self, domain):
+    async def end_evacuation(self, domain):
         """Ends an evacuation. The engines are cold from before it ends; their entries show it 0.8 s later, as with
         their next heartbeat."""
         self.evacuations.pop(domain, None)
--- a/regress/front/soak.py
+++ b/regress/front/soak.py
@@ -38,9 +38,9 @@
         self.violations = []
         self.answers = []
         self.disturbed = {}  # front number, or "engines", or "store" -> time of the last fault
-        self.planned_stops = {}  # front number -> time of the last SIGTERM
+        self.graceful_stops = {}  # front number -> time of the last SIGTERM
         self.revoked = {}  # key -> when the store acknowledged its removal
-        self.fronts_at_fault = {}  # numbers of the fronts that have a fault now
+        self.fronts_with_fault = {}  # numbers of the fronts that have a fault now
         self.counts = {}  # text for the report -> number of times
         self.until = 0.0
 
@@ -63,16 +63,16 @@
     async def fault_one_front(self, action):
         """Injects a fault into a random front, unless that has one already or only one front is without."""
         front = self.random.choice(self.site.fronts)
-        if front.number in self.fronts_at_fault or len(self.fronts_at_fault) >= max(1, len(self.site.fronts) - 1):
+        if front.number in self.fronts_with_fault or len(self.fronts_with_fault) >= max(1, len(self.site.fronts) - 1):
             return
-        self.fronts_at_fault[front.number] = True
+        self.fronts_with_fault[front.number] = True
         try:
             await action(front)
         finally:
-            del self.fronts_at_fault[front.number]
+            del self.fronts_with_fault[front.number]
 
     async def stop(self, front):
-        self.planned_stops[front.number] = time.monotonic()
+        self.graceful_stops[front.number] = time.monotonic()
         status = await front.stop()
         if status != 0:
             self.violations.append(f"front {front.number} ended with {status} when it was stopped")
@@ -143,7 +143,7 @@
     async def replace_engine(self):
         living = [engine for engine in self.site.engines if engine.left_at is None]
         leaving = self.random.choice(living)
-        replacement = await self.add_engine(leaving.service, leaving.version)
+        replacement = await self.start_engine(leaving.service, leaving.version)
         self.count(f"engine {replacement.name} for {leaving.name}")
         if self.random.random() < 0.3:
             self.disturb("engines")
@@ -176,7 +176,7 @@
         since = self.site.evacuations[domain]
         await self.pause(1, 6)
         self.violations += evacuation_violations(self.site, domain, since + self.slack, self.undisturbed_front(since))
-        await self.site.take_back(domain)
+        await self.site.end_evacuation(domain)
 
     async def drop_history(self):
         self.site.store.drop_history()
@@ -188,7 +188,7 @@
         self.version_number += 1
         version = f"v{self.version_number}"
         bad = self.random.random() < 0.5
-        new_engines = [await self.add_engine("texts", version) for _ in range(2)]
+        new_engines = [await self.start_engine("texts", version) for _ in range(2)]
         for engine in new_engines:
             engine.mode = "error" if bad else "ok"
         order = {"Service": "texts", "Target": version, "RampS": 8}
@@ -262,14 +262,14 @@
         limit = APPLY_S + self.slack
         if revoked_at and answer.status == 200 and answer.sent_at > max(revoked_at, undisturbed_since + UNDISTURBED_S) + limit:
             self.violations.append(f"{answer!r}: served with a key revoked {answer.sent_at - revoked_at:.2f} s before")
-        during_stop = answer.sent_at - 1 < self.planned_stops.get(name, 0) < answer.ended_at
+        during_stop = answer.sent_at - 1 < self.graceful_stops.get(name, 0) < answer.ended_at
         undisturbed = answer.sent_at > self.undisturbed_since(name, "engines") + UNDISTURBED_S
         if during_stop and not answer.complete and self.site.runs_of(answer) and undisturbed:
             self.violations.append(f"{answer!r}: truncated by a graceful stop of front {name}")
 
     # -- the run
 
-    async def add_engine(self, service, version="v1"):
+    async def start_engine(self, service, version="v1"):
         """Starts an engine, half of them behind a relay; one that is added during the run is cold."""
         engine = self.site.add_engine(service, version)
         if self.until:
@@ -288,7 +288,7 @@
     async def start(self):
         self.relays, self.engine_relays = {}, []
         self.rollout_running, self.version_number = False, 1
-        self.site.make_engine = self.add_engine
+        self.site.start_engine = self.start_engine
         self.site.cold_per_s = COLD_PER_S
         if self.narrow:
             add_routes(self.site, NARROW_ROUTES)
--- a/tests/test_ctl_commands.c
+++ b/tests/test_ctl_commands.c
@@ -19,7 +19,7 @@
   "POST /v1/patches?wait=accepted&wait_ms=100 {\"base\":" base ",\"patch\":" WITHDRAWAL            \
   ",\"reason\":\"bad wording\"}\n"
 
-#define CREATE                                                                                     \
+#define POST_DOCUMENT                                                                              \
   "POST /v1/versions?wait=accepted&wait_ms=100 {\"text\":{\"models\":{\"m\":{\"versions\":{"       \
   "\"v1\":{\"cost_per_1k\":1,\"state\":\"withdrawn\"}}}}},\"reason\":\"bad wording\"}\n"
 
@@ -115,7 +115,7 @@
 } TwoStewards;
 
 static CtlExit
-run_with_two (const TwoStewards *two, Buffer *first_log, Buffer *second_log)
+withdraw_at_two (const TwoStewards *two, Buffer *first_log, Buffer *second_log)
 {
   FakeSteward first;
   FakeSteward second;
@@ -142,7 +142,7 @@
  * number 8 contains this patch, lovagectl must report success.
  */
 static void
-test_lost_answer_of_own_patch (void)
+test_lost_answer_of_own_patch_is_resolved (void)
 {
   const FakeReply first[]
       = { { 200, VERSION ("7", "6", "active", "{}") }, { 0, "" }, { 0, "" }, { 0, NULL } };
@@ -151,7 +151,7 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_DURABLE);
   CU_ASSERT_STRING_EQUAL (first_log.data,
                           "GET /v1/versions/7 \n" POST_PATCH ("7") "GET /v1/versions/8 \n");
@@ -162,7 +162,7 @@
 
 /** The same with another operator's patch as number 8: the conflict is reported. */
 static void
-test_lost_answer_and_other_patch (void)
+test_other_patch_after_lost_answer_is_conflict (void)
 {
   const FakeReply first[]
       = { { 200, VERSION ("7", "6", "active", "{}") }, { 0, "" }, { 0, "" }, { 0, NULL } };
@@ -171,7 +171,7 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_CONFLICT);
   buffer_free (&first_log);
   buffer_free (&second_log);
@@ -188,14 +188,14 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_DONE);
   CU_ASSERT_STRING_EQUAL (second_log.data, POST_PATCH ("7"));
   buffer_free (&first_log);
   buffer_free (&second_log);
 }
 
-/** Like lost_answer_of_own_patch, but the first steward reports an unknown outcome. */
+/** Like lost_answer_of_own_patch_is_resolved, but the first steward reports an unknown outcome. */
 static void
 test_503_unknown_is_resolved (void)
 {
@@ -208,7 +208,7 @@
   Buffer first_log;
   Buffer second_log;
 
-  CU_ASSERT_EQUAL (run_with_two (&(TwoStewards){ first, second }, &first_log, &second_log),
+  CU_ASSERT_EQUAL (withdraw_at_two (&(TwoStewards){ first, second }, &first_log, &second_log),
                    CTL_DURABLE);
   buffer_free (&first_log);
   buffer_free (&second_log);
@@ -250,9 +250,9 @@
   fake_steward_expect (ctl_version_create, &args, next, CTL_DONE,
                        FAKE_GET_HEAD ("7") POST_PATCH ("7"));
   fake_steward_expect (ctl_version_create, &args, first, CTL_DONE,
-                       "GET /v1/versions?limit=1 \n" CREATE);
+                       "GET /v1/versions?limit=1 \n" POST_DOCUMENT);
   fake_steward_expect (ctl_version_create, &args, lost, CTL_REFUSED,
-                       "GET /v1/versions?limit=1 \n" CREATE);
+                       "GET /v1/versions?limit=1 \n" POST_DOCUMENT);
   unlink (path);
   suite_file (path, "{\"models\":{\"m\":{}}}");
   fake_steward_expect (ctl_version_create, &args, none, CTL_REFUSED, "");
@@ -310,8 +310,8 @@
   { "withdraw_missing_or_withdrawn_version", test_withdraw_missing_or_withdrawn_version },
   { "withdraw_retried_after_conflict", test_withdraw_retried_after_conflict },
   { "withdraw_with_base_reports_conflict", test_withdraw_with_base_reports_conflict },
-  { "lost_answer_of_own_patch", test_lost_answer_of_own_patch },
-  { "lost_answer_and_other_patch", test_lost_answer_and_other_patch },
+  { "lost_answer_of_own_patch_is_resolved", test_lost_answer_of_own_patch_is_resolved },
+  { "other_patch_after_lost_answer_is_conflict", test_other_patch_after_lost_answer_is_conflict },
   { "503_tries_next_steward", test_503_tries_next_steward },
   { "503_unknown_is_resolved", test_503_unknown_is_resolved },
   { "unreachable_steward_is_skipped", test_unreachable_steward_is_skipped },
--- a/tests/test_ctl_rollout.c
+++ b/tests/test_ctl_rollout.c
@@ -59,7 +59,7 @@
 /** Guards against a roll-out to a withdrawn version, which would appear to run although no caller
  * gets the new version. */
 static void
-test_rollout_to_withdrawn (void)
+test_rollout_to_withdrawn_version_is_refused (void)
 {
   const FakeReply replies[] = { { 200, "{\"head\":7}" },
                                 { 200, "{\"text\":{\"models\":{\"m\":{\"versions\":{\"v2\":{"
@@ -101,7 +101,7 @@
 
 static const SuiteCase cases[] = {
   { "rollout", test_rollout },
-  { "rollout_to_withdrawn", test_rollout_to_withdrawn },
+  { "rollout_to_withdrawn_version_is_refused", test_rollout_to_withdrawn_version_is_refused },
   { "rollout_advance", test_rollout_advance },
 };
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,3 +1,7 @@
+/**
+ * Settings files of lovage-gate and lovage-steward: defaults, and the errors reported for invalid
+ * ones.
+ */
 #include "settings.h"
 #include "suite.h"
 #include <stdio.h>
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -12,7 +12,7 @@
   echo "== $*"
 }
 
-# request GATE TEAM MODEL CALLER PROMPT [STREAM]: sends a request; records who answered it, or prints the refusal.
+# request GATE TEAM MODEL CALLER PROMPT [STREAM]: sends a request; records the version that answered, or prints the refusal.
 request() {
   local gate=$1 team=$2 model=$3 caller=$4 prompt=$5 stream=${6:-false} version
   ask "$gate" "$team" "$(chat "$model" "$prompt" "$stream")" -H "X-Lovage-Caller: $caller"
@@ -24,9 +24,9 @@
     return
   fi
   if [ "$stream" = true ]; then
-    expect_whole_stream
+    expect_complete_stream
   else
-    expect_whole
+    expect_complete
   fi
   answers=$((answers + 1))
   echo "$team $version" >>"$site/out/answered"
