--- a/src/bill.h
+++ b/src/bill.h
@@ -19,15 +19,16 @@
 
 #define BILL_ATTEMPTS_MAX 8
 
+/** A record with any outcome but BILL_ANSWERED is replaced if a caller's retry is answered. */
 typedef enum
 {
   BILL_ANSWERED,  /**< the caller received the complete answer, or could have */
   BILL_CANCELLED, /**< the caller disconnected; billed for the tokens generated until then */
   BILL_CUT,       /**< the backend server's answer ended early and could not be resumed */
-  BILL_UNKNOWN    /**< may have run; replaced if a retry is answered */
+  BILL_UNKNOWN    /**< may have run */
 } BillOutcome;
 
-/** One attempt of a cascade or a retry that a backend server ran. */
+/** An attempt that a backend server ran; a cascade or a retry has several. */
 typedef struct
 {
   char version[BILL_NAME_MAX]; /**< MODEL@VERSION, or the service's name */
--- a/src/bill_entry.c
+++ b/src/bill_entry.c
@@ -111,8 +111,8 @@
   };
   if (entry->claim_key == NULL)
     return 1;
-  /* No check that the claim is still ours: a claim whose request ran is never released, and a
-   * failed check would fail the whole transaction with its other records. */
+  /* No check that this request still holds the claim: a claim whose request ran is never released,
+   * and a failed check would fail the whole transaction with its other records. */
   ops[1] = (TxnOp){
     .kind = TXN_PUT,
     .table = CLAIM_TABLE,
--- a/src/bill_entry.h
+++ b/src/bill_entry.h
@@ -46,7 +46,7 @@
 /**
  * Writes entries to the table in one transaction. An entry whose key exists already changes
  * nothing, with one exception: a record with outcome cut, cancelled or unknown is replaced by one
- * with outcome answered, from a retry under the same key.
+ * with outcome answered, from a caller's retry under the same key.
  */
 StatusCode bill_entry_write (Platform *platform,
                              BillEntry *const *entries,
--- a/src/bill_recover.c
+++ b/src/bill_recover.c
@@ -64,7 +64,7 @@
 }
 
 /* Writes one transaction of entries, from *first on. Two records with one key must not be in the
- * same transaction (see platform_group.c); in the next one the second finds the first in the
+ * same transaction (see platform_group_batch.c); in the next one the second finds the first in the
  * table. */
 static StatusCode
 write_batch (Platform *platform,
--- a/src/platform_group.c
+++ b/src/platform_group.c
@@ -12,7 +12,7 @@
 /* Capacity of the queue in full transactions; beyond it callers are refused immediately. */
 #define QUEUE_TRANSACTIONS_MAX 32
 /* Consecutive failed transactions after which the service is considered down: more than one, so
- * that the caller of a single lost reply can still resolve its outcome with a retry. */
+ * that a caller can still resolve the outcome of a single lost reply with a retry. */
 #define FAILURE_THRESHOLD 3
 /* Maximum interval between attempts while the service is considered down. */
 #define RETRY_INTERVAL_MAX_MS 500
--- a/src/platform_group_batch.c
+++ b/src/platform_group_batch.c
@@ -83,7 +83,7 @@
 }
 
 /* Two writes of the same row never share a transaction: whether the second INSERT would see the
- * first one depends on the platform, but the retry of a caller must find the row existing. */
+ * first one depends on the platform, but a caller's retry must find the existing row. */
 static bool
 batch_accepts (const PlatformGroup *group, const RowSet *rows, const Request *request, size_t ops)
 {
@@ -109,6 +109,7 @@
       break;
     if (!batch_accepts (group, &rows, request, ops))
       continue;
+    /* A larger request is alone in its transaction, and the set has no room for it. */
     if (request->count <= group->ops_max)
       for (size_t i = 0; i < request->count; i++)
         *row_set_slot (&rows, request->hashes[i]) = request->hashes[i];
--- a/src/util_clock.h
+++ b/src/util_clock.h
@@ -1,7 +1,7 @@
 /**
  * Clocks. Intervals are measured on CLOCK_BOOTTIME, which also advances while a VM is suspended, so
- * that a lease that expired during a suspension is seen as expired. Wall-clock time is only used in
- * audit entries and is never compared between VMs.
+ * that a lease that expired during a suspension is seen as expired. Wall-clock time is only
+ * recorded, for example in audit entries and usage records; daemons never compare it between VMs.
  */
 #ifndef UTIL_CLOCK_H
 #define UTIL_CLOCK_H
--- a/src/util_field_parse.c
+++ b/src/util_field_parse.c
@@ -65,12 +65,11 @@
 }
 
 /**
- * Reports a member name that its object already has. json-c silently keeps the last of two members
- * with the same name, so a team's list of allowed versions could be replaced unnoticed further down
- * in the file. Between the ':' after a name and the end of the value the tokener stores the name
- * separately from the object, so a name that is already in the object is a duplicate. This reads
- * fields of the tokener that json-c calls internal, because the only alternative is a second
- * parser; tests/test_util.c checks that it works with the installed json-c.
+ * Reports a member name that its object already has: json-c silently keeps the last one, so a
+ * team's list of allowed versions could be replaced further down in the file. After a ':' the
+ * tokener has not added the name to the object yet, so a name found there is a duplicate. This
+ * reads internal fields of json-c's tokener, because the only alternative is a second parser;
+ * tests/test_util.c checks that it works with the installed json-c.
  */
 static void
 check_duplicate (const Parse *parse, size_t offset)
--- a/src/util_log.h
+++ b/src/util_log.h
@@ -2,7 +2,7 @@
  * Log lines on standard error in syslog format:
  *   <PRI>TIME PROGRAM[PID]: MESSAGE-NAME fixed text key="value" ...
  * Every message has an entry in one of the msg_*.def files: MSG (ID, priority, "name", "fixed
- * text"). Keys and prompt text are never logged.
+ * text"). Confidential keys and prompt text are never logged.
  */
 #ifndef UTIL_LOG_H
 #define UTIL_LOG_H
--- a/src/util_status.h
+++ b/src/util_status.h
@@ -30,7 +30,7 @@
   StatusCode code;
   char step[STATUS_STEP_MAX];       /**< what was being done, e.g. "platform.txn" */
   char peer[STATUS_PEER_MAX];       /**< the peer, "ADDRESS:PORT" or a name; may be empty */
-  char message[STATUS_MESSAGE_MAX]; /**< human-readable; never contains keys or prompt text */
+  char message[STATUS_MESSAGE_MAX]; /**< human-readable, without confidential keys or prompt text */
 } Status;
 
 /** Fills *st (which may be NULL) and returns code. peer may be NULL. */
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -111,8 +111,8 @@
     }
 }
 
-/* The reply to the record's write is lost after it took effect, and the write is repeated: there
- * must be one row. */
+/* The reply to a record's write is lost after it took effect, and the write is repeated: there must
+ * be one row for each record. */
 static void
 test_lost_reply_leaves_one_row (void)
 {
@@ -161,7 +161,8 @@
 }
 
 /* A request is cut short, the caller sends it again under the same key, and it is answered. Then
- * the record of the cut attempt is written once more. The bill must be that of the first answer. */
+ * the records of the cut attempt and of a second answer are written. The bill must be that of the
+ * first answer. */
 static void
 test_answer_replaces_cut (void)
 {
--- a/tests/test_bill_spool.c
+++ b/tests/test_bill_spool.c
@@ -101,9 +101,9 @@
     CU_ASSERT_TRUE (fake_site_is_billed (&w->site, n));
 }
 
-/* The table is down for long while the object store is up. Records that are in an object must be
- * removed from memory, so that new work is accepted, and must reach the table from the object
- * store. */
+/* The table is down for a long time while the object store is up. Records that are in an object
+ * must be removed from memory, so that new work is accepted, and must reach the table from the
+ * object store. */
 static void
 test_long_outage_spills_to_object_store (void)
 {
