--- a/src/bill_entry.c
+++ b/src/bill_entry.c
@@ -271,7 +271,7 @@
 }
 
 void
-bill_entry_refused (BillEntry *entry, int64_t now_ms, const Status *st)
+bill_entry_mark_refused (BillEntry *entry, int64_t now_ms, const Status *st)
 {
   char key[2 * BILL_KEY_MAX];
   char message[2 * STATUS_MESSAGE_MAX];
--- a/src/bill_entry.h
+++ b/src/bill_entry.h
@@ -71,7 +71,7 @@
 
 /** Counts and, the first time, logs that the table service refused the entry, and sets the time of
  *  the next try. A refused entry is never dropped, because the service may be misconfigured. */
-void bill_entry_refused (BillEntry *entry, int64_t now_ms, const Status *st);
+void bill_entry_mark_refused (BillEntry *entry, int64_t now_ms, const Status *st);
 
 /** Second step of bill_entry_write, for an entry whose operations were sent through a
  *  PlatformGroup: replaces a partial record. insert is the first of these operations, with its
--- a/src/bill_fallback.c
+++ b/src/bill_fallback.c
@@ -131,7 +131,7 @@
 }
 
 void
-bill_fallback_done (BillFallback *fallback, const char *key)
+bill_fallback_queue_done (BillFallback *fallback, const char *key)
 {
   pthread_mutex_lock (&fallback->lock);
   if (fallback->replicator.copy != NULL && fallback->done_count < DONE_KEYS_MAX)
@@ -194,10 +194,10 @@
                                               fallback->pending.len, fallback->timeout_ms, NULL);
   if (code != STATUS_OK)
     {
-      platform_breaker_failed (&fallback->breaker, clock_boot_ms ());
+      platform_breaker_record_failure (&fallback->breaker, clock_boot_ms ());
       return false;
     }
-  platform_breaker_succeeded (&fallback->breaker);
+  platform_breaker_record_success (&fallback->breaker);
   buffer_clear (&fallback->pending);
   pthread_mutex_lock (&fallback->lock);
   fallback->objects++;
--- a/src/bill_fallback.h
+++ b/src/bill_fallback.h
@@ -29,7 +29,7 @@
 BillPlace bill_fallback_store (BillFallback *fallback, BillEntry *const *entries, size_t count);
 
 /** Queues a message to the replicas that the record with this key is in the table. Best effort. */
-void bill_fallback_done (BillFallback *fallback, const char *key);
+void bill_fallback_queue_done (BillFallback *fallback, const char *key);
 
 /** Number of objects written so far. */
 uint32_t bill_fallback_objects (BillFallback *fallback);
--- a/src/bill_recover.c
+++ b/src/bill_recover.c
@@ -99,7 +99,7 @@
     {
       if (code == STATUS_OK && refused[i])
         {
-          bill_entry_refused (entries[i], 0, st);
+          bill_entry_mark_refused (entries[i], 0, st);
           out->refused++;
         }
       out->records += code == STATUS_OK && !refused[i];
--- a/src/bill_replica.c
+++ b/src/bill_replica.c
@@ -249,7 +249,7 @@
       Copy *copy = copy_find (replica, entries[i]->key);
 
       if (code == STATUS_OK && refused[i])
-        bill_entry_refused (entries[i], now_ms, st);
+        bill_entry_mark_refused (entries[i], now_ms, st);
       else if (code == STATUS_OK && copy != NULL)
         copy_remove (replica, copy);
       *written += code == STATUS_OK && !refused[i];
--- a/src/bill_spool.c
+++ b/src/bill_spool.c
@@ -77,7 +77,7 @@
   cds_list_del (&entry->node);
   entry->spooled = false;
   spool->count--;
-  spool->stored -= entry->place == BILL_AT_OBJECT_STORE;
+  spool->in_object_store -= entry->place == BILL_AT_OBJECT_STORE;
   spool->bytes -= entry->bytes;
   bill_entry_unref (entry);
 }
@@ -88,16 +88,16 @@
   if (place >= entry->place)
     return;
   if (entry->spooled && entry->place == BILL_AT_OBJECT_STORE)
-    spool->stored--;
+    spool->in_object_store--;
   if (entry->spooled && place == BILL_AT_OBJECT_STORE)
-    spool->stored++;
+    spool->in_object_store++;
   entry->place = place;
 }
 
 bool
 bill_spool_may_spill (const BillSpool *spool)
 {
-  return spool->stored > 0 && spool->bytes > spool->bytes_max / 2;
+  return spool->in_object_store > 0 && spool->bytes > spool->bytes_max / 2;
 }
 
 size_t
--- a/src/bill_spool.h
+++ b/src/bill_spool.h
@@ -16,8 +16,8 @@
   struct cds_list_head entries;
   size_t count;
   size_t bytes;
-  size_t bytes_max; /**< above this no new work is accepted */
-  size_t stored;    /**< entries that are in the object store */
+  size_t bytes_max;       /**< above this no new work is accepted */
+  size_t in_object_store; /**< entries that are also in the object store */
 } BillSpool;
 
 /** Reserves room in spool_max for the in_progress_max requests that may still end after new work is
--- a/src/bill_writer.c
+++ b/src/bill_writer.c
@@ -124,7 +124,7 @@
   fits = bill_spool_add (&writer->spool, entry);
   entry->storing = true;
   if (bill_writer_is_outage (table_code))
-    first = platform_breaker_failed (&writer->breaker, clock_boot_ms ());
+    first = platform_breaker_record_failure (&writer->breaker, clock_boot_ms ());
   pthread_cond_signal (&writer->work);
   pthread_mutex_unlock (&writer->lock);
   if (!fits)
--- a/src/bill_writer_thread.c
+++ b/src/bill_writer_thread.c
@@ -28,7 +28,7 @@
 mark_written (BillWriter *writer, BillEntry *entry)
 {
   if (entry->place == BILL_AT_REPLICA)
-    bill_fallback_done (writer->fallback, entry->key);
+    bill_fallback_queue_done (writer->fallback, entry->key);
   bill_spool_update_place (&writer->spool, entry, BILL_AT_TABLE);
   bill_spool_remove (&writer->spool, entry);
   counter_add (COUNTER_BILL_FLUSHED, 1);
@@ -49,18 +49,18 @@
                                 &st);
   pthread_mutex_lock (&writer->lock);
   if (bill_writer_is_outage (code))
-    platform_breaker_failed (&writer->breaker, clock_boot_ms ());
+    platform_breaker_record_failure (&writer->breaker, clock_boot_ms ());
   if (code != STATUS_OK)
     return;
   for (size_t i = 0; i < count; i++)
     if (refused[i])
-      bill_entry_refused (entries[i], clock_boot_ms (), &st);
+      bill_entry_mark_refused (entries[i], clock_boot_ms (), &st);
     else
       {
         mark_written (writer, entries[i]);
         written++;
       }
-  if (written > 0 && platform_breaker_succeeded (&writer->breaker))
+  if (written > 0 && platform_breaker_record_success (&writer->breaker))
     log_msg (MSG_BILL_TABLE_BACK, "left=\"%zu\"", writer->spool.count);
 }
 
--- a/src/http_upload.c
+++ b/src/http_upload.c
@@ -23,7 +23,7 @@
 {
   pthread_mutex_t lock;
   pthread_cond_t changed;
-  HttpExchange *x;
+  HttpExchange *exchange;
   int result;     /* of ne_begin_request; valid if ended */
   bool ended;     /* ne_begin_request has returned */
   bool abandoned; /* the caller no longer waits */
@@ -45,7 +45,7 @@
 run_upload (void *context)
 {
   HttpUpload *u = context;
-  HttpExchange *x = u->x;
+  HttpExchange *x = u->exchange;
   int result = ne_begin_request (x->request);
   pthread_mutex_lock (&u->lock);
   u->result = result;
@@ -89,7 +89,7 @@
 static void
 decide_finish (HttpUpload *u)
 {
-  HttpExchange *x = u->x;
+  HttpExchange *x = u->exchange;
   pthread_mutex_unlock (&u->lock);
   bool allowed = !x->may_finish || x->may_finish (x->context);
   pthread_mutex_lock (&u->lock);
@@ -130,7 +130,7 @@
 {
   pthread_t thread;
   HttpUpload *u = memory_alloc (sizeof *u);
-  u->x = x;
+  u->exchange = x;
   x->upload = u;
   *result = NE_ERROR;
   *finished = false;
--- a/src/platform_breaker.c
+++ b/src/platform_breaker.c
@@ -10,7 +10,7 @@
 }
 
 bool
-platform_breaker_failed (PlatformBreaker *breaker, int64_t now_ms)
+platform_breaker_record_failure (PlatformBreaker *breaker, int64_t now_ms)
 {
   int64_t interval_max_ms = breaker->retry_interval_max_ms > 0 ? breaker->retry_interval_max_ms
                                                                : RETRY_INTERVAL_MAX_DEFAULT_MS;
@@ -28,7 +28,7 @@
 }
 
 bool
-platform_breaker_succeeded (PlatformBreaker *breaker)
+platform_breaker_record_success (PlatformBreaker *breaker)
 {
   bool open = breaker->open;
 
--- a/src/platform_breaker.h
+++ b/src/platform_breaker.h
@@ -19,9 +19,9 @@
 
 /** True if the service may be called now. */
 bool platform_breaker_allows (const PlatformBreaker *breaker, int64_t now_ms);
-/** Records a failure. Returns true if it opened the breaker. */
-bool platform_breaker_failed (PlatformBreaker *breaker, int64_t now_ms);
-/** Records a success and closes the breaker. Returns true if it was open. */
-bool platform_breaker_succeeded (PlatformBreaker *breaker);
+/** Returns true if the failure opened the breaker. */
+bool platform_breaker_record_failure (PlatformBreaker *breaker, int64_t now_ms);
+/** Closes the breaker; returns true if it was open. */
+bool platform_breaker_record_success (PlatformBreaker *breaker);
 
 #endif
--- a/src/platform_group.c
+++ b/src/platform_group.c
@@ -70,7 +70,7 @@
   if (code != STATUS_UNAVAILABLE && code != STATUS_UNKNOWN)
     {
       group->failures = 0;
-      platform_breaker_succeeded (&group->breaker);
+      platform_breaker_record_success (&group->breaker);
       return;
     }
   group->failures++;
@@ -80,7 +80,7 @@
    * time-out that admit reserved for it. */
   if (group->breaker.open)
     group->breaker.next_try_at_ms = now;
-  platform_breaker_failed (&group->breaker, now);
+  platform_breaker_record_failure (&group->breaker, now);
 }
 
 /* Sends the next transaction. Called with the lock held, which it releases while sending. */
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -42,7 +42,7 @@
 }
 
 static void
-test_keys_are_unique_per_request (void)
+test_only_retries_share_a_key (void)
 {
   char a[BILL_KEY_MAX];
   char b[BILL_KEY_MAX];
@@ -164,7 +164,7 @@
  * the records of the cut attempt and of a second answer are written. The bill must be that of the
  * first answer. */
 static void
-test_answer_replaces_cut (void)
+test_answered_record_replaces_cut (void)
 {
   Fixture w;
   BillRecord cut = fake_bill (1);
@@ -226,11 +226,11 @@
   static const SuiteCase cases[] = {
     { "text_parses_to_the_same_record", test_text_parses_to_the_same_record },
     { "invalid_text_is_rejected", test_invalid_text_is_rejected },
-    { "keys_are_unique_per_request", test_keys_are_unique_per_request },
+    { "only_retries_share_a_key", test_only_retries_share_a_key },
     { "fallbacks_are_tried_in_order", test_fallbacks_are_tried_in_order },
     { "lost_reply_leaves_one_row", test_lost_reply_leaves_one_row },
     { "claim_is_settled_with_its_bill", test_claim_is_settled_with_its_bill },
-    { "answer_replaces_cut", test_answer_replaces_cut },
+    { "answered_record_replaces_cut", test_answered_record_replaces_cut },
     { "malformed_record_blocks_no_others", test_malformed_record_blocks_no_others },
   };
 
--- a/tests/test_bill_kill.c
+++ b/tests/test_bill_kill.c
@@ -18,8 +18,8 @@
 #define RANDOM_SEED        20261202
 #define GATES              150
 #define THREADS            4
-#define BURSTS             6 /* of one gate */
-#define BURST              4 /* requests of one thread in a burst */
+#define BURSTS_PER_GATE    6
+#define BURST_REQUESTS     4 /* of one thread */
 
 /* Result of one request, as its caller saw it. */
 typedef struct
@@ -53,7 +53,7 @@
 }
 
 static void
-request (Fixture *w, FakeGate *gate, int n)
+run_request (Fixture *w, FakeGate *gate, int n)
 {
   BillRecord record = fake_bill (n);
 
@@ -103,22 +103,22 @@
     CALL_TXN | CALL_COPY,
     CALL_TXN | CALL_OBJECT_PUT | CALL_COPY,
   };
-  int lost_elsewhere = 0;
+  int lost_with_place_up = 0;
 
   for (int step = 0; step < KILL_STEPS * 2 * (int)SUITE_COUNT (down); step++)
     {
-      unsigned cut = down[step % SUITE_COUNT (down)];
+      unsigned calls_down = down[step % SUITE_COUNT (down)];
       Fixture w;
       FakeGate *gate;
 
       fixture_init (&w, RECORDS);
       gate = fake_gate_new (&w.site, 1, SPOOL_MAX);
-      fake_link_set (gate->link, cut, step % 3 ? LINK_REFUSED : LINK_CALL_LOST);
+      fake_link_set (gate->link, calls_down, step % 3 ? LINK_REFUSED : LINK_CALL_LOST);
       fake_link_kill_at (gate->link, (size_t)step / SUITE_COUNT (down) / 2 + 1,
                          step / SUITE_COUNT (down) % 2);
       for (int n = 0; n < RECORDS; n++)
         {
-          request (&w, gate, n);
+          run_request (&w, gate, n);
           if (n == RECORDS / 2)
             fake_link_set (gate->link, CALL_ALL | CALL_COPY, LINK_UP);
         }
@@ -127,11 +127,11 @@
       fake_site_settle (&w.site, NULL);
       fake_site_settle (&w.site, NULL);
       check_bills (&w);
-      if (cut != (CALL_TXN | CALL_OBJECT_PUT | CALL_COPY))
-        lost_elsewhere += w.lost;
+      if (calls_down != (CALL_TXN | CALL_OBJECT_PUT | CALL_COPY))
+        lost_with_place_up += w.lost;
       fixture_free (&w);
     }
-  CU_ASSERT_EQUAL (lost_elsewhere, 0);
+  CU_ASSERT_EQUAL (lost_with_place_up, 0);
 }
 
 typedef struct
@@ -140,30 +140,30 @@
   Fixture *fixture;
   FakeGate *gate;
   int first;
-} Client;
+} Caller;
 
 static void *
-client_run (void *argument)
+caller_run (void *argument)
 {
-  Client *c = argument;
+  Caller *c = argument;
 
-  for (int i = 0; i < BURST; i++)
-    request (c->fixture, c->gate, c->first + i);
+  for (int i = 0; i < BURST_REQUESTS; i++)
+    run_request (c->fixture, c->gate, c->first + i);
   return NULL;
 }
 
 static void
-burst (Fixture *w, FakeGate *gate, int first)
+run_burst (Fixture *w, FakeGate *gate, int first)
 {
-  Client clients[THREADS];
+  Caller callers[THREADS];
 
   for (int i = 0; i < THREADS; i++)
     {
-      clients[i] = (Client){ .fixture = w, .gate = gate, .first = first + i * BURST };
-      pthread_create (&clients[i].thread, NULL, client_run, &clients[i]);
+      callers[i] = (Caller){ .fixture = w, .gate = gate, .first = first + i * BURST_REQUESTS };
+      pthread_create (&callers[i].thread, NULL, caller_run, &callers[i]);
     }
   for (int i = 0; i < THREADS; i++)
-    pthread_join (clients[i].thread, NULL);
+    pthread_join (callers[i].thread, NULL);
 }
 
 static void
@@ -194,16 +194,16 @@
   int stored = 0;
 
   gsl_rng_set (rng, RANDOM_SEED);
-  fixture_init (&w, GATES * BURSTS * THREADS * BURST);
+  fixture_init (&w, GATES * BURSTS_PER_GATE * THREADS * BURST_REQUESTS);
   for (int g = 0; g < GATES; g++)
     {
       FakeGate *gate
           = fake_gate_new (&w.site, (uint64_t)g + 1, g % 2 ? SPOOL_MAX : SPOOL_MAX_SPILLING);
 
-      for (int b = 0; b < BURSTS; b++, n += THREADS * BURST)
+      for (int b = 0; b < BURSTS_PER_GATE; b++, n += THREADS * BURST_REQUESTS)
         {
           random_fault (gate, rng);
-          burst (&w, gate, n);
+          run_burst (&w, gate, n);
           if (gsl_rng_uniform_int (rng, 4) == 0)
             fake_site_settle (&w.site, gate);
         }
--- a/tests/test_bill_outage.c
+++ b/tests/test_bill_outage.c
@@ -74,7 +74,7 @@
   bill_entry_unref (entry);
   /* With the breaker open the table was not tried. */
   if (!g->breaker.open)
-    platform_breaker_failed (&g->breaker, g->now);
+    platform_breaker_record_failure (&g->breaker, g->now);
   if (bill_spool_may_spill (&g->spool))
     g->spilled += (int64_t)bill_spool_spill (&g->spool);
   if (g->spool.bytes > g->bytes_peak)
@@ -93,10 +93,10 @@
   g->tries++;
   if (!g->table_up)
     {
-      platform_breaker_failed (&g->breaker, g->now);
+      platform_breaker_record_failure (&g->breaker, g->now);
       return;
     }
-  platform_breaker_succeeded (&g->breaker);
+  platform_breaker_record_success (&g->breaker);
   count = bill_spool_oldest (&g->spool, g->now, entries, FLUSH_MAX);
   for (size_t i = 0; i < count; i++)
     bill_spool_remove (&g->spool, entries[i]);
--- a/tests/test_bill_spool.c
+++ b/tests/test_bill_spool.c
@@ -163,7 +163,7 @@
 
 /* Only records that are in the object store may be removed from memory, oldest first. */
 static void
-test_only_stored_records_are_spilled (void)
+test_only_records_in_object_store_are_spilled (void)
 {
   static const BillPlace places[] = { BILL_AT_SPOOL, BILL_AT_OBJECT_STORE, BILL_AT_REPLICA };
   BillSpool spool;
@@ -235,7 +235,7 @@
     { "spilled_records_of_a_killed_gate_are_recovered",
       test_spilled_records_of_a_killed_gate_are_recovered },
     { "spilled_records_are_read_again", test_spilled_records_are_read_again },
-    { "only_stored_records_are_spilled", test_only_stored_records_are_spilled },
+    { "only_records_in_object_store_are_spilled", test_only_records_in_object_store_are_spilled },
     { "full_spool_drops_answers", test_full_spool_drops_answers },
   };
 
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -155,7 +155,7 @@
 }
 
 static void
-test_refused (void)
+test_refused_connection_is_unavailable (void)
 {
   Status st;
   Buffer body = { 0 };
@@ -198,7 +198,7 @@
 }
 
 static void
-test_too_long (void)
+test_too_long_answer_is_an_error (void)
 {
   FakeServer *server = fake_server_new (&(FakeAnswer){ .text = CHUNKED_OK });
   HttpRequest request = request_to (fake_server_port (server));
@@ -236,7 +236,7 @@
 }
 
 static bool
-client_has_left (void *context)
+client_has_disconnected (void *context)
 {
   return fake_server_aborted (context) == 1;
 }
@@ -260,7 +260,7 @@
   CU_ASSERT_STRING_EQUAL (data, "hello");
   fake_server_resume (server);
   http_exchange_free (exchange);
-  CU_ASSERT_TRUE (suite_wait (client_has_left, server));
+  CU_ASSERT_TRUE (suite_wait (client_has_disconnected, server));
   fake_server_free (server);
 }
 
@@ -274,9 +274,9 @@
           { "answer_without_framing_is_an_error", test_answer_without_framing_is_an_error },
           { "no_retry_after_close", test_no_retry_after_close },
           { "new_connection_per_request", test_new_connection_per_request },
-          { "refused", test_refused },
+          { "refused_connection_is_unavailable", test_refused_connection_is_unavailable },
           { "invalid_headers_and_paths_are_not_sent", test_invalid_headers_and_paths_are_not_sent },
-          { "too_long", test_too_long },
+          { "too_long_answer_is_an_error", test_too_long_answer_is_an_error },
           { "total_timeout_ends_slow_answers", test_total_timeout_ends_slow_answers },
           { "stream_is_read_and_cancelled", test_stream_is_read_and_cancelled } };
   return suite_main (argc, argv, "http_client", cases, SUITE_COUNT (cases));
--- a/tests/test_http_finish.c
+++ b/tests/test_http_finish.c
@@ -80,7 +80,7 @@
 }
 
 static void
-test_may_finish_before_last_byte (void)
+test_may_finish_is_called_before_last_byte (void)
 {
   /*
    * Guards against running a request for a version that is withdrawn while the request waits for a
@@ -162,8 +162,9 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "may_finish_before_last_byte", test_may_finish_before_last_byte },
-                              { "refused_get_does_not_connect", test_refused_get_does_not_connect },
-                              { "frozen_peer_does_not_block", test_frozen_peer_does_not_block } };
+  const SuiteCase cases[]
+      = { { "may_finish_is_called_before_last_byte", test_may_finish_is_called_before_last_byte },
+          { "refused_get_does_not_connect", test_refused_get_does_not_connect },
+          { "frozen_peer_does_not_block", test_frozen_peer_does_not_block } };
   return suite_main (argc, argv, "http_finish", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -205,7 +205,7 @@
 }
 
 static void
-test_protocol_http (void)
+test_http_client_follows_protocol (void)
 {
   Site site = site_new_http ();
   CU_ASSERT_EQUAL (call_standin (&site, "PUT", "/v1/vms",
@@ -217,7 +217,7 @@
 }
 
 static void
-test_protocol_fake (void)
+test_fake_follows_protocol (void)
 {
   Platform *p = fake_platform_new ();
   fake_platform_vm (p, "vm1", LOCALHOST, "leon", true);
@@ -360,8 +360,8 @@
 main (int argc, char **argv)
 {
   const SuiteCase cases[]
-      = { { "protocol_http", test_protocol_http },
-          { "protocol_fake", test_protocol_fake },
+      = { { "http_client_follows_protocol", test_http_client_follows_protocol },
+          { "fake_follows_protocol", test_fake_follows_protocol },
           { "write_outcome_is_reported", test_write_outcome_is_reported },
           { "failed_reads_are_unavailable", test_failed_reads_are_unavailable },
           { "unknown_write_may_take_effect_late", test_unknown_write_may_take_effect_late },
--- a/tests/test_platform_answers.c
+++ b/tests/test_platform_answers.c
@@ -30,7 +30,7 @@
 }
 
 static void
-test_refused (void)
+test_refused_connection_is_unavailable (void)
 {
   Platform *p = platform_http_new (LOCALHOST, suite_free_port ());
   CU_ASSERT_EQUAL (put (p, "a", "1"), STATUS_UNAVAILABLE);
@@ -100,8 +100,9 @@
 int
 main (int argc, char **argv)
 {
-  const SuiteCase cases[] = { { "refused", test_refused },
-                              { "bad_answers_are_failures", test_bad_answers_are_failures },
-                              { "http_statuses_are_mapped", test_http_statuses_are_mapped } };
+  const SuiteCase cases[]
+      = { { "refused_connection_is_unavailable", test_refused_connection_is_unavailable },
+          { "bad_answers_are_failures", test_bad_answers_are_failures },
+          { "http_statuses_are_mapped", test_http_statuses_are_mapped } };
   return suite_main (argc, argv, "platform_answers", cases, SUITE_COUNT (cases));
 }
--- a/tests/test_util.c
+++ b/tests/test_util.c
@@ -41,7 +41,7 @@
 };
 
 static void
-test_status (void)
+test_status_is_set_truncated_and_cleared (void)
 {
   Status st;
   char long_text[LONG_TEXT];
@@ -63,7 +63,7 @@
 }
 
 static void
-test_buffer (void)
+test_buffer_grows_and_consumes (void)
 {
   Buffer buf = { 0 };
 
@@ -84,7 +84,7 @@
 }
 
 static void
-test_clock (void)
+test_clock_advances_during_sleep (void)
 {
   int64_t before = clock_boot_us ();
 
@@ -95,7 +95,7 @@
 }
 
 static void
-test_memory (void)
+test_memory_is_zeroed_and_copied (void)
 {
   char *zeroed = memory_array (3, 5);
   char *copy = memory_strdup ("abc");
@@ -109,7 +109,7 @@
 }
 
 static void
-test_id (void)
+test_ids_are_random_and_hashes_fixed (void)
 {
   char a[ID_SIZE];
   char b[ID_SIZE];
@@ -234,7 +234,7 @@
 }
 
 static void
-test_field_values (void)
+test_field_values_are_read (void)
 {
   const char *text
       = "{ // who\n \"name\": \"abc\", /* : */ \"port\": 80, \"share\": 1, \"on\": true,\n"
@@ -262,7 +262,7 @@
 }
 
 static void
-test_field_errors (void)
+test_field_errors_are_reported (void)
 {
   expect_errors ("{}", "f.json: name: expected a string, found nothing\n");
   expect_errors ("[]", "f.json: expected an object, found array\n");
@@ -364,16 +364,16 @@
 }
 
 static const SuiteCase cases[] = {
-  { "status", test_status },
-  { "buffer", test_buffer },
-  { "clock", test_clock },
-  { "memory", test_memory },
-  { "id", test_id },
+  { "status_is_set_truncated_and_cleared", test_status_is_set_truncated_and_cleared },
+  { "buffer_grows_and_consumes", test_buffer_grows_and_consumes },
+  { "clock_advances_during_sleep", test_clock_advances_during_sleep },
+  { "memory_is_zeroed_and_copied", test_memory_is_zeroed_and_copied },
+  { "ids_are_random_and_hashes_fixed", test_ids_are_random_and_hashes_fixed },
   { "counter_outlives_threads", test_counter_outlives_threads },
   { "log_quote_escapes", test_log_quote_escapes },
   { "log_line_is_never_split", test_log_line_is_never_split },
-  { "field_values", test_field_values },
-  { "field_errors", test_field_errors },
+  { "field_values_are_read", test_field_values_are_read },
+  { "field_errors_are_reported", test_field_errors_are_reported },
   { "field_names_are_quoted", test_field_names_are_quoted },
   { "field_long_path_is_truncated", test_field_long_path_is_truncated },
   { "field_duplicates_are_reported", test_field_duplicates_are_reported },
