--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -12,8 +12,8 @@
 #define TIMEOUT_MS 5000
 #define ODD_KEY    "a b&c=d+e%20/\xc3\xa9\"?#"
 
-/* A platform client with the stand-in that it calls. Each protocol and the fake platform must pass
- * the same checks. */
+/* The HTTP client with the stand-in that it calls. It and the fake platform must pass the same
+ * checks. */
 typedef struct
 {
   Platform *p;
