--- a/src/bill_entry.c
+++ b/src/bill_entry.c
@@ -111,8 +111,8 @@
   };
   if (entry->claim_key == NULL)
     return 1;
-  /* No check that the claim is still ours: a claim whose request ran is never released, and a
-   * failed check would fail the whole transaction with its other records. */
+  /* No check that this request still holds the claim: a claim whose request ran is never released,
+   * and a failed check would fail the whole transaction with its other records. */
   ops[1] = (TxnOp){
     .kind = TXN_PUT,
     .table = CLAIM_TABLE,
@@ -271,7 +271,7 @@
 }
 
 void
-bill_entry_refused (BillEntry *entry, int64_t now_ms, const Status *st)
+bill_entry_mark_refused (BillEntry *entry, int64_t now_ms, const Status *st)
 {
   char key[2 * BILL_KEY_MAX];
   char message[2 * STATUS_MESSAGE_MAX];
--- a/tests/test_bill.c
+++ b/tests/test_bill.c
@@ -42,7 +42,7 @@
 }
 
 static void
-test_keys_are_unique_per_request (void)
+test_only_retries_share_a_key (void)
 {
   char a[BILL_KEY_MAX];
   char b[BILL_KEY_MAX];
@@ -111,8 +111,8 @@
     }
 }
 
-/* The reply to the record's write is lost after it took effect, and the write is repeated: there
- * must be one row. */
+/* The reply to a record's write is lost after it took effect, and the write is repeated: there must
+ * be one row for each record. */
 static void
 test_lost_reply_leaves_one_row (void)
 {
@@ -161,9 +161,10 @@
 }
 
 /* A request is cut short, the caller sends it again under the same key, and it is answered. Then
- * the record of the cut attempt is written once more. The bill must be that of the first answer. */
+ * the records of the cut attempt and of a second answer are written. The bill must be that of the
+ * first answer. */
 static void
-test_answer_replaces_cut (void)
+test_answered_record_replaces_cut (void)
 {
   Fixture w;
   BillRecord cut = fake_bill (1);
@@ -225,11 +226,11 @@
   static const SuiteCase cases[] = {
     { "text_parses_to_the_same_record", test_text_parses_to_the_same_record },
     { "invalid_text_is_rejected", test_invalid_text_is_rejected },
-    { "keys_are_unique_per_request", test_keys_are_unique_per_request },
+    { "only_retries_share_a_key", test_only_retries_share_a_key },
     { "fallbacks_are_tried_in_order", test_fallbacks_are_tried_in_order },
     { "lost_reply_leaves_one_row", test_lost_reply_leaves_one_row },
     { "claim_is_settled_with_its_bill", test_claim_is_settled_with_its_bill },
-    { "answer_replaces_cut", test_answer_replaces_cut },
+    { "answered_record_replaces_cut", test_answered_record_replaces_cut },
     { "malformed_record_blocks_no_others", test_malformed_record_blocks_no_others },
   };
 
