--- a/bench/steps.h
+++ b/bench/steps.h
@@ -3,8 +3,8 @@
  * cluster_*.c under a virtual clock, with a table service that loses replies and applies writes
  * late, messages that are lost, delayed, duplicated and reordered, paused processes, restarts,
  * replaced VMs, partitions and concurrent patches. There are no sockets, threads or files. Phases
- * with faults alternate with fault-free ones (calm periods), and an oracle checks the protocol's
- * guarantees throughout.
+ * with faults alternate with fault-free ones, and an oracle checks the protocol's guarantees
+ * throughout.
  */
 #ifndef STEPS_H
 #define STEPS_H
@@ -107,8 +107,8 @@
   int64_t views;
   int64_t established;
   int64_t restarts;
-  int64_t replaced;
-  int64_t left;
+  int64_t vms_lost;
+  int64_t members_left; /**< stewards that stopped gracefully */
   int64_t freezes;
   int64_t condition_changes;
   int64_t grants_by_table;
--- a/bench/steps_fault.c
+++ b/bench/steps_fault.c
@@ -61,19 +61,19 @@
 change_conditions (StepsSite *site, unsigned slot)
 {
   (void)slot;
-  StepsConditions *w = &site->conditions;
-  bool cut = steps_random (site, 2) == 0;
+  StepsConditions *conditions = &site->conditions;
+  bool partitioned = steps_random (site, 2) == 0;
 
   site->counts.condition_changes++;
-  w->loss = steps_random (site, 4) * 100;
-  w->duplication = steps_random (site, 3) * 100;
-  w->delay_max = (int64_t)(steps_random (site, 3) == 0 ? steps_random (site, 3000) : 20);
-  w->op_loss = steps_random (site, 3) * 100;
-  w->table_up = steps_random (site, 4) != 0;
-  w->table_reachable[0] = true;
-  w->table_reachable[1] = steps_random (site, 2) == 0;
+  conditions->loss = steps_random (site, 4) * 100;
+  conditions->duplication = steps_random (site, 3) * 100;
+  conditions->delay_max = (int64_t)(steps_random (site, 3) == 0 ? steps_random (site, 3000) : 20);
+  conditions->op_loss = steps_random (site, 3) * 100;
+  conditions->table_up = steps_random (site, 4) != 0;
+  conditions->table_reachable[0] = true;
+  conditions->table_reachable[1] = steps_random (site, 2) == 0;
   for (unsigned i = 0; i < STEPS_SLOTS; i++)
-    w->partition[i] = cut ? (unsigned)steps_random (site, 2) : 0;
+    conditions->partition[i] = partitioned ? (unsigned)steps_random (site, 2) : 0;
 }
 
 void
@@ -88,19 +88,20 @@
 static void
 partition_majority (StepsSite *site, unsigned slot)
 {
-  StepsConditions *w = &site->conditions;
+  StepsConditions *conditions = &site->conditions;
   const ClusterView *row = &site->table.view;
 
   (void)slot;
   site->counts.condition_changes++;
-  *w = (StepsConditions){ .delay_max = 20, .table_up = true, .table_reachable = { true, false } };
+  *conditions
+      = (StepsConditions){ .delay_max = 20, .table_up = true, .table_reachable = { true, false } };
   if (row->count == 0)
     return;
   size_t first = steps_random (site, row->count);
   for (size_t i = 0; i < row->count / 2 + 1; i++)
     {
       const ClusterMember *m = &row->members[(first + i) % row->count];
-      w->partition[m->port - STEPS_PORT] = 1;
+      conditions->partition[m->port - STEPS_PORT] = 1;
     }
 }
 
@@ -152,7 +153,7 @@
   vm->up = false;
   vm->lost_at = site->now;
   vm->gate_until = CLUSTER_NEVER;
-  site->counts.replaced++;
+  site->counts.vms_lost++;
 }
 
 static void
@@ -174,7 +175,7 @@
 {
   if (site->vms[slot].state == NULL || cluster_state_leaving (site->vms[slot].state))
     return;
-  site->counts.left++;
+  site->counts.members_left++;
   site->vms[slot].gate_until = CLUSTER_NEVER;
   cluster_state_leave (site->vms[slot].state);
 }
@@ -207,9 +208,10 @@
 void
 steps_recovery_begin (StepsSite *site)
 {
-  StepsConditions *w = &site->conditions;
+  StepsConditions *conditions = &site->conditions;
 
-  *w = (StepsConditions){ .delay_max = 5, .table_up = true, .table_reachable = { true, true } };
+  *conditions
+      = (StepsConditions){ .delay_max = 5, .table_up = true, .table_reachable = { true, true } };
   site->fault_free = true;
   for (unsigned i = 0; i < STEPS_SLOTS; i++)
     {
--- a/bench/steps_main.c
+++ b/bench/steps_main.c
@@ -16,11 +16,10 @@
   printf ("seed %lu: %lld steps, %lld patches, %lld acceptances, %lld views (%lld established)\n",
           seed, (long long)c.steps, (long long)c.patches, (long long)c.acceptances,
           (long long)c.views, (long long)c.established);
-  printf (
-      "faults: %lld restarts, %lld VMs replaced, %lld left, %lld freezes, %lld of the network or"
-      " the table service\n",
-      (long long)c.restarts, (long long)c.replaced, (long long)c.left, (long long)c.freezes,
-      (long long)c.condition_changes);
+  printf ("faults: %lld restarts, %lld VMs lost, %lld members left, %lld freezes, %lld of the "
+          "network or the table service\n",
+          (long long)c.restarts, (long long)c.vms_lost, (long long)c.members_left,
+          (long long)c.freezes, (long long)c.condition_changes);
   printf ("grants: %lld by the table, %lld by peers, %lld refused; %lld fault-free phases\n",
           (long long)c.grants_by_table, (long long)c.grants_by_peers, (long long)c.refusals,
           (long long)c.recoveries);
--- a/bench/steps_network.c
+++ b/bench/steps_network.c
@@ -16,7 +16,7 @@
 }
 
 static void
-put (StepsSite *site, unsigned from, unsigned to, bool is_answer, const ClusterHeartbeat *h)
+add_message (StepsSite *site, unsigned from, unsigned to, bool is_answer, const ClusterHeartbeat *h)
 {
   /* If all places are in use the message replaces a random other one, which is lost. */
   StepsMessage *m = &site->messages[steps_random (site, STEPS_MESSAGES)];
@@ -41,9 +41,9 @@
 {
   if (!steps_reaches (site, from, to) || steps_random (site, 1000) < site->conditions.loss)
     return;
-  put (site, from, to, is_answer, heartbeat);
+  add_message (site, from, to, is_answer, heartbeat);
   if (steps_random (site, 1000) < site->conditions.duplication)
-    put (site, from, to, is_answer, heartbeat);
+    add_message (site, from, to, is_answer, heartbeat);
 }
 
 static void
--- a/bench/steps_oracle.c
+++ b/bench/steps_oracle.c
@@ -16,8 +16,8 @@
              (long long)site->now);
 }
 
-/* New work may start now on number: reports a violation if a later number was accepted more than
-   BOUND_MS ago. */
+/* The VM may start new work on number now: reports a violation if a later number was accepted more
+   than BOUND_MS ago. */
 static void
 check_work (StepsSite *site, unsigned slot, const char *what, int64_t number)
 {
@@ -62,21 +62,21 @@
 {
   site->counts.recoveries++;
   if (site->table.accepted != site->table.head)
-    violation (site, 0, "calm period, but not accepted: accepted, head", site->table.accepted,
+    violation (site, 0, "fault-free phase, but not accepted: accepted, head", site->table.accepted,
                site->table.head);
   if (!site->table.view.established)
-    violation (site, 0, "calm period, but the view is pending", site->table.view.number, 0);
+    violation (site, 0, "fault-free phase, but the view is pending", site->table.view.number, 0);
   for (unsigned i = 0; i < STEPS_SLOTS; i++)
     {
       StepsVm *vm = &site->vms[i];
       if (vm->state == NULL || cluster_state_leaving (vm->state))
         continue;
       if (cluster_state_number (vm->state) != site->table.head)
-        violation (site, i, "calm period, but behind", cluster_state_number (vm->state),
-                   site->table.head);
+        violation (site, i, "fault-free phase, but an outdated number in use: number, head",
+                   cluster_state_number (vm->state), site->table.head);
       if (cluster_grant (vm->state, steps_clock (site, i)).proof == CLUSTER_PROOF_NONE)
-        violation (site, i, "calm period, but no grant", cluster_state_number (vm->state), 0);
+        violation (site, i, "fault-free phase, but no grant", cluster_state_number (vm->state), 0);
       if (cluster_view_find (&site->table.view, cluster_state_incarnation (vm->state)) < 0)
-        violation (site, i, "calm period, but not registered", 0, 0);
+        violation (site, i, "fault-free phase, but not registered", 0, 0);
     }
 }
--- a/bench/steps_table.c
+++ b/bench/steps_table.c
@@ -21,7 +21,7 @@
 steps_table_send (StepsSite *site, unsigned slot, StepsOp *op)
 {
   unsigned long delay = (unsigned long)site->conditions.delay_max + 1;
-  bool cut = !reaches_table (site, slot);
+  bool unreachable = !reaches_table (site, slot);
 
   op->used = true;
   op->slot = slot;
@@ -29,7 +29,7 @@
   op->sent_at = steps_clock (site, slot);
   op->arrives_at = site->now + (int64_t)steps_random (site, delay);
   op->answered_at = op->arrives_at + (int64_t)steps_random (site, delay);
-  op->lost = cut || steps_random (site, 1000) < site->conditions.op_loss;
+  op->lost = unreachable || steps_random (site, 1000) < site->conditions.op_loss;
   op->answer_lost = op->lost || steps_random (site, 1000) < site->conditions.op_loss;
   op->arrived = false;
   op->committed = false;
--- a/tests/test_cluster_steps.c
+++ b/tests/test_cluster_steps.c
@@ -16,7 +16,7 @@
   CU_ASSERT_TRUE (c.patches > 100 && c.acceptances > 50);
   CU_ASSERT_TRUE (c.views > 50 && c.established > 20);
   CU_ASSERT_TRUE (c.grants_by_table > 1000 && c.grants_by_peers > 500 && c.refusals > 500);
-  CU_ASSERT_TRUE (c.restarts > 10 && c.replaced > 10 && c.freezes > 10);
+  CU_ASSERT_TRUE (c.restarts > 10 && c.vms_lost > 10 && c.freezes > 10);
 }
 
 /* A violation can be examined only if the same seed repeats the same run. */
