--- a/mk/model.sh
+++ b/mk/model.sh
@@ -35,7 +35,7 @@
   run 1 view "-D$guard"
 done
 run 1 view "-DNO_FLOOR -DGO_ON"
-for guard in FROM_RECEIPT HEARSAY_NEW ANY_NUMBER HALF HEAD_FROM_RECEIPT ANY_HEAD; do
+for guard in FROM_RECEIPT RELAYED_AS_NEW ANY_NUMBER HALF HEAD_FROM_RECEIPT ANY_HEAD; do
   run 1 grant "-D$guard"
 done
 exit $unexpected
--- a/model/grant.pml
+++ b/model/grant.pml
@@ -12,11 +12,11 @@
  *
  * Property: GRANT ticks after the acceptance no steward that still applies 0 has a grant
  * (src/cluster_grant.c). Evidence of number 1 supports no grant on 0, so that only evidence of 0 is
- * stored. Acceptance counts what stewards have applied, whoever knows of it.
+ * stored. Acceptance counts the stewards that have applied the number, whether others know of it or not.
  *
  * Each of these -D options removes one guard, and must give a counter-example:
  *   FROM_RECEIPT       an answer counts from its receipt instead of the send of its ask
- *   HEARSAY_NEW        relayed evidence counts without the age in the answer
+ *   RELAYED_AS_NEW     relayed evidence counts without the age in the answer
  *   ANY_NUMBER         a member that has applied 1 counts like one that has not
  *   HALF               half of the members are enough
  *   HEAD_FROM_RECEIPT  a read of the head row counts from its receipt
@@ -54,7 +54,7 @@
 #else
 #define AGE_OF_ANSWER message[k].age
 #endif
-#ifdef HEARSAY_NEW
+#ifdef RELAYED_AS_NEW
 #define AGE_OF_RELAYED(w) (message[k].sent_age[w] < GRANT -> message[k].age : GRANT)
 #else
 #define AGE_OF_RELAYED(w) (AGE_OF_ANSWER + message[k].sent_age[w])
--- a/model/view.pml
+++ b/model/view.pml
@@ -1,22 +1,22 @@
 /*
  * Model of acceptance during changes of the membership: see docs/design/configuration.md.
  *
- * One patch (number 1) withdraws what number 0 allows. Incarnations apply it, hear of views, die and
+ * One patch (number 1) withdraws what number 0 allows. Incarnations apply it, see views, die and
  * are replaced at the same or another address; rows of the view table are written under the rules of
  * src/cluster_view.c and src/cluster_accept.c.
  *
  * The model has no time. A grant by peers ends grant_ms after a time t at which a majority of a view's
  * members supported it (src/cluster_grant.c). So the property, that no grant outlasts the acceptance by
  * more than grant_ms, means that no such t is after the acceptance. What an incarnation has applied and
- * heard of only rises; if it supports a grant at any later time, it did so at the acceptance. Hence the
+ * seen only rises; if it supports a grant at any later time, it did so at the acceptance. Hence the
  * check at that moment, over every view that a steward without the patch can have adopted. The check
  * holds whatever messages were lost, delayed or duplicated, and whatever stewards know of each other:
  * acceptance and establishing may count the true state of any incarnation.
  *
  * Steps that can only help the property are left out if another run without them is otherwise equal:
- * an incarnation hears of a view only while it can help to establish it, applies the patch only at the
+ * an incarnation sees a view only while it can help to establish it, applies the patch only at the
  * moment of acceptance (if it was alive after the patch became durable), and dies only at the moment in
- * which it is replaced or removed. Hearing, applying or dying earlier would only remove its support
+ * which it is replaced or removed. Seeing a view, applying or dying earlier would only remove its support
  * from a grant.
  *
  * With -DGO_ON the run continues after the acceptance, and the views written then are checked too.
@@ -26,7 +26,7 @@
  *   NO_SETTLING       a view is established without confirmation by previous members
  *   OLD_FORM          knowing an earlier version of the pending view confirms it
  *   ONE_MAJORITY      under a pending view a majority of the new members supports a grant
- *   ANY_VIEW          members that have heard of a newer view support a grant
+ *   ANY_VIEW          members that have seen a newer view support a grant
  *   SLOT_VOTES        a new incarnation votes for the one that it replaced in its slot
  *   NEW_VOTERS        the members of a pending view accept numbers
  *   ANY_NUMBER        members that have applied the patch support a grant
@@ -59,7 +59,7 @@
 #ifdef ANY_VIEW
 #define OF_VIEW(i) (1)
 #else
-#define OF_VIEW(i) (heard[i] <= v)
+#define OF_VIEW(i) (seen_view[i] <= v)
 #endif
 #ifdef SLOT_VOTES
 #define VOTES_FOR(i,j) (slot[j] == slot[i])
@@ -67,9 +67,9 @@
 #define VOTES_FOR(i,j) ((j) == (i))
 #endif
 #ifdef OLD_FORM
-#define KNOWS_ROW(i) (heard[i] >= first_pending[row])
+#define KNOWS_ROW(i) (seen_view[i] >= first_pending[row])
 #else
-#define KNOWS_ROW(i) (heard[i] >= row)
+#define KNOWS_ROW(i) (seen_view[i] >= row)
 #endif
 #ifdef NO_FLOOR
 #define CAN_ADOPT(v) (1)
@@ -96,7 +96,7 @@
 byte started = FIRST;
 byte may_apply;   /* those that were alive after the patch became durable */
 byte applied = 0; /* chosen at the acceptance, out of may_apply */
-byte heard[INCARNATIONS];
+byte seen_view[INCARNATIONS];
 byte slot[INCARNATIONS];
 
 /* The rows of the view table by number. */
@@ -144,7 +144,7 @@
   row++
 }
 
-/* set = incarnations that have heard of the pending row or are proved dead */
+/* set = incarnations that have seen the pending row or are proved dead */
 inline find_confirmed ()
 {
   set = 0;
@@ -215,9 +215,9 @@
 #define EACH(STEP) STEP (0) STEP (1) STEP (2) STEP (3) STEP (4) STEP (5) STEP (6)
 #define IS_MEMBER(w) (w < INCARNATIONS && row + 1 < VIEWS && !IS_OVER && HAS (members[row], w))
 
-#define HEAR(w) \
+#define SEE_VIEW(w) \
   :: w < INCARNATIONS && !IS_OVER && !established[row] && HAS (alive & previous[row], w) \
-     && heard[w] < row -> heard[w] = row
+     && seen_view[w] < row -> seen_view[w] = row
 
 /* A new process registers at the address of w, which proves w dead. */
 #define REPLACE(w) \
@@ -259,7 +259,7 @@
   }
   do
   :: !head -> d_step { head = 1; may_apply = alive } /* the patch becomes durable */
-  EACH (HEAR)
+  EACH (SEE_VIEW)
   EACH (REPLACE)
   EACH (REMOVE)
   /* A new process registers at an address of its own. */
