--- a/bench/bench_bill.c
+++ b/bench/bench_bill.c
@@ -139,7 +139,7 @@
 static void
 gate_free (Gate *gate)
 {
-  INVARIANT (bill_writer_free (gate->writer, TIMEOUT_MS) == 0, "records are not written");
+  INVARIANT (bill_writer_free (gate->writer, TIMEOUT_MS) == 0, "usage records were not written");
   platform_group_free (gate->group);
 }
 
@@ -157,7 +157,7 @@
     claim_take (c->gate->group, NULL, record.team, record.request, 1, &outcome, NULL);
   start = clock_boot_us ();
   INVARIANT (bill_commit (c->gate->writer, &record, claimed ? &settlement : NULL) == BILL_AT_TABLE,
-             "not in the table");
+             "the usage record was not written to the table");
   return (double)(clock_boot_us () - start) / 1000;
 }
 
--- a/bench/bench_cluster.c
+++ b/bench/bench_cluster.c
@@ -1,7 +1,8 @@
 /**
- * Cost of the cluster protocol with 9, 36 and 360 members: filling and merging an answer with news
- * of all members, in full and in packed form, and computing the grant; also the answer's size on
- * the wire (28 bytes per news entry in full form, 1 per age in packed form).
+ * Cost of the cluster protocol with 9, 36 and 360 members: filling and merging an answer that
+ * relays the progress of all members (its news), in full and in packed form, and computing the
+ * grant; also the answer's size on the wire (28 bytes per news entry in full form, 1 per age in
+ * packed form).
  */
 #include "cluster_grant.h"
 #include "cluster_state.h"
--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -6,8 +6,9 @@
  * PART is "admit", "plan" or "pick" for one part of a decision, "all" for all parts, or "gate" for
  * all parts with the states of the servers copied for each decision, as in the gate. With "cold"
  * nothing has been learned yet, so that every set of stages has to be evaluated. To count only
- * decide_many: valgrind
- * --tool=callgrind --toggle-collect=decide_many bench_decision ...
+ * decide_many:
+ *
+ *   valgrind --tool=callgrind --toggle-collect=decide_many bench_decision ...
  */
 #include "choose_cascade.h"
 #include "choose_index.h"
@@ -23,14 +24,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BASE_MODELS   4 /**< of the simulated site: three draft models and the ledger model */
-#define LEDGERS       4 /**< engines of the ledger model */
-#define DOMAINS       6
-#define START_MS      1000000
-#define DECISION_MS   2   /**< virtual time between two decisions */
-#define WARM_RATINGS  200 /**< of each version and class */
-#define GATE_CAPACITY 30  /**< requests in progress that the gate admits */
-#define CLASS_NAMES   3
+#define BASE_MODELS    4 /**< of the simulated site: three draft models and the ledger model */
+#define LEDGER_ENGINES 4 /**< engines of the ledger model */
+#define DOMAINS        6
+#define START_MS       1000000
+#define DECISION_MS    2   /**< virtual time between two decisions */
+#define WARM_RATINGS   200 /**< of each version and class */
+#define GATE_CAPACITY  30  /**< requests in progress that the gate admits */
+#define CLASS_NAMES    3
 
 typedef struct
 {
@@ -168,7 +169,7 @@
 }
 
 static unsigned
-number (const char *text)
+parse_number (const char *text)
 {
   return (unsigned)strtoul (text, NULL, 10);
 }
@@ -176,7 +177,7 @@
 int
 main (int argc, char **argv)
 {
-  ModelConfigOptions options = { .ledger_engines = LEDGERS, .slots = 8, .domains = DOMAINS };
+  ModelConfigOptions options = { .ledger_engines = LEDGER_ENGINES, .slots = 8, .domains = DOMAINS };
   Bench bench = { .picked = 0 };
   unsigned i, decisions;
   bool all;
@@ -186,13 +187,13 @@
       fprintf (stderr, "usage: bench_decision SERVERS MODELS TEAMS DECISIONS PART [cold]\n");
       return 2;
     }
-  options.draft_engines = number (argv[1]) - LEDGERS;
+  options.draft_engines = parse_number (argv[1]) - LEDGER_ENGINES;
   options.versions_per_model = 1;
-  options.extra_models = number (argv[2]) - BASE_MODELS;
-  options.teams = number (argv[3]);
+  options.extra_models = parse_number (argv[2]) - BASE_MODELS;
+  options.teams = parse_number (argv[3]);
   options.concurrent = 1000;
   options.tokens_per_s = 1000000;
-  decisions = number (argv[4]);
+  decisions = parse_number (argv[4]);
   bench.copies = strcmp (argv[5], "gate") == 0;
   all = bench.copies || strcmp (argv[5], "all") == 0;
   bench.admit = all || strcmp (argv[5], "admit") == 0;
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -21,7 +21,7 @@
 # Counts below this are left out of the fit: there the number of asks is limited by the number of
 # members, not by bytes.
 FIT_COUNT_MIN=18
-TICKS=$(getconf CLK_TCK)
+TICKS_PER_S=$(getconf CLK_TCK)
 FAILURE_DOMAINS=(fukuoka kumamoto kagoshima oita)
 OPERATOR_KEY=control-bench-key
 
@@ -176,7 +176,7 @@
   : >"$work/private"
   memory_now
   idle=$(echo "$before $after" | awk -v s="$(echo "$end $start" | awk '{ print $1 - $2 }')" \
-    -v ticks="$ticks" -v hz="$TICKS" -v n="$count" '{
+    -v ticks="$ticks" -v hz="$TICKS_PER_S" -v n="$count" '{
       printf "%.3f %.0f %.0f %.2f %.3f", 100 * ticks / hz / s / n, ($6 + $7 - $1 - $2) / s / n,
         ($8 - $3) / s / n, ($9 - $4) / s, ($10 - $5) / s }')
   rss=$(awk '{ if ($1 > max) max = $1; sum += $1 } END { printf "%.1f %.1f", sum / NR / 1024, max / 1024 }' "$work/rss")
--- a/bench/front_policies.c
+++ b/bench/front_policies.c
@@ -57,7 +57,7 @@
 
 const Policy model_policies[] = {
   { .name = "product", .pick = pick_product, .step = front_cascade_step },
-  { .name = "one-bar", .pick = pick_product, .step = below_threshold },
+  { .name = "one-threshold", .pick = pick_product, .step = below_threshold },
   { .name = "smallest-only", .pick = pick_product, .step = never_escalate },
   { .name = "largest-only",
     .first_model = MODELS - 1,
--- a/bench/front_simulation.c
+++ b/bench/front_simulation.c
@@ -366,7 +366,7 @@
     }
 }
 
-/* Of the kinds of events, EVENT_RATED stands for the beginning of an answer. */
+/* Uses EVENT_RATED for the beginning of an answer. */
 static void
 handle_event (Simulation *sim, const Event *event)
 {
--- a/bench/front_site.c
+++ b/bench/front_site.c
@@ -92,6 +92,7 @@
 #define TOKEN_MS      2.2   /* to generate a token for each request in the batch */
 #define READ_PER_MS   140.0 /* prompt tokens, with an empty batch */
 #define FIRST_BASE_MS 53.0  /* to the first token, besides reading and queueing */
+#define QUEUED_TOKENS 20    /* times TOKEN_MS: wait per request in the queue */
 /* Reading prompts delays the batch: at full load by about this share of a token's time. */
 #define READ_DELAY_SHARE 0.6
 
@@ -142,7 +143,7 @@
   read_ms = (double)*read_tokens / READ_PER_MS * model_sizes[model].time_factor * engine->slowness;
   engine->read_until_ms = begin_ms + read_ms;
   return begin_ms - (double)now_ms + read_ms
-         + (FIRST_BASE_MS * model_sizes[model].time_factor + queued * TOKEN_MS * 20)
+         + (FIRST_BASE_MS * model_sizes[model].time_factor + queued * TOKEN_MS * QUEUED_TOKENS)
                * engine->slowness;
 }
 
--- a/bench/gate.sh
+++ b/bench/gate.sh
@@ -115,8 +115,8 @@
   expect_all_whole open-1000
   print_head "1000 streams open"
   print_row open-1000
-  echo "most open at once: $(value open-1000 open_most)"
-  bound "1000 streams open at once" [ "$(value open-1000 open_most)" = 1000 ]
+  echo "most open at once: $(value open-1000 open_max)"
+  bound "1000 streams open at once" [ "$(value open-1000 open_max)" = 1000 ]
   echo "memory of the gate: idle $idle KiB, with 1000 open streams $open KiB:" \
     "$(((open - idle) * 1024 / 1000)) bytes per open stream"
 }
@@ -189,21 +189,21 @@
     awk -v p="$percent" -v max=$GROWTH_MAX_PERCENT 'BEGIN { exit p >= max }'
 }
 
-bill_rows() {
+count_usage_records() {
   curl -sf --max-time 20 "$(platform_url)/v1/stats" | jq .rows.bill
 }
 
-bills_settled() {
-  [ "$(bill_rows)" = "$1" ]
+all_records_written() {
+  [ "$(count_usage_records)" = "$1" ]
 }
 
-check_bills() {
+check_usage_records() {
   local sent=0 name
   for name in "$site"/out/{open,gate,cost,warm,long}*; do
     sent=$((sent + $(value "$(basename "$name")" whole)))
   done
-  wait_for "a bill of each of $sent answers ($(bill_rows) found)" bills_settled $sent
-  echo "bills: $(bill_rows) for $sent answers"
+  wait_for "usage records of $sent answers ($(count_usage_records) found)" all_records_written $sent
+  echo "usage records: $(count_usage_records) for $sent answers"
 }
 
 # Another site that starts at the same time may have taken a port; its answers must not be measured.
@@ -221,7 +221,7 @@
 bench_rate
 bench_cost
 bench_growth
-check_bills
+check_usage_records
 site_stop
 [ $broken = 0 ] && echo "bench: passed"
 exit $broken
--- a/bench/load_main.c
+++ b/bench/load_main.c
@@ -83,12 +83,12 @@
         { 0 } };
 
 static unsigned
-number (const char *arg, struct argp_state *state)
+parse_number (const char *arg, struct argp_state *state)
 {
   char *end;
   long n = strtol (arg, &end, 10);
   if (end == arg || *end || n < 0)
-    argp_error (state, "not a number: %s", arg);
+    argp_error (state, "not a non-negative integer: %s", arg);
   return (unsigned)n;
 }
 
@@ -102,7 +102,7 @@
       o->address = arg;
       return 0;
     case 'p':
-      o->port = (int)number (arg, state);
+      o->port = (int)parse_number (arg, state);
       return 0;
     case OPTION_KEY:
       o->key = arg;
@@ -111,25 +111,25 @@
       o->model = arg;
       return 0;
     case OPTION_STREAMS:
-      o->streams = number (arg, state);
+      o->streams = parse_number (arg, state);
       return 0;
     case OPTION_REQUESTS:
-      o->requests = number (arg, state);
+      o->requests = parse_number (arg, state);
       return 0;
     case OPTION_TOKENS:
-      o->tokens = number (arg, state);
+      o->tokens = parse_number (arg, state);
       return 0;
     case OPTION_PROMPT_BYTES:
-      o->prompt_bytes = number (arg, state);
+      o->prompt_bytes = parse_number (arg, state);
       return 0;
     case OPTION_RATE:
       o->rate = strtod (arg, NULL);
       return 0;
     case OPTION_SEED:
-      o->seed = number (arg, state);
+      o->seed = parse_number (arg, state);
       return 0;
     case OPTION_TIMEOUT_MS:
-      o->timeout_ms = (int)number (arg, state);
+      o->timeout_ms = (int)parse_number (arg, state);
       return 0;
     case ARGP_KEY_END:
       if (!o->port || !o->model)
@@ -262,7 +262,7 @@
   for (int i = 1; i < STATUSES_MAX; i++)
     if (load->statuses[i])
       printf ("http_%d %u\n", i, load->statuses[i]);
-  printf ("open_most %u\n", load->open_max);
+  printf ("open_max %u\n", load->open_max);
   printf ("seconds %.3f\n", seconds);
   printf ("requests_per_s %.1f\n", load->options.requests / seconds);
   load_samples_print (&load->first, "first_ms");
--- a/bench/model_check.c
+++ b/bench/model_check.c
@@ -101,13 +101,13 @@
 
   for (i = 0; i < sizeof paths / sizeof paths[0]; i++)
     {
-      double ours = first_99 (paths[i], "power-of-two");
+      double p99 = first_99 (paths[i], "power-of-two");
 
-      at_most (paths[i], "first p99 against 0.7 of round-robin's", ours,
+      at_most (paths[i], "first p99 against 0.7 of round-robin's", p99,
                P99_RATIO_MAX * first_99 (paths[i], "round-robin"));
-      at_most (paths[i], "first p99 against least-reported's", ours,
+      at_most (paths[i], "first p99 against least-reported's", p99,
                first_99 (paths[i], "least-reported"));
-      at_most (paths[i], "first p99 against random's", ours, first_99 (paths[i], "random"));
+      at_most (paths[i], "first p99 against random's", p99, first_99 (paths[i], "random"));
     }
 }
 
@@ -121,17 +121,17 @@
 check_cascade (void)
 {
   const char *path = "cascade/steady";
-  ModelResult ours = run (path, "learned");
+  ModelResult learned = run (path, "learned");
   ModelResult oracle = run (path, "oracle");
   ModelResult fixed = run (path, "fixed");
 
-  at_most (path, "cost per answer against 1.1 of the oracle's", cost_per_answer (&ours),
+  at_most (path, "cost per answer against 1.1 of the oracle's", cost_per_answer (&learned),
            COST_RATIO_MAX * cost_per_answer (&oracle));
-  at_most (path, "cost per answer against the fixed cascade's", cost_per_answer (&ours),
+  at_most (path, "cost per answer against the fixed cascade's", cost_per_answer (&learned),
            cost_per_answer (&fixed));
-  at_least (path, "rating over target of the worst class", result_min_over_target (&ours),
+  at_least (path, "rating over target of the worst class", result_min_over_target (&learned),
             -TARGET_TOLERANCE);
-  result_free (&ours);
+  result_free (&learned);
   result_free (&oracle);
   result_free (&fixed);
 }
@@ -153,7 +153,7 @@
 static void
 check_retries (void)
 {
-  const char *path = "retries/after-burst-no-cancel-comebacks";
+  const char *path = "retries/after-burst-no-cancel-caller-retries";
   ModelResult limited = run (path, "budget+limits");
   ModelResult always = run (path, "always");
   ModelResult budget = run ("retries/after-burst-no-cancel", "budget");
@@ -176,8 +176,8 @@
   ModelResult outage = run ("crash/pool-outage", "quarantine");
 
   at_most ("crash/crash-prompt", "engines crashed", prompt.crashed, 2);
-  at_most ("crash/crash-prompt", "harmless ones refused", prompt.false_quarantines, 0);
-  at_most ("crash/pool-outage", "harmless ones refused", outage.false_quarantines, 0);
+  at_most ("crash/crash-prompt", "harmless requests refused", prompt.false_quarantines, 0);
+  at_most ("crash/pool-outage", "harmless requests refused", outage.false_quarantines, 0);
   result_free (&prompt);
   result_free (&outage);
 }
@@ -201,7 +201,7 @@
   ModelResult good = run ("rollout/good", "sequential");
 
   at_most ("rollout/good", "braked", good.brake_s, 0);
-  at_least ("rollout/good", "seconds until all callers get it", good.done_s, 1);
+  at_least ("rollout/good", "seconds until all callers get the candidate", good.done_s, 1);
   result_free (&good);
   check_brake ("rollout/bad-at-once", 0.01);
   check_brake ("rollout/slow", 0.01);
--- a/bench/model_config.h
+++ b/bench/model_config.h
@@ -17,8 +17,8 @@
   unsigned extra_models;       /**< further draft models, to have many versions */
   int64_t concurrent;          /**< limit of each team; 0: none */
   int64_t tokens_per_s;        /**< limit of each team; 0: none */
-  double big_weight; /**< weight of the second and third team, which have half of the load; 0: 1, as
-                        all */
+  double big_weight; /**< weight of the second and third team, which have half of the load; 0:
+                        weight 1, like the other teams */
   double quality_targets[3]; /**< of the classes query, report, wording; 0: the default */
   bool candidate_only;       /**< v2 stays a candidate without a roll-out */
 } ModelConfigOptions;
--- a/bench/model_event.h
+++ b/bench/model_event.h
@@ -16,7 +16,7 @@
   EVENT_ENQUEUE, /**< an attempt reaches its engine; subject: request */
   EVENT_DONE,    /**< an engine has completed an answer; subject: request */
   EVENT_FAILED,  /**< an attempt fails: its engine died or refused it; subject: request */
-  EVENT_TIMEOUT, /**< an attempt's time-out is over; subject: request */
+  EVENT_TIMEOUT, /**< an attempt's time-out has expired; subject: request */
   EVENT_RATED,   /**< the rating of a stage's answer has arrived; subject: request */
   EVENT_SAMPLE,  /**< engines sample their load */
   EVENT_REPORT,  /**< a gate reads the engines' load reports; subject: gate */
@@ -34,7 +34,8 @@
   unsigned attempt; /**< of the request when pushed; most events are ignored once it has a later
                        attempt */
   unsigned engine;
-  unsigned engine_incarnation; /**< of the engine when pushed; its death makes the event void */
+  unsigned engine_incarnation; /**< of the engine when pushed; EVENT_DONE is ignored once it has
+                                  changed */
 } Event;
 
 typedef struct
--- a/bench/model_group.c
+++ b/bench/model_group.c
@@ -199,7 +199,7 @@
 
 static const ModelScenario retry_scenarios[] = {
   { .name = "after-burst-no-cancel", RETRY_SITE, .ignore_cancel = true, .no_caller_retries = true },
-  { .name = "after-burst-no-cancel-comebacks", RETRY_SITE, .ignore_cancel = true },
+  { .name = "after-burst-no-cancel-caller-retries", RETRY_SITE, .ignore_cancel = true },
   { .name = "after-burst", RETRY_SITE },
 };
 
--- a/bench/rollout.sh
+++ b/bench/rollout.sh
@@ -10,7 +10,7 @@
 # writes: prints the transactions per second for renewals of the roll-out duty and for rows of
 # evidence, without a roll-out and with one under traffic.
 build=${1:-build}
-what=${2:-exposure}
+mode=${2:-exposure}
 . "$(dirname "$0")/../regress/lib.sh"
 . "$(dirname "$0")/../regress/rollout_lib.sh"
 WAIT_MAX_S=240
@@ -83,7 +83,7 @@
   site_stop
 }
 
-case $what in
+case $mode in
   exposure)
     sample=${5:-0.1}
     for ((run = 1; run <= ${3:-5}; run++)); do
@@ -95,6 +95,6 @@
     run_writes "${3:-3}" "${4:-20}"
     ;;
   *)
-    fail "unknown: $what"
+    fail "unknown mode \"$mode\": expected exposure or writes"
     ;;
 esac
