--- a/standin/engine_main.c
+++ b/standin/engine_main.c
@@ -47,12 +47,12 @@
 };
 
 static int64_t
-number (const char *arg, struct argp_state *state)
+parse_number (const char *arg, struct argp_state *state)
 {
   char *end;
   long long n = strtoll (arg, &end, 10);
   if (end == arg || *end || n < 0)
-    argp_error (state, "not a number from 0: %s", arg);
+    argp_error (state, "not a non-negative integer: %s", arg);
   return n;
 }
 
@@ -68,19 +68,19 @@
       models_serve (arg);
       return 0;
     case OPTION_SLOTS:
-      engine_options.slots = (int)number (arg, state);
+      engine_options.slots = (int)parse_number (arg, state);
       return 0;
     case OPTION_TOKEN_MS:
-      engine_options.token_ms = number (arg, state);
+      engine_options.token_ms = parse_number (arg, state);
       return 0;
     case OPTION_FIRST_MS:
-      engine_options.first_ms = number (arg, state);
+      engine_options.first_ms = parse_number (arg, state);
       return 0;
     case OPTION_PREFIXES:
-      engine_options.prefixes = (int)number (arg, state);
+      engine_options.prefixes = (int)parse_number (arg, state);
       return 0;
     case OPTION_RESUME_MS:
-      engine_options.resume_ms = number (arg, state);
+      engine_options.resume_ms = parse_number (arg, state);
       return 0;
     case OPTION_CHECKS_FENCING:
       engine_options.checks_fencing = true;
--- a/tests/fake_engine.c
+++ b/tests/fake_engine.c
@@ -84,7 +84,7 @@
 }
 
 static void
-send_error (int fd, const char *status, const char *body)
+send_reply (int fd, const char *status, const char *body)
 {
   Buffer answer = { 0 };
 
@@ -119,10 +119,10 @@
       if (chat)
         send_stream (fd, true);
       else
-        send_error (fd, "200 OK", "{\"order\":17}");
+        send_reply (fd, "200 OK", "{\"order\":17}");
       break;
     case ENGINE_NOT_RUN:
-      send_error (fd, "503 Service Unavailable", "{\"error\":{\"code\":\"not_run\"}}");
+      send_reply (fd, "503 Service Unavailable", "{\"error\":{\"code\":\"not_run\"}}");
       break;
     case ENGINE_CLOSES:
     case ENGINE_HANGS:
@@ -134,13 +134,13 @@
       send_stream (fd, false);
       break;
     case ENGINE_FAILS:
-      send_error (fd, "500 Internal Server Error", "{}");
+      send_reply (fd, "500 Internal Server Error", "{}");
       break;
     case ENGINE_REFUSES:
-      send_error (fd, "400 Bad Request", "{}");
+      send_reply (fd, "400 Bad Request", "{}");
       break;
     case ENGINE_PLAIN_503:
-      send_error (fd, "503 Service Unavailable", "{\"sorry\":\"later\"}");
+      send_reply (fd, "503 Service Unavailable", "{\"sorry\":\"later\"}");
       break;
     }
 }
@@ -178,10 +178,10 @@
     {
       __atomic_add_fetch (&engine->cancelled, 1, __ATOMIC_ACQ_REL);
       end_hanging (engine);
-      send_error (fd, "200 OK", "{}");
+      send_reply (fd, "200 OK", "{}");
     }
   else if (complete && strncmp (request.data, "GET /v1/streams/", 16) == 0)
-    send_error (fd, "404 Not Found", "{}");
+    send_reply (fd, "404 Not Found", "{}");
   else if (complete)
     {
       __atomic_add_fetch (&engine->ran, 1, __ATOMIC_ACQ_REL);
--- a/tests/fake_gate.c
+++ b/tests/fake_gate.c
@@ -56,7 +56,7 @@
 
   INVARIANT (site->platform->ops->get (site->platform, BILL_TABLE, key, 1000, &row, NULL)
                  == STATUS_OK,
-             "the fake is down");
+             "the fake platform is down");
   found = row.version > 0;
   INVARIANT (!found || bill_parse (row.value, out), "key=\"%s\"", key);
   platform_row_clear (&row);
--- a/tests/test_engine.c
+++ b/tests/test_engine.c
@@ -148,7 +148,7 @@
 }
 
 static void
-test_streams_are_duplicated_and_reordered (void)
+test_stream_events_are_duplicated_and_reordered (void)
 {
   /* The faults duplicate and reorder change the sequence of event ids; the stream is still
    * complete. */
@@ -179,7 +179,7 @@
 }
 
 static void
-test_cut_stream_resumes (void)
+test_cut_stream_can_be_resumed (void)
 {
   /* After the fault has cut a stream, resuming it from event 2 gives the same bytes as an
    * undisturbed stream from there on. */
@@ -208,7 +208,7 @@
 }
 
 static void
-test_caller_left_cancels (void)
+test_closed_connection_cancels_run (void)
 {
   /* A run is cancelled when its caller closes the connection, streamed or not. */
   const char *const marks[] = { "left-stream", "left-whole" };
@@ -228,7 +228,7 @@
 }
 
 static void
-test_delete_cancels (void)
+test_delete_cancels_run (void)
 {
   char body[256];
   char path[128];
@@ -376,7 +376,7 @@
 }
 
 static void
-test_load_report_lags (void)
+test_lag_load_delays_load_report (void)
 {
   Prompt prompt = { .mark = "load", .hash = 1 };
   bool yes = true;
@@ -396,15 +396,16 @@
 main (int argc, char **argv)
 {
   const SuiteCase cases[]
-      = { { "streams_are_duplicated_and_reordered", test_streams_are_duplicated_and_reordered },
-          { "cut_stream_resumes", test_cut_stream_resumes },
-          { "caller_left_cancels", test_caller_left_cancels },
-          { "delete_cancels", test_delete_cancels },
+      = { { "stream_events_are_duplicated_and_reordered",
+            test_stream_events_are_duplicated_and_reordered },
+          { "cut_stream_can_be_resumed", test_cut_stream_can_be_resumed },
+          { "closed_connection_cancels_run", test_closed_connection_cancels_run },
+          { "delete_cancels_run", test_delete_cancels_run },
           { "higher_priority_runs_first", test_higher_priority_runs_first },
           { "not_run", test_not_run },
           { "outdated_fencing_number_is_refused", test_outdated_fencing_number_is_refused },
           { "cache_events_are_reported_and_omitted", test_cache_events_are_reported_and_omitted },
-          { "load_report_lags", test_load_report_lags } };
+          { "lag_load_delays_load_report", test_lag_load_delays_load_report } };
   port = suite_free_port ();
   models_serve ("m@v1");
   runs_start ();
