--- a/bench/bench_decision.c
+++ b/bench/bench_decision.c
@@ -43,8 +43,9 @@
   Quarantine *quarantine;
   GateServers owner; /**< holds the states of servers */
   GateServer **servers;
-  bool admit, plan, pick, copies;
-  unsigned picked; /**< decisions that ended with a server */
+  bool admit, plan, pick; /**< parts of a decision to make */
+  bool copies;            /**< pick with the servers' states copied */
+  unsigned picked;        /**< decisions that ended with a server */
 } Bench;
 
 static const char *const class_names[CLASS_NAMES] = { "query", "report", "wording" };
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -143,7 +143,7 @@
   done | sed 's/^.*) //' | awk '{ sum += $12 + $13 } END { print sum }'
 }
 
-memory_now() {
+record_memory() {
   local p
   for p in "${pids[@]}"; do
     awk '/^VmRSS/ { rss = $2 } END { print rss }' "/proc/$p/status" >>"$work/rss"
@@ -160,21 +160,21 @@
     END { for (i = 1; i <= k; i++) printf "%d ", sum[name[i]]; print "" }'
 }
 
-NAMES="rpc_sent_bytes rpc_received_bytes steward_table_bytes steward_table_reads steward_table_writes"
+COUNTER_NAMES="rpc_sent_bytes rpc_received_bytes steward_table_bytes steward_table_reads steward_table_writes"
 
 measure_idle() {
   local ticks before after start end
   sleep 2
   ticks=$(ticks_now)
-  before=$(counters $NAMES)
+  before=$(counters $COUNTER_NAMES)
   start=$EPOCHREALTIME
   sleep "$window_s"
   end=$EPOCHREALTIME
-  after=$(counters $NAMES)
+  after=$(counters $COUNTER_NAMES)
   ticks=$(($(ticks_now) - ticks))
   : >"$work/rss"
   : >"$work/private"
-  memory_now
+  record_memory
   idle=$(echo "$before $after" | awk -v s="$(echo "$end $start" | awk '{ print $1 - $2 }')" \
     -v ticks="$ticks" -v hz="$TICKS_PER_S" -v n="$count" '{
       printf "%.3f %.0f %.0f %.2f %.3f", 100 * ticks / hz / s / n, ($6 + $7 - $1 - $2) / s / n,
@@ -185,7 +185,7 @@
 
 # Sends a patch that withdraws a version or makes it active again, based on the newest configuration
 # number, to a random steward; adds its time to $work/times, in milliseconds.
-one_patch() {
+measure_patch() {
   local state=withdrawn answer
   [ $((base % 2)) -eq 1 ] || state=active
   local body="{\"base\":$base,\"reason\":\"bench\",\"patch\":{\"models\":{\"draft-small\":{\"versions\":{\"v2\":{\"state\":\"$state\"}}}}}}"
@@ -202,14 +202,14 @@
   base=1
   : >"$work/times"
   ticks=$(ticks_now)
-  before=$(counters $NAMES)
+  before=$(counters $COUNTER_NAMES)
   for ((i = 0; i < patches; i++)); do
-    one_patch
+    measure_patch
   done
   times=$(sort -n "$work/times" | awk '{ t[NR] = $1 } END {
     p50 = t[int((NR + 1) / 2)]; p99 = t[int(NR * 0.99) < 1 ? 1 : int(NR * 0.99)]
     printf "%.0f %.0f %.0f", p50, p99, t[NR] }')
-  after=$(counters $NAMES)
+  after=$(counters $COUNTER_NAMES)
   writes=$(echo "$before $after" | awk -v k="$patches" '{ printf "%.1f", ($10 - $5) / k }')
 }
 
--- a/bench/front_model.h
+++ b/bench/front_model.h
@@ -59,6 +59,7 @@
                          most by which it may fall behind */
 } Scenario;
 
+/** Virtual time of a simulation, and its random numbers. */
 typedef struct
 {
   int64_t now_ms;
--- a/bench/gate_idle.sh
+++ b/bench/gate_idle.sh
@@ -12,7 +12,7 @@
 EXTRA_ENGINES=20
 EXTRA_PORT=19777
 
-reads_of() {
+count_load_reports() {
   curl -sf "http://127.0.0.1:${port[18111]}/metrics" | awk '$1 == "gate_load_reports" { print $2 }'
 }
 
@@ -21,15 +21,15 @@
 }
 
 # window NAME: measures for WINDOW_S seconds, prints a line, and sets $spent_ms (processor time) and
-# $reads (load reports).
+# $reports (load reports).
 window() {
   local cpu before
   cpu=$(cpu_ms)
-  before=$(reads_of)
+  before=$(count_load_reports)
   sleep "$WINDOW_S"
   spent_ms=$(awk -v a="$(cpu_ms)" -v b="$cpu" 'BEGIN { print a - b }')
-  reads=$(($(reads_of) - before))
-  awk -v name="$1" -v ms="$spent_ms" -v s="$WINDOW_S" -v r="$reads" \
+  reports=$(($(count_load_reports) - before))
+  awk -v name="$1" -v ms="$spent_ms" -v s="$WINDOW_S" -v r="$reports" \
     'BEGIN { printf "%s: %.2f %% of a core, %.1f load reports per second\n", name, ms / s / 10, r / s }'
 }
 
@@ -46,10 +46,10 @@
 
 site_start 1
 window "4 engines"
-few_ms=$spent_ms few_reads=$reads
+few_ms=$spent_ms few_reports=$reports
 add_engines
 sleep 3
 window "24 engines"
-awk -v ms="$(awk -v a="$spent_ms" -v b="$few_ms" 'BEGIN { print a - b }')" -v r=$((reads - few_reads)) \
+awk -v ms="$(awk -v a="$spent_ms" -v b="$few_ms" 'BEGIN { print a - b }')" -v r=$((reports - few_reports)) \
   'BEGIN { printf "slope: %.0f us per load report\n", ms * 1000 / r }'
 site_stop
--- a/bench/steps.h
+++ b/bench/steps.h
@@ -108,7 +108,7 @@
   int64_t established;
   int64_t restarts;
   int64_t vms_lost;
-  int64_t members_left; /**< stewards that stopped gracefully */
+  int64_t members_left; /**< stewards that began a graceful stop */
   int64_t freezes;
   int64_t condition_changes;
   int64_t grants_by_table;
--- a/bench/steps_main.c
+++ b/bench/steps_main.c
@@ -16,7 +16,7 @@
   printf ("seed %lu: %lld steps, %lld patches, %lld acceptances, %lld views (%lld established)\n",
           seed, (long long)c.steps, (long long)c.patches, (long long)c.acceptances,
           (long long)c.views, (long long)c.established);
-  printf ("faults: %lld restarts, %lld VMs lost, %lld members left, %lld freezes, %lld of the "
+  printf ("faults: %lld restarts, %lld VM losses, %lld departures, %lld freezes, %lld of the "
           "network or the table service\n",
           (long long)c.restarts, (long long)c.vms_lost, (long long)c.members_left,
           (long long)c.freezes, (long long)c.condition_changes);
--- a/model/view.pml
+++ b/model/view.pml
@@ -16,8 +16,8 @@
  * Steps that can only help the property are left out if another run without them is otherwise equal:
  * an incarnation sees a view only while it can help to establish it, applies the patch only at the
  * moment of acceptance (if it was alive after the patch became durable), and dies only at the moment in
- * which it is replaced or removed. Seeing a view, applying or dying earlier would only remove its support
- * from a grant.
+ * which it is replaced or removed. Seeing a view, applying or dying earlier would only remove its
+ * support from a grant.
  *
  * With -DGO_ON the run continues after the acceptance, and the views written then are checked too.
  *
