--- a/bench/model_engine.h
+++ b/bench/model_engine.h
@@ -84,7 +84,6 @@
 unsigned engine_load_before (const ModelEngine *engine, int64_t lag_us);
 /** Number of running and queued work items. */
 unsigned engine_load (const ModelEngine *engine);
-/** True if the cache holds the prefix. */
 bool engine_has_prefix (const ModelEngine *engine, uint64_t prefix);
 
 #endif
--- a/bench/model_site.h
+++ b/bench/model_site.h
@@ -129,7 +129,6 @@
 
 /** Creates a new request of a random caller, and schedules the next arrival. */
 void callers_arrival (ModelSite *site);
-/** Creates a request that crashes engines. */
 void callers_crash_request (ModelSite *site);
 
 /** Handlers of a request's events. */
--- a/model/grant.pml
+++ b/model/grant.pml
@@ -8,7 +8,7 @@
  * read the head row (src/cluster_state.c). Time advances in ticks. The age of evidence is counted as in
  * the source: from the send of the ask, plus the age that the answer gives. All ages from GRANT on are
  * equal: such evidence is useless. A message is delayed for any time, duplicated or lost; a frozen or
- * dead steward is one that takes no steps.
+ * dead steward takes no steps.
  *
  * Property: GRANT ticks after the acceptance no steward that still applies 0 has a grant
  * (src/cluster_grant.c). Evidence of number 1 supports no grant on 0, so that only evidence of 0 is
--- a/tests/fake_members.h
+++ b/tests/fake_members.h
@@ -13,7 +13,6 @@
 
 /** An established view; the member of incarnation i is at 10.0.0.i. */
 ClusterView fake_view (int64_t number, int64_t head, const uint64_t *members, size_t count);
-/** A pending view. */
 ClusterView fake_pending_view (int64_t number,
                                int64_t head,
                                const uint64_t *members,
--- a/tests/fake_platform.h
+++ b/tests/fake_platform.h
@@ -59,7 +59,6 @@
                        const char *address,
                        const char *failure_domain,
                        bool leaving);
-/** Removes a VM from the list. */
 void fake_platform_vm_remove (Platform *p, const char *name);
 /** Sets the score that rate returns for answers that contain text; the first match counts, and the
  *  default is 1. */
