--- a/src/gate_framing.c
+++ b/src/gate_framing.c
@@ -6,8 +6,6 @@
 #include <stdint.h>
 #include <string.h>
 
-#define STATUS_HEAD_TOO_LARGE 431
-
 void
 gate_framing_init (GateFraming *framing, size_t head_max)
 {
@@ -84,8 +82,9 @@
 int
 gate_framing_fault (const GateFraming *framing)
 {
-  return framing->request_parser.refuse_status == STATUS_HEAD_TOO_LARGE ? REFUSAL_HEAD_TOO_LARGE
-                                                                        : REFUSAL_MALFORMED;
+  return framing->request_parser.refuse_status == HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE
+             ? REFUSAL_HEAD_TOO_LARGE
+             : REFUSAL_MALFORMED;
 }
 
 void
--- a/src/http_request_parser.c
+++ b/src/http_request_parser.c
@@ -1,10 +1,6 @@
 #include "http_request_parser.h"
 #include <string.h>
 
-#define STATUS_BAD_REQUEST    400
-#define STATUS_BODY_TOO_LARGE 413
-#define STATUS_HEAD_TOO_LARGE 431
-
 static int
 on_body (http_parser *parser, const char *data, size_t len)
 {
@@ -12,7 +8,7 @@
 
   if (request_parser->body.len + len > request_parser->limits.body_max)
     {
-      request_parser->refuse_status = STATUS_BODY_TOO_LARGE;
+      request_parser->refuse_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
       return 1;
     }
   buffer_add (&request_parser->body, data, len);
@@ -107,7 +103,7 @@
   if (request_parser->complete)
     return HTTP_PARSE_DONE;
   if (HTTP_PARSER_ERRNO (&request_parser->parser) != HPE_OK)
-    return refuse (request_parser, STATUS_BAD_REQUEST);
+    return refuse (request_parser, HTTP_STATUS_BAD_REQUEST);
   return HTTP_PARSE_MORE;
 }
 
@@ -120,10 +116,10 @@
 
   if (!http_head_parse (&request_parser->head, request_parser->raw.data, request_parser->raw.len)
       || !split_start_line (request_parser) || !framing_is_unambiguous (request_parser))
-    return refuse (request_parser, STATUS_BAD_REQUEST);
+    return refuse (request_parser, HTTP_STATUS_BAD_REQUEST);
   if (span_number (http_head_get (&request_parser->head, "Content-Length"), &length)
       && (uint64_t)length > request_parser->limits.body_max)
-    return refuse (request_parser, STATUS_BODY_TOO_LARGE);
+    return refuse (request_parser, HTTP_STATUS_PAYLOAD_TOO_LARGE);
   result = feed_parser (request_parser, request_parser->raw.data, request_parser->raw.len, &used);
   buffer_free (&request_parser->raw);
   request_parser->in_body = true;
@@ -143,14 +139,14 @@
   *used = head_len ? head_len - before : len;
   if (head_len > request_parser->limits.head_max
       || (!head_len && request_parser->raw.len > request_parser->limits.head_max))
-    return refuse (request_parser, STATUS_HEAD_TOO_LARGE);
+    return refuse (request_parser, HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE);
   if (head_len)
     {
       request_parser->raw.len = head_len;
       return process_head (request_parser);
     }
   if (http_head_is_malformed (request_parser->raw.data, request_parser->raw.len))
-    return refuse (request_parser, STATUS_BAD_REQUEST);
+    return refuse (request_parser, HTTP_STATUS_BAD_REQUEST);
   return HTTP_PARSE_MORE;
 }
 
