--- a/src/front_peers.h
+++ b/src/front_peers.h
@@ -30,11 +30,11 @@
 /** Sends messages and fetches rows that are due. */
 void front_peers_tick (FrontPeers *peers, int64_t now_ms);
 /** Reports to others a request that is being sent to a server: how long its prompt will be read
- *  there, and what it adds to the tokens of other requests (PickQuery.running_weight). */
+ *  there, and its weight as a running request (PickQuery.running_weight). */
 void front_peers_send_work (FrontPeers *peers,
                             FrontServer *server,
                             double read_ms,
-                            double share,
+                            double running_weight,
                             int64_t now_ms);
 /** Where changes of a table are polled for: true and *address if another front of the same failure
  *  domain polls the store for the table and relays its changes; false: this front polls the store
--- a/src/front_peers_work.c
+++ b/src/front_peers_work.c
@@ -12,7 +12,7 @@
 /* Maximum number of fronts that get a message, those of the same failure domain first, as they use
  * the same servers. */
 #define RECIPIENTS_MAX 24
-#define SHARE_UNITS    100.0 /* of WorkReport.running */
+#define WEIGHT_SCALE   100.0 /* WorkReport.running is in hundredths */
 /* Bytes per second for work messages, UDP and IP headers included. One of 80 fronts needs 7,200 at
  * 6 requests per second; one of 360 at 28 would need 32,000, but its control traffic has to stay
  * within 14,000, of which other messages take 4,700, or 12,600 during a roll-out with many fronts.
@@ -70,7 +70,7 @@
 front_peers_send_work (FrontPeers *peers,
                        FrontServer *server,
                        double read_ms,
-                       double share,
+                       double running_weight,
                        int64_t now_ms)
 {
   WorkMessage message = { .incarnation = peers->front->incarnation, .count = 1 };
@@ -79,13 +79,13 @@
   size_t len;
 
   server->unreported_ms += read_ms;
-  server->unreported_weight += share;
+  server->unreported_weight += running_weight;
   if (server->unreported_ms < ANNOUNCE_MIN_MS || !may_send (peers, now_ms))
     return;
   message.reports[0]
       = (WorkReport){ .server = server->hash,
                       .read_ms = (uint32_t)lround (server->unreported_ms),
-                      .running = (uint32_t)lround (server->unreported_weight * SHARE_UNITS) };
+                      .running = (uint32_t)lround (server->unreported_weight * WEIGHT_SCALE) };
   server->unreported_ms = 0;
   server->unreported_weight = 0;
   len = work_message_encode (&message, data, sizeof data);
@@ -104,7 +104,7 @@
   {
     if (server->hash != report->server)
       continue;
-    front_peer_load_add (&server->peer_load, report->read_ms, report->running / SHARE_UNITS,
+    front_peer_load_add (&server->peer_load, report->read_ms, report->running / WEIGHT_SCALE,
                          now_ms);
     return;
   }
--- a/src/front_work_message.h
+++ b/src/front_work_message.h
@@ -17,7 +17,7 @@
   uint64_t server;  /**< FrontServer.hash */
   uint32_t read_ms; /**< milliseconds of reading of the prompts sent there since the last report on
                        this server */
-  uint32_t running; /**< requests sent there since then, each counted by its model's share, in
+  uint32_t running; /**< requests sent there since then, each weighted by its model, in
                        hundredths */
 } WorkReport;
 
