--- a/src/front_server_starts.h
+++ b/src/front_server_starts.h
@@ -8,7 +8,7 @@
 
 #include "front_server_entry.h"
 
-/** A power of two, three times the 660 servers of the site that it is sized for; 48 KiB. */
+/** A power of two, three times the 660 servers of the largest planned site; 48 KiB. */
 #define SERVER_STARTS_SLOTS 2048
 
 typedef struct
