--- a/src/front_cold.h
+++ b/src/front_cold.h
@@ -15,8 +15,7 @@
 /** What a front knows of the number of fronts, itself included. */
 typedef struct
 {
-  unsigned
-      domain_fronts;   /**< in our failure domain, including those that stopped sending recently */
+  unsigned domain_fronts; /**< in our failure domain, also those that stopped sending recently */
   unsigned registered; /**< of domain_fronts, those in the store's list, which takes only a few */
   unsigned fronts;     /**< in all failure domains */
   bool is_new;         /**< this front has just started, or gets no messages from others */
