--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -55,7 +55,7 @@
 }
 
 static void
-test_only_whole_messages_are_decoded (void)
+test_only_complete_messages_are_decoded (void)
 {
   WorkMessage message
       = { .incarnation = 5, .count = 2, .reports = { { 11, 250, 300 }, { 12, 30, 5 } } };
@@ -163,8 +163,9 @@
 }
 
 /* Load: the largest planned site, 60 fronts in a failure domain, each with 28 requests per second
- * for ten seconds to 24 servers. Bytes for reports must stay at 8,000 per second, and more than
- * half of the reading must be reported within the ten seconds. */
+ * for ten seconds to 24 servers. Bytes for reports must stay at 8,000 per second. What can't be
+ * reported at once is reported later; more than half of the reading must be reported within the ten
+ * seconds. */
 static void
 test_message_rate_is_bounded (void)
 {
@@ -212,7 +213,7 @@
   { "pending_reading_drains", test_pending_reading_drains },
   { "running_requests_decay", test_running_requests_decay },
   { "invalid_load_is_clamped", test_invalid_load_is_clamped },
-  { "only_whole_messages_are_decoded", test_only_whole_messages_are_decoded },
+  { "only_complete_messages_are_decoded", test_only_complete_messages_are_decoded },
   { "second_long_prompt_goes_elsewhere", test_second_long_prompt_goes_elsewhere },
   { "running_requests_weighted_by_model", test_running_requests_weighted_by_model },
   { "message_rate_is_bounded", test_message_rate_is_bounded },
