--- a/tests/test_front_cascade.c
+++ b/tests/test_front_cascade.c
@@ -68,7 +68,7 @@
 /* Load: a burst of 1.7 times the normal rate, or a sixth of the engines lost. The largest model's
  * queue grows first, and more requests would delay all of its streams. A wait of half of the
  * objective lowers the threshold by 40 of 100, so that only answers that are almost certainly poor
- * are replaced. */
+ * are replaced; with a wait of nearly three quarters, no answer may be replaced. */
 static void
 test_long_wait_lowers_threshold (void)
 {
@@ -105,9 +105,9 @@
   CU_ASSERT (!escalates (20, URGENT, 50, 900));
 }
 
-/* Three models. Answers of which the smallest is fairly confident go to the middle one, at half of
- * the price and of the reading that stalls all streams; requests that are too hard for both go to
- * the largest at once. */
+/* Three models. Requests on which the smallest is fairly confident go to the middle one, at half of
+ * the price and of the reading that stalls all streams; those that are too hard for both go to the
+ * largest at once. */
 static void
 test_middle_model_by_confidence (void)
 {
@@ -123,8 +123,9 @@
   has_middle = false;
 }
 
-/* Load: long drafts beside many short streams. A prompt that the largest model reads for seconds
- * stalls all streams of its server for as long; the middle model reads it if that may help. */
+/* Load: long drafts beside many short streams. A prompt that the largest model would read for
+ * more than a second would stall all streams of its server for as long. The middle model is
+ * asked instead if it reads the prompt within a second and may answer it well. */
 static void
 test_long_prompts_avoid_larger_models (void)
 {
--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -82,8 +82,8 @@
 }
 
 /* Long prompts (7,000 tokens, 70 ms each on the middle model) on a few engines. By the number of
- * requests, two long ones would be sent one after the other to the engine that has the fewest;
- * predicted work must spread them. The engines' data sheet gives 0.01 ms per token. */
+ * requests, two long ones would be sent one after the other to the engine that has the fewest; by
+ * predicted work, no engine may get two. The engines' data sheet gives 0.01 ms per token. */
 static void
 test_spreads_long_prompts (void)
 {
@@ -135,7 +135,8 @@
 
 /* 17 fronts of a failure domain get requests about the same 131 contracts, each prompt with 4,870
  * tokens of the contract. Each front knows only its own requests; if each chose by these alone,
- * every engine would read every contract. */
+ * every engine would read every contract. All must choose the same engine for a contract, and
+ * the contracts must be spread over the engines. */
 static void
 test_fronts_agree_on_shared_prompts (void)
 {
@@ -190,8 +191,8 @@
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 7000);
 }
 
-/* Callers' requests show how often a shared part is requested; the last part is one caller's
- * own. */
+/* A shared part counts as requested by its model for the reuse window after a caller's request;
+ * the last part, which is one caller's own, never does. */
 static void
 test_requested_prompts_expire (void)
 {
@@ -233,8 +234,9 @@
 
 /* Eight long prompts of other fronts are read at the server of our failure domain within a second,
  * and six of our answers begin 110 ms later than predicted; the server of the other domain is idle.
- * That queue is gone by the next request, which must stay in the domain, as traffic between domains
- * is expensive. A server that has become slow, with answers two seconds late, must be left. */
+ * That queue has been read before the next request, which must stay in the domain, as traffic
+ * between domains is expensive. A server that has become slow, with answers two seconds late, must
+ * be left. */
 static void
 test_tolerates_short_lag_not_slow_server (void)
 {
@@ -255,7 +257,7 @@
 }
 
 /* Each of 50 fronts of a failure domain sees a fiftieth of what its 27 servers get, so that at any
- * moment some of them seems to have 20 ms more queued than one elsewhere. With a cost of 10 ms for
+ * moment some of them seem to have 20 ms more queued than one elsewhere. With a cost of 10 ms for
  * other domains, 40% of short questions would leave their domain, although their objective is two
  * seconds. The cost is 0.02 of the objectives of models, 2,000 and 3,000 ms; with the objective of
  * plain services, 150 ms, a server that is 15 ms faster is worth it. */
@@ -361,9 +363,8 @@
   CU_ASSERT_STRING_EQUAL (picked (&query, NOW + 2000), "none");
 }
 
-/* A failure domain is evacuated in a burst. Its idle servers must not attract requests because
- * those of the other domain are loaded, full or failing, nor as affinity servers of a popular
- * prompt. */
+/* A failure domain is evacuated during a burst. Its idle servers must not attract requests because
+ * those of the other domain are loaded, full, failing or removed. */
 static void
 test_evacuated_domain_gets_nothing (void)
 {
