--- a/bench/bench_spread.c
+++ b/bench/bench_spread.c
@@ -155,7 +155,7 @@
 {
   static const size_t counts[] = { 9, 36, 72, 180, 360 };
 
-  printf ("members asks/s  grant basis (ms)  all have heard (ms)  bytes/s sent\n");
+  printf ("members asks/s  grant basis (ms)    all informed (ms)  bytes/s sent\n");
   for (size_t i = 0; i < sizeof counts / sizeof *counts; i++)
     for (int64_t asks = 1; asks <= 4; asks *= 2)
       run (counts[i], asks);
--- a/src/front_health.c
+++ b/src/front_health.c
@@ -18,8 +18,8 @@
 #define LAG_SMOOTHING   0.2 /* weight of one answer */
 #define LAG_MAX_MS      5000.0
 /* Share of the lag that the next request is expected to meet. Most lag comes from other fronts'
- * prompts that were read first, and is gone by the next answer; a server that has become slow shows
- * a lag of seconds. Counted in full, lag would send requests to other failure domains. */
+ * prompts that were read first, and does not delay the next answer; a server that has become slow
+ * shows a lag of seconds. Counted in full, lag would send requests to other failure domains. */
 #define LAG_WEIGHT 0.3
 
 static void
--- a/src/steward_deaths.c
+++ b/src/steward_deaths.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 /* A death is no longer sent for this long before the end of its retention. Otherwise a peer that
-   has just dropped it would add it again and send it back, so that it would circulate for ever. */
+   has just dropped it would add it again and send it back, so that it would never disappear. */
 #define SEND_MARGIN_MS INT64_C (60000)
 /* Bytes on the wire of a death without its flights (server, age, number of flights), and of one
    flight: a request that was running there. */
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -141,8 +141,8 @@
   order_site_free (&site);
 }
 
-/* The table service is down, so that no claim can be made durable: the order must not run, and the
- * caller is told so. */
+/* The table service is down, so that no claim can be made durable: the order must not run and the
+ * caller gets "not run". Its retry may run without a release. */
 static void
 test_order_does_not_run_while_table_is_down (void)
 {
@@ -163,7 +163,7 @@
   return claim_releaser_free (releaser);
 }
 
-/* The write takes effect, its reply is lost and then the service is unavailable. The caller is told
+/* The write takes effect, its reply is lost and then the service is unavailable. The caller gets
  * "not run". Without the release all of its retries would get "in progress". */
 static void
 test_unknown_outcome_is_released (void)
@@ -184,7 +184,7 @@
   order_site_free (&site);
 }
 
-/* The delayed write of an attempt that was told "not run" takes effect after the release. If the
+/* The delayed write of an attempt refused as "not run" takes effect after the release. If the
  * release deleted the row, the write would create a claim that no attempt owns. */
 static void
 test_delayed_write_after_release_has_no_effect (void)
@@ -204,8 +204,8 @@
   order_site_free (&site);
 }
 
-/* Attempt B takes over a released row, its write is delayed, and B is told "not run". The release
- * of B finds the row still released and must prevent B's delayed write from taking effect. */
+/* Attempt B takes over a released row, its write is delayed, and B is refused as "not run". Its
+ * release finds the row still released and must prevent the delayed write from taking effect. */
 static void
 test_delayed_take_over_after_release_has_no_effect (void)
 {
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -7,15 +7,15 @@
 #include <sodium.h>
 
 /* Attempts on one order from several VMs, with delayed writes. A second attempt may run only after
- * proof that the earlier one did not; an attempt that was told "not run" must never run. */
+ * proof that the earlier one did not; an attempt refused as "not run" must never run. */
 typedef struct
 {
   OrderSite site;
   gsl_rng *rng;
   Claim running; /* the attempt that has the claim, if any */
   bool has_running;
-  Claim released[64]; /* told "not run", with a row that has to be released */
-  size_t released_count;
+  Claim unreleased[64]; /* of attempts refused as "not run"; each has to be released */
+  size_t unreleased_count;
   unsigned runs, faults;
 } Fixture;
 
@@ -44,17 +44,17 @@
       f->has_running = true;
       f->runs++;
     }
-  if (result == CLAIM_UNAVAILABLE && out.outcome_unknown && f->released_count < 64)
-    f->released[f->released_count++] = out.claim;
+  if (result == CLAIM_UNAVAILABLE && out.outcome_unknown && f->unreleased_count < 64)
+    f->unreleased[f->unreleased_count++] = out.claim;
   claim_outcome_clear (&out);
 }
 
 static void
 fixture_release (Fixture *f)
 {
-  if (f->released_count > 0
-      && claim_release (f->site.p, &f->released[f->released_count - 1], NULL) == STATUS_OK)
-    f->released_count--;
+  if (f->unreleased_count > 0
+      && claim_release (f->site.p, &f->unreleased[f->unreleased_count - 1], NULL) == STATUS_OK)
+    f->unreleased_count--;
 }
 
 /* The attempt that has the claim is refused by its backend server: it did not run. */
@@ -64,8 +64,8 @@
   if (!f->has_running)
     return;
   f->has_running = false;
-  if (claim_release (f->site.p, &f->running, NULL) != STATUS_OK && f->released_count < 64)
-    f->released[f->released_count++] = f->running;
+  if (claim_release (f->site.p, &f->running, NULL) != STATUS_OK && f->unreleased_count < 64)
+    f->unreleased[f->unreleased_count++] = f->running;
 }
 
 static void
@@ -98,7 +98,7 @@
   fake_platform_fault (f.site.p, FAULT_NONE, 0, 0);
   fake_platform_late_effects (f.site.p);
   fixture_not_run (&f);
-  while (f.released_count > 0)
+  while (f.unreleased_count > 0)
     fixture_release (&f);
   fake_platform_late_effects (f.site.p);
   CU_ASSERT_EQUAL (order_resend (&f.site), CLAIM_TAKEN);
--- a/tests/test_front_compress.c
+++ b/tests/test_front_compress.c
@@ -17,10 +17,10 @@
 /* A configuration that has to reach all fronts of a failure domain, from one of them, in half of
  * the three seconds that a change may take. */
 #define ROUTES           4200
-#define NEIGHBOURS       13
+#define DOMAIN_PEERS     13
 #define LINK_BYTES_S     1250000 /* 10 Mbit/s */
 #define TRANSFER_MAX_S   1.5
-#define CONFIG_MAX_BYTES ((size_t)(LINK_BYTES_S * TRANSFER_MAX_S / NEIGHBOURS))
+#define CONFIG_MAX_BYTES ((size_t)(LINK_BYTES_S * TRANSFER_MAX_S / DOMAIN_PEERS))
 #define NAME_BYTES       6
 #define ROUTE_NAME_SIZE  (2 * NAME_BYTES + 1)
 
--- a/tests/test_steward_submit.c
+++ b/tests/test_steward_submit.c
@@ -134,8 +134,8 @@
   platform_free (p);
 }
 
-/* The patch is committed and its reply lost. If the operator were told that it failed, they would
-   submit it again and get a conflict with the same patch. */
+/* The patch is committed and its reply lost. If the operator got an error, they would submit it
+   again and get a conflict with the same patch. */
 static void
 test_lost_reply_is_found_durable (void)
 {
