--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -135,8 +135,8 @@
 
 /* 17 fronts of a failure domain get requests about the same 131 contracts, each prompt with 4,870
  * tokens of the contract. Each front knows only its own requests; if each chose by these alone,
- * every engine would read every contract. All must choose the same engine for a contract, and
- * the contracts must be spread over the engines. */
+ * every engine would read every contract. All fronts must choose the same engine for a
+ * contract, and the contracts must be spread over the engines. */
 static void
 test_fronts_agree_on_shared_prompts (void)
 {
