--- a/tests/test_front_pick.c
+++ b/tests/test_front_pick.c
@@ -191,8 +191,8 @@
   CU_ASSERT_EQUAL (front_pick (servers, &query, NOW).prompt_tokens, 7000);
 }
 
-/* A shared part counts as requested by its model for the reuse window after a caller's request;
- * the last part, which is one caller's own, never does. */
+/* A shared part counts as requested for the reuse window after a caller's request to the same
+ * model; the last part, which is one caller's own, never does. */
 static void
 test_requested_prompts_expire (void)
 {
