--- a/src/front_peers_fetch.c
+++ b/src/front_peers_fetch.c
@@ -12,9 +12,6 @@
  * and the store only; if neither has them, fronts of other failure domains are asked. */
 #define LOCAL_ONLY_MS 2500
 
-#define STATUS_OK          200
-#define STATUS_UNAVAILABLE 503
-
 static void
 on_fetched (void *user, int status, const char *text, size_t len)
 {
@@ -23,8 +20,8 @@
 
   fetch->done = true;
   /* The peer no longer has the removals since this front's version. */
-  fetch->needs_all = status == STATUS_UNAVAILABLE;
-  if (status != STATUS_OK || !front_store_decode_peer_answer (text, len, &answer))
+  fetch->needs_all = status == HTTP_STATUS_SERVICE_UNAVAILABLE;
+  if (status != HTTP_STATUS_OK || !front_store_decode_peer_answer (text, len, &answer))
     {
       front_store_log_rows_failed (fetch->peers->front->store, fetch->table, &fetch->source,
                                    fetch->asked_ms, fetch->channel);
--- a/src/front_request.c
+++ b/src/front_request.c
@@ -8,12 +8,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STATUS_UNAUTHORIZED 401
-#define STATUS_NOT_FOUND    404
-#define STATUS_BAD_GATEWAY  502
-#define STATUS_UNAVAILABLE  503
-#define STATUS_TIMEOUT      504
-
 /* Retry-After of refusals, in milliseconds. */
 #define RETRY_AFTER_STARTING_MS    400  /* by then a starting process has the configuration */
 #define RETRY_AFTER_QUARANTINED_MS 3000 /* the request crashes servers, and will again soon */
@@ -78,7 +72,7 @@
 {
   FrontConn *conn = request->conn;
   Buffer head = { 0 };
-  bool not_run = status != STATUS_BAD_GATEWAY && status != STATUS_TIMEOUT;
+  bool not_run = status != HTTP_STATUS_BAD_GATEWAY && status != HTTP_STATUS_GATEWAY_TIMEOUT;
   FrontLine *line = log_begin (request, not_run ? FRONT_EVENT_REFUSED : FRONT_EVENT_FAILED, reason);
 
   front_log_number (line, "status", status);
@@ -109,11 +103,12 @@
       front_conn_abort (conn);
     }
   else if (request->may_have_run)
-    request_refuse (request, past_deadline ? STATUS_TIMEOUT : STATUS_BAD_GATEWAY, reason, 0);
+    request_refuse (request, past_deadline ? HTTP_STATUS_GATEWAY_TIMEOUT : HTTP_STATUS_BAD_GATEWAY,
+                    reason, 0);
   else
     {
       backoff_ms = front_budget_count_refusal (request->front->budget, request->service, now_ms);
-      request_refuse (request, STATUS_UNAVAILABLE, reason,
+      request_refuse (request, HTTP_STATUS_SERVICE_UNAVAILABLE, reason,
                       wait_ms > backoff_ms ? wait_ms : backoff_ms);
     }
 }
@@ -191,31 +186,34 @@
 
   if (!config || !front->servers_known)
     {
-      request_refuse (request, STATUS_UNAVAILABLE, "no_configuration", RETRY_AFTER_STARTING_MS);
+      request_refuse (request, HTTP_STATUS_SERVICE_UNAVAILABLE, "no_configuration",
+                      RETRY_AFTER_STARTING_MS);
       return false;
     }
   request->config = front_config_ref (config);
   request->route = front_config_route (config, request->call.host, request->call.path);
   if (!request->route)
     {
-      request_refuse (request, STATUS_NOT_FOUND, "no_route", 0);
+      request_refuse (request, HTTP_STATUS_NOT_FOUND, "no_route", 0);
       return false;
     }
   request->team = front_config_team (config, request->call.key);
   if (!request->team && !request->route->is_public && config->team_count > 0)
     {
-      request_refuse (request, STATUS_UNAUTHORIZED, "unknown_key", 0);
+      request_refuse (request, HTTP_STATUS_UNAUTHORIZED, "unknown_key", 0);
       return false;
     }
   if (may_outlive_stop (request))
     {
-      request_refuse (request, STATUS_UNAVAILABLE, "stopping", RETRY_AFTER_STOPPING_MS);
+      request_refuse (request, HTTP_STATUS_SERVICE_UNAVAILABLE, "stopping",
+                      RETRY_AFTER_STOPPING_MS);
       return false;
     }
   request->fingerprint = fingerprint_of (request);
   if (!quarantine_contains (front->quarantine, request->fingerprint, request->arrived_ms))
     return true;
-  request_refuse (request, STATUS_UNAVAILABLE, "quarantined", RETRY_AFTER_QUARANTINED_MS);
+  request_refuse (request, HTTP_STATUS_SERVICE_UNAVAILABLE, "quarantined",
+                  RETRY_AFTER_QUARANTINED_MS);
   return false;
 }
 
--- a/src/front_request_relay.c
+++ b/src/front_request_relay.c
@@ -10,13 +10,6 @@
 /* Number of models from which a route has one between the smallest and the largest. */
 #define MODELS_WITH_MIDDLE 3
 
-#define STATUS_OK           200
-#define STATUS_REDIRECT     300
-#define STATUS_MISDIRECTED  421
-#define STATUS_TOO_MANY     429
-#define STATUS_SERVER_ERROR 500
-#define STATUS_UNAVAILABLE  503
-
 typedef enum
 {
   REPLY_STREAM,       /* events, relayed as they arrive */
@@ -30,7 +23,7 @@
 static bool
 is_success (int status)
 {
-  return status >= STATUS_OK && status < STATUS_REDIRECT;
+  return status >= HTTP_STATUS_OK && status < HTTP_STATUS_MULTIPLE_CHOICES;
 }
 
 static ReplyKind
@@ -38,7 +31,7 @@
 {
   if (info->request_id.text && !span_equal (info->request_id, request->call.id))
     return REPLY_GARBLED;
-  if (reply->status == STATUS_MISDIRECTED && info->other_server)
+  if (reply->status == HTTP_STATUS_MISDIRECTED_REQUEST && info->other_server)
     return REPLY_OTHER_SERVER;
   if (info->not_executed)
     return REPLY_NOT_RUN;
@@ -48,7 +41,8 @@
         return REPLY_GARBLED;
       return request->route->kind == ROUTE_STREAM ? REPLY_STREAM : REPLY_BUFFERED;
     }
-  if (reply->status >= STATUS_SERVER_ERROR || reply->status == STATUS_TOO_MANY)
+  if (reply->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR
+      || reply->status == HTTP_STATUS_TOO_MANY_REQUESTS)
     return REPLY_FAILED;
   return REPLY_BUFFERED;
 }
@@ -285,7 +279,8 @@
                    && request->attempts < request->route->attempts_max;
   /* Callers take these two statuses as a guarantee that nothing ran, which this answer doesn't
    * give. */
-  bool implies_not_run = reply->status == STATUS_TOO_MANY || reply->status == STATUS_UNAVAILABLE;
+  bool implies_not_run = reply->status == HTTP_STATUS_TOO_MANY_REQUESTS
+                         || reply->status == HTTP_STATUS_SERVICE_UNAVAILABLE;
 
   if (may_retry || implies_not_run || request->head_sent || !info->is_signed)
     request_retry (request, "server_error", true);
