--- a/src/front_peers_private.h
+++ b/src/front_peers_private.h
@@ -81,10 +81,10 @@
 /* Order of the fronts for a subject: the highest hash comes first. */
 uint64_t peers_rank_hash (const struct sockaddr_in *address, uint64_t subject);
 /* True if the peer is alive and in the same failure domain. */
-bool peers_is_neighbour (const FrontPeers *peers, const Peer *peer, int64_t now_ms);
+bool peers_is_domain_peer (const FrontPeers *peers, const Peer *peer, int64_t now_ms);
 void peers_find_collectors (FrontPeers *peers, int64_t now_ms, Collectors *out);
 /* Number of living fronts of the same failure domain, this one included. */
-unsigned peers_neighbour_count (const FrontPeers *peers, int64_t now_ms);
+unsigned peers_domain_front_count (const FrontPeers *peers, int64_t now_ms);
 
 /* front_peers.c */
 bool peer_is_alive (const Peer *peer, int64_t now_ms);
--- a/src/front_peers_rank.c
+++ b/src/front_peers_rank.c
@@ -50,18 +50,18 @@
 }
 
 bool
-peers_is_neighbour (const FrontPeers *peers, const Peer *peer, int64_t now_ms)
+peers_is_domain_peer (const FrontPeers *peers, const Peer *peer, int64_t now_ms)
 {
   return peer->domain == peers->own_domain && peer_is_alive (peer, now_ms);
 }
 
 unsigned
-peers_neighbour_count (const FrontPeers *peers, int64_t now_ms)
+peers_domain_front_count (const FrontPeers *peers, int64_t now_ms)
 {
   unsigned count = 1;
 
   for (unsigned i = 0; i < peers->count; i++)
-    count += peers_is_neighbour (peers, &peers->list[i], now_ms);
+    count += peers_is_domain_peer (peers, &peers->list[i], now_ms);
   return count;
 }
 
@@ -95,7 +95,7 @@
     {
       Peer *peer = &peers->list[i];
 
-      if (peers_is_neighbour (peers, peer, now_ms))
+      if (peers_is_domain_peer (peers, peer, now_ms))
         collector_insert (best, hashes, peer, peers_rank_hash (&peer->address, COLLECTOR_SUBJECT));
     }
   for (unsigned i = 0; i < COLLECTORS; i++)
@@ -129,7 +129,7 @@
     {
       const Peer *peer = &peers->list[i];
 
-      before += peers_is_neighbour (peers, peer, now_ms)
+      before += peers_is_domain_peer (peers, peer, now_ms)
                 && peers_rank_hash (&peer->address, subject) > own;
     }
   return before;
--- a/src/front_peers_send.c
+++ b/src/front_peers_send.c
@@ -149,7 +149,7 @@
 static unsigned
 other_domain_quota (FrontPeers *peers, bool is_collector, int64_t now_ms)
 {
-  double share = OTHER_DOMAIN_MESSAGES_PER_DOMAIN / peers_neighbour_count (peers, now_ms);
+  double share = OTHER_DOMAIN_MESSAGES_PER_DOMAIN / peers_domain_front_count (peers, now_ms);
   unsigned quota;
 
   if (is_collector || share >= OTHER_DOMAIN_FANOUT)
--- a/src/front_peers_source.c
+++ b/src/front_peers_source.c
@@ -20,7 +20,7 @@
 static bool
 is_usable (const FrontPeers *peers, const Peer *peer, int64_t now_ms)
 {
-  return peers_is_neighbour (peers, peer, now_ms) && !has_failed (peer, FAILED_RETRY_MS, now_ms);
+  return peers_is_domain_peer (peers, peer, now_ms) && !has_failed (peer, FAILED_RETRY_MS, now_ms);
 }
 
 /* Number of fronts of the same domain that come before this hash and can be asked. */
