--- a/tests/fake_order.c
+++ b/tests/fake_order.c
@@ -30,7 +30,7 @@
 }
 
 ClaimResult
-order_resend (const OrderSite *site)
+order_caller_retry (const OrderSite *site)
 {
   ClaimOutcome out;
   ClaimResult result = order_claim (site, ORDER_BODY, &out);
--- a/tests/fake_order.h
+++ b/tests/fake_order.h
@@ -20,7 +20,7 @@
 void order_site_free (OrderSite *site);
 /** Claims the order with a body of that hash. */
 ClaimResult order_claim (const OrderSite *site, uint64_t body, ClaimOutcome *out);
-/** Claims the order again, as a retry at another VM; only the result is returned. */
-ClaimResult order_resend (const OrderSite *site);
+/** Claims the order again, as a caller's retry at another VM; only the result is returned. */
+ClaimResult order_caller_retry (const OrderSite *site);
 
 #endif
--- a/tests/test_claim.c
+++ b/tests/test_claim.c
@@ -1,6 +1,6 @@
 /**
- * Claims: an order runs at most once, with retries, killed holders, lost replies and delayed
- * writes.
+ * Claims: an order runs at most once, with callers' retries, killed holders, lost replies and
+ * delayed writes.
  */
 #include "fake_link.h"
 #include "fake_order.h"
@@ -33,7 +33,7 @@
 }
 
 /* A caller retries a dispatch order while the first attempt is running and after it was answered.
- * The order must run once: the retries get "in progress", then the stored answer. */
+ * The order must run once: the caller's retries get "in progress", then the stored answer. */
 static void
 test_retry_does_not_run_again (void)
 {
@@ -41,7 +41,7 @@
   ClaimOutcome first, again;
 
   CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &first), CLAIM_TAKEN);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   settle (&site, &first.claim, "crew \x01 3");
   CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &again), CLAIM_ANSWERED);
   CU_ASSERT_EQUAL (again.http_status, 200);
@@ -53,8 +53,8 @@
 
 /* The VM that has the order is killed at the write of its claim, before or after the write takes
  * effect; after the claim was taken and bytes may have been sent; and after the usage record was
- * written, before the end of the answer. A retry at another VM may run the order only in the first
- * case, and must get the answer in the last. */
+ * written, before the end of the answer. A caller's retry at another VM may run the order only in
+ * the first case, and must get the answer in the last. */
 static void
 test_order_of_a_killed_holder_runs_at_most_once (void)
 {
@@ -67,7 +67,7 @@
 
       fake_link_kill_at (link, 1, after_effect);
       CU_ASSERT_EQUAL (order_claim (&killed, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
-      CU_ASSERT_EQUAL (order_resend (&site), after_effect ? CLAIM_IN_PROGRESS : CLAIM_TAKEN);
+      CU_ASSERT_EQUAL (order_caller_retry (&site), after_effect ? CLAIM_IN_PROGRESS : CLAIM_TAKEN);
       platform_group_free (killed.group);
       platform_free (link);
       order_site_free (&site);
@@ -81,7 +81,7 @@
       if (billed)
         settle (&site, &out.claim, "crew 3");
       for (int i = 0; i < 3; i++)
-        CU_ASSERT_EQUAL (order_resend (&site), billed ? CLAIM_ANSWERED : CLAIM_IN_PROGRESS);
+        CU_ASSERT_EQUAL (order_caller_retry (&site), billed ? CLAIM_ANSWERED : CLAIM_IN_PROGRESS);
       order_site_free (&site);
     }
 }
@@ -97,7 +97,8 @@
   order_site_free (&site);
 }
 
-/* An answer over the limit is not stored, and the retry gets no answer rather than a part of it. */
+/* An answer over the limit is not stored, and the caller's retry gets no answer rather than a part
+ * of it. */
 static void
 test_too_long_answer_is_not_stored (void)
 {
@@ -125,7 +126,7 @@
 
   fake_platform_fault (site.p, FAULT_LOSE_REPLY, CALL_TXN, 1);
   CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
 }
 
@@ -137,7 +138,7 @@
 
   fake_platform_fault (site.p, FAULT_LOSE_CALL, CALL_TXN, 1);
   CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
 }
 
@@ -153,7 +154,7 @@
   CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_FALSE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_TAKEN);
   order_site_free (&site);
 }
 
@@ -176,11 +177,11 @@
   CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_UNAVAILABLE);
   CU_ASSERT_TRUE (out.outcome_unknown);
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   claim_releaser_add (releaser, &out.claim);
   CU_ASSERT_EQUAL (free_releaser (releaser), 0);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
 }
 
@@ -198,9 +199,9 @@
   fake_platform_fault (site.p, FAULT_NONE, 0, 0);
   CU_ASSERT_EQUAL (claim_release (site.p, &out.claim, NULL), STATUS_OK);
   fake_platform_late_effects (site.p);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_TAKEN);
   fake_platform_late_effects (site.p);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
 }
 
@@ -220,7 +221,7 @@
   CU_ASSERT_TRUE (b.outcome_unknown);
   CU_ASSERT_EQUAL (claim_release (site.p, &b.claim, NULL), STATUS_OK);
   fake_platform_late_effects (site.p);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_TAKEN);
   order_site_free (&site);
 }
 
@@ -269,12 +270,12 @@
   CU_ASSERT_EQUAL (claim_release (site.p, &a.claim, NULL), STATUS_OK);
   fake_platform_hook (site.p, NULL, NULL);
   CU_ASSERT_TRUE (racer.done);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   order_site_free (&site);
 }
 
-/* Runs the whole attempt of another retry directly before the write of the take-over, which is the
- * second transaction, after the insert that found the released row. */
+/* Runs the whole attempt of another caller's retry directly before the write of the take-over,
+ * which is the second transaction, after the insert that found the released row. */
 static void
 race_with_take_over (void *context, FakeCall call)
 {
@@ -282,11 +283,11 @@
 
   if (call != CALL_TXN || ++racer->transactions != 2)
     return;
-  racer->done = order_resend (racer->site) == CLAIM_TAKEN;
+  racer->done = order_caller_retry (racer->site) == CLAIM_TAKEN;
 }
 
-/* Two retries find the order released; the second takes it over between the first one's read and
- * write. If both ran it, two crews would be sent. */
+/* Two callers' retries find the order released; the second takes it over between the first one's
+ * read and write. If both ran it, two crews would be sent. */
 static void
 test_take_over_between_read_and_write_fails (void)
 {
@@ -297,7 +298,7 @@
   CU_ASSERT_EQUAL (order_claim (&site, ORDER_BODY, &out), CLAIM_TAKEN);
   CU_ASSERT_EQUAL (claim_release (site.p, &out.claim, NULL), STATUS_OK);
   fake_platform_hook (site.p, race_with_take_over, &racer);
-  CU_ASSERT_EQUAL (order_resend (&site), CLAIM_IN_PROGRESS);
+  CU_ASSERT_EQUAL (order_caller_retry (&site), CLAIM_IN_PROGRESS);
   fake_platform_hook (site.p, NULL, NULL);
   CU_ASSERT_TRUE (racer.done);
   order_site_free (&site);
@@ -308,11 +309,11 @@
 {
   Racer *racer = argument;
 
-  racer->done = order_resend (racer->site) == CLAIM_TAKEN;
+  racer->done = order_caller_retry (racer->site) == CLAIM_TAKEN;
   return NULL;
 }
 
-/* Many retries try to take over a released claim at once: one must get it. */
+/* Many callers' retries try to take over a released claim at once: one must get it. */
 static void
 test_take_over_has_one_winner (void)
 {
--- a/tests/test_claim_random.c
+++ b/tests/test_claim_random.c
@@ -101,7 +101,7 @@
   while (f.unreleased_count > 0)
     fixture_release (&f);
   fake_platform_late_effects (f.site.p);
-  CU_ASSERT_EQUAL (order_resend (&f.site), CLAIM_TAKEN);
+  CU_ASSERT_EQUAL (order_caller_retry (&f.site), CLAIM_TAKEN);
   gsl_rng_free (f.rng);
   order_site_free (&f.site);
 }
