--- a/tests/test_cluster_safety.c
+++ b/tests/test_cluster_safety.c
@@ -1,6 +1,7 @@
 /**
- * Safety of withdrawals: grant_ms after a patch is accepted no steward lets new work start on an
- * earlier number. Each test guards against a way in which the protocol could break this.
+ * Safety of withdrawals: grant_ms after a patch of the configuration is accepted, no steward lets
+ * new work start on an earlier configuration number. Each test guards against a way in which the
+ * protocol could break this.
  */
 #include "cluster_accept.h"
 #include "cluster_grant.h"
@@ -39,8 +40,9 @@
     cluster_state_free (states[i]);
 }
 
-/* w acknowledges patch 8 and is replaced; the new process at its address gets 7 from {c, d, x}. If
-   it voted in place of w, it would support grants on 7 while a counts {a, w, x} and accepts 8. */
+/* w acknowledges patch 8 and is replaced; the new process at its address gets number 7 from
+   {c, d, x}. If it voted in place of w, it would support grants on 7 while a accepts 8 by the
+   majority {a, w, x}. */
 static void
 a_replaced_member_has_no_vote (void)
 {
@@ -80,8 +82,8 @@
 }
 
 /* {c, d, e}, a majority of the old five, are partitioned off from the table service. The others are
-   replaced and more members join. These could accept a withdrawal without c, d and e, unless a
-   majority of the old five must have seen the new view before. */
+   replaced and more members join. The new members could accept a withdrawal without c, d and e,
+   unless a majority of the old five must have seen the new view before. */
 static void
 previous_members_establish_a_view (void)
 {
@@ -153,7 +155,7 @@
 }
 
 /* Under a pending view the previous members still accept numbers, and the new members may do so at
-   any time: a majority of one of the two sets alone proves nothing. */
+   any time: a majority of only one of the two sets must give no grant. */
 static void
 a_pending_view_needs_both_majorities (void)
 {
@@ -181,7 +183,8 @@
 
 /* Patch 8 is accepted by {a, b, c}, which then die and are removed from the view. {d, e} are left,
    both at 7. They are all members of the new view, and would continue with a withdrawn version if
-   they could adopt that view without the head number at the time of its write. */
+   they could adopt that view before they have applied its head number, the newest durable one when
+   the view was written. */
 static void
 a_smaller_view_requires_its_head_number (void)
 {
@@ -238,8 +241,8 @@
 }
 
 /* A partition separates four members with the table service from five without. The four apply new
-   numbers and get grants by the head row, but can't accept; the five get grants by their
-   majority. */
+   numbers and get grants by reading the head row, but can't accept a number; the five get grants by
+   their majority. */
 static void
 grants_of_a_partitioned_side_end_after_acceptance (void)
 {
@@ -278,8 +281,8 @@
 }
 
 /* The VM is paused between the check of the grant and the send of the reply to the gate. The
-   grant's end is a time on a clock that advances during the pause, so that nothing is left after
-   it. */
+   grant's end is a time on a clock that advances during the pause, so after a pause of a minute the
+   grant has ended. */
 static void
 a_grant_does_not_outlive_a_pause (void)
 {
@@ -294,7 +297,8 @@
 }
 
 /* A VM is frozen for a minute and then reads answers from its socket that peers sent before and
-   during the freeze. They must count from its own asks, which are all old. */
+   during the freeze. The ages in them must be counted from the time at which it sent its asks, not
+   from the time at which it reads them. */
 static void
 a_resumed_steward_has_no_grant (void)
 {
--- a/tests/test_front_work.c
+++ b/tests/test_front_work.c
@@ -78,10 +78,10 @@
 }
 
 /* Two fronts get a prompt of 20,000 tokens for the largest model within 50 ms. If each knew only
- * its own work, both would send it to the same server, where one is read behind the other, and
- * callers would see streams that stall for two seconds. With a report of the first, the second
- * front must choose the next server; once the first prompt is read, the best one again. A front
- * that gets no reports chooses by its own load alone. */
+ * the load that it causes itself, both would send it to the same server, which reads one prompt
+ * after the other, and callers would see streams stall for two seconds. After the first front's
+ * report the second must choose the next server; once the first prompt is read, the best one again.
+ * A front that gets no reports chooses by its own load alone. */
 static void
 test_second_long_prompt_goes_elsewhere (void)
 {
@@ -116,8 +116,8 @@
 }
 
 /* The largest model's streams slow down all tokens of their server. Another front has ten of them
- * at our preferred server and none at the next one. Without the weight of the model, ten streams of
- * the smallest would count the same. */
+ * at the server that this front prefers and none at the next one. Without the weight of the model,
+ * ten streams of the smallest would count as much. */
 static void
 test_running_requests_weighted_by_model (void)
 {
@@ -162,10 +162,10 @@
   return count;
 }
 
-/* Load: the largest planned site, 60 fronts in a failure domain, each with 28 requests per second
- * for ten seconds to 24 servers. Bytes for reports must stay at 8,000 per second. What can't be
- * reported at once is reported later; more than half of the reading must be reported within the ten
- * seconds. */
+/* The largest planned site has 60 fronts in a failure domain, each with 28 requests per second to
+ * 24 servers. In ten seconds of this load, a front's work messages must stay within 8,000 bytes per
+ * second. What can't be reported at once is reported later; more than half of the reading time must
+ * be reported within the ten seconds. */
 static void
 test_message_rate_is_bounded (void)
 {
