--- a/rpc/regenerate.sh
+++ b/rpc/regenerate.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Writes the RPC code anew from lovage.x; the result is committed, so that a build needs no rpcgen.
+# Regenerates the RPC code from lovage.x. The result is committed, so that a build needs no rpcgen.
 set -eu
 cd "$(dirname "$0")"
 rm -f lovage.h lovage_xdr.c lovage_clnt.c
