--- a/src/front_cold.h
+++ b/src/front_cold.h
@@ -15,7 +15,8 @@
 /** What a front knows of the number of fronts, itself included. */
 typedef struct
 {
-  unsigned domain_fronts; /**< in our failure domain, also those that stopped sending recently */
+  unsigned domain_fronts; /**< in this front's failure domain, also those that stopped sending
+                             recently */
   unsigned registered; /**< of domain_fronts, those in the store's list, which takes only a few */
   unsigned fronts;     /**< in all failure domains */
   bool is_new;         /**< this front has just started, or gets no messages from others */
@@ -27,7 +28,7 @@
   double max_per_s;       /**< requests of all fronts in any second; 0: no limit */
   int64_t start_ms;       /**< how long a server stays cold */
   uint64_t self;          /**< hash of this VM's name, so that a restart doesn't change the share */
-  unsigned domain_fronts; /**< in our failure domain, this one included */
+  unsigned domain_fronts; /**< in this front's failure domain, itself included */
   unsigned fronts;        /**< in all failure domains */
 } ColdRule;
 
--- a/src/front_pick.c
+++ b/src/front_pick.c
@@ -52,9 +52,10 @@
   return slots ? slots : SLOTS_DEFAULT;
 }
 
-/* The server of our failure domain that all its fronts prefer for a shared prompt, by rendezvous
- * hashing. Each front sees only its own requests, so without this a prompt that all of them get is
- * read by every server. NULL: the prompt is too short to matter, or too rare to stay cached. */
+/* The server of this front's failure domain that all fronts there prefer for a shared prompt, by
+ * rendezvous hashing. Each front sees only its own requests, so without this a prompt that all of
+ * them get is read by every server. NULL: the prompt is too short to matter, or too rare to stay
+ * cached. */
 static const FrontServer *
 affinity_server (FrontServers *servers, const PickQuery *query, int64_t now_ms)
 {
--- a/src/front_rollouts.h
+++ b/src/front_rollouts.h
@@ -12,12 +12,12 @@
 #include "front_sessions.h"
 #include <urcu/list.h>
 
-/** Maximum fronts of our failure domain, by incarnation, whose evidence is kept for one roll-out:
- *  the largest planned site has 120 per domain, and half of them may restart meanwhile. */
+/** Maximum other fronts of this front's failure domain, by incarnation, whose evidence is kept for
+ *  one roll-out: the largest planned site has 120 per domain, and half may restart meanwhile. */
 #define ROLLOUT_PEERS_MAX   192
 #define ROLLOUT_DOMAINS_MAX 16
 
-/** A front of our failure domain, and what it has counted itself. */
+/** Another front of the same failure domain, and what it has counted itself. */
 typedef struct
 {
   uint64_t incarnation;
@@ -34,10 +34,10 @@
 /** Another front's report on a roll-out. */
 typedef struct
 {
-  bool is_bad;            /**< it found the new version bad, or got such a report */
-  int64_t old_busy_ms;    /**< when a request on the old version was last known to run anywhere, on
-                             our clock; 0: never */
-  uint64_t peer;          /**< its incarnation if it is in our failure domain; 0: it is not */
+  bool is_bad;         /**< it found the new version bad, or got such a report */
+  int64_t old_busy_ms; /**< when a request on the old version was last known to run anywhere, on
+                          this front's clock; 0: never */
+  uint64_t peer;       /**< its incarnation if it is in this front's failure domain; 0: it is not */
   FrontEvidence evidence; /**< its own counts; used only if peer is not 0 */
   uint32_t domain_count;
   const RolloutDomain *domains;
@@ -49,13 +49,13 @@
   struct cds_list_head node;
   char service[ROLLOUT_TEXT_MAX];
   uint64_t service_hash;
-  uint32_t own_domain;         /**< hash of our failure domain's name */
+  uint32_t own_domain;         /**< hash of this front's failure domain's name */
   char base[ROLLOUT_TEXT_MAX]; /**< version outside a roll-out; "" until known */
   bool ordered;                /**< order is valid */
   RolloutOrder order;
   FrontRolloutState state;
   int64_t learned_ms;     /**< when this front read the order */
-  int64_t started_ms;     /**< on our clock; may be before this process started */
+  int64_t started_ms;     /**< on this front's clock; may be before this process started */
   int64_t status_version; /**< row version of the status; 0: none written for this order */
   bool is_bad;      /**< found bad by this front or another one, whether or not a status says so */
   bool has_verdict; /**< verdict has to be written */
@@ -74,7 +74,7 @@
 
 typedef struct FrontRollouts FrontRollouts;
 
-/** sessions must outlive the object; domain: hash of our failure domain's name. */
+/** sessions must outlive the object; domain: hash of this front's failure domain's name. */
 FrontRollouts *front_rollouts_new (FrontSessions *sessions, uint32_t domain);
 void front_rollouts_free (FrontRollouts *rollouts);
 /** The entry of a service, created on first use. */
@@ -90,7 +90,7 @@
                                  int64_t now_ms);
 /** The order's row was removed. */
 void front_rollouts_order_removed (FrontRollouts *rollouts, const char *service);
-/** Applies a status that was read or written here, or received from another front. A status older
+/** Applies a status that this front read or wrote, or received from another one. A status older
  *  than the order belongs to an earlier order. started_ms 0: unknown. True if the state changes. */
 bool front_rollouts_apply_status (FrontRollout *rollout,
                                   const char *target,
@@ -123,7 +123,7 @@
                                   int64_t now_ms);
 /** Merges another front's report on this order. */
 void front_rollout_merge (FrontRollout *rollout, const RolloutUpdate *update);
-/** Sums up the evidence of our failure domain as far as it is known here. */
+/** Sums up what this front knows of its failure domain's evidence. */
 void front_rollout_sum_domain (FrontRollout *rollout);
 /** Evaluates a running roll-out by all evidence and updates is_bad and verdict. A bad version gets
  *  no more requests from this front at once, whether or not the store is reachable. */
