--- a/rpc/lovage.x
+++ b/rpc/lovage.x
@@ -59,7 +59,7 @@
   hyper accepted;            /* newest accepted configuration number that the sender has seen */
   hyper ages_view;           /* number of the view whose members ages is indexed by; 0: no ages */
   opaque ages<LOVAGE_MEMBERS_MAX>; /* age_ms of members with the sender's number and view, a byte
-                                each, in units of 32 ms rounded up; 255: not sent here */
+                                each, in units of 32 ms rounded up; 255: none */
   rpc_news news<LOVAGE_MEMBERS_MAX>; /* of members that ages doesn't cover; answers only */
   string address<LOVAGE_ADDRESS_MAX>; /* of the sender; "" if the receiver's view should have it */
   int port;                  /* belongs to address */
