--- a/tools/ablate.sh
+++ b/tools/ablate.sh
@@ -1,17 +1,19 @@
 #!/bin/bash
-# Switches mechanisms of lovage-front off, one by one, as bench/ablation.txt lists them.
-#   ablate.sh check                       each switch still changes its file (runs in CI)
-#   ablate.sh make NAME FOLDER            a clone of this repository's last commit with NAME switched off,
-#                                         built for the platform; NAME "none": as it is
+# Builds lovage-front with one of its mechanisms switched off, for ablation benchmarks. bench/ablation.txt lists the
+# mechanisms, each with the sed expression that switches it off in a source file.
+#   ablate.sh check                       checks that each expression still changes its file (runs in CI)
+#   ablate.sh make NAME FOLDER            clones this repository's last commit to FOLDER, switches NAME off, and
+#                                         builds lovage-front for the platform; NAME "none": nothing switched off
 set -euo pipefail
 cd "$(dirname "$0")/.."
 list=bench/ablation.txt
 
-# switch_off LINE FOLDER: false if nothing changed.
+# switch_off LINE FOLDER: applies the expression of a line of the list to the sources in FOLDER; false if nothing
+# changed.
 switch_off() {
   local file expression before
   file=$(cut -d'|' -f2 <<<"$1")
-  # An expression may hold "\|" itself, so the fields around it are cut off.
+  # An expression may contain "\|", so cut cannot select it: remove the fields before and after it.
   expression=${1#*|*|}
   expression=${expression%|*}
   before=$(sha256sum "$2/$file")
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,11 +1,11 @@
 #!/bin/bash
-# Runs the unit tests and the whole-path cases that are built in a folder, and prints as its last line
-# "N passed, N failed": assertions of the unit tests, and one for each whole-path case.
+# Runs the unit tests and the whole-path cases with the programs in a build folder. Its last line is "N passed, N
+# failed", which counts the assertions of the unit tests and one for each whole-path case.
 #
 # usage: tools/check.sh BUILD-FOLDER unit|regress...
 #
-# KNOWN-RED.txt lists at most three failing tests, one a line as "TEST, cause, issue", TEST being
-# PROGRAM:CASE or regress/case_X.sh. Just these are passed over, and are printed.
+# KNOWN-RED.txt lists at most three tests that are known to fail, one per line as "TEST, cause, issue", where TEST is
+# PROGRAM:CASE or regress/case_X.sh. Their failures are printed but not counted.
 # EARLIER_FAILED is the number of steps that failed before (see .ci/run).
 set -uo pipefail
 cd "$(dirname "$0")/.."
@@ -15,7 +15,7 @@
 UNIT_TIMEOUT_S=300
 CASE_TIMEOUT_S=300
 KNOWN_RED_MAX=3
-# Tests that run side by side; half of the processors, as a case starts a dozen processes.
+# Number of tests that run in parallel: half of the processors, as a case starts a dozen processes.
 CHECK_JOBS=${CHECK_JOBS:-$((($(nproc) + 1) / 2))}
 
 build=$1
@@ -40,7 +40,7 @@
   fi
 }
 
-# Names of the cases that failed in a log of tests/suite.c; one a line.
+# failed_cases LOG: prints the names of the cases that failed in a log written by tests/suite.c, one per line.
 failed_cases() {
   awk '/^  Test: / { name = $2 } /FAILED$/ { print name }' "$1" | sort -u
 }
@@ -49,14 +49,14 @@
   sed 's/^/    /' "$1" | tail -n 60
 }
 
-# True if each case that failed in the program's log is known red.
+# all_known_red PROGRAM LOG: true if at least one case failed and all that failed are listed in KNOWN-RED.txt.
 all_known_red() {
-  local program=$1 log=$2 name any=1
+  local program=$1 log=$2 name status=1
   while IFS= read -r name; do
     [ -n "${known_red[$program:$name]:-}" ] || return 1
-    any=0
+    status=0
   done < <(failed_cases "$log")
-  return $any
+  return $status
 }
 
 print_known_red() {
@@ -113,31 +113,33 @@
   fi
 }
 
-# Runs one test in a process of its own; what it prints and counts is shown in order afterwards.
-run_apart() {
-  local runner=$1 item=$2 mark
-  mark=$logs/$(basename "$item").result
+# run_in_background RUNNER ITEM: runs one test in a background process, which writes its output and counts to files.
+run_in_background() {
+  local runner=$1 item=$2 result
+  result=$logs/$(basename "$item").result
   (
     passed=0
     failed=0
-    "$runner" "$item" >"$mark" 2>&1
-    echo "$passed $failed" >"$mark.counts"
+    "$runner" "$item" >"$result" 2>&1
+    echo "$passed $failed" >"$result.counts"
   ) &
 }
 
+# collect ITEM: prints the output of a test run by run_in_background and adds its counts.
 collect() {
-  local item=$1 mark p f
-  mark=$logs/$(basename "$item").result
-  cat "$mark"
-  if read -r p f <"$mark.counts"; then
+  local item=$1 result p f
+  result=$logs/$(basename "$item").result
+  cat "$result"
+  if read -r p f <"$result.counts"; then
     passed=$((passed + p))
     failed=$((failed + f))
   else
-    echo "$item: its runner ended before its verdict"
+    echo "$item: its runner ended without a result"
     failed=$((failed + 1))
   fi
 }
 
+# run_all RUNNER ITEM...: runs tests, at most CHECK_JOBS in parallel, and prints their output in this order.
 run_all() {
   local runner=$1 item
   shift
@@ -146,7 +148,7 @@
     while [ "$(jobs -rp | wc -l)" -ge "$CHECK_JOBS" ]; do
       wait -n
     done
-    run_apart "$runner" "$item"
+    run_in_background "$runner" "$item"
   done
   wait
   for item in "$@"; do
--- a/tools/front_log.py
+++ b/tools/front_log.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
 """Reads logs of lovage-front.
 
-front_log.py story ID FILE...     all lines of one request, by VM and time
-front_log.py summary FILE...      what ended badly or changed, by second, event and reason
+front_log.py story ID FILE...     prints all lines of one request, by time, with the VM
+front_log.py summary FILE...      counts failures and changes of state by second, event and reason
 
-A line may have anything before its JSON object, such as a collector's time and the VM's name; a first
-word that is a number is taken for the time, in seconds, and otherwise the VM's own clock is used.
+A line may have any text before its JSON object, such as a log collector's time and the VM's name. If its first
+word is a number, that is the time in seconds; otherwise the time of the VM's own clock in the object is used.
 """
 
 import collections
@@ -13,14 +13,15 @@
 import re
 import sys
 
-QUIET = {"request_sent", "request_answered", "request_cascade", "server_state", "peer_state"}
-ENDS = {"request_answered", "request_refused", "request_failed", "request_cancelled"}
+# Events that the summary leaves out, and events that end a request.
+OMITTED_EVENTS = {"request_sent", "request_answered", "request_cascade", "server_state", "peer_state"}
+END_EVENTS = {"request_answered", "request_refused", "request_failed", "request_cancelled"}
 LINE = re.compile(r"^\s*(-?[\d.]+)?[^{]*(\{.*\})\s*$")
 
 
-def lines(paths):
-    """(seconds, object) of each readable line; others are counted and told at the end."""
-    unread = 0
+def read_lines(paths):
+    """Yields (time in seconds, object) of each log line; prints the number of other lines at the end."""
+    skipped = 0
     for path in paths:
         with open(path, encoding="utf-8", errors="replace") as source:
             for text in source:
@@ -30,44 +31,45 @@
                 except ValueError:
                     entry = None
                 if not isinstance(entry, dict) or "event" not in entry:
-                    unread += 1
+                    skipped += 1
                     continue
                 yield float(found[1]) if found[1] else entry["ms"] / 1000, entry
-    if unread:
-        print(f"({unread} lines are not of lovage-front)", file=sys.stderr)
+    if skipped:
+        print(f"({skipped} lines are not of lovage-front)", file=sys.stderr)
 
 
 def story(request, paths):
-    """All lines of a request, and what became of the front that had it if none of them ends it."""
-    found, starts, last = [], collections.defaultdict(list), {}
-    for at, entry in lines(paths):
-        last[entry["vm"]] = max(at, last.get(entry["vm"], at))
+    """Prints all lines of a request; if none of them ends it, also the restart or the last line of its front."""
+    found, starts_of, last_of = [], collections.defaultdict(list), {}
+    for at, entry in read_lines(paths):
+        last_of[entry["vm"]] = max(at, last_of.get(entry["vm"], at))
         if entry["event"] == "start":
-            starts[entry["vm"]].append(at)
+            starts_of[entry["vm"]].append(at)
         if entry.get("request") == request:
             found.append((at, entry))
     found.sort(key=lambda x: x[0])
     for at, entry in found:
-        rest = {name: value for name, value in entry.items() if name not in ("ms", "vm", "event", "request")}
-        print(f"{at:12.3f} {entry['vm']} {entry['event']:18} " + " ".join(f"{n}={v}" for n, v in rest.items()))
-    if found and found[-1][1]["event"] not in ENDS:
+        fields = {name: value for name, value in entry.items() if name not in ("ms", "vm", "event", "request")}
+        print(f"{at:12.3f} {entry['vm']} {entry['event']:18} " + " ".join(f"{n}={v}" for n, v in fields.items()))
+    if found and found[-1][1]["event"] not in END_EVENTS:
         at, vm = found[-1][0], found[-1][1]["vm"]
-        again = [start for start in starts[vm] if start > at]
-        if again:
-            print(f"{'':12} {vm} has no line that ends it; its process was started anew at {again[0]:.3f}")
+        restarts = [start for start in starts_of[vm] if start > at]
+        if restarts:
+            print(f"{'':12} {vm} has no line that ends it; its process was restarted at {restarts[0]:.3f}")
         else:
-            print(f"{'':12} {vm} has no line that ends it; the last line of this VM is of {last[vm]:.3f}")
+            print(f"{'':12} {vm} has no line that ends it; the last line of this VM is at {last_of[vm]:.3f}")
     return 0 if found else 1
 
 
 def summary(paths):
+    """Prints the number of events by second, event, reason and verdict."""
     counts = collections.Counter()
-    for at, entry in lines(paths):
-        if entry["event"] not in QUIET:
-            what = entry.get("reason") or entry.get("table") or entry.get("state") or entry.get("phase") or ""
-            counts[int(at), entry["event"], str(what), entry.get("verdict", "")] += 1
-    for (second, event, what, verdict), number in sorted(counts.items()):
-        print(f"{second:8} {number:5} {event} {what} {verdict}")
+    for at, entry in read_lines(paths):
+        if entry["event"] not in OMITTED_EVENTS:
+            detail = entry.get("reason") or entry.get("table") or entry.get("state") or entry.get("phase") or ""
+            counts[int(at), entry["event"], str(detail), entry.get("verdict", "")] += 1
+    for (second, event, detail, verdict), number in sorted(counts.items()):
+        print(f"{second:8} {number:5} {event} {detail} {verdict}")
     return 0 if counts else 1
 
 
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Installs what the build, the tests and the linters need on Debian; nothing is done when all is there.
+# Installs the Debian packages that the build, the tests and the linters need, unless all are installed.
 set -euo pipefail
 
 packages=(
--- a/tools/play_days.sh
+++ b/tools/play_days.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# Plays days that once broke a promise, on the code as it is: play_days.sh FOLDER [PATTERN]. FOLDER is the
-# users' kit with its bench and the site files; PATTERN chooses lines of docs/incidents/days.txt. Prints a
-# line a day, and exits with 1 if one breaks a promise or can't be played.
+# Replays on the current code scenarios ("days") that broke a guarantee before: play_days.sh FOLDER [PATTERN].
+# FOLDER is the users' kit with its bench and the site files; PATTERN, a regular expression, selects lines of
+# docs/incidents/days.txt. Prints a line per day; exits with 1 if one breaks a guarantee or cannot be played.
 #   play_days.sh FOLDER own SITE [SEEDS]  plays the days of deploy/days on one site, as written and with
 #                                         times and figures varied by each of SEEDS (default: 1 2 3)
 set -uo pipefail
 cd "$(dirname "$0")/.."
-# The newest of the benches that the kit holds beside the first one plays the earlier site files, too.
+# The kit has newer benches beside the first one; the newest plays the site files of the earlier ones too.
 bench=$(ls -t "${1:-}"/more/bench-*/bin/fleetbench "${1:-}"/bin/fleetbench 2>/dev/null | head -n 1 || true)
 if [ $# -lt 1 ] || [ ! -x "$bench" ]; then
   echo "play_days.sh: expected the folder of the users' kit, found: ${1:-nothing}" >&2
@@ -16,7 +16,7 @@
 out=$(mktemp)
 trap 'rm -f "$out"' EXIT
 
-# play SITE VERB ARGUMENT...: true if the day was played and kept its promises.
+# play SITE VERB ARGUMENT...: plays a day; true if it ended and all guarantees held.
 play() {
   local site=$1 verb=$2
   shift 2
@@ -26,7 +26,7 @@
 
 failed=0 played=0
 
-# report SITE VERB ARGUMENT...: plays the day and prints a line on it.
+# report SITE VERB ARGUMENT...: plays a day and prints its result.
 report() {
   played=$((played + 1))
   if play "$@"; then
--- a/tools/site.sh
+++ b/tools/site.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# make site: the site of the demo, kept running until Ctrl-C, with lines to try by hand.
+# make site: runs the site of the demo until Ctrl-C, and prints commands to try on it.
 build=${1:-build}
-# Each process in a group of its own: Ctrl-C reaches only this script, which stops them in order.
+# Job control gives each process its own process group, so that Ctrl-C reaches only this script, which stops the
+# processes in order.
 set -m
 SITE_PORTS=${SITE_PORTS:-fixed}
 . "$(dirname "$0")/../regress/lib.sh"
@@ -9,13 +10,13 @@
 site_start 3
 operators="127.0.0.1:${port[18113]},127.0.0.1:${port[18123]},127.0.0.1:${port[18133]}"
 cat <<TEXT
-The site runs; its settings, keys and logs are in $site
+The site is running; its settings, keys and logs are in $site
 
-A whole answer, and a streamed one through another gate:
+An answer without streaming, and a streamed one through another gate:
   curl -i -H "Authorization: Bearer \$(cat $site/tender-desk.key)" -d '$(chat draft "Draft a bid bond")' $(gate_url 1)/v1/chat/completions
   curl -iN -H "Authorization: Bearer \$(cat $site/workshop.key)" -d '$(chat draft-small "Read a fault log" true)' $(gate_url 2)/v1/chat/completions
 
-The operators' side:
+Commands for operators:
   export CTL="$build/lovagectl --steward $operators --key-file $site/operator.key"
   \$CTL status
   \$CTL rollout start draft-small --from v1 --to v2 --stages 0.1,0.5,1
@@ -24,12 +25,12 @@
   \$CTL usage
   \$CTL audit
 
-Counters of a gate and a steward, and the bills:
+Metrics of a gate and a steward, and the bills:
   curl $(gate_local_url 1)/metrics
   curl $(steward_local_url 1)/metrics
   curl "$(platform_url)/v1/scan?table=bill"
 
-Faults on command (see docs/operate), e.g. the platform down for the next 20 calls:
+Fault injection (see docs/operate), e.g. the platform unavailable for the next 20 calls:
   curl -d '{"kind":"down","count":20}' $(platform_url)/v1/fault
 
 Ctrl-C stops the site.
