--- a/regress/front/cases.py
+++ b/regress/front/cases.py
@@ -427,7 +427,7 @@
 
 async def lost_answer_to_status_write(site):
     """A front writes a roll-out's status, and the store's answer is lost. The status is written once, not twice, and
-    the roll-out goes on when the store answers again."""
+    the roll-out continues when the store answers again."""
     for front in site.fronts:
         front.store_endpoint.set("lost")
     for _ in range(2):
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -12,7 +12,7 @@
   echo "== $*"
 }
 
-# request GATE TEAM MODEL CALLER PROMPT [STREAM]: sends a request; records who answered it, or prints the refusal.
+# request GATE TEAM MODEL CALLER PROMPT [STREAM]: sends a request; records the version that answered, or prints the refusal.
 request() {
   local gate=$1 team=$2 model=$3 caller=$4 prompt=$5 stream=${6:-false} version
   ask "$gate" "$team" "$(chat "$model" "$prompt" "$stream")" -H "X-Lovage-Caller: $caller"
--- a/tools/play_days.sh
+++ b/tools/play_days.sh
@@ -20,7 +20,7 @@
 play() {
   local site=$1 verb=$2
   shift 2
-  "$bench" "$verb" "$kit/$site" "$@" --why "a day that once broke a promise, again" >"$out" 2>&1 \
+  "$bench" "$verb" "$kit/$site" "$@" --why "replay of a day that broke a guarantee before" >"$out" 2>&1 \
     && grep -q '^worth ' "$out" && ! grep -q '^rules broken' "$out"
 }
 
